--- /dev/null
+++ b/internal/golden/files_test.go
@@ -0,0 +1,29 @@
+package golden_test
+
+import (
+	"errors"
+	"flag"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+var writeGolden = flag.Bool("update", false, "write the golden files that do not exist yet")
+
+// goldenFile compares got with a file under testdata. The file is written only with -update
+// and only where there is none: a golden file that exists is never replaced.
+func goldenFile(t *testing.T, path string, got []byte) {
+	t.Helper()
+	path = filepath.Join("testdata", path)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && *writeGolden {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+		return
+	}
+	require.NoError(t, err)
+	require.Equal(t, string(want), string(got), "%s", path)
+}
--- /dev/null
+++ b/internal/golden/wire_test.go
@@ -0,0 +1,192 @@
+package golden_test
+
+import (
+	stdjson "encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/segmentio/encoding/json"
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+func wireSeconds(s float64) *float64 { return &s }
+
+type wireSample struct {
+	name  string
+	full  any // a pointer to a message with every field set
+	empty any // a pointer to one with zero values
+}
+
+func wireSamples() []wireSample {
+	order := wire.Order{Verb: wire.VerbStop, Task: "job-7/3", Attempt: 1<<63 + 5, GraceS: wireSeconds(4.5)}
+	task := wire.TaskReport{Task: "job-7/3", Attempt: 18446744073709551615, Phase: wire.TaskExited, Cause: wire.CauseNoRoom, Saved: true}
+	kind := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemGB: 256.5, CacheGB: 100, FetchGBPS: 1.25, Price: 3.5, SpotPrice: 1.1, BootS: 45,
+		Zones: []string{"north", "south"}}
+	rental := wire.Rental{ID: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Phase: wire.MachineBooting, AgeS: 12.5}
+	item := wire.Item{Key: "job/1", Value: stdjson.RawMessage(`{"a":1}`), Stamp: 9, Hold: 4}
+	cond := wire.Cond{Key: "job/1", Stamp: 9}
+	op := wire.Op{Put: "job/1", Value: "text", Hold: 4, Drop: "job/2"}
+	change := wire.Change{Put: "job/1", Drop: "job/2", Value: stdjson.RawMessage(`[1,2]`), Stamp: 10}
+	return []wireSample{
+		{"job", &wire.Job{ID: "job-000412", Class: "train", Team: "red", Shape: "array", Rank: "high", Tasks: 16, CPUs: 8.5, GPUs: 1,
+			MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: "north", OneZone: true, Spread: true, Spot: true,
+			EstimateS: 240, SaveEveryS: 30, SaveS: 4, DueS: wireSeconds(900)}, &wire.Job{}},
+		{"job_state", &wire.JobState{ID: "job-7", Phase: wire.Running, Done: 3, Running: 13}, &wire.JobState{}},
+		{"error", &wire.Error{Error: "no <such> job & path", Steward: "b"}, &wire.Error{}},
+		{"task_report", &task, &wire.TaskReport{}},
+		{"report", &wire.Report{Machine: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Session: 5, Tick: 6, Token: 7,
+			NoticeS: wireSeconds(30), Tasks: []wire.TaskReport{task}}, &wire.Report{}},
+		{"order", &order, &wire.Order{}},
+		{"report_answer", &wire.ReportAnswer{Token: 8, Orders: []wire.Order{order}}, &wire.ReportAnswer{}},
+		{"orders", &wire.Orders{Token: 8, Session: 5, Orders: []wire.Order{order}}, &wire.Orders{}},
+		{"machine_type", &kind, &wire.MachineType{}},
+		{"catalog", &wire.Catalog{Types: []wire.MachineType{kind}}, &wire.Catalog{}},
+		{"rental_request", &wire.RentalRequest{Name: "r-1", Type: "g8", Zone: "north", Spot: true, Count: 50}, &wire.RentalRequest{}},
+		{"hosts", &wire.Hosts{Hosts: []string{"m-1", "m-2"}}, &wire.Hosts{}},
+		{"rental", &rental, &wire.Rental{}},
+		{"rentals", &wire.Rentals{Hosts: []wire.Rental{rental}, More: true}, &wire.Rentals{}},
+		{"item", &item, &wire.Item{Value: stdjson.RawMessage("null")}},
+		{"items", &wire.Items{Items: []wire.Item{item}, More: true, Rev: 11}, &wire.Items{}},
+		{"cond", &cond, &wire.Cond{}},
+		{"op", &op, &wire.Op{}},
+		{"multi", &wire.Multi{When: []wire.Cond{cond}, Then: []wire.Op{op}}, &wire.Multi{}},
+		{"multi_answer", &wire.MultiAnswer{Rev: 12, Failed: []string{"job/1"}}, &wire.MultiAnswer{}},
+		{"change", &change, &wire.Change{Value: stdjson.RawMessage("null")}},
+		{"changes", &wire.Changes{Rev: 12, Log: []wire.Change{change}}, &wire.Changes{}},
+		{"hold_answer", &wire.HoldAnswer{Hold: 4}, &wire.HoldAnswer{}},
+	}
+}
+
+// Users, workers, the cloud and the state service know the messages by their JSON: names, order
+// of fields, what is left out when empty. Both encoders that the service uses must give it.
+func TestWireMessagesKeepEncodedForm(t *testing.T) {
+	for _, s := range wireSamples() {
+		full := reflect.ValueOf(s.full).Elem()
+		for i := range full.NumField() {
+			require.False(t, full.Field(i).IsZero(), "%s: field %d of the sample is not set", s.name, i)
+		}
+		for variant, message := range map[string]any{"full": s.full, "empty": s.empty} {
+			t.Run(s.name+"/"+variant, func(t *testing.T) {
+				file := fmt.Sprintf("wire/%s.%s.json", s.name, variant)
+				std, err := stdjson.Marshal(message)
+				require.NoError(t, err)
+				goldenFile(t, file, append(std, '\n'))
+				fast, err := json.Marshal(message)
+				require.NoError(t, err)
+				require.Equal(t, string(std), string(fast), "the encoders differ")
+				for name, decode := range map[string]func([]byte, any) error{"encoding/json": stdjson.Unmarshal, "segmentio": json.Unmarshal} {
+					back := reflect.New(full.Type())
+					require.NoError(t, decode(std, back.Interface()), name)
+					require.Equal(t, message, back.Interface(), name)
+				}
+			})
+		}
+	}
+}
+
+// The values are part of the protocols, or of what users are answered.
+func TestWireConstantsKeepValues(t *testing.T) {
+	var out strings.Builder
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"path jobs", wire.PathJobs}, {"path ready", wire.PathReady}, {"path report", wire.PathReport}, {"path orders", wire.PathOrders},
+		{"path show", wire.PathShow}, {"path catalog", wire.PathCatalog}, {"path rentals", wire.PathRentals}, {"path return", wire.PathReturn},
+		{"path keys", wire.PathKeys}, {"path multi", wire.PathMulti}, {"path holds", wire.PathHolds}, {"path changes", wire.PathChanges},
+		{"limit body", wire.MaxBody}, {"limit tasks", wire.MaxTasks}, {"limit rental", wire.MaxRental}, {"limit list", wire.MaxList}, {"limit multi", wire.MaxMulti},
+		{"job pending", wire.Pending}, {"job running", wire.Running}, {"job done", wire.Done}, {"job cancelled", wire.Cancelled},
+		{"task fetching", wire.TaskFetching}, {"task running", wire.TaskRunning}, {"task saving", wire.TaskSaving}, {"task exited", wire.TaskExited},
+		{"cause done", wire.CauseDone}, {"cause stopped", wire.CauseStopped}, {"cause error", wire.CauseError}, {"cause no room", wire.CauseNoRoom},
+		{"cause busy", wire.CauseBusy}, {"cause no such", wire.CauseNoSuch},
+		{"verb run", wire.VerbRun}, {"verb stop", wire.VerbStop}, {"verb forget", wire.VerbForget},
+		{"machine booting", wire.MachineBooting}, {"machine running", wire.MachineRunning}, {"machine failed", wire.MachineFailed},
+		{"ranks", wire.Ranks}, {"level of idle", wire.RankLevel("idle")}, {"level of production", wire.RankLevel("production")}, {"level of another", wire.RankLevel("low")},
+	} {
+		fmt.Fprintf(&out, "%s: %v\n", c.name, c.value)
+	}
+	goldenFile(t, "wire/constants.txt", []byte(out.String()))
+}
+
+const wireJob = `{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle","shards":1,"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`
+
+// A user is told these texts with a 400. Of several missing fields any may be named, so one is
+// missing at a time.
+func TestJobRefusalsKeepTexts(t *testing.T) {
+	var out strings.Builder
+	tell := func(what, body string) {
+		_, err := wire.ParseJob([]byte(body))
+		require.Error(t, err, what)
+		fmt.Fprintf(&out, "%s: %v\n", what, err)
+	}
+	_, err := wire.ParseJob([]byte(wireJob))
+	require.NoError(t, err)
+	with := func(name string, value any) string {
+		var fields map[string]any
+		require.NoError(t, stdjson.Unmarshal([]byte(wireJob), &fields))
+		fields[name] = value
+		if value == nil {
+			delete(fields, name)
+		}
+		b, err := stdjson.Marshal(fields)
+		require.NoError(t, err)
+		return string(b)
+	}
+	for _, name := range []string{"id", "jobclass", "owner", "shape", "rank", "shards", "cpus", "mem_gb", "bundle", "size_gb", "guess_s"} {
+		tell("without "+name, with(name, nil))
+	}
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"id", "task-1"}, {"id", "job-x"}, {"shape", "gang"}, {"rank", "low"}, {"shards", 0}, {"shards", 100_001},
+		{"cpus", -1}, {"accelerators", -1}, {"mem_gb", 2e9}, {"size_gb", -1}, {"guess_s", -1}, {"snap_every_s", -1}, {"snap_s", -1},
+		{"due_s", -1}, {"owner", ""},
+	} {
+		tell(fmt.Sprintf("%s = %v", c.name, c.value), with(c.name, c.value))
+	}
+	tell("long owner", with("owner", strings.Repeat("x", 201)))
+	tell("long jobclass", with("jobclass", strings.Repeat("x", 201)))
+	tell("long bundle", with("bundle", strings.Repeat("x", 501)))
+	tell("takes nothing", strings.NewReplacer(`"cpus":1`, `"cpus":0`, `"mem_gb":1`, `"mem_gb":0`).Replace(wireJob))
+	tell("a list", "[]")
+	tell("no JSON", "{")
+	goldenFile(t, "wire/refusals.txt", []byte(out.String()))
+}
+
+// A field of a wrong type is refused with a text that names the JSON field. It names Go types
+// too, which are not compared.
+func TestJobWithFieldOfWrongTypeIsRefused(t *testing.T) {
+	for _, name := range []string{"id", "jobclass", "owner", "shape", "rank", "bundle"} {
+		_, err := wire.ParseJob([]byte(`{"` + name + `":{}}`))
+		require.ErrorContains(t, err, "reading the job: json: cannot unmarshal object into Go struct field ."+name+" of type string")
+	}
+	for _, name := range []string{"shards", "cpus", "mem_gb", "size_gb", "guess_s"} {
+		_, err := wire.ParseJob([]byte(`{"` + name + `":"x"}`))
+		require.ErrorContains(t, err, "reading the job: json: cannot unmarshal string into Go struct field ."+name+" of type ")
+	}
+}
+
+// Workers report tasks by these names.
+func TestTaskNamesKeepForm(t *testing.T) {
+	require.Equal(t, "job-7/3", wire.TaskName("job-7", 3))
+	for _, c := range []struct {
+		name, job string
+		n         int
+		ok        bool
+	}{
+		{"job-7/3", "job-7", 3, true}, {"job-7/0000003", "job-7", 3, true}, {"a/b/99999", "a/b", 99999, true},
+		{"", "", 0, false}, {"/3", "", 0, false}, {"job-7/", "", 0, false}, {"job-7/x", "", 0, false}, {"job-7/-1", "", 0, false}, {"job-7/00000003", "", 0, false},
+	} {
+		job, n, ok := wire.SplitTask(c.name)
+		require.Equal(t, c.ok, ok, c.name)
+		if ok {
+			require.Equal(t, c.job, job, c.name)
+			require.Equal(t, c.n, n, c.name)
+		}
+	}
+}
