--- /dev/null
+++ b/cmd/merlinlatch/golden_test.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+var writeGolden = flag.Bool("update", false, "write the golden files that do not exist yet")
+
+// goldenCommands are the command lines; the settings are those of the golden tests.
+var goldenCommands = []struct {
+	name string
+	args []string
+}{
+	{"help", []string{"--help"}},
+	{"help_check", []string{"check", "--help"}},
+	{"help_teams", []string{"teams", "--help"}},
+	{"help_zones", []string{"zones", "--help"}},
+	{"help_zones_hold", []string{"zones", "hold", "--help"}},
+	{"help_zones_resume", []string{"zones", "resume", "--help"}},
+	{"help_history", []string{"history", "--help"}},
+	{"help_history_export", []string{"history", "export", "--help"}},
+	{"help_history_check", []string{"history", "check", "--help"}},
+	{"version", []string{"--version"}},
+	{"check", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json"}},
+	{"check_policy", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json", "--policy", "../../deploy/policy.star"}},
+	{"check_bad", []string{"check", "--config", "testdata/golden/bad.json"}},
+	{"check_bad_policy", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json", "--policy", "testdata/golden/bad.star"}},
+	{"check_absent", []string{"check", "--config", "testdata/golden/absent.json"}},
+	{"no_config", []string{}},
+	{"unknown_flag", []string{"--other"}},
+	{"unknown_command", []string{"other"}},
+	{"zones_hold_without_zone", []string{"zones", "hold"}},
+}
+
+// Operators and the platform read the commands' help, answers, errors and exit codes. The text of
+// an error and the code are found as main does it.
+func TestCommandsKeepOutput(t *testing.T) {
+	for _, c := range goldenCommands {
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			cmd := root()
+			cmd.SetOut(&out)
+			cmd.SetErr(&out)
+			cmd.SetArgs(c.args)
+			code := 0
+			if err := cmd.Execute(); err != nil {
+				code = 1
+				if errors.Is(err, errUsage) {
+					code = 2
+				}
+				fmt.Fprintf(&out, "merlinlatch: %v\n", err)
+			}
+			fmt.Fprintf(&out, "exit code %d\n", code)
+			path := filepath.Join("testdata", "golden", c.name+".txt")
+			want, err := os.ReadFile(path)
+			if errors.Is(err, fs.ErrNotExist) && *writeGolden {
+				require.NoError(t, os.WriteFile(path, out.Bytes(), 0o644))
+				return
+			}
+			require.NoError(t, err)
+			require.Equal(t, string(want), out.String())
+		})
+	}
+}
--- /dev/null
+++ b/cmd/merlinlatch/testdata/golden/bad.star
@@ -0,0 +1,1 @@
+unknown = 1
--- /dev/null
+++ b/internal/golden/commands_test.go
@@ -0,0 +1,159 @@
+package golden_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/config"
+	"github.com/merlinlatch/merlinlatch/internal/console"
+	"github.com/merlinlatch/merlinlatch/internal/fairshare"
+	"github.com/merlinlatch/merlinlatch/internal/history"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/telemetry"
+)
+
+// cannedController answers the operators' calls over a real connection.
+type cannedController struct {
+	teams  peer.TeamsAnswer
+	zones  peer.ZonesAnswer
+	hold   peer.ZoneHoldAnswer
+	events []history.Event
+}
+
+func (c *cannedController) Teams(_ peer.TeamsQuery, out *peer.TeamsAnswer) error {
+	*out = c.teams
+	return nil
+}
+
+func (c *cannedController) Zones(_ peer.ZonesQuery, out *peer.ZonesAnswer) error {
+	*out = c.zones
+	return nil
+}
+
+func (c *cannedController) HoldZone(in peer.ZoneHold, out *peer.ZoneHoldAnswer) error {
+	*out = c.hold
+	out.Done = out.Done && in.Zone == "north"
+	return nil
+}
+
+// History gives one event a page.
+func (c *cannedController) History(in peer.HistoryQuery, out *history.Page) error {
+	at := in.From
+	if at == 0 {
+		out.Lost, at = 2, 2
+	}
+	out.Events, out.Next = c.events[at-2:at-1], at+1
+	out.More = int(out.Next-2) < len(c.events)
+	return nil
+}
+
+// commandsAddr gives an address on loopback at which nobody listens.
+func commandsAddr(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// serveCanned serves controllers a and b; c is named by the settings but not reached.
+func serveCanned(t *testing.T, a, b *cannedController) *config.Settings {
+	t.Helper()
+	s := fullSettings(t)
+	ctx, stop := context.WithCancel(t.Context())
+	t.Cleanup(stop)
+	s.PeerListen, s.Peers[0].Addr, s.Peers[1].Addr = commandsAddr(t), commandsAddr(t), commandsAddr(t)
+	for addr, c := range map[string]*cannedController{s.PeerListen: a, s.Peers[0].Addr: b} {
+		go peer.Serve(ctx, addr, c, nil) //nolint:errcheck // the calls tell
+		require.Eventually(t, func() bool {
+			conn, err := net.Dial("tcp4", addr)
+			if err == nil {
+				conn.Close()
+			}
+			return err == nil
+		}, 5*time.Second, 2*time.Millisecond)
+	}
+	return s
+}
+
+func cannedPair() (a, b *cannedController) {
+	a = &cannedController{
+		teams: peer.TeamsAnswer{Host: "a", Capacity: res.Have(100, 8, 0), Yielded: 4,
+			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: res.Have(10, 0, 0), Limit: res.Have(40, 0, 0), Used: res.Have(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
+				Waits:    telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000},
+				Lateness: telemetry.Quantiles{Count: 1, P50: 100_000, P95: 200_000, P99: 300_000},
+				Moves:    []peer.MoveNote{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made", Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
+				Unmoved:  []peer.Unmoved{{Why: "gain below margin", Count: 5}}}},
+			Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.125}, {Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}},
+		zones: peer.ZonesAnswer{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "north", State: "healthy", Machines: 99, Waiting: 2}}},
+		events: []history.Event{
+			{AtMS: 1000, Controller: "a", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north"},
+			{AtMS: 9000, Controller: "a", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north", Note: "done"},
+			{AtMS: 9500, Controller: "a", Kind: history.JobOver, Job: "job-7", Note: "done"},
+		},
+	}
+	b = &cannedController{
+		teams: peer.TeamsAnswer{Host: "b", Capacity: res.Have(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
+		zones: peer.ZonesAnswer{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
+			{Zone: "north", State: "returning", Stage: "urgent", Held: true, Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3, AtMS: 1_000, Why: "1 of 10 machines not heard"},
+			{Zone: "south", State: "healthy", Machines: 7}}},
+		hold: peer.ZoneHoldAnswer{Done: true},
+		events: []history.Event{
+			{AtMS: 2500, Controller: "b", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south"},
+			{AtMS: 8000, Controller: "b", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south", Note: "stopped"},
+			{AtMS: 9600, Controller: "b", Kind: history.JobOver, Job: "job-7", Note: "cancelled"},
+		},
+	}
+	return a, b
+}
+
+// Operators and their scripts read these texts. The answers come through the real connection
+// between controllers, so methods and fields on both sides must fit.
+func TestOperatorsCommandsKeepOutput(t *testing.T) {
+	a, b := cannedPair()
+	s := serveCanned(t, a, b)
+	all := console.Controllers(s)
+	var out bytes.Buffer
+	told := func(what string, err error) {
+		fmt.Fprintf(&out, "--- %s: error %v\n", what, err)
+	}
+	told("teams", console.Teams(&out, s, all, ""))
+	told("teams red", console.Teams(&out, s, all, "red"))
+	told("teams green", console.Teams(&out, s, all, "green"))
+	told("zones", console.Zones(&out, all))
+	told("zones of the first alone", console.Zones(&out, all[:1]))
+	told("hold", console.HoldZone(&out, s, all, "north", true))
+	told("resume", console.HoldZone(&out, s, all, "north", false))
+	told("hold where no return is", console.HoldZone(&out, s, all, "south", true))
+	told("hold unknown zone", console.HoldZone(&out, s, all, "west", true))
+	told("teams, nobody reached", console.Teams(&out, s, all[2:], ""))
+	fmt.Fprintf(&out, "placer of red: %q, of blue: %q\n", console.PlacerOf(all, "red"), console.PlacerOf(all, "blue"))
+	file := filepath.Join(t.TempDir(), "h.parquet")
+	told("export", console.ExportHistory(&out, all, file))
+	told("check of two runs at once and two ends", console.CheckHistory(&out, file, 1000))
+	told("export of the first alone", console.ExportHistory(&out, all[:1], file))
+	told("check", console.CheckHistory(&out, file, 1000))
+	goldenFile(t, "commands/operators.txt", []byte(strings.ReplaceAll(out.String(), file, "FILE")))
+}
+
+// A refusal of the controllers reaches the operator word for word; without shares the table has
+// fewer columns.
+func TestOperatorsCommandsKeepOutputWithoutFeatures(t *testing.T) {
+	refusing := &cannedController{teams: peer.TeamsAnswer{Host: "a"}, zones: peer.ZonesAnswer{Host: "a"}, hold: peer.ZoneHoldAnswer{Refusal: "zone states are off"}}
+	s := serveCanned(t, refusing, refusing)
+	all := console.Controllers(s)[:2]
+	var out bytes.Buffer
+	require.NoError(t, console.Teams(&out, s, all, ""))
+	require.NoError(t, console.Zones(&out, all))
+	require.EqualError(t, console.HoldZone(&out, s, all, "north", true), "zone states are off")
+	goldenFile(t, "commands/operators_off.txt", out.Bytes())
+}
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -1,15 +1,30 @@
 package golden_test
 
 import (
+	"bufio"
+	"context"
 	stdjson "encoding/json"
+	"errors"
 	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/fakes"
+	"github.com/merlinlatch/merlinlatch/internal/front"
+	"github.com/merlinlatch/merlinlatch/internal/httpx"
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -190,3 +205,130 @@
 		}
 	}
 }
+
+// wireRecorder serves each connection with the next answer, and gives the requests that came:
+// method and target, then the body.
+func wireRecorder(t *testing.T, answers ...string) (addr string, requests <-chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { l.Close() })
+	got := make(chan string, len(answers))
+	go func() {
+		for _, a := range answers {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			r, err := http.ReadRequest(bufio.NewReader(c))
+			if err != nil {
+				c.Close()
+				return
+			}
+			body, _ := io.ReadAll(r.Body)
+			got <- fmt.Sprintf("%s %s\n%s\n", r.Method, r.RequestURI, body)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(a), a)
+			c.Close()
+		}
+	}()
+	return l.Addr().String(), got
+}
+
+// Some requests to the state service are put together by hand: their targets and bodies have no
+// type that would keep their form.
+func TestStateRequestsKeepForm(t *testing.T) {
+	addr, requests := wireRecorder(t,
+		`{"k":"job/1","v":1,"stamp":2,"hold":3}`,
+		`{"items":[{"k":"a b/1","v":1,"stamp":2}],"truncated":true,"ledger_rev":5}`, `{"items":[],"truncated":false,"ledger_rev":6}`,
+		`{"ledger_rev":7,"failed":[]}`, `{"hold":8}`, `{}`, `{"ledger_rev":9,"log":[{"put":"a","v":1,"stamp":9}]}`)
+	c := state.NewClient(addr, 1000, 1000, 1, 1<<20)
+	item, found, err := c.Get(t.Context(), "job/1")
+	require.NoError(t, err)
+	require.True(t, found)
+	require.Equal(t, wire.Item{Key: "job/1", Value: stdjson.RawMessage("1"), Stamp: 2, Hold: 3}, item)
+	items, rev, err := c.List(t.Context(), "a b/")
+	require.NoError(t, err)
+	require.Len(t, items, 1)
+	require.EqualValues(t, 5, rev)
+	rev, err = c.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: "k", Value: map[string]int{"n": 1}, Hold: 3}, {Drop: "l"}}})
+	require.NoError(t, err)
+	require.EqualValues(t, 7, rev)
+	hold, err := c.Grant(t.Context(), 24*time.Second)
+	require.NoError(t, err)
+	require.EqualValues(t, 8, hold)
+	require.NoError(t, c.Extend(t.Context(), 8, 3*time.Second))
+	changes, err := c.Watch(t.Context(), "a b/", 7, 1500*time.Millisecond)
+	require.NoError(t, err)
+	require.EqualValues(t, 9, changes.Rev)
+	var out strings.Builder
+	for range 7 {
+		out.WriteString(<-requests)
+	}
+	goldenFile(t, "wire/state_requests.txt", []byte(out.String()))
+}
+
+// wirePlacer answers as a team's placer would.
+type wirePlacer struct {
+	answer peer.JobAnswer
+	err    error
+}
+
+func (p *wirePlacer) Status(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+	return p.answer, p.err
+}
+
+func (p *wirePlacer) Withdraw(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+	return p.answer, p.err
+}
+
+// wireAlone stands for other controllers of which none can be asked.
+type wireAlone struct{}
+
+func (wireAlone) Away() bool                           { return false }
+func (wireAlone) Submit([]byte) (httpx.Response, bool) { return httpx.Response{}, false }
+
+// Users see statuses, bodies and Retry-After; these are the bytes of the answers.
+func TestAnswersToUsersKeepForm(t *testing.T) {
+	view := &fakes.View{State: fakes.NewState()}
+	placer := &wirePlacer{err: errors.New("nobody")}
+	book := jobs.NewBook()
+	f := front.New(view, placer, wireAlone{}, book, map[string]res.Amounts{"t": res.Have(64, 0, 0)}, nil, 4096,
+		func() time.Time { return time.UnixMilli(0) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	var out strings.Builder
+	ask := func(what, method, rest, body string) {
+		r := f.Handle(t.Context(), &httpx.Request{Method: method, Body: []byte(body)}, rest)
+		answer := strings.ReplaceAll(string(httpx.AppendResponse(nil, r)), "\r\n", "\n")
+		fmt.Fprintf(&out, "--- %s\n%s\n", what, answer)
+	}
+	ask("types not known", "POST", "", wireJob)
+	f.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
+	ask("unknown job", "GET", "/job-1", "")
+	ask("unknown job cancelled", "POST", "/job-1/withdraw", "")
+	ask("accepted", "POST", "", wireJob)
+	ask("repeated", "POST", "", wireJob)
+	ask("pending", "GET", "/job-1", "")
+	ask("not cancelled yet", "POST", "/job-1/withdraw", "")
+	placer.err, placer.answer = nil, peer.JobAnswer{Known: true, Found: true, State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
+	ask("cancelled", "POST", "/job-1/withdraw", "")
+	book.Keep("job-2", jobs.Final{Phase: wire.Done, Team: "t", Tasks: 5})
+	ask("done", "GET", "/job-2", "")
+	ask("done cancelled", "POST", "/job-2/withdraw", "")
+	ask("done submitted again", "POST", "", strings.Replace(wireJob, "job-1", "job-2", 1))
+	other := strings.Replace(wireJob, "job-1", "job-3", 1)
+	ask("no JSON", "POST", "", `{}x`)
+	ask("missing field", "POST", "", strings.Replace(other, `"jobclass":"c",`, "", 1))
+	ask("unknown team", "POST", "", strings.Replace(other, `"owner":"t"`, `"owner":"u"`, 1))
+	ask("over the limit", "POST", "", strings.Replace(other, `"cpus":1`, `"cpus":65`, 1))
+	ask("fits nowhere", "POST", "", strings.Replace(other, `"cpus":1`, `"cpus":64`, 1))
+	ask("too large", "POST", "", strings.Replace(other, `"id"`, `"hulls":["`+strings.Repeat("x", 5000)+`"],"id"`, 1))
+	ask("no job id", "GET", "/job-x", "")
+	ask("no such path", "GET", "/job-1/other", "")
+	ask("method of jobs", "GET", "", "")
+	ask("method of a job", "DELETE", "/job-1", "")
+	ask("method of a cancellation", "GET", "/job-1/withdraw", "")
+	view.SetDown(true)
+	ask("outage, submitted", "POST", "", other)
+	ask("outage, asked", "GET", "/job-3", "")
+	ask("outage, cancelled", "POST", "/job-3/withdraw", "")
+	goldenFile(t, "wire/user_answers.txt", []byte(out.String()))
+}
