--- /dev/null
+++ b/internal/golden/rpc_test.go
@@ -0,0 +1,280 @@
+package golden
+
+import (
+	"context"
+	"net"
+	"net/rpc"
+	"reflect"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/history"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+)
+
+// message is one type that controllers send each other.
+type message struct {
+	name  string
+	check func(t *testing.T, name string)
+}
+
+// messageOf makes the check of a message: Now is its present type, Frozen the copy of the type that
+// releases in use have.
+func messageOf[Now, Frozen any](name string) message {
+	return message{name, func(t *testing.T, name string) {
+		t.Helper()
+		now := sample[Now]()
+		old := fromHex(t, golden(t, "rpc/"+name+".hex", func() []byte { return toHex(encodeGob(t, now)) }))
+
+		var decoded Now
+		decodeGob(t, old, &decoded)
+		require.Equal(t, now, decoded, "this release understands the earlier one")
+
+		encoded := encodeGob(t, now)
+		require.Equal(t, normalForm(t, old), normalForm(t, encoded), "fields and values on the wire")
+
+		var want, got Frozen
+		decodeGob(t, old, &want)
+		decodeGob(t, encoded, &got)
+		require.Equal(t, want, got, "the earlier release understands this one")
+		require.Equal(t, sample[Frozen](), want, "the frozen copy has the fields of the release")
+		require.Equal(t, normalForm(t, old), normalForm(t, encodeGob(t, got)), "the frozen copy sends what the release sends")
+	}}
+}
+
+var messages = []message{
+	messageOf[peer.Round, FrozenRound]("Round"),
+	messageOf[peer.RoundAnswer, FrozenRoundAnswer]("RoundAnswer"),
+	messageOf[peer.Poll, FrozenPoll]("Poll"),
+	messageOf[peer.PollAnswer, FrozenPollAnswer]("PollAnswer"),
+	messageOf[peer.Hello, FrozenHello]("Hello"),
+	messageOf[peer.DemandAnswer, FrozenDemandAnswer]("DemandAnswer"),
+	messageOf[peer.JobQuery, FrozenJobQuery]("JobQuery"),
+	messageOf[peer.JobAnswer, FrozenJobAnswer]("JobAnswer"),
+	messageOf[peer.SubmitQuery, FrozenSubmitQuery]("SubmitQuery"),
+	messageOf[peer.SubmitAnswer, FrozenSubmitAnswer]("SubmitAnswer"),
+	messageOf[peer.DrainQuery, FrozenDrainQuery]("DrainQuery"),
+	messageOf[peer.DrainAnswer, FrozenDrainAnswer]("DrainAnswer"),
+	messageOf[peer.GoneNote, FrozenGoneNote]("GoneNote"),
+	messageOf[peer.TeamsQuery, FrozenTeamsQuery]("TeamsQuery"),
+	messageOf[peer.TeamsAnswer, FrozenTeamsAnswer]("TeamsAnswer"),
+	messageOf[peer.ZonesQuery, FrozenZonesQuery]("ZonesQuery"),
+	messageOf[peer.ZonesAnswer, FrozenZonesAnswer]("ZonesAnswer"),
+	messageOf[peer.ZoneHold, FrozenZoneHold]("ZoneHold"),
+	messageOf[peer.ZoneHoldAnswer, FrozenZoneHoldAnswer]("ZoneHoldAnswer"),
+	messageOf[peer.HistoryQuery, FrozenHistoryQuery]("HistoryQuery"),
+	messageOf[history.Page, FrozenPage]("Page"),
+	messageOf[peer.TaskID, FrozenTaskID]("TaskID"),
+	messageOf[peer.TaskView, FrozenTaskView]("TaskView"),
+	messageOf[peer.MachineView, FrozenMachineView]("MachineView"),
+	messageOf[peer.Ask, FrozenAsk]("Ask"),
+	messageOf[peer.Start, FrozenStart]("Start"),
+	messageOf[peer.Stop, FrozenStop]("Stop"),
+	messageOf[peer.Settle, FrozenSettle]("Settle"),
+	messageOf[peer.Cancel, FrozenCancel]("Cancel"),
+	messageOf[peer.Demand, FrozenDemand]("Demand"),
+	messageOf[peer.Machine, FrozenMachine]("Machine"),
+	messageOf[peer.TeamStatus, FrozenTeamStatus]("TeamStatus"),
+	messageOf[peer.MoveNote, FrozenMoveNote]("MoveNote"),
+	messageOf[peer.Unmoved, FrozenUnmoved]("Unmoved"),
+	messageOf[peer.ZoneStatus, FrozenZoneStatus]("ZoneStatus"),
+}
+
+// Controllers of two releases work together while they are restarted one by one. What one sends, the
+// other must understand to the last field, whatever the types are called in its code.
+func TestRPCMessagesKeepEncodedForm(t *testing.T) {
+	for _, m := range messages {
+		t.Run(m.name, func(t *testing.T) { m.check(t, m.name) })
+	}
+}
+
+// stub answers each call with a sample, and keeps what it was asked.
+type stub struct {
+	mu    sync.Mutex
+	asked any
+}
+
+func answer[In, Out any](s *stub, in In, out *Out) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.asked, *out = in, sample[Out]()
+	return nil
+}
+
+func (s *stub) lastAsked() any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.asked
+}
+
+var _ peer.Service = (*stub)(nil)
+
+func (s *stub) Round(in peer.Round, out *peer.RoundAnswer) error          { return answer(s, in, out) }
+func (s *stub) Poll(in peer.Poll, out *peer.PollAnswer) error             { return answer(s, in, out) }
+func (s *stub) Hello(in peer.Hello, out *peer.Hello) error                { return answer(s, in, out) }
+func (s *stub) Demand(in peer.Hello, out *peer.DemandAnswer) error        { return answer(s, in, out) }
+func (s *stub) Status(in peer.JobQuery, out *peer.JobAnswer) error        { return answer(s, in, out) }
+func (s *stub) Withdraw(in peer.JobQuery, out *peer.JobAnswer) error      { return answer(s, in, out) }
+func (s *stub) Submit(in peer.SubmitQuery, out *peer.SubmitAnswer) error  { return answer(s, in, out) }
+func (s *stub) Drain(in peer.DrainQuery, out *peer.DrainAnswer) error     { return answer(s, in, out) }
+func (s *stub) Gone(in peer.GoneNote, out *peer.DrainAnswer) error        { return answer(s, in, out) }
+func (s *stub) Teams(in peer.TeamsQuery, out *peer.TeamsAnswer) error     { return answer(s, in, out) }
+func (s *stub) Zones(in peer.ZonesQuery, out *peer.ZonesAnswer) error     { return answer(s, in, out) }
+func (s *stub) HoldZone(in peer.ZoneHold, out *peer.ZoneHoldAnswer) error { return answer(s, in, out) }
+func (s *stub) History(in peer.HistoryQuery, out *history.Page) error     { return answer(s, in, out) }
+
+// earlier is the service of a release in use, with the frozen types and method names.
+type earlier struct{ *stub }
+
+func (s *earlier) Round(in FrozenRound, out *FrozenRoundAnswer) error { return answer(s.stub, in, out) }
+func (s *earlier) Poll(in FrozenPoll, out *FrozenPollAnswer) error    { return answer(s.stub, in, out) }
+func (s *earlier) Hello(in FrozenHello, out *FrozenHello) error       { return answer(s.stub, in, out) }
+func (s *earlier) Demand(in FrozenHello, out *FrozenDemandAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Status(in FrozenJobQuery, out *FrozenJobAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Withdraw(in FrozenJobQuery, out *FrozenJobAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Submit(in FrozenSubmitQuery, out *FrozenSubmitAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Drain(in FrozenDrainQuery, out *FrozenDrainAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Gone(in FrozenGoneNote, out *FrozenDrainAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Teams(in FrozenTeamsQuery, out *FrozenTeamsAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) Zones(in FrozenZonesQuery, out *FrozenZonesAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) HoldZone(in FrozenZoneHold, out *FrozenZoneHoldAnswer) error {
+	return answer(s.stub, in, out)
+}
+func (s *earlier) History(in FrozenHistoryQuery, out *FrozenPage) error {
+	return answer(s.stub, in, out)
+}
+
+// method is one method of the service, with its present and its frozen types.
+type method struct {
+	name string
+	// fromEarlier has a client of an earlier release call this release's service.
+	fromEarlier func(t *testing.T, c *rpc.Client, method string, s *stub)
+	// toEarlier has this release's client call an earlier release's service.
+	toEarlier func(t *testing.T, c *peer.Client, method string, s *stub)
+}
+
+func methodOf[In, Out, FrozenIn, FrozenOut any](name string) method {
+	return method{name: name,
+		fromEarlier: func(t *testing.T, c *rpc.Client, method string, s *stub) {
+			t.Helper()
+			var out FrozenOut
+			require.NoError(t, c.Call("Merlinlatch."+method, sample[FrozenIn](), &out))
+			require.Equal(t, sample[In](), s.lastAsked())
+			require.Equal(t, sample[FrozenOut](), out)
+		},
+		toEarlier: func(t *testing.T, c *peer.Client, method string, s *stub) {
+			t.Helper()
+			var out Out
+			require.NoError(t, c.Call(method, sample[In](), &out, 10*time.Second))
+			require.Equal(t, sample[FrozenIn](), s.lastAsked())
+			require.Equal(t, sample[Out](), out)
+		}}
+}
+
+var methods = []method{
+	methodOf[peer.Round, peer.RoundAnswer, FrozenRound, FrozenRoundAnswer]("Round"),
+	methodOf[peer.Poll, peer.PollAnswer, FrozenPoll, FrozenPollAnswer]("Poll"),
+	methodOf[peer.Hello, peer.Hello, FrozenHello, FrozenHello]("Hello"),
+	methodOf[peer.Hello, peer.DemandAnswer, FrozenHello, FrozenDemandAnswer]("Demand"),
+	methodOf[peer.JobQuery, peer.JobAnswer, FrozenJobQuery, FrozenJobAnswer]("Status"),
+	methodOf[peer.JobQuery, peer.JobAnswer, FrozenJobQuery, FrozenJobAnswer]("Withdraw"),
+	methodOf[peer.SubmitQuery, peer.SubmitAnswer, FrozenSubmitQuery, FrozenSubmitAnswer]("Submit"),
+	methodOf[peer.DrainQuery, peer.DrainAnswer, FrozenDrainQuery, FrozenDrainAnswer]("Drain"),
+	methodOf[peer.GoneNote, peer.DrainAnswer, FrozenGoneNote, FrozenDrainAnswer]("Gone"),
+	methodOf[peer.TeamsQuery, peer.TeamsAnswer, FrozenTeamsQuery, FrozenTeamsAnswer]("Teams"),
+	methodOf[peer.ZonesQuery, peer.ZonesAnswer, FrozenZonesQuery, FrozenZonesAnswer]("Zones"),
+	methodOf[peer.ZoneHold, peer.ZoneHoldAnswer, FrozenZoneHold, FrozenZoneHoldAnswer]("HoldZone"),
+	methodOf[peer.HistoryQuery, history.Page, FrozenHistoryQuery, FrozenPage]("History"),
+}
+
+// serve has the real server answer with a service on a free port of the loopback, and
+// gives its address.
+func serve(t *testing.T, svc any) string {
+	t.Helper()
+	for range 10 {
+		l, err := net.Listen("tcp4", "127.0.0.1:0")
+		require.NoError(t, err)
+		addr := l.Addr().String()
+		require.NoError(t, l.Close())
+		ctx, cancel := context.WithCancel(t.Context())
+		t.Cleanup(cancel)
+		failed := make(chan error, 1)
+		go func() { failed <- peer.Serve(ctx, addr, svc, nil) }()
+		for {
+			conn, err := net.Dial("tcp4", addr)
+			if err == nil {
+				conn.Close()
+			}
+			select {
+			case <-failed: // another process took the port
+			default:
+				if err != nil {
+					time.Sleep(time.Millisecond)
+					continue
+				}
+				return addr
+			}
+			break
+		}
+		cancel()
+	}
+	require.Fail(t, "no free port")
+	return ""
+}
+
+// An earlier release calls the service by these names, with its own types.
+func TestRPCServerAnswersEarlierRelease(t *testing.T) {
+	s := &stub{}
+	c, err := rpc.Dial("tcp4", serve(t, s))
+	require.NoError(t, err)
+	defer c.Close()
+	for _, m := range methods {
+		t.Run(m.name, func(t *testing.T) { m.fromEarlier(t, c, m.name, s) })
+	}
+}
+
+// An earlier release offers the service by these names, and this release's client reaches it.
+func TestRPCClientReachesEarlierRelease(t *testing.T) {
+	s := &stub{}
+	srv := rpc.NewServer()
+	require.NoError(t, srv.RegisterName("Merlinlatch", &earlier{s}))
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer l.Close()
+	go srv.Accept(l)
+	c := peer.NewClient(l.Addr().String(), nil)
+	for _, m := range methods {
+		t.Run(m.name, func(t *testing.T) { m.toEarlier(t, c, m.name, s) })
+	}
+}
+
+// A method that is added to the service gets a line in the table of methods.
+func TestRPCMethodsAllHaveGoldenForm(t *testing.T) {
+	var have, want []string
+	for m := range reflect.TypeFor[peer.Service]().Methods() {
+		have = append(have, m.Name)
+	}
+	for _, m := range methods {
+		want = append(want, m.name)
+	}
+	require.ElementsMatch(t, want, have)
+}
--- /dev/null
+++ b/internal/golden/samples_test.go
@@ -0,0 +1,99 @@
+package golden
+
+import (
+	"encoding/hex"
+	"errors"
+	"flag"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// update writes golden files that are not there. A file that is there is never overwritten.
+var update = flag.Bool("update", false, "write missing golden files")
+
+// sample gives a value of a type with every field set, nested ones too. The values differ from
+// each other and follow from the order of the fields, not from their names; a map has one entry.
+func sample[T any]() T {
+	var v T
+	n := 0
+	fill(reflect.ValueOf(&v).Elem(), &n)
+	return v
+}
+
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString("text-" + strings.Repeat("x", *n%7) + string(rune('a'+*n%26)) + string(rune('a'+*n/26%26)))
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(v.Index(i), n)
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		key, elem := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, n)
+		fill(elem, n)
+		v.SetMapIndex(key, elem)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	default:
+		panic("no sample for " + v.Type().String())
+	}
+}
+
+// golden gives the content of a golden file. With -update a missing one is written first.
+func golden(t *testing.T, path string, now func() []byte) []byte {
+	t.Helper()
+	path = filepath.Join("testdata", path)
+	if *update {
+		f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+		if !errors.Is(err, fs.ErrExist) {
+			require.NoError(t, err)
+			_, err = f.Write(now())
+			require.NoError(t, err)
+			require.NoError(t, f.Close())
+		}
+	}
+	b, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return b
+}
+
+// toHex writes bytes as hex text in lines of 32 bytes.
+func toHex(b []byte) []byte {
+	var out strings.Builder
+	for len(b) > 0 {
+		n := min(32, len(b))
+		out.WriteString(hex.EncodeToString(b[:n]) + "\n")
+		b = b[n:]
+	}
+	return []byte(out.String())
+}
+
+func fromHex(t *testing.T, text []byte) []byte {
+	t.Helper()
+	b, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
+	require.NoError(t, err)
+	return b
+}
--- /dev/null
+++ b/internal/placer/golden_test.go
@@ -0,0 +1,62 @@
+package placer
+
+import (
+	"encoding/base64"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/segmentio/encoding/json"
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/state"
+)
+
+// goldenLines gives the lines of a golden file.
+func goldenLines(t *testing.T, name string) []string {
+	t.Helper()
+	b, err := os.ReadFile("testdata/" + name)
+	require.NoError(t, err)
+	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+}
+
+// The next placer of a team, maybe of another release, finds records of progress and watermarks by
+// their keys: a key of another form would be a record lost.
+func TestPlacerKeysKeepTheirForm(t *testing.T) {
+	require.Equal(t, goldenLines(t, "golden_keys.txt"), []string{
+		progressKey("job-1", chunkID{0, ChunkTasks}),
+		progressKey("job-1", chunkID{12, ChunkTasks}),
+		progressKey("job-1", chunkID{3, 4096}),
+		watermarkPrefix("red"),
+		watermarkPrefix("team/ü 1"),
+		(&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 1}, 1000)[0].Key,
+	})
+	for _, c := range []chunkID{{0, ChunkTasks}, {12, ChunkTasks}, {3, 4096}} {
+		_, text, _ := strings.Cut(strings.TrimPrefix(progressKey("job-1", c), state.Progress), "/")
+		got, ok := parseChunk(text)
+		require.True(t, ok)
+		require.Equal(t, c, got)
+	}
+	for most, tasks := range map[int]int{100: 576, 4096: 24512, 1 << 20: ChunkTasks} {
+		require.Equal(t, tasks, chunkTasks(most), "tasks of a record of at most %d bytes", most)
+	}
+}
+
+// A record of progress is the bits of its tasks in base64, a record of watermarks the
+// numbers of tasks by job.
+func TestPlacerRecordsKeepEncodedForm(t *testing.T) {
+	lines := goldenLines(t, "golden_records.txt")
+	require.Len(t, lines, 2)
+	j := &job{Job: &jobs.Job{}, per: 64, done: []uint64{0x1000000000ff8001}}
+	j.Tasks = 64
+	bits := j.chunk(0)
+	progress, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
+	require.NoError(t, err)
+	require.Equal(t, lines[0], string(progress))
+	writes := (&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 256, "job-2": 40}, 1000)
+	require.Len(t, writes, 1)
+	watermarks, err := json.Marshal(writes[0].Watermarks)
+	require.NoError(t, err)
+	require.JSONEq(t, lines[1], string(watermarks))
+}
