--- a/internal/placer/golden_test.go
+++ b/internal/placer/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/base64"
+	"log/slog"
 	"os"
 	"strings"
 	"testing"
@@ -9,6 +10,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/state"
 )
@@ -51,12 +53,19 @@
 	j := &job{Job: &jobs.Job{}, per: 64, done: []uint64{0x1000000000ff8001}}
 	j.Tasks = 64
 	bits := j.chunk(0)
-	progress, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
+	done, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
 	require.NoError(t, err)
-	require.Equal(t, lines[0], string(progress))
+	require.Equal(t, lines[0], string(done))
 	writes := (&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 256, "job-2": 40}, 1000)
 	require.Len(t, writes, 1)
-	watermarks, err := json.Marshal(writes[0].Watermarks)
+	marks, err := json.Marshal(writes[0].Watermarks)
 	require.NoError(t, err)
-	require.JSONEq(t, lines[1], string(watermarks))
+	require.Equal(t, lines[1], string(marks))
+
+	// And a placer takes from them what they tell.
+	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: "red"}}, nil, 1, func() int64 { return 0 })
+	p := New(scheduler, Options{}, nil, nil, nil, jobs.NewBook(), clock.NewSteady(), slog.New(slog.DiscardHandler))
+	p.Apply([]state.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), Stamp: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), Stamp: 6}})
+	require.Equal(t, map[chunkID]progress{{3, 64}: {bits, 5}}, scheduler.progress["job-1"])
+	require.Equal(t, watermarks{6, map[string]int{"job-1": 256, "job-2": 40}}, scheduler.watermarks["ml/w/red/0"])
 }
