--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -97,3 +97,17 @@
 	require.NoError(t, err)
 	return b
 }
+
+// A golden file without a test guards nothing: a line that is lost from a table must be seen.
+func TestGoldenFilesAllHaveATest(t *testing.T) {
+	want := []string{"testdata/records/keys.txt", "testdata/records/machine_of_own_key.json"}
+	for _, m := range messages {
+		want = append(want, "testdata/rpc/"+m.name+".hex")
+	}
+	for _, r := range records {
+		want = append(want, "testdata/records/"+r.name+".json")
+	}
+	have, err := filepath.Glob("testdata/*/*")
+	require.NoError(t, err)
+	require.ElementsMatch(t, want, have)
+}
