--- a/internal/golden/rpc_test.go
+++ b/internal/golden/rpc_test.go
@@ -45,6 +45,7 @@
 	}}
 }
 
+// messages are named as their golden files: a name here stays when its type is renamed.
 var messages = []message{
 	messageOf[peer.Round, FrozenRound]("Round"),
 	messageOf[peer.RoundAnswer, FrozenRoundAnswer]("RoundAnswer"),
