--- /dev/null
+++ b/internal/placer/golden_test.go
@@ -0,0 +1,71 @@
+package placer
+
+import (
+	"encoding/base64"
+	"log/slog"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/segmentio/encoding/json"
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/state"
+)
+
+// goldenLines gives the lines of a golden file.
+func goldenLines(t *testing.T, name string) []string {
+	t.Helper()
+	b, err := os.ReadFile("testdata/" + name)
+	require.NoError(t, err)
+	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+}
+
+// The next placer of a team, maybe of another release, finds records of progress and watermarks by
+// their keys: a key of another form would be a record lost.
+func TestPlacerKeysKeepTheirForm(t *testing.T) {
+	require.Equal(t, goldenLines(t, "golden_keys.txt"), []string{
+		progressKey("job-1", chunkID{0, ChunkTasks}),
+		progressKey("job-1", chunkID{12, ChunkTasks}),
+		progressKey("job-1", chunkID{3, 4096}),
+		watermarkPrefix("red"),
+		watermarkPrefix("team/ü 1"),
+		(&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 1}, 1000)[0].Key,
+	})
+	for _, c := range []chunkID{{0, ChunkTasks}, {12, ChunkTasks}, {3, 4096}} {
+		_, text, _ := strings.Cut(strings.TrimPrefix(progressKey("job-1", c), state.Progress), "/")
+		got, ok := parseChunk(text)
+		require.True(t, ok)
+		require.Equal(t, c, got)
+	}
+	for most, tasks := range map[int]int{100: 576, 4096: 24512, 1 << 20: ChunkTasks} {
+		require.Equal(t, tasks, chunkTasks(most), "tasks of a record of at most %d bytes", most)
+	}
+}
+
+// A record of progress is the bits of its tasks in base64, a record of watermarks the
+// numbers of tasks by job.
+func TestPlacerRecordsKeepEncodedForm(t *testing.T) {
+	lines := goldenLines(t, "golden_records.txt")
+	require.Len(t, lines, 2)
+	j := &job{Job: &jobs.Job{}, per: 64, done: []uint64{0x1000000000ff8001}}
+	j.Tasks = 64
+	bits := j.chunk(0)
+	done, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
+	require.NoError(t, err)
+	require.Equal(t, lines[0], string(done))
+	writes := (&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 256, "job-2": 40}, 1000)
+	require.Len(t, writes, 1)
+	marks, err := json.Marshal(writes[0].Watermarks)
+	require.NoError(t, err)
+	require.Equal(t, lines[1], string(marks))
+
+	// And a placer takes from them what they tell.
+	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: "red"}}, nil, 1, func() int64 { return 0 })
+	p := New(scheduler, Options{}, nil, nil, nil, jobs.NewBook(), clock.NewSteady(), slog.New(slog.DiscardHandler))
+	p.Apply([]state.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), Stamp: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), Stamp: 6}})
+	require.Equal(t, map[chunkID]progress{{3, 64}: {bits, 5}}, scheduler.progress["job-1"])
+	require.Equal(t, watermarks{6, map[string]int{"job-1": 256, "job-2": 40}}, scheduler.watermarks["ml/w/red/0"])
+}
