--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -205,7 +205,7 @@
 }
 
 // Holder names the controller whose registered incarnation holds a duty.
-func (b *Book) Holder(duty string) (string, bool) {
+func (b *Book) Leader(duty string) (string, bool) {
 	h, ok := b.claims[duty]
 	if !ok || h.Holder == "" || b.nodes[h.Holder].Incarnation != h.Incarnation {
 		return "", false
@@ -214,8 +214,8 @@
 }
 
 // Claim gives a claim as it stands, and whether the incarnation that it names is registered.
-func (b *Book) Claim(duty string) (h Held, live bool) {
-	_, live = b.Holder(duty)
+func (b *Book) Current(duty string) (h Held, live bool) {
+	_, live = b.Leader(duty)
 	return b.claims[duty], live
 }
 
@@ -247,7 +247,7 @@
 	}
 	var out []Write
 	for i, d := range b.duties {
-		if _, held := b.Holder(d); held {
+		if _, held := b.Leader(d); held {
 			delete(b.freeAt, d)
 			continue
 		}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -41,7 +41,7 @@
 }
 
 func (p *process) has(duty string) bool {
-	_, ok := p.Mine(duty)
+	_, ok := p.Leading(duty)
 	return ok
 }
 
@@ -51,12 +51,12 @@
 	by time.Duration
 }
 
-func (s slow) Extend(ctx context.Context, hold uint64, timeout time.Duration) error {
+func (s slow) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	time.Sleep(min(s.by, timeout))
 	if s.by > timeout {
 		return state.ErrUnknown
 	}
-	return s.View.Extend(ctx, hold, timeout)
+	return s.View.KeepAlive(ctx, hold, timeout)
 }
 
 // The state service answers two seconds late for a minute: duties are kept.
@@ -70,7 +70,7 @@
 		go state.NewReplica(v, k.Apply, quiet).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 		time.Sleep(5 * time.Second)
 		for range 60 {
-			_, ok := k.Mine(duties[0])
+			_, ok := k.Leading(duties[0])
 			require.True(t, ok)
 			time.Sleep(time.Second)
 		}
@@ -97,10 +97,10 @@
 		st := fakes.NewState()
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
-		first, _ := a.Mine("one")
+		first, _ := a.Leading("one")
 		again := start(t, st, "a")
 		time.Sleep(time.Second)
-		second, ok := again.Mine("one")
+		second, ok := again.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, first.Term+1, second.Term)
 		require.False(t, a.has("one"))
@@ -129,7 +129,7 @@
 		st := fakes.NewState()
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
-		first, _ := a.Mine("one")
+		first, _ := a.Leading("one")
 		st.SetDown(true)
 		for range 20 {
 			time.Sleep(time.Second)
@@ -137,7 +137,7 @@
 		}
 		st.SetDown(false)
 		time.Sleep(3 * time.Second)
-		same, ok := a.Mine("one")
+		same, ok := a.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, first.Term, same.Term)
 		st.SetDown(true)
@@ -145,7 +145,7 @@
 		require.False(t, a.has("one"), "the hold may have ended by now")
 		st.SetDown(false)
 		time.Sleep(3 * time.Second)
-		next, ok := a.Mine("one")
+		next, ok := a.Leading("one")
 		require.True(t, ok)
 		require.Greater(t, next.Term, first.Term)
 	})
@@ -190,14 +190,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewState()
 		b := withoutA(t, st)
-		held, ok := b.Mine("one")
+		held, ok := b.Leading("one")
 		require.True(t, ok)
 		again := start(t, st, "a")
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
 			require.False(t, again.has("one") && b.has("one"))
 		}
-		back, ok := again.Mine("one")
+		back, ok := again.Leading("one")
 		require.True(t, ok)
 		require.Greater(t, back.Term, held.Term)
 		require.True(t, b.has("two"), "what is meant for b stays")
@@ -217,7 +217,7 @@
 		b.view.SetCut(true)
 		time.Sleep(3 * time.Second)
 		require.False(t, b.has("one"), "its turn to hand it over has come")
-		holder, ok := b.Holder("one")
+		holder, ok := b.Leader("one")
 		require.True(t, ok && holder == "b", "the claim says still that it is b's")
 	})
 }
@@ -256,7 +256,7 @@
 		require.NoError(t, err)
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
-		h, ok := a.Mine("one")
+		h, ok := a.Leading("one")
 		require.True(t, ok)
 		require.EqualValues(t, 42, h.Term)
 	})
@@ -313,11 +313,11 @@
 		st.SetCapture(false)
 		b := start(t, st, "a")
 		time.Sleep(time.Second)
-		before, ok := b.Mine("one")
+		before, ok := b.Leading("one")
 		require.True(t, ok)
 		require.Zero(t, st.Release(), "a late registration must not replace the newer one")
 		time.Sleep(time.Second)
-		after, ok := b.Mine("one")
+		after, ok := b.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, before, after)
 	})
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -19,8 +19,8 @@
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
 	Commit(ctx context.Context, m wire.Multi) (uint64, error)
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Extend(ctx context.Context, hold uint64, timeout time.Duration) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error
 }
 
 // Timing is how long things last.
@@ -67,25 +67,25 @@
 }
 
 // Mine tells whether this process holds a duty and may act on it now.
-func (k *Keeper) Mine(duty string) (Held, bool) {
+func (k *Keeper) Leading(duty string) (Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Mine(duty, k.clock.Now())
 }
 
 // Holder names the registered holder of a duty.
-func (k *Keeper) Holder(duty string) (string, bool) {
+func (k *Keeper) Leader(duty string) (string, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Holder(duty)
+	return k.book.Leader(duty)
 }
 
 // Claim gives a claim as it stands, and whether the incarnation that it names is
 // registered: one that is not never acts again.
-func (k *Keeper) Claim(duty string) (Held, bool) {
+func (k *Keeper) Current(duty string) (Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Claim(duty)
+	return k.book.Current(duty)
 }
 
 // Confirmed tells whether this process may act at all.
@@ -211,7 +211,7 @@
 		return err
 	}
 	sent := k.clock.Now()
-	hold, err := k.store.Grant(ctx, k.timing.TTL.Duration())
+	hold, err := k.store.GrantLease(ctx, k.timing.TTL.Duration())
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 		return
 	}
 	if due {
-		err := k.store.Extend(ctx, hold, extendTimeout)
+		err := k.store.KeepAlive(ctx, hold, extendTimeout)
 		switch {
 		case err == nil:
 			k.mu.Lock()
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -207,7 +207,7 @@
 }
 
 // CommitAt is Commit, with a word right before.
-func (v *View) CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (v *View) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
 	}
@@ -268,10 +268,10 @@
 }
 
 // Spare always has room.
-func (v *View) Spare(int) bool { return true }
+func (v *View) HasSpareWrites(int) bool { return true }
 
 // Grant makes a hold.
-func (v *View) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
+func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -283,7 +283,7 @@
 }
 
 // Extend renews a hold.
-func (v *View) Extend(_ context.Context, id uint64, _ time.Duration) error {
+func (v *View) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,7 +27,7 @@
 
 // Claims tells whether the fleet is held.
 type Claims interface {
-	Mine(duty string) (claim.Held, bool)
+	Leading(duty string) (claim.Held, bool)
 }
 
 // Store takes transactions.
@@ -97,7 +97,7 @@
 			return nil
 		case <-tick.C:
 		}
-		h, mine := f.claims.Mine(Duty)
+		h, mine := f.claims.Leading(Duty)
 		if !mine {
 			f.term = 0
 			continue
@@ -165,7 +165,7 @@
 	}
 	// What one kind could not give is asked of the next at once.
 	for pass := 0; pass < 4 && len(rentals) > 0; pass++ {
-		if got, mine := f.claims.Mine(Duty); !mine || got.Term != f.term {
+		if got, mine := f.claims.Leading(Duty); !mine || got.Term != f.term {
 			return
 		}
 		if !f.rent(ctx, f.some(rentals)) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -90,7 +90,7 @@
 
 type held struct{ term uint64 }
 
-func (h *held) Mine(string) (claim.Held, bool) {
+func (h *held) Leading(string) (claim.Held, bool) {
 	return claim.Held{Record: claim.Record{Term: h.term}}, h.term > 0
 }
 
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -86,7 +86,7 @@
 	if len(ready) == 0 {
 		return
 	}
-	if got, mine := f.claims.Mine(Duty); !mine || got.Term != f.term {
+	if got, mine := f.claims.Leading(Duty); !mine || got.Term != f.term {
 		return
 	}
 	if err := f.cloud.call(ctx, "POST", wire.PathReturn, wire.Hosts{Hosts: ready}, nil); err != nil {
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -76,7 +76,7 @@
 			return nil
 		case <-tick.C:
 		}
-		h, mine := f.claims.Mine(Duty)
+		h, mine := f.claims.Leading(Duty)
 		if !mine {
 			term = 0
 			z.end()
@@ -173,7 +173,7 @@
 	if z.watch.Source == nil {
 		return ErrZonesOff
 	}
-	h, mine := f.claims.Mine(Duty)
+	h, mine := f.claims.Leading(Duty)
 	z.mu.Lock()
 	if !mine || z.decider == nil {
 		z.mu.Unlock()
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -29,7 +29,7 @@
 
 func (w *zoneWorld) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
 func (w *zoneWorld) ZoneRecords() map[string]ZoneRecord     { return w.records }
-func (w *zoneWorld) Mine(string) (claim.Held, bool) {
+func (w *zoneWorld) Leading(string) (claim.Held, bool) {
 	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 7}, true
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (w *zoneWorld) steps(t *testing.T, f *Fleet, from clock.Micros, n int) {
-	h, _ := w.Mine(Duty)
+	h, _ := w.Leading(Duty)
 	for i := range n {
 		f.stepZones(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -29,13 +29,13 @@
 // Placers finds who places a team's jobs, and asks.
 type Placers interface {
 	Status(ctx context.Context, q peer.JobQuery) (peer.JobAnswer, error)
-	Withdraw(ctx context.Context, q peer.JobQuery) (peer.JobAnswer, error)
+	Cancel(ctx context.Context, q peer.JobQuery) (peer.JobAnswer, error)
 }
 
 // Others are the other controllers, for submissions that this one can't store.
 type Others interface {
 	// Away tells that this controller has no contact with the state service now.
-	Away() bool
+	StoreUnreachable() bool
 	// Submit hands a submission to a controller that has; ok is false when none is known.
 	Submit(body []byte) (r httpx.Response, ok bool)
 }
@@ -149,7 +149,7 @@
 func (f *Front) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := f.wall()
 	defer func() { f.log.Debug("answered a submission", "status", r.Status, "after", f.wall().Sub(began)) }()
-	if f.others.Away() {
+	if f.others.StoreUnreachable() {
 		if o, ok := f.others.Submit(body); ok && o.Status != 503 {
 			return o
 		}
@@ -172,7 +172,7 @@
 	if s, ok := f.book.Final(spec.ID); ok {
 		return httpx.JSON(200, s.State(spec.ID))
 	}
-	if _, ok := f.book.Find(spec.ID); ok {
+	if _, ok := f.book.Active(spec.ID); ok {
 		return f.get(ctx, spec.ID)
 	}
 	if !f.Decisive() {
@@ -230,7 +230,7 @@
 	if s, ok := f.book.Final(id); ok {
 		return httpx.JSON(200, s.State(id))
 	}
-	if j, ok := f.book.Find(id); ok {
+	if j, ok := f.book.Active(id); ok {
 		a, err := f.placers.Status(ctx, peer.JobQuery{Team: j.Team, ID: id})
 		if err == nil && a.Known && a.Found {
 			if a.Retry {
@@ -294,7 +294,7 @@
 		return httpx.JSON(200, map[string]string{"id": id, "phase": s.Phase})
 	}
 	team := ""
-	if j, ok := f.book.Find(id); ok {
+	if j, ok := f.book.Active(id); ok {
 		team = j.Team
 	} else {
 		final, active, err := f.look(ctx, id)
@@ -308,7 +308,7 @@
 		}
 		team = active.Team
 	}
-	a, err := f.placers.Withdraw(ctx, peer.JobQuery{Team: team, ID: id})
+	a, err := f.placers.Cancel(ctx, peer.JobQuery{Team: team, ID: id})
 	if err != nil || !a.Known || !a.Found || a.Retry {
 		return refuse(503, "the job is not cancelled yet, ask again")
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -30,7 +30,7 @@
 func (p *placers) Status(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
 	return p.answer, p.err
 }
-func (p *placers) Withdraw(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *placers) Cancel(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
 	return p.answer, p.err
 }
 
@@ -41,7 +41,7 @@
 	asked  int
 }
 
-func (o *others) Away() bool { return o.cut }
+func (o *others) StoreUnreachable() bool { return o.cut }
 func (o *others) Submit([]byte) (httpx.Response, bool) {
 	o.asked++
 	return o.answer, o.answer.Status != 0
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -253,10 +253,10 @@
 	rev, err = c.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: "k", Value: map[string]int{"n": 1}, Hold: 3}, {Drop: "l"}}})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
-	hold, err := c.Grant(t.Context(), 24*time.Second)
+	hold, err := c.GrantLease(t.Context(), 24*time.Second)
 	require.NoError(t, err)
 	require.EqualValues(t, 8, hold)
-	require.NoError(t, c.Extend(t.Context(), 8, 3*time.Second))
+	require.NoError(t, c.KeepAlive(t.Context(), 8, 3*time.Second))
 	changes, err := c.Watch(t.Context(), "a b/", 7, 1500*time.Millisecond)
 	require.NoError(t, err)
 	require.EqualValues(t, 9, changes.Rev)
@@ -277,14 +277,14 @@
 	return p.answer, p.err
 }
 
-func (p *wirePlacer) Withdraw(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *wirePlacer) Cancel(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
 	return p.answer, p.err
 }
 
 // wireAlone stands for other controllers of which none can be asked.
 type wireAlone struct{}
 
-func (wireAlone) Away() bool                           { return false }
+func (wireAlone) StoreUnreachable() bool               { return false }
 func (wireAlone) Submit([]byte) (httpx.Response, bool) { return httpx.Response{}, false }
 
 // Users see statuses, bodies and Retry-After; these are the bytes of the answers.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -136,7 +136,7 @@
 }
 
 // Find gives an active job.
-func (b *Book) Find(id string) (*Job, bool) {
+func (b *Book) Active(id string) (*Job, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	j, ok := b.active[id]
@@ -152,7 +152,7 @@
 
 // Over tells that a job whose record was made at a revision is over: its final state
 // is known, or the view is as new as the record and does not show it any more.
-func (b *Book) Over(id string, made uint64) bool {
+func (b *Book) Ended(id string, made uint64) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if _, final := b.finals[id]; final {
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -105,7 +105,7 @@
 			answer(w, 400, nil)
 			return
 		}
-		id, err := view.Grant(r.Context(), time.Duration(in.TTL)*time.Millisecond)
+		id, err := view.GrantLease(r.Context(), time.Duration(in.TTL)*time.Millisecond)
 		if err != nil {
 			answer(w, 503, nil)
 			return
@@ -114,7 +114,7 @@
 	})
 	mux.HandleFunc("POST /holds/{id}/extend", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-		if err := view.Extend(r.Context(), id, 0); err != nil {
+		if err := view.KeepAlive(r.Context(), id, 0); err != nil {
 			answer(w, 404, nil)
 			return
 		}
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -71,7 +71,7 @@
 		time.Sleep(50 * time.Millisecond)
 		held := 0
 		for part := range partsPerController * len(hosts) {
-			if _, mine := c.up[host].keeper.Mine(owner.Duty(part)); mine {
+			if _, mine := c.up[host].keeper.Leading(owner.Duty(part)); mine {
 				held++
 			}
 		}
--- a/internal/node/hotteam_test.go
+++ b/internal/node/hotteam_test.go
@@ -181,7 +181,7 @@
 // holderOf is the controller that places a team's jobs.
 func (c *cluster) holderOf(t *testing.T, team string) string {
 	for _, h := range hosts {
-		if _, mine := c.up[h].keeper.Mine("team-" + team); mine {
+		if _, mine := c.up[h].keeper.Leading("team-" + team); mine {
 			return h
 		}
 	}
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -132,16 +132,16 @@
 	return h.View.Get(ctx, key)
 }
 
-func (h held) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (h held) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	h.c.wait(h.host)
-	id, err := h.View.Grant(ctx, ttl)
+	id, err := h.View.GrantLease(ctx, ttl)
 	h.c.wait(h.host)
 	return id, err
 }
 
-func (h held) Extend(ctx context.Context, id uint64, timeout time.Duration) error {
+func (h held) KeepAlive(ctx context.Context, id uint64, timeout time.Duration) error {
 	h.c.wait(h.host)
-	err := h.View.Extend(ctx, id, timeout)
+	err := h.View.KeepAlive(ctx, id, timeout)
 	h.c.wait(h.host)
 	return err
 }
@@ -193,7 +193,7 @@
 	return rev, err
 }
 
-func (h held) CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (h held) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -106,7 +106,7 @@
 }
 
 // Away tells that this controller has not reached the state service for a while.
-func (n *Node) Away() bool {
+func (n *Node) StoreUnreachable() bool {
 	ago, _ := n.keeper.Contact()
 	return ago > n.fresh
 }
@@ -144,12 +144,12 @@
 }
 
 // Withdraw asks the team's placer to end a job.
-func (n *Node) Withdraw(_ context.Context, q peer.JobQuery) (peer.JobAnswer, error) {
+func (n *Node) Cancel(_ context.Context, q peer.JobQuery) (peer.JobAnswer, error) {
 	return n.ask("Withdraw", n.placer.Withdraw, q, 2*askTimeout)
 }
 
 func (n *Node) ask(method string, local func(peer.JobQuery) peer.JobAnswer, q peer.JobQuery, timeout time.Duration) (peer.JobAnswer, error) {
-	host, ok := n.keeper.Holder(placer.Duty(q.Team))
+	host, ok := n.keeper.Leader(placer.Duty(q.Team))
 	if !ok {
 		return peer.JobAnswer{}, fmt.Errorf("team %s has no placer now", q.Team)
 	}
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -12,13 +12,13 @@
 
 type localOwner struct{ o *owner.Owner }
 
-func (l localOwner) Round(in peer.Round) (peer.RoundAnswer, error) { return l.o.Round(in), nil }
+func (l localOwner) ApplyBatch(in peer.Round) (peer.RoundAnswer, error) { return l.o.Round(in), nil }
 
 func (l localOwner) Poll(in peer.Poll) (peer.PollAnswer, error) { return l.o.Poll(in), nil }
 
 type remoteOwner struct{ c Peer }
 
-func (r remoteOwner) Round(in peer.Round) (out peer.RoundAnswer, err error) {
+func (r remoteOwner) ApplyBatch(in peer.Round) (out peer.RoundAnswer, err error) {
 	err = r.c.Call("Round", in, &out, 1500*time.Millisecond)
 	return out, err
 }
@@ -85,7 +85,7 @@
 }
 
 func (s *service) Zones(_ peer.ZonesQuery, out *peer.ZonesAnswer) error {
-	_, holds := s.n.keeper.Mine(fleet.Duty)
+	_, holds := s.n.keeper.Leading(fleet.Duty)
 	*out = peer.ZonesAnswer{Host: s.n.set.Host, Zones: s.n.zoneStatuses(), On: s.n.followZones, Fleet: holds}
 	return nil
 }
--- a/internal/node/serving_test.go
+++ b/internal/node/serving_test.go
@@ -74,7 +74,7 @@
 		c.do("a", "POST", wire.PathJobs, submission("job-1", 6))
 		c.run(3*time.Second, 0)
 		require.Equal(t, 6, c.running())
-		placer, ok := c.up["a"].keeper.Holder("team-red")
+		placer, ok := c.up["a"].keeper.Leader("team-red")
 		require.True(t, ok)
 		other := map[string]string{"a": "b", "b": "c", "c": "a"}[placer]
 		c.setCut(other, true)
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -97,7 +97,7 @@
 
 // holdZone stops a return, or lets it go on, if this controller holds the fleet.
 func (n *Node) holdZone(in peer.ZoneHold) (out peer.ZoneHoldAnswer) {
-	if holder, ok := n.keeper.Holder(fleet.Duty); ok {
+	if holder, ok := n.keeper.Leader(fleet.Duty); ok {
 		out.Holder = holder
 	}
 	err := n.fleet.HoldZone(context.Background(), in.Zone, in.Held)
--- a/internal/owner/cost_test.go
+++ b/internal/owner/cost_test.go
@@ -21,10 +21,10 @@
 // allHeld are claims of a process that holds every duty.
 type allHeld struct{}
 
-func (allHeld) Mine(string) (claim.Held, bool) {
+func (allHeld) Leading(string) (claim.Held, bool) {
 	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 1}, true
 }
-func (allHeld) Holder(string) (string, bool) { return "me", true }
+func (allHeld) Leader(string) (string, bool) { return "me", true }
 
 // loadedOwner is an owner of a fleet whose machines all run tasks and report.
 type loadedOwner struct {
--- a/internal/owner/holds_test.go
+++ b/internal/owner/holds_test.go
@@ -17,12 +17,12 @@
 // lapsing are claims that are held for so many looks more, and then over.
 type lapsing struct{ looks int }
 
-func (l *lapsing) Mine(string) (claim.Held, bool) {
+func (l *lapsing) Leading(string) (claim.Held, bool) {
 	l.looks--
 	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 1}, l.looks >= 0
 }
 
-func (l *lapsing) Holder(string) (string, bool) { return "me", true }
+func (l *lapsing) Leader(string) (string, bool) { return "me", true }
 
 // A process that was held up while it decided says nothing: whether it holds the
 // machine's partition is looked at once more when the answer is ready.
--- a/internal/owner/leases.go
+++ b/internal/owner/leases.go
@@ -150,7 +150,7 @@
 		t.parts[m.part] != a.Term || !m.usable(now) {
 		return false
 	}
-	if t.jobs.Over(a.ID.Job, a.Made) {
+	if t.jobs.Ended(a.ID.Job, a.Made) {
 		return false // by a former placer, or by a copy of an old round
 	}
 	if c, ok := t.cancelled[a.ID.Job]; ok {
@@ -171,7 +171,7 @@
 }
 
 func (t *Table) graceOf(k *task) float64 {
-	if j, ok := t.jobs.Find(k.id.Job); ok {
+	if j, ok := t.jobs.Active(k.id.Job); ok {
 		return j.Grace()
 	}
 	return 0
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -16,7 +16,7 @@
 	if _, ok := t.cancelled[k.id.Job]; ok {
 		return true
 	}
-	return t.jobs.Over(k.id.Job, k.made)
+	return t.jobs.Ended(k.id.Job, k.made)
 }
 
 // maxOrders keeps an answer's line below the protocol's 64 KiB.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -21,8 +21,8 @@
 
 // Claims tells which duties this process holds.
 type Claims interface {
-	Mine(duty string) (claim.Held, bool)
-	Holder(duty string) (string, bool)
+	Leading(duty string) (claim.Held, bool)
+	Leader(duty string) (string, bool)
 }
 
 // Store takes transactions.
@@ -127,7 +127,7 @@
 	now := o.clock.Now()
 	changed := false
 	for _, p := range o.split.all {
-		h, mine := o.claims.Mine(Duty(p))
+		h, mine := o.claims.Leading(Duty(p))
 		term, have := o.table.Part(p)
 		switch {
 		case mine && (!have || term != h.Term):
@@ -179,9 +179,9 @@
 		return refuse(400, "not a report", "", 0)
 	}
 	part := o.split.Of(r.Machine, r.Zone)
-	h, mine := o.claims.Mine(Duty(part))
+	h, mine := o.claims.Leading(Duty(part))
 	if !mine {
-		if holder, ok := o.claims.Holder(Duty(part)); ok && holder != o.host {
+		if holder, ok := o.claims.Leader(Duty(part)); ok && holder != o.host {
 			o.misdirected.note(holder, r.Machine, o.clock.Now())
 			return refuse(421, "another controller has this machine", holder, 0)
 		}
@@ -213,7 +213,7 @@
 // holds tells that a partition is held under a term at this moment. It is asked
 // before anything is sent, after all that may have taken long.
 func (o *Owner) holds(part int, term uint64) bool {
-	h, mine := o.claims.Mine(Duty(part))
+	h, mine := o.claims.Leading(Duty(part))
 	return mine && h.Term == term
 }
 
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -67,7 +67,7 @@
 	}
 	o.mu.Unlock()
 	for p := range parts {
-		h, mine := o.claims.Mine(Duty(p))
+		h, mine := o.claims.Leading(Duty(p))
 		if !mine {
 			continue
 		}
--- a/internal/owner/reports.go
+++ b/internal/owner/reports.go
@@ -151,7 +151,7 @@
 // foundTask adds a task that a worker shows and nobody has asked for here.
 func (t *Table) foundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
 	k := &task{id: id, since: now}
-	if j, ok := t.jobs.Find(id.Job); ok {
+	if j, ok := t.jobs.Active(id.Job); ok {
 		k.team, k.rank, k.need = j.Team, j.Level, j.Need
 		t.note(m, j.Image, j.ImageGB)
 	}
--- a/internal/owner/table.go
+++ b/internal/owner/table.go
@@ -23,8 +23,8 @@
 
 // Jobs tells which jobs are active.
 type Jobs interface {
-	Find(id string) (*jobs.Job, bool)
-	Over(id string, made uint64) bool
+	Active(id string) (*jobs.Job, bool)
+	Ended(id string, made uint64) bool
 }
 
 // Timing is what the table needs to know of spans.
@@ -202,7 +202,7 @@
 	for job, c := range t.cancelled {
 		// While the replica shows the job as active it may be behind, and this is all
 		// that is known of the withdrawal, however long ago it was.
-		if _, active := t.jobs.Find(job); !active && now > c.at+600*clock.Second {
+		if _, active := t.jobs.Active(job); !active && now > c.at+600*clock.Second {
 			delete(t.cancelled, job)
 		}
 	}
--- a/internal/owner/table_test.go
+++ b/internal/owner/table_test.go
@@ -27,8 +27,8 @@
 	rev    uint64
 }
 
-func (j *jobList) Find(id string) (*jobs.Job, bool) { x, ok := j.active[id]; return x, ok }
-func (j *jobList) Over(id string, made uint64) bool {
+func (j *jobList) Active(id string) (*jobs.Job, bool) { x, ok := j.active[id]; return x, ok }
+func (j *jobList) Ended(id string, made uint64) bool {
 	_, final := j.final[id]
 	return final || j.active[id] == nil && j.rev >= made
 }
--- a/internal/placer/answers.go
+++ b/internal/placer/answers.go
@@ -6,7 +6,7 @@
 
 // Status tells what a job's user may be told; only while the team is held.
 func (p *Placer) Status(q peer.JobQuery) peer.JobAnswer {
-	if _, ok := p.claims.Mine(Duty(q.Team)); !ok {
+	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
 		return peer.JobAnswer{}
 	}
 	p.mu.Lock()
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -24,20 +24,20 @@
 
 // Claims tells which duties this process holds.
 type Claims interface {
-	Mine(duty string) (claim.Held, bool)
-	Claim(duty string) (h claim.Held, live bool)
+	Leading(duty string) (claim.Held, bool)
+	Current(duty string) (h claim.Held, live bool)
 }
 
 // Store takes transactions.
 type Store interface {
 	Commit(ctx context.Context, m wire.Multi) (uint64, error)
-	CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error)
-	Spare(n int) bool
+	CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error)
+	HasSpareWrites(n int) bool
 }
 
 // OwnerCaller speaks with the owner part of a controller, this one's or a peer's.
 type OwnerCaller interface {
-	Round(in peer.Round) (peer.RoundAnswer, error)
+	ApplyBatch(in peer.Round) (peer.RoundAnswer, error)
 	Poll(in peer.Poll) (peer.PollAnswer, error)
 }
 
@@ -137,7 +137,7 @@
 		switch {
 		case strings.HasPrefix(e.Key, state.Active):
 			id := strings.TrimPrefix(e.Key, state.Active)
-			if j, ok := p.book.Find(id); ok && e.Value != nil {
+			if j, ok := p.book.Active(id); ok && e.Value != nil {
 				p.scheduler.AddJob(j, now)
 			} else {
 				p.scheduler.DropJob(id)
@@ -185,7 +185,7 @@
 	terms := p.scheduler.Terms()
 	gained := false
 	for _, t := range p.teams {
-		h, mine := p.claims.Mine(Duty(t.Name))
+		h, mine := p.claims.Leading(Duty(t.Name))
 		term, have := terms[t.Name]
 		switch {
 		case mine && (!have || term != h.Term):
@@ -283,7 +283,7 @@
 			if r == nil {
 				break
 			}
-			ans, err := p.owners[host].Round(*r)
+			ans, err := p.owners[host].ApplyBatch(*r)
 			p.mu.Lock()
 			if err != nil {
 				p.scheduler.Down(host)
--- a/internal/placer/withdraw.go
+++ b/internal/placer/withdraw.go
@@ -131,7 +131,7 @@
 // every machine, the end is written, and only then told.
 func (p *Placer) Withdraw(q peer.JobQuery) peer.JobAnswer {
 	retry := peer.JobAnswer{Known: true, Found: true, Retry: true}
-	if _, ok := p.claims.Mine(Duty(q.Team)); !ok {
+	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
 		return peer.JobAnswer{}
 	}
 	deadline := time.NewTimer(withdrawWait)
@@ -231,7 +231,7 @@
 func (p *Placer) partClaims() []PartClaim {
 	out := make([]PartClaim, 0, len(p.parts))
 	for i, duty := range p.parts {
-		h, live := p.claims.Claim(duty)
+		h, live := p.claims.Current(duty)
 		c := PartClaim{Part: i, Key: state.Claims + duty, Stamp: h.Stamp, Term: h.Term}
 		if live {
 			c.Host = h.Holder
--- a/internal/placer/world_test.go
+++ b/internal/placer/world_test.go
@@ -70,9 +70,9 @@
 	oldOwners     bool                      // they hold no room for tasks that are to move
 }
 
-func (w *world) Find(id string) (*jobs.Job, bool) { j, ok := w.active[id]; return j, ok }
+func (w *world) Active(id string) (*jobs.Job, bool) { j, ok := w.active[id]; return j, ok }
 
-func (w *world) Over(id string, made uint64) bool {
+func (w *world) Ended(id string, made uint64) bool {
 	_, final := w.book.Final(id)
 	return final || w.active[id] == nil && w.stamp >= made
 }
--- a/internal/placer/write_progress.go
+++ b/internal/placer/write_progress.go
@@ -52,9 +52,9 @@
 			for size := list[0].size(); n < min(len(list), p.txnOps) && size+list[n].size() < wire.MaxMulti; n++ {
 				size += list[n].size()
 			}
-			if !p.store.Spare(n) {
+			if !p.store.HasSpareWrites(n) {
 				n = 1
-				if !p.store.Spare(1) {
+				if !p.store.HasSpareWrites(1) {
 					return
 				}
 			}
--- a/internal/placer/writes.go
+++ b/internal/placer/writes.go
@@ -23,7 +23,7 @@
 		list := p.scheduler.PlanWatermarks(p.clock.Now(), p.valueMost)
 		p.mu.Unlock()
 		for _, w := range list {
-			h, ok := p.claims.Mine(Duty(w.Team))
+			h, ok := p.claims.Leading(Duty(w.Team))
 			if !ok {
 				continue
 			}
@@ -68,7 +68,7 @@
 
 // mine gives the condition that a team is still held under a term.
 func (p *Placer) mine(t *team) (wire.Cond, error) {
-	h, ok := p.claims.Mine(Duty(t.Name))
+	h, ok := p.claims.Leading(Duty(t.Name))
 	if !ok || h.Term != t.term {
 		return wire.Cond{}, errLost
 	}
@@ -149,7 +149,7 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		_, err := store.CommitAt(ctx, m, func() error {
+		_, err := store.CommitWithCheck(ctx, m, func() error {
 			if _, err := p.mine(tm); err != nil {
 				return err
 			}
--- a/internal/placer/writes_test.go
+++ b/internal/placer/writes_test.go
@@ -28,21 +28,21 @@
 	changes int
 }
 
-func (n *narrow) CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (n *narrow) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if err := n.budget.WaitN(ctx, len(m.Then)); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrBudget)
 	}
 	n.changes += len(m.Then)
-	return n.View.CommitAt(ctx, m, sending)
+	return n.View.CommitWithCheck(ctx, m, sending)
 }
 
 // always holds every duty.
 type always struct{ claim.Held }
 
-func (a always) Mine(string) (claim.Held, bool)  { return a.Held, true }
-func (a always) Claim(string) (claim.Held, bool) { return a.Held, true }
+func (a always) Leading(string) (claim.Held, bool) { return a.Held, true }
+func (a always) Current(string) (claim.Held, bool) { return a.Held, true }
 
 // writer is a placer that holds the team red; what it writes goes to a state service.
 type writer struct {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -68,11 +68,11 @@
 // what the others have left of their part when its own is spent: after an
 // outage users come all at once.
 func (u Urgent) Commit(ctx context.Context, m wire.Multi) (uint64, error) {
-	return u.CommitAt(ctx, m, nil)
+	return u.CommitWithCheck(ctx, m, nil)
 }
 
 // CommitAt is Commit, with a word right before the transaction is sent.
-func (u Urgent) CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (u Urgent) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	budget := u.Client.urgent
@@ -224,7 +224,7 @@
 // CommitAt is Commit, with a word right before the transaction is sent: what
 // holds only from then on, or must hold still at that moment, is settled there
 // and not before the wait for the budget. If sending fails nothing is sent.
-func (c *Client) CommitAt(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (c *Client) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
 	return c.commit(ctx, m, c.writes, sending)
 }
 
@@ -258,12 +258,12 @@
 
 // Spare tells whether n changes that can wait may be made now, leaving room
 // for urgent ones.
-func (c *Client) Spare(n int) bool {
+func (c *Client) HasSpareWrites(n int) bool {
 	return c.writes.Tokens() >= float64(n)+float64(c.writes.Burst())/3
 }
 
 // Grant makes a hold.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	r, err := c.call(ctx, "POST", wire.PathHolds, map[string]int64{"ttl_ms": ttl.Milliseconds()}, callTimeout)
 	if err != nil {
 		return 0, err
@@ -277,7 +277,7 @@
 
 // Extend renews a hold. It takes from the budget what others wait for, and does not
 // queue behind them: every duty hangs on it.
-func (c *Client) Extend(ctx context.Context, hold uint64, timeout time.Duration) error {
+func (c *Client) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c.reqs.Reserve()
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -120,7 +120,7 @@
 	}
 	require.LessOrEqual(t, read, 3+int(2*time.Since(began).Seconds()))
 	// The stand-in's word is that there is no such hold: it was asked.
-	require.ErrorIs(t, c.Extend(t.Context(), 1, 3*time.Second), state.ErrNoHold)
+	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 3*time.Second), state.ErrNoHold)
 }
 
 // With the request budget spent for ten seconds to come, a hold's renewal is sent at once.
@@ -130,5 +130,5 @@
 	_, _, err := c.Get(t.Context(), "k")
 	require.NoError(t, err)
 	// The stand-in's word is that there is no such hold: it was asked.
-	require.ErrorIs(t, c.Extend(t.Context(), 1, 5*time.Second), state.ErrNoHold)
+	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 5*time.Second), state.ErrNoHold)
 }
