--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -187,21 +187,21 @@
 		}
 		calm = calm && urgent
 		b.giving[d] = h.Stamp
-		out = append(out, Write{d, wire.Multi{When: []wire.Cond{{Key: state.Claims + d, Stamp: h.Stamp}},
-			Then: []wire.Op{{Put: state.Claims + d, Value: Record{Term: h.Term}}}}})
+		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + d, ModRevision: h.Stamp}},
+			Operations: []wire.Operation{{Put: state.Claims + d, Value: Record{Term: h.Term}}}}})
 	}
 	return out
 }
 
 // Note gives the write that tells in this controller's registration whether it is
 // cut off from the workers; ok is false when it says so already.
-func (b *Book) Note(unreachable bool) (m wire.Multi, ok bool) {
+func (b *Book) Note(unreachable bool) (m wire.Txn, ok bool) {
 	r := b.nodes[b.host]
 	if !b.registeredMe() || r.Unreachable == unreachable {
 		return m, false
 	}
-	return wire.Multi{When: []wire.Cond{{Key: state.Nodes + b.host, Stamp: r.stamp}},
-		Then: []wire.Op{{Put: state.Nodes + b.host, Value: Registration{b.incarnation, unreachable}, Hold: b.hold}}}, true
+	return wire.Txn{Conditions: []wire.Condition{{Key: state.Nodes + b.host, ModRevision: r.stamp}},
+		Operations: []wire.Operation{{Put: state.Nodes + b.host, Value: Registration{b.incarnation, unreachable}, LeaseID: b.hold}}}, true
 }
 
 // Holder names the controller whose registered incarnation holds a duty.
@@ -228,7 +228,7 @@
 // Write is what is to be written of a claim now.
 type Write struct {
 	Duty  string
-	Multi wire.Multi
+	Multi wire.Txn
 }
 
 // Wanted decides which free claims to take: its own preferred ones at once, also
@@ -260,14 +260,14 @@
 			continue
 		}
 		h := b.claims[d]
-		when := []wire.Cond{{Key: state.Claims + d, Stamp: h.Stamp}, {Key: state.Nodes + b.host, Stamp: b.nodes[b.host].stamp}}
+		when := []wire.Condition{{Key: state.Claims + d, ModRevision: h.Stamp}, {Key: state.Nodes + b.host, ModRevision: b.nodes[b.host].stamp}}
 		if h.Stamp == 0 {
-			when[0].Stamp = 0
+			when[0].ModRevision = 0
 		}
 		if h.Holder != "" && h.Holder != b.host {
-			when = append(when, wire.Cond{Key: state.Nodes + h.Holder, Stamp: b.nodes[h.Holder].stamp})
+			when = append(when, wire.Condition{Key: state.Nodes + h.Holder, ModRevision: b.nodes[h.Holder].stamp})
 		}
-		out = append(out, Write{d, wire.Multi{When: when, Then: []wire.Op{
+		out = append(out, Write{d, wire.Txn{Conditions: when, Operations: []wire.Operation{
 			{Put: state.Claims + d, Value: Record{b.host, b.incarnation, term + 1}}}}})
 	}
 	return out
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -251,7 +251,7 @@
 func TestTermsGrowOverAllDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewState()
-		_, err := (&fakes.View{State: st}).Commit(t.Context(), wire.Multi{Then: []wire.Op{
+		_, err := (&fakes.View{State: st}).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{
 			{Put: state.Claims + "part-of-old", Value: Record{"a", "gone", 41}}}})
 		require.NoError(t, err)
 		a := start(t, st, "a")
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -18,7 +18,7 @@
 // Store is the part of the state service that the keeper needs.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, m wire.Multi) (uint64, error)
+	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error
 }
@@ -161,8 +161,8 @@
 	if incarnation == "" || inc != incarnation {
 		return
 	}
-	_, err := k.store.Commit(ctx, wire.Multi{When: []wire.Cond{{Key: state.Nodes + host, Stamp: stamp}},
-		Then: []wire.Op{{Drop: state.Nodes + host}}})
+	_, err := k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.Nodes + host, ModRevision: stamp}},
+		Operations: []wire.Operation{{Drop: state.Nodes + host}}})
 	k.log.Info("removed the registration of a resigned controller", "host", host, "err", err)
 }
 
@@ -219,8 +219,8 @@
 	k.mu.Lock()
 	unreachable := k.unreachable
 	k.mu.Unlock()
-	_, err = k.store.Commit(ctx, wire.Multi{When: []wire.Cond{{Key: key, Stamp: it.Stamp}},
-		Then: []wire.Op{{Put: key, Value: Registration{inc, unreachable}, Hold: hold}}})
+	_, err = k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: key, ModRevision: it.ModRevision}},
+		Operations: []wire.Operation{{Put: key, Value: Registration{inc, unreachable}, LeaseID: hold}}})
 	if err != nil {
 		return err
 	}
@@ -289,7 +289,7 @@
 	}
 	if noting {
 		_, err := k.store.Commit(ctx, note)
-		k.log.Info("told whether workers reach this controller", "unreachable", note.Then[0].Value, "err", err)
+		k.log.Info("told whether workers reach this controller", "unreachable", note.Operations[0].Value, "err", err)
 	}
 	var wg sync.WaitGroup
 	for _, w := range give {
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -36,7 +36,7 @@
 	down    bool // answers 503 to all
 	mute    bool // executes transactions and gives no answer
 	capture bool // keeps transactions back, gives no answer
-	late    []wire.Multi
+	late    []wire.Txn
 }
 
 // NewState makes an empty state service.
@@ -89,7 +89,7 @@
 func (s *State) end(id uint64) {
 	delete(s.holds, id)
 	for k, it := range s.keys {
-		if it.Hold == id {
+		if it.LeaseID == id {
 			s.rev++
 			s.drop(k)
 		}
@@ -99,7 +99,7 @@
 func (s *State) drop(k string) {
 	if _, ok := s.keys[k]; ok {
 		delete(s.keys, k)
-		s.log = append(s.log, wire.Change{Drop: k, Stamp: s.rev})
+		s.log = append(s.log, wire.Change{Drop: k, ModRevision: s.rev})
 	}
 	s.tell()
 }
@@ -159,37 +159,37 @@
 }
 
 // Watch waits for changes. During an outage it stays open.
-func (v *View) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.Changes, error) {
+func (v *View) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	deadline := time.Now().Add(block)
 	for {
 		v.mu.Lock()
-		var out wire.Changes
+		var out wire.WatchResponse
 		if v.refused() == nil {
 			v.expire()
-			out.Rev = v.rev
+			out.Revision = v.rev
 			for _, c := range v.log {
-				if c.Stamp > rev && strings.HasPrefix(c.Put+c.Drop, prefix) {
-					out.Log = append(out.Log, c)
+				if c.ModRevision > rev && strings.HasPrefix(c.Put+c.Drop, prefix) {
+					out.Changes = append(out.Changes, c)
 				}
 			}
 		}
 		changed := v.changed
 		v.mu.Unlock()
-		if len(out.Log) > 0 || !time.Now().Before(deadline) {
-			out.Rev = max(out.Rev, rev)
+		if len(out.Changes) > 0 || !time.Now().Before(deadline) {
+			out.Revision = max(out.Revision, rev)
 			return out, nil
 		}
 		select {
 		case <-changed:
 		case <-time.After(min(100*time.Millisecond, time.Until(deadline))):
 		case <-ctx.Done():
-			return wire.Changes{}, ctx.Err()
+			return wire.WatchResponse{}, ctx.Err()
 		}
 	}
 }
 
 // Commit carries out a transaction.
-func (v *View) Commit(_ context.Context, m wire.Multi) (uint64, error) {
+func (v *View) Commit(_ context.Context, m wire.Txn) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -207,7 +207,7 @@
 }
 
 // CommitAt is Commit, with a word right before.
-func (v *View) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (v *View) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
 	}
@@ -227,31 +227,31 @@
 	return applied
 }
 
-func (s *State) apply(m wire.Multi) (uint64, error) {
+func (s *State) apply(m wire.Txn) (uint64, error) {
 	s.expire()
-	for _, c := range m.When {
-		if s.keys[c.Key].Stamp != c.Stamp {
+	for _, c := range m.Conditions {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
 			return s.rev, fmt.Errorf("%w: %s", state.ErrConflict, c.Key)
 		}
 	}
-	for _, op := range m.Then {
-		if op.Hold != 0 && s.holds[op.Hold] == nil {
+	for _, op := range m.Operations {
+		if op.LeaseID != 0 && s.holds[op.LeaseID] == nil {
 			return s.rev, fmt.Errorf("%w: no such lease", state.ErrRefused)
 		}
 	}
-	if s.mostOps > 0 && len(m.Then) > s.mostOps {
+	if s.mostOps > 0 && len(m.Operations) > s.mostOps {
 		return s.rev, fmt.Errorf("%w: too many changes", state.ErrRefused)
 	}
-	if s.mostOps > 0 && len(m.When) > 4*s.mostOps {
+	if s.mostOps > 0 && len(m.Conditions) > 4*s.mostOps {
 		return s.rev, fmt.Errorf("%w: too many conditions", state.ErrRefused)
 	}
-	for _, op := range m.Then {
+	for _, op := range m.Operations {
 		if b, err := json.Marshal(op.Value); s.mostBytes > 0 && (err != nil || len(b) > s.mostBytes) {
 			return s.rev, fmt.Errorf("%w: a value of %d bytes", state.ErrRefused, len(b))
 		}
 	}
 	s.rev++
-	for _, op := range m.Then {
+	for _, op := range m.Operations {
 		if op.Drop != "" {
 			s.drop(op.Drop)
 			continue
@@ -260,8 +260,8 @@
 		if err != nil {
 			return s.rev, err
 		}
-		s.keys[op.Put] = wire.Item{Key: op.Put, Value: b, Stamp: s.rev, Hold: op.Hold}
-		s.log = append(s.log, wire.Change{Put: op.Put, Value: b, Stamp: s.rev})
+		s.keys[op.Put] = wire.Item{Key: op.Put, Value: b, ModRevision: s.rev, LeaseID: op.LeaseID}
+		s.log = append(s.log, wire.Change{Put: op.Put, Value: b, ModRevision: s.rev})
 	}
 	s.tell()
 	return s.rev, nil
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -18,7 +18,7 @@
 	Session uint64
 	Tick    uint64
 	Token   uint64
-	Tasks   map[string]*wire.TaskReport // by name and attempt
+	Tasks   map[string]*wire.TaskStatus // by name and attempt
 	Starts  map[string]int              // how often each task has started
 	NoticeS *float64                    // what its reports say of when the cloud takes it
 	renewed clock.Micros
@@ -26,7 +26,7 @@
 
 // NewWorker makes a worker that began at a time.
 func NewWorker(id string, lease, now clock.Micros) *Worker {
-	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Session: 1, Tasks: map[string]*wire.TaskReport{},
+	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Session: 1, Tasks: map[string]*wire.TaskStatus{},
 		Starts: map[string]int{}, renewed: now}
 }
 
@@ -43,11 +43,11 @@
 func (w *Worker) Renew(now clock.Micros) { w.renewed = now }
 
 // Report is what the worker says now.
-func (w *Worker) Report(now clock.Micros) wire.Report {
+func (w *Worker) Report(now clock.Micros) wire.Heartbeat {
 	w.Check(now)
 	w.Tick++
-	r := wire.Report{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Tick: w.Tick, Token: w.Token, NoticeS: w.NoticeS}
+	r := wire.Heartbeat{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		Incarnation: w.Session, Tick: w.Tick, FencingToken: w.Token, EvictionNoticeS: w.NoticeS}
 	for _, t := range w.InOrder() {
 		r.Tasks = append(r.Tasks, *t)
 	}
@@ -55,9 +55,9 @@
 }
 
 // InOrder lists the worker's tasks in a fixed order.
-func (w *Worker) InOrder() []*wire.TaskReport {
+func (w *Worker) InOrder() []*wire.TaskStatus {
 	keys := slices.Sorted(maps.Keys(w.Tasks))
-	out := make([]*wire.TaskReport, 0, len(keys))
+	out := make([]*wire.TaskStatus, 0, len(keys))
 	for _, k := range keys {
 		out = append(out, w.Tasks[k])
 	}
@@ -65,21 +65,21 @@
 }
 
 // Take takes the answer to a report that was sent at a time.
-func (w *Worker) Take(a wire.ReportAnswer, sent clock.Micros) bool {
-	if a.Token < w.Token {
+func (w *Worker) Take(a wire.HeartbeatResponse, sent clock.Micros) bool {
+	if a.FencingToken < w.Token {
 		return false
 	}
-	w.Token = a.Token
+	w.Token = a.FencingToken
 	w.renewed = sent
 	w.do(a.Orders)
 	return true
 }
 
 // Orders takes a direct command; ok is false for a 409.
-func (w *Worker) Orders(o wire.Orders, now clock.Micros) (r wire.Report, ok bool) {
+func (w *Worker) Orders(o wire.Orders, now clock.Micros) (r wire.Heartbeat, ok bool) {
 	w.Check(now)
-	if ok = o.Token >= w.Token && o.Session == w.Session; ok {
-		w.Token = o.Token
+	if ok = o.FencingToken >= w.Token && o.Incarnation == w.Session; ok {
+		w.Token = o.FencingToken
 		w.do(o.Orders)
 	}
 	return w.Report(now), ok
@@ -96,7 +96,7 @@
 		switch o.Verb {
 		case wire.VerbRun:
 			if t == nil {
-				w.Tasks[k] = &wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Phase: wire.TaskRunning}
+				w.Tasks[k] = &wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: wire.TaskRunning}
 				w.Starts[o.Task]++
 			}
 		case wire.VerbStop:
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,7 +32,7 @@
 
 // Store takes transactions.
 type Store interface {
-	Commit(ctx context.Context, m wire.Multi) (uint64, error)
+	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
 // Fleet rents and returns machines while it holds the claim.
@@ -78,7 +78,7 @@
 // New makes a fleet.
 func New(cloud *Cloud, claims Claims, store Store, others Controllers, c clock.Clock, k Knobs, backoff, lag, skew clock.Micros, wall func() time.Time, kept func() wire.Catalog, log *slog.Logger) *Fleet {
 	atOnce := max(1, int(cloud.rps*1.6))
-	return &Fleet{atOnce: atOnce, most: wire.MaxRental * atOnce, cloud: cloud, claims: claims, store: store, others: others, clock: c, knobs: k, backoff: backoff, lag: lag, skew: skew, wall: wall, kept: kept, log: log}
+	return &Fleet{atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: cloud, claims: claims, store: store, others: others, clock: c, knobs: k, backoff: backoff, lag: lag, skew: skew, wall: wall, kept: kept, log: log}
 }
 
 // Measure has the fleet count its rounds and its traffic. It is called before Run.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,8 +26,8 @@
 	mu       sync.Mutex
 	names    []string
 	returned []string
-	listed   []wire.Rental
-	answer   func(wire.RentalRequest) (int, any)
+	listed   []wire.Instance
+	answer   func(wire.ScaleOutRequest) (int, any)
 }
 
 func (c *cloud) handle(_ context.Context, r *httpx.Request) httpx.Response {
@@ -37,15 +37,15 @@
 	switch {
 	case r.Path == wire.PathCatalog:
 		v = wire.Catalog{Types: []wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Price: 1.2, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}}}}
-	case r.Path == wire.PathReturn:
-		var h wire.Hosts
+	case r.Path == wire.PathScaleIn:
+		var h wire.HostList
 		json.Unmarshal(r.Body, &h) //nolint:errcheck // a bad one returns nothing
 		c.returned = append(c.returned, h.Hosts...)
 		v = h
 	case r.Method == "GET":
-		v = wire.Rentals{Hosts: c.listed}
+		v = wire.InstancePage{Instances: c.listed}
 	default:
-		var h wire.RentalRequest
+		var h wire.ScaleOutRequest
 		json.Unmarshal(r.Body, &h) //nolint:errcheck // a bad one has no name
 		c.names = append(c.names, h.Name)
 		status, v = c.answer(h)
@@ -99,7 +99,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	c := &cloud{answer: func(h wire.RentalRequest) (int, any) { return 200, wire.Hosts{Hosts: []string{"m-" + h.Name}} }}
+	c := &cloud{answer: func(h wire.ScaleOutRequest) (int, any) { return 200, wire.HostList{Hosts: []string{"m-" + h.Name}} }}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	srv := httpx.NewServer(c.handle, nil, 8, 1<<20, time.Minute, quiet)
 	ctx, stop := context.WithCancel(t.Context())
@@ -151,12 +151,12 @@
 	o.demands = waiting(2, nil)
 	kinds := []bool{}
 	c.with(func() {
-		c.answer = func(h wire.RentalRequest) (int, any) {
+		c.answer = func(h wire.ScaleOutRequest) (int, any) {
 			kinds = append(kinds, h.Spot)
 			if h.Spot {
 				return 503, wire.Error{Error: "no capacity"}
 			}
-			return 200, wire.Hosts{Hosts: []string{"m-1"}}
+			return 200, wire.HostList{Hosts: []string{"m-1"}}
 		}
 	})
 	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
@@ -172,7 +172,7 @@
 func TestUnexpectedMachines(t *testing.T) {
 	f, c, o, _ := newFleet(t)
 	c.with(func() {
-		c.listed = []wire.Rental{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
+		c.listed = []wire.Instance{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
 	})
 	o.views = []peer.MachineView{{ID: "m-7", Type: "big", Zone: "a", Accounted: true, Usable: true, Idle: 90 * clock.Second}}
 	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
@@ -187,11 +187,11 @@
 func TestOddAnswersOfTheCloud(t *testing.T) {
 	f, c, o, _ := newFleet(t)
 	o.demands = waiting(2, nil)
-	for _, a := range []func(wire.RentalRequest) (int, any){
-		func(wire.RentalRequest) (int, any) { return 429, nil },
-		func(wire.RentalRequest) (int, any) { return 503, wire.Error{Error: "trouble"} },
-		func(wire.RentalRequest) (int, any) { return 200, "what?" },
-		func(wire.RentalRequest) (int, any) { return 500, strings.Repeat("x", 300) },
+	for _, a := range []func(wire.ScaleOutRequest) (int, any){
+		func(wire.ScaleOutRequest) (int, any) { return 429, nil },
+		func(wire.ScaleOutRequest) (int, any) { return 503, wire.Error{Error: "trouble"} },
+		func(wire.ScaleOutRequest) (int, any) { return 200, "what?" },
+		func(wire.ScaleOutRequest) (int, any) { return 500, strings.Repeat("x", 300) },
 	} {
 		c.with(func() { c.answer = a })
 		f.refused = map[Kind]clock.Micros{}
@@ -212,12 +212,12 @@
 	f, c, o, _ := newFleet(t)
 	at := &hands{100 * clock.Second}
 	f.clock = at
-	see := func(list ...wire.Rental) {
+	see := func(list ...wire.Instance) {
 		c.with(func() { c.listed = list })
 		require.NoError(t, f.list(t.Context()))
 	}
-	kept := wire.Rental{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	taken := wire.Rental{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
+	kept := wire.Instance{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
+	taken := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
 	f.rented["m-9"], f.listedAt["m-9"] = Rented{ID: "m-9"}, at.now // rented just now
 	see(kept, taken)
 	at.now += 16 * clock.Second // the list may lag twice its 8 s
@@ -238,7 +238,7 @@
 	now := time.UnixMilli(1_800_000_000_000)
 	f.wall = func() time.Time { return now }
 	o.records = map[string]int64{"m-1": now.UnixMilli() - 60_000, "m-2": now.UnixMilli() - 60_000, "m-3": now.UnixMilli() - 17_000}
-	c.with(func() { c.listed = []wire.Rental{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}} })
+	c.with(func() { c.listed = []wire.Instance{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}} })
 	require.NoError(t, f.list(t.Context()))
 	require.Equal(t, []string{"m-2"}, o.gone)
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -22,8 +22,8 @@
 		return
 	}
 	f.catalog, f.fetched = c, now
-	if _, err := f.store.Commit(ctx, wire.Multi{When: []wire.Cond{{Key: state.Claims + Duty, Stamp: h.Stamp}},
-		Then: []wire.Op{{Put: state.Catalog, Value: c}}}); err != nil {
+	if _, err := f.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty, ModRevision: h.Stamp}},
+		Operations: []wire.Operation{{Put: state.Catalog, Value: c}}}); err != nil {
 		f.log.Info("keeping the catalog", "err", err)
 		f.fetched = now - 27*clock.Second
 	}
@@ -37,11 +37,11 @@
 func (f *Fleet) list(ctx context.Context) error {
 	after, began, wall := "", f.clock.Now(), f.wall()
 	for {
-		var page wire.Rentals
-		if err := f.cloud.call(ctx, "GET", fmt.Sprintf("%s?after=%s&most=%d", wire.PathRentals, after, wire.MaxList), nil, &page); err != nil {
+		var page wire.InstancePage
+		if err := f.cloud.call(ctx, "GET", fmt.Sprintf("%s?after=%s&most=%d", wire.PathInstances, after, wire.MaxList), nil, &page); err != nil {
 			return err
 		}
-		for _, r := range page.Hosts {
+		for _, r := range page.Instances {
 			after = r.ID
 			if f.gone[r.ID] != 0 {
 				continue
@@ -57,7 +57,7 @@
 				f.known[r.ID] = f.clock.Now()
 			}
 		}
-		if !page.More || len(page.Hosts) == 0 {
+		if !page.More || len(page.Instances) == 0 {
 			break
 		}
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -250,8 +250,8 @@
 // requests splits what is wanted into requests that the cloud takes, in a fixed order.
 func (p *planner) requests() (out []RentalRequest) {
 	for k, n := range p.wants {
-		for ; n > 0; n -= wire.MaxRental {
-			out = append(out, RentalRequest{k, min(n, wire.MaxRental)})
+		for ; n > 0; n -= wire.MaxScaleOut {
+			out = append(out, RentalRequest{k, min(n, wire.MaxScaleOut)})
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool {
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -32,13 +32,13 @@
 // for. A request's name is never used again: the term and a counter.
 func (f *Fleet) rent(ctx context.Context, list []RentalRequest) (short bool) {
 	sent := f.clock.Now()
-	got := make([]wire.Hosts, len(list))
+	got := make([]wire.HostList, len(list))
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
 	for i, h := range list {
 		f.counter++
-		req := wire.RentalRequest{Name: fmt.Sprintf("r-%d-%d", f.term, f.counter), Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
-		wg.Go(func() { errs[i] = f.cloud.call(ctx, "POST", wire.PathRentals, req, &got[i]) })
+		req := wire.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", f.term, f.counter), Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
+		wg.Go(func() { errs[i] = f.cloud.call(ctx, "POST", wire.PathInstances, req, &got[i]) })
 	}
 	wg.Wait()
 	grown := map[Kind]bool{}
@@ -89,7 +89,7 @@
 	if got, mine := f.claims.Leading(Duty); !mine || got.Term != f.term {
 		return
 	}
-	if err := f.cloud.call(ctx, "POST", wire.PathReturn, wire.Hosts{Hosts: ready}, nil); err != nil {
+	if err := f.cloud.call(ctx, "POST", wire.PathScaleIn, wire.HostList{Hosts: ready}, nil); err != nil {
 		f.log.Info("returning machines", "hosts", ready, "err", err)
 		return
 	}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -136,13 +136,13 @@
 		z.mu.Unlock()
 		return ErrNotHolder
 	}
-	m := wire.Multi{When: []wire.Cond{{Key: state.Claims + Duty, Stamp: h.Stamp}}}
+	m := wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty, ModRevision: h.Stamp}}}
 	records := z.decider.Records()
 	names := slices.Sorted(maps.Keys(z.unsaved))
 	for _, name := range names {
 		key := state.Zones + name
-		m.When = append(m.When, wire.Cond{Key: key, Stamp: z.stamps[name]})
-		m.Then = append(m.Then, wire.Op{Put: key, Value: records[name]})
+		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.stamps[name]})
+		m.Operations = append(m.Operations, wire.Operation{Put: key, Value: records[name]})
 	}
 	z.mu.Unlock()
 	if len(names) == 0 {
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -24,7 +24,7 @@
 	stamps   map[string]uint64 // of all keys
 	rev      uint64
 	lose     bool // the answer to the next write
-	commits  []wire.Multi
+	commits  []wire.Txn
 }
 
 func (w *zoneWorld) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
@@ -35,15 +35,15 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (w *zoneWorld) Commit(_ context.Context, m wire.Multi) (uint64, error) {
+func (w *zoneWorld) Commit(_ context.Context, m wire.Txn) (uint64, error) {
 	w.commits = append(w.commits, m)
-	for _, c := range m.When {
-		if w.stamps[c.Key] != c.Stamp {
+	for _, c := range m.Conditions {
+		if w.stamps[c.Key] != c.ModRevision {
 			return 0, state.ErrConflict
 		}
 	}
 	w.rev++
-	for _, op := range m.Then {
+	for _, op := range m.Operations {
 		w.stamps[op.Put] = w.rev
 		w.records[op.Put[len(state.Zones):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
 	}
@@ -81,9 +81,9 @@
 	require.Equal(t, zone.Lost, w.records["b"].State)
 	require.NotEmpty(t, w.commits)
 	for _, m := range w.commits {
-		require.Equal(t, wire.Cond{Key: state.Claims + Duty, Stamp: 7}, m.When[0])
-		require.Len(t, m.When, 1+len(m.Then))
-		require.Equal(t, state.Zones+"b", m.When[1].Key)
+		require.Equal(t, wire.Condition{Key: state.Claims + Duty, ModRevision: 7}, m.Conditions[0])
+		require.Len(t, m.Conditions, 1+len(m.Operations))
+		require.Equal(t, state.Zones+"b", m.Conditions[1].Key)
 	}
 	before := w.records["b"]
 	for _, late := range w.commits {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -23,7 +23,7 @@
 // Store is the part of the state service that the front needs.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, m wire.Multi) (uint64, error)
+	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
 // Placers finds who places a team's jobs, and asks.
@@ -192,9 +192,9 @@
 	if f.isOut() {
 		return refuse(503, "the job can't be stored now")
 	}
-	_, err = f.store.Commit(ctx, wire.Multi{
-		When: []wire.Cond{{Key: state.Active + spec.ID}, {Key: state.Final + spec.ID}},
-		Then: []wire.Op{{Put: state.Active + spec.ID, Value: rec}}})
+	_, err = f.store.Commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: state.Active + spec.ID}, {Key: state.Final + spec.ID}},
+		Operations: []wire.Operation{{Put: state.Active + spec.ID, Value: rec}}})
 	switch {
 	case err == nil:
 		return httpx.JSON(201, map[string]string{"id": spec.ID, "phase": wire.Pending})
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -144,7 +144,7 @@
 	s := newScene(t)
 	s.do("POST", "", good)
 	it, _, _ := s.view.Get(t.Context(), state.Active+"job-000412")
-	_, err := s.view.Commit(t.Context(), wire.Multi{When: []wire.Cond{{Key: it.Key, Stamp: it.Stamp}}, Then: []wire.Op{
+	_, err := s.view.Commit(t.Context(), wire.Txn{Conditions: []wire.Condition{{Key: it.Key, ModRevision: it.ModRevision}}, Operations: []wire.Operation{
 		{Put: state.Final + "job-000412", Value: jobs.Final{Phase: wire.Cancelled, Team: "red", Tasks: 16}}, {Drop: it.Key}}})
 	require.NoError(t, err)
 	for range 2 {
@@ -161,13 +161,13 @@
 	s := newScene(t)
 	s.do("POST", "", good)
 	it, _, _ := s.view.Get(t.Context(), state.Active+"job-000412")
-	rev, _ := s.view.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Claims + "team-red", Value: 1}}})
+	rev, _ := s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Claims + "team-red", Value: 1}}})
 	s.view.SetCapture(true)
-	_, err := s.view.Commit(t.Context(), wire.Multi{When: []wire.Cond{{Key: state.Claims + "team-red", Stamp: rev}, {Key: it.Key, Stamp: it.Stamp}},
-		Then: []wire.Op{{Drop: it.Key}}})
+	_, err := s.view.Commit(t.Context(), wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + "team-red", ModRevision: rev}, {Key: it.Key, ModRevision: it.ModRevision}},
+		Operations: []wire.Operation{{Drop: it.Key}}})
 	require.ErrorIs(t, err, state.ErrUnknown)
 	s.view.SetCapture(false)
-	_, err = s.view.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Claims + "team-red", Value: 2}}})
+	_, err = s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Claims + "team-red", Value: 2}}})
 	require.NoError(t, err)
 	require.Zero(t, s.view.Release())
 	require.Equal(t, 200, s.do("GET", "/job-000412", "").Status)
@@ -178,7 +178,7 @@
 	s := newScene(t)
 	s.do("POST", "", good)
 	it, _, _ := s.view.Get(t.Context(), state.Active+"job-000412")
-	s.book.Apply(state.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+	s.book.Apply(state.Event{Key: it.Key, Value: it.Value, Stamp: it.ModRevision})
 	s.pl.answer, s.pl.err = peer.JobAnswer{Known: true, Found: true, Retry: true}, nil
 	r := s.do("GET", "/job-000412", "")
 	require.Equal(t, 503, r.Status)
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -222,7 +222,7 @@
 // The hook on stages sees these attributes, and names a stage.
 func TestStageHookIsGivenAttributes(t *testing.T) {
 	due := 900.0
-	job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-7", Team: "red", Class: "train", Rank: "high", Tasks: 16, DueS: &due}}, 1)
+	job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-7", Team: "red", Class: "train", Priority: "high", Tasks: 16, DeadlineS: &due}}, 1)
 	const equal = `
 def recovery_stage(j):
     if dir(j) != ["deadline", "jobclass", "rank", "tasks", "team"]:
@@ -237,7 +237,7 @@
 		require.Equal(t, name, k.Stages(knobsLog())(job).String())
 	}
 	for _, answer := range []string{"urgent", "services", "cold", "soon"} { // of another rank, so that the default differs from some
-		job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-8", Team: "red", Class: "train", Rank: "idle", Tasks: 1}}, 1)
+		job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-8", Team: "red", Class: "train", Priority: "idle", Tasks: 1}}, 1)
 		k, err := policy.Parse(fmt.Sprintf("recovery_stage = lambda j: %q", answer), fullSettings(t))
 		require.NoError(t, err)
 		want := answer
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -105,10 +105,10 @@
 	b.Apply(state.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), Stamp: 3})
 	note, ok := b.Note(true)
 	require.True(t, ok)
-	keys["registration"] = note.Then[0].Put
+	keys["registration"] = note.Operations[0].Put
 	wanted := b.Wanted(1<<30, 0)
 	require.Len(t, wanted, 1)
-	keys["claim"] = wanted[0].Multi.Then[0].Put
+	keys["claim"] = wanted[0].Multi.Operations[0].Put
 
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -38,41 +38,41 @@
 
 func wireSamples() []wireSample {
 	order := wire.Order{Verb: wire.VerbStop, Task: "job-7/3", Attempt: 1<<63 + 5, GraceS: wireSeconds(4.5)}
-	task := wire.TaskReport{Task: "job-7/3", Attempt: 18446744073709551615, Phase: wire.TaskExited, Cause: wire.CauseNoRoom, Saved: true}
+	task := wire.TaskStatus{Task: "job-7/3", Attempt: 18446744073709551615, Phase: wire.TaskExited, Cause: wire.CauseNoRoom, Checkpointed: true}
 	kind := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemGB: 256.5, CacheGB: 100, FetchGBPS: 1.25, Price: 3.5, SpotPrice: 1.1, BootS: 45,
 		Zones: []string{"north", "south"}}
-	rental := wire.Rental{ID: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Phase: wire.MachineBooting, AgeS: 12.5}
-	item := wire.Item{Key: "job/1", Value: stdjson.RawMessage(`{"a":1}`), Stamp: 9, Hold: 4}
-	cond := wire.Cond{Key: "job/1", Stamp: 9}
-	op := wire.Op{Put: "job/1", Value: "text", Hold: 4, Drop: "job/2"}
-	change := wire.Change{Put: "job/1", Drop: "job/2", Value: stdjson.RawMessage(`[1,2]`), Stamp: 10}
+	rental := wire.Instance{ID: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Phase: wire.MachineBooting, AgeS: 12.5}
+	item := wire.Item{Key: "job/1", Value: stdjson.RawMessage(`{"a":1}`), ModRevision: 9, LeaseID: 4}
+	cond := wire.Condition{Key: "job/1", ModRevision: 9}
+	op := wire.Operation{Put: "job/1", Value: "text", LeaseID: 4, Drop: "job/2"}
+	change := wire.Change{Put: "job/1", Drop: "job/2", Value: stdjson.RawMessage(`[1,2]`), ModRevision: 10}
 	return []wireSample{
-		{"job", &wire.Job{ID: "job-000412", Class: "train", Team: "red", Shape: "array", Rank: "high", Tasks: 16, CPUs: 8.5, GPUs: 1,
+		{"job", &wire.Job{ID: "job-000412", Class: "train", Team: "red", Shape: "array", Priority: "high", Tasks: 16, CPUs: 8.5, GPUs: 1,
 			MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: "north", OneZone: true, Spread: true, Spot: true,
-			EstimateS: 240, SaveEveryS: 30, SaveS: 4, DueS: wireSeconds(900)}, &wire.Job{}},
+			RuntimeEstimateS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: wireSeconds(900)}, &wire.Job{}},
 		{"job_state", &wire.JobState{ID: "job-7", Phase: wire.Running, Done: 3, Running: 13}, &wire.JobState{}},
-		{"error", &wire.Error{Error: "no <such> job & path", Steward: "b"}, &wire.Error{}},
-		{"task_report", &task, &wire.TaskReport{}},
-		{"report", &wire.Report{Machine: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Session: 5, Tick: 6, Token: 7,
-			NoticeS: wireSeconds(30), Tasks: []wire.TaskReport{task}}, &wire.Report{}},
+		{"error", &wire.Error{Error: "no <such> job & path", Leader: "b"}, &wire.Error{}},
+		{"task_report", &task, &wire.TaskStatus{}},
+		{"report", &wire.Heartbeat{Machine: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Incarnation: 5, Tick: 6, FencingToken: 7,
+			EvictionNoticeS: wireSeconds(30), Tasks: []wire.TaskStatus{task}}, &wire.Heartbeat{}},
 		{"order", &order, &wire.Order{}},
-		{"report_answer", &wire.ReportAnswer{Token: 8, Orders: []wire.Order{order}}, &wire.ReportAnswer{}},
-		{"orders", &wire.Orders{Token: 8, Session: 5, Orders: []wire.Order{order}}, &wire.Orders{}},
+		{"report_answer", &wire.HeartbeatResponse{FencingToken: 8, Orders: []wire.Order{order}}, &wire.HeartbeatResponse{}},
+		{"orders", &wire.Orders{FencingToken: 8, Incarnation: 5, Orders: []wire.Order{order}}, &wire.Orders{}},
 		{"machine_type", &kind, &wire.MachineType{}},
 		{"catalog", &wire.Catalog{Types: []wire.MachineType{kind}}, &wire.Catalog{}},
-		{"rental_request", &wire.RentalRequest{Name: "r-1", Type: "g8", Zone: "north", Spot: true, Count: 50}, &wire.RentalRequest{}},
-		{"hosts", &wire.Hosts{Hosts: []string{"m-1", "m-2"}}, &wire.Hosts{}},
-		{"rental", &rental, &wire.Rental{}},
-		{"rentals", &wire.Rentals{Hosts: []wire.Rental{rental}, More: true}, &wire.Rentals{}},
+		{"rental_request", &wire.ScaleOutRequest{Name: "r-1", Type: "g8", Zone: "north", Spot: true, Count: 50}, &wire.ScaleOutRequest{}},
+		{"hosts", &wire.HostList{Hosts: []string{"m-1", "m-2"}}, &wire.HostList{}},
+		{"rental", &rental, &wire.Instance{}},
+		{"rentals", &wire.InstancePage{Instances: []wire.Instance{rental}, More: true}, &wire.InstancePage{}},
 		{"item", &item, &wire.Item{Value: stdjson.RawMessage("null")}},
-		{"items", &wire.Items{Items: []wire.Item{item}, More: true, Rev: 11}, &wire.Items{}},
-		{"cond", &cond, &wire.Cond{}},
-		{"op", &op, &wire.Op{}},
-		{"multi", &wire.Multi{When: []wire.Cond{cond}, Then: []wire.Op{op}}, &wire.Multi{}},
-		{"multi_answer", &wire.MultiAnswer{Rev: 12, Failed: []string{"job/1"}}, &wire.MultiAnswer{}},
+		{"items", &wire.ItemPage{Items: []wire.Item{item}, More: true, Revision: 11}, &wire.ItemPage{}},
+		{"cond", &cond, &wire.Condition{}},
+		{"op", &op, &wire.Operation{}},
+		{"multi", &wire.Txn{Conditions: []wire.Condition{cond}, Operations: []wire.Operation{op}}, &wire.Txn{}},
+		{"multi_answer", &wire.TxnResponse{Revision: 12, Failed: []string{"job/1"}}, &wire.TxnResponse{}},
 		{"change", &change, &wire.Change{Value: stdjson.RawMessage("null")}},
-		{"changes", &wire.Changes{Rev: 12, Log: []wire.Change{change}}, &wire.Changes{}},
-		{"hold_answer", &wire.HoldAnswer{Hold: 4}, &wire.HoldAnswer{}},
+		{"changes", &wire.WatchResponse{Revision: 12, Changes: []wire.Change{change}}, &wire.WatchResponse{}},
+		{"hold_answer", &wire.LeaseResponse{LeaseID: 4}, &wire.LeaseResponse{}},
 	}
 }
 
@@ -110,17 +110,17 @@
 		name  string
 		value any
 	}{
-		{"path jobs", wire.PathJobs}, {"path ready", wire.PathReady}, {"path report", wire.PathReport}, {"path orders", wire.PathOrders},
-		{"path show", wire.PathShow}, {"path catalog", wire.PathCatalog}, {"path rentals", wire.PathRentals}, {"path return", wire.PathReturn},
-		{"path keys", wire.PathKeys}, {"path multi", wire.PathMulti}, {"path holds", wire.PathHolds}, {"path changes", wire.PathChanges},
-		{"limit body", wire.MaxBody}, {"limit tasks", wire.MaxTasks}, {"limit rental", wire.MaxRental}, {"limit list", wire.MaxList}, {"limit multi", wire.MaxMulti},
+		{"path jobs", wire.PathJobs}, {"path ready", wire.PathReady}, {"path report", wire.PathHeartbeat}, {"path orders", wire.PathOrders},
+		{"path show", wire.PathShow}, {"path catalog", wire.PathCatalog}, {"path rentals", wire.PathInstances}, {"path return", wire.PathScaleIn},
+		{"path keys", wire.PathKeys}, {"path multi", wire.PathTxn}, {"path holds", wire.PathLeases}, {"path changes", wire.PathWatch},
+		{"limit body", wire.MaxBody}, {"limit tasks", wire.MaxTasks}, {"limit rental", wire.MaxScaleOut}, {"limit list", wire.MaxList}, {"limit multi", wire.MaxTxnBytes},
 		{"job pending", wire.Pending}, {"job running", wire.Running}, {"job done", wire.Done}, {"job cancelled", wire.Cancelled},
-		{"task fetching", wire.TaskFetching}, {"task running", wire.TaskRunning}, {"task saving", wire.TaskSaving}, {"task exited", wire.TaskExited},
+		{"task fetching", wire.TaskFetching}, {"task running", wire.TaskRunning}, {"task saving", wire.TaskCheckpointing}, {"task exited", wire.TaskExited},
 		{"cause done", wire.CauseDone}, {"cause stopped", wire.CauseStopped}, {"cause error", wire.CauseError}, {"cause no room", wire.CauseNoRoom},
 		{"cause busy", wire.CauseBusy}, {"cause no such", wire.CauseNoSuch},
 		{"verb run", wire.VerbRun}, {"verb stop", wire.VerbStop}, {"verb forget", wire.VerbForget},
 		{"machine booting", wire.MachineBooting}, {"machine running", wire.MachineRunning}, {"machine failed", wire.MachineFailed},
-		{"ranks", wire.Ranks}, {"level of idle", wire.RankLevel("idle")}, {"level of production", wire.RankLevel("production")}, {"level of another", wire.RankLevel("low")},
+		{"ranks", wire.Priorities}, {"level of idle", wire.PriorityLevel("idle")}, {"level of production", wire.PriorityLevel("production")}, {"level of another", wire.PriorityLevel("low")},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", c.name, c.value)
 	}
@@ -245,12 +245,12 @@
 	item, found, err := c.Get(t.Context(), "job/1")
 	require.NoError(t, err)
 	require.True(t, found)
-	require.Equal(t, wire.Item{Key: "job/1", Value: stdjson.RawMessage("1"), Stamp: 2, Hold: 3}, item)
+	require.Equal(t, wire.Item{Key: "job/1", Value: stdjson.RawMessage("1"), ModRevision: 2, LeaseID: 3}, item)
 	items, rev, err := c.List(t.Context(), "a b/")
 	require.NoError(t, err)
 	require.Len(t, items, 1)
 	require.EqualValues(t, 5, rev)
-	rev, err = c.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: "k", Value: map[string]int{"n": 1}, Hold: 3}, {Drop: "l"}}})
+	rev, err = c.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: "k", Value: map[string]int{"n": 1}, LeaseID: 3}, {Drop: "l"}}})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
 	hold, err := c.GrantLease(t.Context(), 24*time.Second)
@@ -259,7 +259,7 @@
 	require.NoError(t, c.KeepAlive(t.Context(), 8, 3*time.Second))
 	changes, err := c.Watch(t.Context(), "a b/", 7, 1500*time.Millisecond)
 	require.NoError(t, err)
-	require.EqualValues(t, 9, changes.Rev)
+	require.EqualValues(t, 9, changes.Revision)
 	var out strings.Builder
 	for range 7 {
 		out.WriteString(<-requests)
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -40,13 +40,13 @@
 
 // New makes a job from its record.
 func New(spec Record, stamp uint64) *Job {
-	return &Job{Record: spec, Stamp: stamp, Need: res.Need(spec.CPUs, spec.GPUs, spec.MemGB), Level: wire.RankLevel(spec.Rank)}
+	return &Job{Record: spec, Stamp: stamp, Need: res.Need(spec.CPUs, spec.GPUs, spec.MemGB), Level: wire.PriorityLevel(spec.Priority)}
 }
 
 // Grace is how long a task of the job may save when it is stopped.
 func (j *Job) Grace() float64 {
-	if j.SaveEveryS > 0 {
-		return j.SaveS + 0.1
+	if j.CheckpointIntervalS > 0 {
+		return j.CheckpointDurationS + 0.1
 	}
 	return 0
 }
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -77,7 +77,7 @@
 		store: fakes.NewState(), views: map[string]*fakes.View{},
 		fleet: &fleet{clock: clock.NewSteady(), runFor: s.RunFor, controllers: map[string]string{}, hosts: []string{"a", "b", "c"},
 			began: map[string]clock.Micros{}, on: map[string]string{}, done: done}}
-	var machines []wire.Rental
+	var machines []wire.Instance
 	zones := s.zoneNames()
 	for i := range s.Workers {
 		w, err := newWorker(c.fleet, fmt.Sprintf("m-%06d", i), leaseS*clock.Second, i%len(c.hosts))
@@ -86,7 +86,7 @@
 		}
 		w.Zone = zones[i%len(zones)]
 		c.workers = append(c.workers, w)
-		machines = append(machines, wire.Rental{ID: w.ID, Addr: w.addr, Type: "big", Zone: w.Zone, Phase: wire.MachineRunning, AgeS: 60})
+		machines = append(machines, wire.Instance{ID: w.ID, Addr: w.addr, Type: "big", Zone: w.Zone, Phase: wire.MachineRunning, AgeS: 60})
 	}
 	types := []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: zones}}
 	cloudAddr, err := serve(cloud(machines, types))
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -55,7 +55,7 @@
 		if most <= 0 || most > keysMost {
 			most = keysMost
 		}
-		out := wire.Items{Rev: rev}
+		out := wire.ItemPage{Revision: rev}
 		for _, it := range items {
 			if it.Key <= q.Get("after") {
 				continue
@@ -74,13 +74,13 @@
 		case err != nil:
 			answer(w, 503, nil)
 		case !found:
-			answer(w, 404, wire.MultiAnswer{})
+			answer(w, 404, wire.TxnResponse{})
 		default:
 			answer(w, 200, it)
 		}
 	})
 	mux.HandleFunc("POST /multi", func(w http.ResponseWriter, r *http.Request) {
-		var m wire.Multi
+		var m wire.Txn
 		if json.NewDecoder(r.Body).Decode(&m) != nil {
 			answer(w, 400, nil)
 			return
@@ -90,11 +90,11 @@
 		case errors.Is(err, state.ErrRefused) && !strings.Contains(err.Error(), "no such lease"):
 			answer(w, 503, nil)
 		case errors.Is(err, state.ErrConflict):
-			answer(w, 409, wire.MultiAnswer{Rev: rev})
+			answer(w, 409, wire.TxnResponse{Revision: rev})
 		case err != nil:
 			answer(w, 400, wire.Error{Error: "no such lease"})
 		default:
-			answer(w, 200, wire.MultiAnswer{Rev: rev})
+			answer(w, 200, wire.TxnResponse{Revision: rev})
 		}
 	})
 	mux.HandleFunc("POST /holds", func(w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 			answer(w, 503, nil)
 			return
 		}
-		answer(w, 200, wire.HoldAnswer{Hold: id})
+		answer(w, 200, wire.LeaseResponse{LeaseID: id})
 	})
 	mux.HandleFunc("POST /holds/{id}/extend", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
@@ -135,14 +135,14 @@
 }
 
 // cloud answers as a cloud that has rented the workers' machines and has no more.
-func cloud(machines []wire.Rental, types []wire.MachineType) http.Handler {
+func cloud(machines []wire.Instance, types []wire.MachineType) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { answer(w, 200, wire.Catalog{Types: types}) })
 	mux.HandleFunc("GET /rentals", func(w http.ResponseWriter, r *http.Request) {
-		out := wire.Rentals{}
+		out := wire.InstancePage{}
 		for _, m := range machines {
 			if strings.Compare(m.ID, r.URL.Query().Get("after")) > 0 {
-				out.Hosts = append(out.Hosts, m)
+				out.Instances = append(out.Instances, m)
 			}
 		}
 		answer(w, 200, out)
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -136,13 +136,13 @@
 		return
 	}
 	host := f.hosts[w.at]
-	resp, err := client.Post("http://"+f.controllers[host]+wire.PathReport, "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+f.controllers[host]+wire.PathHeartbeat, "application/json", bytes.NewReader(body))
 	if err != nil {
 		w.at = (w.at + 1) % len(f.hosts)
 		return
 	}
 	defer resp.Body.Close()
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	var e wire.Error
 	switch resp.StatusCode {
 	case 200:
@@ -154,9 +154,9 @@
 		}
 		return
 	case 421:
-		if json.NewDecoder(resp.Body).Decode(&e) == nil && e.Steward != "" && e.Steward != host {
+		if json.NewDecoder(resp.Body).Decode(&e) == nil && e.Leader != "" && e.Leader != host {
 			for i, h := range f.hosts {
-				if h == e.Steward {
+				if h == e.Leader {
 					w.at = i
 					return
 				}
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -146,13 +146,13 @@
 }
 
 // Into adds the write and its condition to a transaction. A key without machines is dropped.
-func (w Write) Into(m *wire.Multi) {
-	op := wire.Op{Put: w.Key, Value: w.Group}
+func (w Write) Into(m *wire.Txn) {
+	op := wire.Operation{Put: w.Key, Value: w.Group}
 	if len(w.Group) == 0 {
-		op = wire.Op{Drop: w.Key}
+		op = wire.Operation{Drop: w.Key}
 	}
-	m.When = append(m.When, wire.Cond{Key: w.Key, Stamp: w.Stamp})
-	m.Then = append(m.Then, op)
+	m.Conditions = append(m.Conditions, wire.Condition{Key: w.Key, ModRevision: w.Stamp})
+	m.Operations = append(m.Operations, op)
 }
 
 // Size is about how many bytes the write takes of a transaction.
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -20,7 +20,7 @@
 }
 
 func (w *writer) commit(list []Write) error {
-	var m wire.Multi
+	var m wire.Txn
 	for _, x := range list {
 		x.Into(&m)
 	}
@@ -82,7 +82,7 @@
 		items, _, err := w.view.List(t.Context(), state.Machines)
 		require.NoError(t, err)
 		for _, it := range items {
-			read.Apply(state.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+			read.Apply(state.Event{Key: it.Key, Value: it.Value, Stamp: it.ModRevision})
 		}
 		got := Group{}
 		read.Each(func(id string, r Record) { got[id] = r })
@@ -120,7 +120,7 @@
 func TestRecordsOfAnEarlierRelease(t *testing.T) {
 	w := &writer{t, &fakes.View{State: fakes.NewState()}, NewBook()}
 	old := map[string]any{"addr": "10.1.0.1:9000", "type": "big", "zone": "a", "spot": true}
-	rev, err := w.view.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Machines + "m-000007", Value: old}}})
+	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Machines + "m-000007", Value: old}}})
 	require.NoError(t, err)
 	raw, err := json.Marshal(old)
 	require.NoError(t, err)
--- a/internal/node/answers_test.go
+++ b/internal/node/answers_test.go
@@ -112,7 +112,7 @@
 						}
 					}
 				}
-				c.setBefore(func(_ string, m wire.Multi) lot {
+				c.setBefore(func(_ string, m wire.Txn) lot {
 					for _, prefix := range []string{state.Active, state.Final} {
 						if strings.Contains(puts(m), prefix) {
 							if prefix == state.Final {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -57,16 +57,16 @@
 	unreachable map[string]bool          // hosts that no worker reaches
 	still       map[string]chan struct{} // hosts that stand still, until these are closed
 	rng         *rand.Rand
-	noted       map[string]int                      // what has occurred, and how often
-	lateWrites  float64                             // share of transactions that are carried out late
-	before      func(host string, m wire.Multi) lot // decides on a transaction that arrives, before it is carried out
-	kept        []func() error                      // transactions held back
-	blue        map[string]bool                     // jobs of the team without a limit
-	ages        map[string]clock.Micros             // since when attempts run, where that lasts from one run to the next
-	hung        map[string]bool                     // workers that neither report nor hear
-	unheard     map[string]bool                     // workers whose reports arrive, and no answer
-	only        map[string]string                   // workers that reach this controller alone
-	copies      [][]byte                            // reports that were sent, where they are kept
+	noted       map[string]int                    // what has occurred, and how often
+	lateWrites  float64                           // share of transactions that are carried out late
+	before      func(host string, m wire.Txn) lot // decides on a transaction that arrives, before it is carried out
+	kept        []func() error                    // transactions held back
+	blue        map[string]bool                   // jobs of the team without a limit
+	ages        map[string]clock.Micros           // since when attempts run, where that lasts from one run to the next
+	hung        map[string]bool                   // workers that neither report nor hear
+	unheard     map[string]bool                   // workers whose reports arrive, and no answer
+	only        map[string]string                 // workers that reach this controller alone
+	copies      [][]byte                          // reports that were sent, where they are kept
 	keepCopies  bool
 	closely     func()                   // done every five milliseconds
 	behind      map[string]time.Duration // by how much the replica of a controller is late
@@ -153,7 +153,7 @@
 
 func newClusterWith(t *testing.T, workers int, given *cluster) *cluster {
 	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewState(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
-	_, err := c.direct().Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Catalog, Value: wire.Catalog{
+	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Catalog, Value: wire.Catalog{
 		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
@@ -313,9 +313,9 @@
 	host := c.at[w.ID]
 	var resp httpx.Response
 	if !c.unreachable[host] {
-		resp = c.do(host, "POST", wire.PathReport, string(b))
+		resp = c.do(host, "POST", wire.PathHeartbeat, string(b))
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	var e wire.Error
 	if c.unheard[w.ID] {
 		resp = httpx.Response{}
@@ -325,8 +325,8 @@
 		require.NoError(c.t, json.Unmarshal(resp.Body, &a))
 		w.Take(a, sent)
 		return true
-	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Steward != "":
-		c.at[w.ID] = e.Steward
+	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Leader != "":
+		c.at[w.ID] = e.Leader
 	default:
 		for i, h := range hosts {
 			if h == host {
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -126,7 +126,7 @@
 					c.setCut(third, false)
 				case "in flight":
 					c.unreachable[leader] = true
-					c.setBefore(func(host string, m wire.Multi) lot {
+					c.setBefore(func(host string, m wire.Txn) lot {
 						if host == via && strings.Contains(puts(m), state.Final+"job-1") && c.note("the end was on its way") == 1 {
 							refuse()
 							c.unreachable[leader] = false
@@ -181,7 +181,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := busyCluster(t)
 				leader := c.leader()
-				c.setBefore(func(host string, m wire.Multi) lot {
+				c.setBefore(func(host string, m wire.Txn) lot {
 					if host == leader && strings.Contains(puts(m), state.Final) {
 						c.note("the end is written")
 						return x.lot
@@ -225,9 +225,9 @@
 }
 
 // puts lists the keys that a transaction writes.
-func puts(m wire.Multi) string {
+func puts(m wire.Txn) string {
 	var keys []string
-	for _, op := range m.Then {
+	for _, op := range m.Operations {
 		keys = append(keys, op.Put)
 	}
 	return strings.Join(keys, " ")
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -66,7 +66,7 @@
 )
 
 // setBefore has f decide on every transaction that arrives, before it is carried out.
-func (c *cluster) setBefore(f func(host string, m wire.Multi) lot) {
+func (c *cluster) setBefore(f func(host string, m wire.Txn) lot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.before = f
@@ -146,7 +146,7 @@
 	return err
 }
 
-func (h held) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.Changes, error) {
+func (h held) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	ch, err := h.View.Watch(ctx, prefix, rev, block)
 	h.c.mu.Lock()
 	behind := h.c.behind[h.host]
@@ -156,7 +156,7 @@
 	return ch, err
 }
 
-func (h held) Commit(ctx context.Context, m wire.Multi) (uint64, error) {
+func (h held) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
 	h.c.wait(h.host)
 	h.c.mu.Lock()
 	before := h.c.before
@@ -193,7 +193,7 @@
 	return rev, err
 }
 
-func (h held) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (h held) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
 	}
--- a/internal/node/records_test.go
+++ b/internal/node/records_test.go
@@ -46,8 +46,8 @@
 				require.Len(t, c.recorded(), 6)
 				lost := c.workers[0]
 				owner := c.at[lost.ID]
-				c.setBefore(func(_ string, m wire.Multi) lot {
-					for _, cond := range m.When {
+				c.setBefore(func(_ string, m wire.Txn) lot {
+					for _, cond := range m.Conditions {
 						if strings.HasPrefix(cond.Key, state.Machines) && !strings.Contains(written(m), lost.ID) {
 							return heldBack
 						}
@@ -80,8 +80,8 @@
 }
 
 // written is what a transaction writes, as text.
-func written(m wire.Multi) string {
-	b, err := json.Marshal(m.Then)
+func written(m wire.Txn) string {
+	b, err := json.Marshal(m.Operations)
 	if err != nil {
 		return ""
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -12,7 +12,7 @@
 // handle answers a request of a user, a worker or the load balancer, and counts it.
 func (n *Node) handle(ctx context.Context, r *httpx.Request) httpx.Response {
 	kind := telemetry.Users
-	if r.Path == wire.PathReport {
+	if r.Path == wire.PathHeartbeat {
 		kind = telemetry.Workers
 	}
 	answer := n.answer(ctx, r)
@@ -23,12 +23,12 @@
 // answeredPromptly tells which requests are answered from memory alone. The event loop
 // answers these itself, so that workers' leases and health checks don't wait behind users.
 func answeredPromptly(r *httpx.Request) bool {
-	return r.Path == wire.PathReport || r.Path == wire.PathReady
+	return r.Path == wire.PathHeartbeat || r.Path == wire.PathReady
 }
 
 func (n *Node) answer(ctx context.Context, r *httpx.Request) httpx.Response {
 	switch {
-	case r.Path == wire.PathReport:
+	case r.Path == wire.PathHeartbeat:
 		if r.Method != "POST" {
 			return text(405, "method not allowed")
 		}
--- a/internal/node/serving_test.go
+++ b/internal/node/serving_test.go
@@ -103,8 +103,8 @@
 			status             int
 		}{
 			{"GET", "/", "", 404}, {"GET", "/api/jobsx", "", 404}, {"POST", wire.PathReady, "", 405},
-			{"GET", wire.PathReport, "", 405}, {"POST", wire.PathReport, "{", 400}, {"POST", wire.PathReport, `{"host":""}`, 400},
-			{"POST", wire.PathReport, `{"host":"a b","tenure":1,"tick":1}`, 400}, {"POST", wire.PathReport, `{"host":"a","tenure":-1}`, 400},
+			{"GET", wire.PathHeartbeat, "", 405}, {"POST", wire.PathHeartbeat, "{", 400}, {"POST", wire.PathHeartbeat, `{"host":""}`, 400},
+			{"POST", wire.PathHeartbeat, `{"host":"a b","tenure":1,"tick":1}`, 400}, {"POST", wire.PathHeartbeat, `{"host":"a","tenure":-1}`, 400},
 			{"GET", wire.PathJobs, "", 405}, {"GET", wire.PathJobs + "/job-7", "", 404}, {"POST", wire.PathJobs + "/job-7/withdraw", "", 404},
 		} {
 			r := c.do("a", x.method, x.path, x.body)
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -247,7 +247,7 @@
 				}
 				for _, h := range hosts {
 					if c.up[h] != nil {
-						answered[c.do(h, "POST", wire.PathReport, string(b)).Status]++
+						answered[c.do(h, "POST", wire.PathHeartbeat, string(b)).Status]++
 					}
 				}
 			}
@@ -286,7 +286,7 @@
 		require.Equal(t, 201, c.submit("a", onAll("job-1", 6), "job-1"))
 		c.run(2*time.Second, 0)
 		require.Equal(t, 2, c.running())
-		c.setBefore(func(_ string, m wire.Multi) lot {
+		c.setBefore(func(_ string, m wire.Txn) lot {
 			if strings.Contains(puts(m), state.Machines) {
 				c.note("a record was held back")
 				return heldBack
@@ -417,7 +417,7 @@
 		require.Equal(t, 201, c.submit("a", onAll("job-1", 3), "job-1"))
 		c.run(4*time.Second, 0)
 		require.Equal(t, 3, c.running())
-		c.setBefore(func(_ string, m wire.Multi) lot {
+		c.setBefore(func(_ string, m wire.Txn) lot {
 			if strings.Contains(puts(m), state.Progress) {
 				c.note("progress was held back")
 				return heldBack
--- a/internal/owner/cost_test.go
+++ b/internal/owner/cost_test.go
@@ -30,7 +30,7 @@
 type loadedOwner struct {
 	tb      testing.TB
 	owner   *Owner
-	reports []wire.Report
+	reports []wire.Heartbeat
 }
 
 // tasksEach is how many tasks each machine of a loaded owner runs.
@@ -38,7 +38,7 @@
 
 func newLoadedOwner(tb testing.TB, machines int) *loadedOwner {
 	tb.Helper()
-	spec := wire.Job{ID: "job-000001", Team: team, Rank: "normal", Tasks: machines * tasksEach, CPUs: 1, MemGB: 1}
+	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: machines * tasksEach, CPUs: 1, MemGB: 1}
 	list := &jobList{map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, made)}, map[string]jobs.Final{}, made}
 	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Split: NewSplit([]string{"a"}), TxnOps: 12, ValueMost: 7000, Lines: 100,
 		Timing: Timing{Lease: 3600 * sec, LeaseTTL: 5 * sec, SickErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
@@ -47,9 +47,9 @@
 	o.Reconcile()
 	l := &loadedOwner{tb: tb, owner: o}
 	for i := range machines {
-		r := wire.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.0.0.9:9000", Type: "big", Zone: "a", Session: 1, Token: 1<<32 + 1}
+		r := wire.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.0.0.9:9000", Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1<<32 + 1}
 		for n := range tasksEach {
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(spec.ID, i*tasksEach+n), Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(spec.ID, i*tasksEach+n), Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
 		}
 		l.reports = append(l.reports, r)
 		l.report(i)
--- a/internal/owner/delivery.go
+++ b/internal/owner/delivery.go
@@ -61,12 +61,12 @@
 )
 
 // post sends orders while their partition is held under the term of their token.
-func (o *Owner) post(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Report, error) {
+func (o *Owner) post(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
 	b, err := json.Marshal(orders)
 	if err != nil {
 		return nil, err
 	}
-	if !o.holds(part, orders.Token>>termShift) {
+	if !o.holds(part, orders.FencingToken>>termShift) {
 		return nil, errNotHeld
 	}
 	resp, err := c.Do(ctx, "POST", wire.PathOrders, b)
@@ -76,7 +76,7 @@
 	if resp.Status != 200 && resp.Status != 409 {
 		return nil, fmt.Errorf("%w: status %d", errOdd, resp.Status)
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := json.Unmarshal(resp.Body, &r); err != nil || r.Machine == "" {
 		return nil, fmt.Errorf("%w: %.80s", errOdd, resp.Body)
 	}
--- a/internal/owner/holds_test.go
+++ b/internal/owner/holds_test.go
@@ -47,11 +47,11 @@
 	l.owner.claims = &lapsing{}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	orders := &wire.Orders{Token: baseToken(1) + 1, Session: 1}
+	orders := &wire.Orders{FencingToken: baseToken(1) + 1, Incarnation: 1}
 	_, err = l.owner.post(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
 	require.ErrorIs(t, err, errNotHeld)
 	l.owner.claims = allHeld{}
-	orders.Token = baseToken(2) + 1 // of a term that is not this process's
+	orders.FencingToken = baseToken(2) + 1 // of a term that is not this process's
 	_, err = l.owner.post(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
 	require.ErrorIs(t, err, errNotHeld)
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		grace := k.grace
-		if k.phase == wire.TaskSaving && grace > 0 || !inReport && !k.resend(now) {
+		if k.phase == wire.TaskCheckpointing && grace > 0 || !inReport && !k.resend(now) {
 			continue
 		}
 		if !inReport {
@@ -134,7 +134,7 @@
 	if m == nil || m.inflight || m.gone || m.silent || m.Addr == "" || now < m.quietUntil {
 		return "", nil
 	}
-	o = &wire.Orders{Token: m.token, Session: m.session, Orders: []wire.Order{}}
+	o = &wire.Orders{FencingToken: m.token, Incarnation: m.session, Orders: []wire.Order{}}
 	if m.accounted {
 		o.Orders = t.orders(m, false, now)
 		if len(o.Orders) == 0 {
@@ -158,14 +158,14 @@
 }
 
 // Answered takes the answer to /orders: the worker's report after it.
-func (t *Table) Answered(id string, sent *wire.Orders, r *wire.Report, now clock.Micros) {
+func (t *Table) Answered(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
 	m := t.machines[id]
-	if m == nil || !m.inflight || sent.Token>>termShift != t.parts[m.part] {
+	if m == nil || !m.inflight || sent.FencingToken>>termShift != t.parts[m.part] {
 		return
 	}
 	m.inflight = false
 	for _, k := range m.tasks {
-		if k.risk == sent.Token {
+		if k.risk == sent.FencingToken {
 			k.risk = 0
 		}
 	}
@@ -173,7 +173,7 @@
 		m.quietUntil = now + 5*clock.Second
 		return
 	}
-	if m.heard && r.Session == m.session && r.Tick <= m.orderTick {
+	if m.heard && r.Incarnation == m.session && r.Tick <= m.orderTick {
 		// This answer is no copy, and yet its tick is none that can follow those
 		// seen: the worker has begun anew without a new session. What it was just
 		// told may run there, for a lease from now at most, since its reports are
@@ -184,10 +184,10 @@
 		return
 	}
 	if !m.heard {
-		if m.session != r.Session {
-			m.session, m.probedAt = r.Session, 0 // the next try names the right one
+		if m.session != r.Incarnation {
+			m.session, m.probedAt = r.Incarnation, 0 // the next try names the right one
 		}
-		if r.Token < baseToken(t.parts[m.part]) {
+		if r.FencingToken < baseToken(t.parts[m.part]) {
 			return
 		}
 	}
@@ -198,7 +198,7 @@
 // the worker shows a higher token. Orders go with reports for a while.
 func (t *Table) Unanswered(id string, sent *wire.Orders, now clock.Micros) {
 	m := t.machines[id]
-	if m == nil || sent.Token>>termShift != t.parts[m.part] {
+	if m == nil || sent.FencingToken>>termShift != t.parts[m.part] {
 		return
 	}
 	m.inflight = false
@@ -235,7 +235,7 @@
 		return true
 	}
 	for _, k := range m.tasks {
-		if !k.seen && !k.held || k.stop && !k.held && !k.exited() && k.phase != wire.TaskSaving {
+		if !k.seen && !k.held || k.stop && !k.held && !k.exited() && k.phase != wire.TaskCheckpointing {
 			return true
 		}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -27,7 +27,7 @@
 
 // Store takes transactions.
 type Store interface {
-	Commit(ctx context.Context, m wire.Multi) (uint64, error)
+	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
 // Owner serves the partitions that this process holds.
@@ -152,7 +152,7 @@
 }
 
 func refuse(status int, text, steward string, retry int) httpx.Response {
-	r := httpx.JSON(status, wire.Error{Error: text, Steward: steward})
+	r := httpx.JSON(status, wire.Error{Error: text, Leader: steward})
 	r.RetryAfter = retry
 	return r
 }
@@ -174,8 +174,8 @@
 func (o *Owner) HandleReport(body []byte) httpx.Response {
 	began := time.Now()
 	defer func() { o.reports.Round(time.Since(began)) }()
-	var r wire.Report
-	if err := json.Unmarshal(body, &r); err != nil || !validMachine(r.Machine) || r.Session == 0 || r.Tick == 0 {
+	var r wire.Heartbeat
+	if err := json.Unmarshal(body, &r); err != nil || !validMachine(r.Machine) || r.Incarnation == 0 || r.Tick == 0 {
 		return refuse(400, "not a report", "", 0)
 	}
 	part := o.split.Of(r.Machine, r.Zone)
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -76,7 +76,7 @@
 		o.mu.Unlock()
 		for len(list) > 0 {
 			n, size := 0, 0
-			for n < min(len(list), o.txnOps) && (n == 0 || size+list[n].Size() < wire.MaxMulti) {
+			for n < min(len(list), o.txnOps) && (n == 0 || size+list[n].Size() < wire.MaxTxnBytes) {
 				size += list[n].Size()
 				n++
 			}
@@ -90,7 +90,7 @@
 }
 
 func (o *Owner) write(ctx context.Context, part int, h claim.Held, list []machines.Write) error {
-	m := wire.Multi{When: []wire.Cond{{Key: state.Claims + Duty(part), Stamp: h.Stamp}}}
+	m := wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty(part), ModRevision: h.Stamp}}}
 	for _, w := range list {
 		w.Into(&m)
 	}
--- a/internal/owner/reports.go
+++ b/internal/owner/reports.go
@@ -8,7 +8,7 @@
 
 // Report takes a worker's report and decides the answer. ok is false when the
 // report is of a former session: it must not be answered with 200.
-func (t *Table) Report(r *wire.Report, part int, now clock.Micros) (ans wire.ReportAnswer, ok bool) {
+func (t *Table) Report(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
 	m := t.machines[r.Machine]
 	if m == nil {
 		m = t.add(r.Machine, part, Registered{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
@@ -16,21 +16,21 @@
 	if m.part != part {
 		return ans, false // it says now that it is of another zone: that is not understood
 	}
-	if m.gone || r.Session < m.session && m.heard || m.silent && m.heard && r.Session <= m.session {
+	if m.gone || r.Incarnation < m.session && m.heard || m.silent && m.heard && r.Incarnation <= m.session {
 		return ans, false
 	}
-	if r.Token > m.token && r.Token>>termShift > t.parts[part] {
+	if r.FencingToken > m.token && r.FencingToken>>termShift > t.parts[part] {
 		return ans, false // a later term than ours: not ours to command
 	}
-	if m.heard && r.Session == m.reported[0] && r.Tick <= m.reported[1] {
+	if m.heard && r.Incarnation == m.reported[0] && r.Tick <= m.reported[1] {
 		// A copy that comes late, or a worker that began anew without telling:
 		// answering it would keep a machine alive of which nothing new is known.
 		return ans, false
 	}
 	// An answer to /orders may have overtaken this report: then it tells nothing
 	// new, but its worker waits for the answer.
-	fresh := !m.heard || r.Session > m.session || r.Tick > m.tick
-	m.reported = [2]uint64{r.Session, r.Tick}
+	fresh := !m.heard || r.Incarnation > m.session || r.Tick > m.tick
+	m.reported = [2]uint64{r.Incarnation, r.Tick}
 	if fresh {
 		m.Addr = r.Addr
 		t.absorb(m, r, true, now)
@@ -44,7 +44,7 @@
 		m.reportsOverdue = false
 		t.back(m, now)
 	}
-	ans.Token = m.token
+	ans.FencingToken = m.token
 	ans.Orders = []wire.Order{}
 	if fresh && m.accounted {
 		ans.Orders = t.orders(m, true, now)
@@ -54,8 +54,8 @@
 
 // absorb takes what a worker says of itself, from a report or from the answer
 // to /orders. Older words than the newest known are dropped.
-func (t *Table) absorb(m *machine, r *wire.Report, isReport bool, now clock.Micros) {
-	if m.heard && (r.Session < m.session || r.Session == m.session && r.Tick <= m.tick) {
+func (t *Table) absorb(m *machine, r *wire.Heartbeat, isReport bool, now clock.Micros) {
+	if m.heard && (r.Incarnation < m.session || r.Incarnation == m.session && r.Tick <= m.tick) {
 		return
 	}
 	changed := t.absorbSession(m, r, now)
@@ -74,14 +74,14 @@
 }
 
 // absorbSession takes a worker's session and tick; changed tells that something is different now.
-func (t *Table) absorbSession(m *machine, r *wire.Report, now clock.Micros) (changed bool) {
+func (t *Table) absorbSession(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
 	changed = !m.heard
-	if !m.heard || r.Session > m.session {
+	if !m.heard || r.Incarnation > m.session {
 		// A session lasts its whole lease from its own beginning, answered or
 		// not, and it may have begun as late as now.
 		m.answered = now
 	}
-	if m.heard && r.Session > m.session {
+	if m.heard && r.Incarnation > m.session {
 		// A new session: whatever ran in an earlier one was killed, and no
 		// order that names an earlier one is executed.
 		for _, k := range m.tasks {
@@ -95,32 +95,32 @@
 		m.silent, changed = false, true
 		t.back(m, now)
 	}
-	m.heard, m.session, m.tick = true, r.Session, r.Tick
+	m.heard, m.session, m.tick = true, r.Incarnation, r.Tick
 	return changed
 }
 
 // absorbState takes which token a worker has seen, and its spot notice.
-func (t *Table) absorbState(m *machine, r *wire.Report, now clock.Micros) (changed bool) {
-	m.seenToken = max(m.seenToken, r.Token)
-	if m.unconfirmed && r.Token >= m.token {
+func (t *Table) absorbState(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
+	m.seenToken = max(m.seenToken, r.FencingToken)
+	if m.unconfirmed && r.FencingToken >= m.token {
 		m.unconfirmed, changed = false, true
 		t.back(m, now)
 	}
-	if !m.accounted && r.Token >= baseToken(t.parts[m.part]) {
+	if !m.accounted && r.FencingToken >= baseToken(t.parts[m.part]) {
 		m.accounted = true
 		t.showAll(m) // who did not believe its tasks so far looks at all of them now
 	}
-	if n := r.NoticeS != nil; n != m.noticed {
+	if n := r.EvictionNoticeS != nil; n != m.noticed {
 		m.noticed, changed = n, true
 	}
-	if r.NoticeS != nil {
-		m.takenAt = now + clock.FromSeconds(*r.NoticeS)
+	if r.EvictionNoticeS != nil {
+		m.takenAt = now + clock.FromSeconds(*r.EvictionNoticeS)
 	}
 	return changed
 }
 
 // absorbTasks takes the tasks that a worker shows, and gives their ids.
-func (t *Table) absorbTasks(m *machine, r *wire.Report, now clock.Micros) (listed map[peer.TaskID]bool) {
+func (t *Table) absorbTasks(m *machine, r *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
 	listed = make(map[peer.TaskID]bool, len(r.Tasks))
 	for _, tr := range r.Tasks {
 		job, n, ok := wire.SplitTask(tr.Task)
@@ -160,7 +160,7 @@
 }
 
 // removeUnlisted takes off the tasks that a worker does not show any more, or never will.
-func (t *Table) removeUnlisted(m *machine, r *wire.Report, listed map[peer.TaskID]bool, isReport bool) {
+func (t *Table) removeUnlisted(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, isReport bool) {
 	for id, k := range m.tasks {
 		if listed[id] || !k.sent {
 			continue
--- a/internal/owner/table_test.go
+++ b/internal/owner/table_test.go
@@ -50,7 +50,7 @@
 }
 
 func newScene(t *testing.T) *scene {
-	spec := wire.Job{ID: "job-1", Team: team, Rank: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
+	spec := wire.Job{ID: "job-1", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
 	s := &scene{t: t, now: 100 * sec, jobs: &jobList{map[string]*jobs.Job{"job-1": jobs.New(jobs.Record{Job: spec}, made)}, map[string]jobs.Final{}, made}}
 	s.table = newTable(s.jobs)
 	s.w = fakes.NewWorker("m-1", lease, s.now)
@@ -62,12 +62,12 @@
 }
 
 // report lets the worker report to the owner and take the answer.
-func (s *scene) report() wire.ReportAnswer {
+func (s *scene) report() wire.HeartbeatResponse {
 	s.now += sec
 	return s.reportTo(s.table)
 }
 
-func (s *scene) reportTo(tb *Table) wire.ReportAnswer {
+func (s *scene) reportTo(tb *Table) wire.HeartbeatResponse {
 	r := s.w.Report(s.now)
 	ans, ok := tb.Report(&r, 0, s.now)
 	if ok {
@@ -381,7 +381,7 @@
 // Several jobs fail on a machine: it is sick. One job that fails on many is not its fault.
 func TestSickMachines(t *testing.T) {
 	s := newScene(t)
-	spec := wire.Job{ID: "job-2", Team: team, Rank: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
+	spec := wire.Job{ID: "job-2", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
 	s.jobs.active["job-2"] = jobs.New(jobs.Record{Job: spec}, 6)
 	require.True(t, s.lease(0, 1))
 	a := ask(0, 2)
@@ -513,7 +513,7 @@
 	s.table.Report(&last, 0, s.now)
 	for range 30 { // the machine is gone; copies come for three leases
 		s.now += sec
-		for _, c := range []wire.Report{early, last} {
+		for _, c := range []wire.Heartbeat{early, last} {
 			_, ok := s.table.Report(&c, 0, s.now)
 			require.False(t, ok)
 		}
@@ -537,7 +537,7 @@
 	clear(s.w.Tasks)
 	require.True(t, s.lease(0, 1))
 	_, o := s.table.TakeOrders("m-1", s.now)
-	o.Session = 2
+	o.Incarnation = 2
 	after, _ := s.w.Orders(*o, s.now)
 	s.table.Answered("m-1", o, &after, s.now)
 	r := s.w.Report(s.now)
--- a/internal/owner/withdraw_test.go
+++ b/internal/owner/withdraw_test.go
@@ -71,7 +71,7 @@
 	_, late := s.table.TakeOrders("m-1", s.now)
 	require.Len(t, late.Orders, 1)
 	s.table.Lose(0)
-	s.table.Answered("m-1", late, &wire.Report{Machine: "m-1", Session: 1, Tick: 99, Token: 99 << 32}, s.now)
+	s.table.Answered("m-1", late, &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Tick: 99, FencingToken: 99 << 32}, s.now)
 	delete(s.jobs.active, "job-1")
 	next := newTable(s.jobs)
 	next.Gain(0, 2, map[string]Registered{"m-1": {Addr: "x", Type: "big"}}, s.now)
--- a/internal/placer/choose.go
+++ b/internal/placer/choose.go
@@ -321,9 +321,9 @@
 // fragile tells that the time for a job leaves none to notice that a machine
 // was taken and run its tasks once more.
 func (d *Scheduler) fragile(j *job) bool {
-	twice := clock.FromSeconds(2*j.EstimateS) + d.timing.Lease
+	twice := clock.FromSeconds(2*j.RuntimeEstimateS) + d.timing.Lease
 	within, ok := d.timing.Finishes[j.Class]
-	return ok && within < twice || j.DueS != nil && clock.FromSeconds(*j.DueS) < twice
+	return ok && within < twice || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < twice
 }
 
 // turn is a machine's place in the order in which a team's small tasks gather.
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -21,7 +21,7 @@
 	d := NewScheduler(Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec}, "scheduler", teams, []string{"h0"}, 1, func() int64 { return 0 })
 	var active []*jobs.Job
 	for i := range waiting {
-		spec := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: red, Rank: "normal", Tasks: 100, CPUs: 2, MemGB: 1, Spot: true, EstimateS: 30}
+		spec := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: red, Priority: "normal", Tasks: 100, CPUs: 2, MemGB: 1, Spot: true, RuntimeEstimateS: 30}
 		active = append(active, jobs.New(jobs.Record{Job: spec, Marked: true}, uint64(i+1)))
 	}
 	d.Gain(red, 1, 1, active, sec)
--- a/internal/placer/costs.go
+++ b/internal/placer/costs.go
@@ -62,7 +62,7 @@
 // has the image may have some.
 func (d *Scheduler) weigh(j *job, now clock.Micros) (best *mirror, decided bool) {
 	fetch, _ := d.fetchTimeAnywhere(j)
-	task := placement.Task{Estimate: clock.FromSeconds(j.EstimateS), Fetch: fetch}
+	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
 	}
--- a/internal/placer/costs_test.go
+++ b/internal/placer/costs_test.go
@@ -15,7 +15,7 @@
 	w.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
 	w.scheduler.SetFetch(map[string]float64{"big": 1})
 	w.settle(8)
-	w.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.EstimateS = "img", 4, 30 })
+	w.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 })
 	w.settle(4)
 	return w
 }
@@ -33,7 +33,7 @@
 	return home, other
 }
 
-func image(j *wire.Job) { j.Image, j.ImageGB, j.EstimateS = "img", 4, 30 }
+func image(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
 // The image decides while a fetch costs more than the speed, and the speed once it doesn't.
 func TestPlacementWeighsImageAgainstSpeed(t *testing.T) {
@@ -80,7 +80,7 @@
 		w.settle(8)
 		var at []string
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
-			w.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.EstimateS = id, size, 30 })
+			w.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = id, size, 30 })
 			w.settle(4)
 			home, _ := w.home(id + "/1")
 			at = append(at, home)
--- a/internal/placer/distributions.go
+++ b/internal/placer/distributions.go
@@ -35,7 +35,7 @@
 
 // ended takes note of how late a job's last task was done.
 func (d *Scheduler) ended(j *job, now clock.Micros) {
-	if j.DueS != nil {
+	if j.DeadlineS != nil {
 		d.distributionsOf(j.team.Name).lateness.Record(now - j.due())
 	}
 }
--- a/internal/placer/moves.go
+++ b/internal/placer/moves.go
@@ -74,12 +74,12 @@
 func (d *Scheduler) candidate(b *binding, m *mirror, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
 	j, age := b.job, now-m.seenAt
 	c := &rebalance.Candidate{Key: rebalance.Key{Job: j.ID, N: b.id.N}, Team: j.team.Name, Machine: m.ID, Reason: reason,
-		CanSave: j.SaveEveryS > 0, SaveFor: clock.FromSeconds(j.SaveS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
+		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
 	if b.running != 0 {
 		c.Ran = now - b.running
 	}
-	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.EstimateS))*max(c.Pace, 1))-c.Ran)
-	c.Unsaved = min(clock.FromSeconds(j.SaveEveryS), c.Ran) / 2
+	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Pace, 1))-c.Ran)
+	c.Unsaved = min(clock.FromSeconds(j.CheckpointIntervalS), c.Ran) / 2
 	c.Heat = m.heat(m.free.CPU)
 	return c
 }
--- a/internal/placer/moves_test.go
+++ b/internal/placer/moves_test.go
@@ -14,7 +14,9 @@
 var testMoves = &Moves{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
 
 // longJob has tasks that save and run for 200 s.
-func longJob(j *wire.Job) { j.SaveEveryS, j.SaveS, j.EstimateS = 10, 1, 200 }
+func longJob(j *wire.Job) {
+	j.CheckpointIntervalS, j.CheckpointDurationS, j.RuntimeEstimateS = 10, 1, 200
+}
 
 // noticed is a world whose only task has run for a while on a machine that then gets a notice.
 func noticed(t *testing.T) (w *world, from string) {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -30,8 +30,8 @@
 
 // Store takes transactions.
 type Store interface {
-	Commit(ctx context.Context, m wire.Multi) (uint64, error)
-	CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error)
+	Commit(ctx context.Context, m wire.Txn) (uint64, error)
+	CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error)
 	HasSpareWrites(n int) bool
 }
 
--- a/internal/placer/talk.go
+++ b/internal/placer/talk.go
@@ -151,7 +151,7 @@
 	}
 	s := wire.JobState{ID: id, Phase: wire.Pending, Done: j.doneCount}
 	for _, b := range j.bound {
-		if b.phase == wire.TaskRunning || b.phase == wire.TaskSaving {
+		if b.phase == wire.TaskRunning || b.phase == wire.TaskCheckpointing {
 			s.Running++
 		}
 	}
@@ -209,10 +209,10 @@
 func (d *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
 	d.eachWaiting(now, func(j *job, tasks int) {
 		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.Level, Waiting: tasks,
-			RunFor: clock.FromSeconds(j.EstimateS), Stage: int(j.stage) + 1}
-		if start := d.finish(j); j.DueS != nil && !j.late(now) {
+			RunFor: clock.FromSeconds(j.RuntimeEstimateS), Stage: int(j.stage) + 1}
+		if start := d.finish(j); j.DeadlineS != nil && !j.late(now) {
 			dm.Slack = max(clock.Second, j.due()-now-dm.RunFor)
-		} else if j.DueS == nil && start != math.MaxInt64 && now < start {
+		} else if j.DeadlineS == nil && start != math.MaxInt64 && now < start {
 			dm.Slack = start - now // to be finished within a time is as good as a deadline
 		}
 		out = append(out, dm)
--- a/internal/placer/turns.go
+++ b/internal/placer/turns.go
@@ -9,10 +9,10 @@
 )
 
 func (j *job) due() clock.Micros {
-	if j.DueS == nil {
+	if j.DeadlineS == nil {
 		return math.MaxInt64
 	}
-	return j.since + clock.FromSeconds(*j.DueS)
+	return j.since + clock.FromSeconds(*j.DeadlineS)
 }
 
 // cover marks the jobs that are within the team's guarantee: each fits there
@@ -53,8 +53,8 @@
 		if lx != ly {
 			return lx < ly
 		}
-		if lx == hopeless && x.EstimateS != y.EstimateS {
-			return x.EstimateS > y.EstimateS
+		if lx == hopeless && x.RuntimeEstimateS != y.RuntimeEstimateS {
+			return x.RuntimeEstimateS > y.RuntimeEstimateS
 		}
 		if x.Level != y.Level {
 			return x.Level > y.Level
@@ -67,7 +67,7 @@
 		}
 		// Of work with deadlines the smallest rests go first, so that most jobs are in
 		// time: what waits longer than by plan waits for machines that can't be had.
-		if u, v := x.remaining(), y.remaining(); x.DueS != nil && y.DueS != nil && u != v {
+		if u, v := x.remaining(), y.remaining(); x.DeadlineS != nil && y.DeadlineS != nil && u != v {
 			return u < v
 		}
 		if x.due() != y.due() {
@@ -88,21 +88,23 @@
 	if !ok {
 		return math.MaxInt64
 	}
-	return j.since + within - clock.FromSeconds(j.EstimateS)
+	return j.since + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
 // remaining is the work of a job that waits, in CPU seconds.
 func (j *job) remaining() float64 {
-	return float64(j.waiting()) * j.Need.CPUs() * max(j.EstimateS, 1)
+	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
 
 // late tells that a job can't meet its deadline any more.
 func (j *job) late(now clock.Micros) bool {
-	return j.DueS != nil && j.ends(now) > j.due()
+	return j.DeadlineS != nil && j.ends(now) > j.due()
 }
 
 // ends is when a job's last task may be over at best.
-func (j *job) ends(now clock.Micros) clock.Micros { return now + clock.FromSeconds(j.EstimateS*0.7) }
+func (j *job) ends(now clock.Micros) clock.Micros {
+	return now + clock.FromSeconds(j.RuntimeEstimateS*0.7)
+}
 
 // How late a job is.
 const (
@@ -115,7 +117,7 @@
 	if !j.late(now) {
 		return inTime
 	}
-	if j.ends(now) <= j.since+clock.FromSeconds(*j.DueS*d.timing.Times[j.Class]) {
+	if j.ends(now) <= j.since+clock.FromSeconds(*j.DeadlineS*d.timing.Times[j.Class]) {
 		return overdue
 	}
 	return hopeless
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -36,10 +36,10 @@
 	w.settle(4)
 	require.Equal(t, 4, w.running())
 	due := 0.5
-	w.addJob("job-2", 1, func(j *wire.Job) { j.Rank, j.DueS, j.EstimateS = "high", &due, 60 })
+	w.addJob("job-2", 1, func(j *wire.Job) { j.Priority, j.DeadlineS, j.RuntimeEstimateS = "high", &due, 60 })
 	w.settle(12)
 	require.False(t, w.workers["m-0"].Running("job-2/0"), "it is late already")
-	w.addJob("job-3", 1, func(j *wire.Job) { j.Rank = "high" })
+	w.addJob("job-3", 1, func(j *wire.Job) { j.Priority = "high" })
 	w.settle(12)
 	require.True(t, w.workers["m-0"].Running("job-3/0"))
 	require.Equal(t, 4, w.running())
@@ -51,7 +51,7 @@
 	w := newWorldOf(t, 1, 4, 0)
 	w.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
 	for i, due := range []float64{10, 70, 200} { // hopeless, overdue, in time
-		w.addJob(fmt.Sprintf("job-%d", i), 1, func(j *wire.Job) { j.Class, j.DueS, j.EstimateS = "sweep", &due, 10 })
+		w.addJob(fmt.Sprintf("job-%d", i), 1, func(j *wire.Job) { j.Class, j.DeadlineS, j.RuntimeEstimateS = "sweep", &due, 10 })
 	}
 	w.now += 80 * sec
 	var ids []string
@@ -66,7 +66,7 @@
 	w := newWorldOf(t, 1, 4, 0)
 	w.settle(8)
 	for i, due := range []float64{900, 1000, 800} {
-		w.addJob(fmt.Sprintf("job-%d", i), []int{20, 2, 20}[i], func(j *wire.Job) { j.DueS, j.EstimateS = &due, 10 })
+		w.addJob(fmt.Sprintf("job-%d", i), []int{20, 2, 20}[i], func(j *wire.Job) { j.DeadlineS, j.RuntimeEstimateS = &due, 10 })
 	}
 	var ids []string
 	for _, j := range w.scheduler.order(w.now) {
@@ -84,10 +84,10 @@
 		w.scheduler.timing.Guarantee = 5 * sec
 		blue := &team{Team: Team{Name: "blue", Guarantee: res.Have(100, 0, 0)}, term: 1, jobs: map[string]*job{},
 			cleared: map[string]bool{}, strange: map[string]bool{}}
-		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Rank: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
+		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
 			team: blue, covered: true, watermark: 50, since: w.now, bound: map[int]*binding{}, zones: map[string]int{}, done: make([]uint64, 1)}
 		w.settle(8)
-		w.addJob("job-1", 8, func(j *wire.Job) { j.Rank = "high" })
+		w.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
 		w.settle(4)
 		require.Equal(t, 8, w.running())
 		taken := false
@@ -169,8 +169,8 @@
 		w.workers["m-0"].Spot, w.workers["m-3"].Spot = true, true
 		w.settle(8)
 		due := 500.0
-		w.addJob("job-1", 1, func(j *wire.Job) { j.CPUs, j.EstimateS, j.DueS = 8, 10, &due })
-		w.addJob("job-2", 4, func(j *wire.Job) { j.Class, j.EstimateS, j.CPUs = "refit", 10, 1 })
+		w.addJob("job-1", 1, func(j *wire.Job) { j.CPUs, j.RuntimeEstimateS, j.DeadlineS = 8, 10, &due })
+		w.addJob("job-2", 4, func(j *wire.Job) { j.Class, j.RuntimeEstimateS, j.CPUs = "refit", 10, 1 })
 		w.settle(4)
 		for _, id := range w.names {
 			for _, r := range w.workers[id].Tasks {
@@ -187,7 +187,7 @@
 func TestNoJobWaitsForEverToBegin(t *testing.T) {
 	w := newWorldOf(t, 1, 2, 0)
 	w.settle(8)
-	w.addJob("job-1", 500, func(j *wire.Job) { j.Rank = "high" })
+	w.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
 	w.settle(4)
 	w.addJob("job-2", 100, nil)
 	begun := func() bool { return w.scheduler.teams[red].jobs["job-2"].begun() }
@@ -216,7 +216,7 @@
 	w.addJob("job-1", 16, nil)
 	w.settle(4)
 	require.Equal(t, 16, w.running())
-	w.addJob("job-2", 12, func(j *wire.Job) { j.Rank = "high" })
+	w.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
 	for step := range 8 {
 		for _, r := range w.workers[w.names[step%4]].InOrder() { // a task ends in every round
 			if r.Phase != wire.TaskExited {
--- a/internal/placer/withdraw.go
+++ b/internal/placer/withdraw.go
@@ -113,7 +113,7 @@
 		n += k
 	}
 	for _, b := range j.bound {
-		if b.phase == wire.TaskRunning || b.phase == wire.TaskSaving {
+		if b.phase == wire.TaskRunning || b.phase == wire.TaskCheckpointing {
 			n--
 		}
 	}
@@ -208,11 +208,11 @@
 // finishCancelled writes the end of a withdrawn job that is marked as finishing, on the
 // condition that no partition has changed hands.
 func (p *Placer) finishCancelled(ctx context.Context, j *job, parts []PartClaim) error {
-	var when []wire.Cond
+	var when []wire.Condition
 	p.mu.Lock()
 	if j.offered() {
 		for _, c := range parts {
-			when = append(when, wire.Cond{Key: c.Key, Stamp: c.Stamp})
+			when = append(when, wire.Condition{Key: c.Key, ModRevision: c.Stamp})
 		}
 	}
 	p.mu.Unlock()
--- a/internal/placer/world_test.go
+++ b/internal/placer/world_test.go
@@ -61,7 +61,7 @@
 	crashes       int
 	orders        []lateOrders
 	rounds        []lateRound
-	copies        []wire.Report // of reports, that may come once more
+	copies        []wire.Heartbeat // of reports, that may come once more
 	ended         map[string]bool
 	limit         float64                   // CPUs; 0: none
 	watermarks    map[string]WatermarkWrite // on record, with their stamps
@@ -187,7 +187,7 @@
 
 func (w *world) addJob(id string, tasks int, change func(*wire.Job)) {
 	w.stamp++
-	spec := wire.Job{ID: id, Team: red, Rank: "normal", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
+	spec := wire.Job{ID: id, Team: red, Priority: "normal", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
 	if change != nil {
 		change(&spec)
 	}
--- a/internal/placer/write_progress.go
+++ b/internal/placer/write_progress.go
@@ -49,7 +49,7 @@
 	for tm, list := range byTeam {
 		for len(list) > 0 {
 			n := 1
-			for size := list[0].size(); n < min(len(list), p.txnOps) && size+list[n].size() < wire.MaxMulti; n++ {
+			for size := list[0].size(); n < min(len(list), p.txnOps) && size+list[n].size() < wire.MaxTxnBytes; n++ {
 				size += list[n].size()
 			}
 			if !p.store.HasSpareWrites(n) {
@@ -62,7 +62,7 @@
 			if err != nil {
 				break
 			}
-			m := wire.Multi{When: []wire.Cond{cond}}
+			m := wire.Txn{Conditions: []wire.Condition{cond}}
 			p.mu.Lock()
 			for i := range list[:n] {
 				w := &list[i]
@@ -70,9 +70,9 @@
 				w.bits = w.j.chunk(w.chunk)
 				// Without the record's own stamp a late copy of an earlier write would take
 				// back what is written down and forgotten by the workers since.
-				m.When = append(m.When, wire.Cond{Key: state.Active + w.j.ID, Stamp: w.j.Stamp},
-					wire.Cond{Key: progressKey(w.j.ID, at), Stamp: p.scheduler.progress[w.j.ID][at].stamp})
-				m.Then = append(m.Then, wire.Op{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
+				m.Conditions = append(m.Conditions, wire.Condition{Key: state.Active + w.j.ID, ModRevision: w.j.Stamp},
+					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: p.scheduler.progress[w.j.ID][at].stamp})
+				m.Operations = append(m.Operations, wire.Operation{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
 				delete(w.j.dirty, w.chunk)
 				w.ends = map[peer.TaskID]string{}
 				for id, e := range w.j.unsettled {
--- a/internal/placer/writes.go
+++ b/internal/placer/writes.go
@@ -27,9 +27,9 @@
 			if !ok {
 				continue
 			}
-			rev, err := p.urgent.Commit(ctx, wire.Multi{
-				When: []wire.Cond{{Key: state.Claims + Duty(w.Team), Stamp: h.Stamp}, {Key: w.Key, Stamp: w.Stamp}},
-				Then: []wire.Op{{Put: w.Key, Value: w.Watermarks}}})
+			rev, err := p.urgent.Commit(ctx, wire.Txn{
+				Conditions: []wire.Condition{{Key: state.Claims + Duty(w.Team), ModRevision: h.Stamp}, {Key: w.Key, ModRevision: w.Stamp}},
+				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
 				p.log.Debug("writing watermarks", "team", w.Team, "err", err)
 				continue
@@ -67,12 +67,12 @@
 var errLost = errors.New("the team is held no more")
 
 // mine gives the condition that a team is still held under a term.
-func (p *Placer) mine(t *team) (wire.Cond, error) {
+func (p *Placer) mine(t *team) (wire.Condition, error) {
 	h, ok := p.claims.Leading(Duty(t.Name))
 	if !ok || h.Term != t.term {
-		return wire.Cond{}, errLost
+		return wire.Condition{}, errLost
 	}
-	return wire.Cond{Key: state.Claims + Duty(t.Name), Stamp: h.Stamp}, nil
+	return wire.Condition{Key: state.Claims + Duty(t.Name), ModRevision: h.Stamp}, nil
 }
 
 // endsAtOnce is how many transactions with ends of one team's jobs are under way
@@ -138,13 +138,13 @@
 // from here. That begins only when the transaction is about to be sent: with
 // hundreds of ends a minute most of the time is spent waiting for the budget,
 // and jobs of which nothing is told for so long count as forgotten.
-func (p *Placer) finish(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Cond) error {
+func (p *Placer) finish(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
 	tm := batch[0].team
 	for try := 0; ctx.Err() == nil; try++ {
 		p.mu.Lock()
 		batch = slices.DeleteFunc(batch, func(j *job) bool { return !p.active(j) })
 		m, rest := p.endsOf(batch, phase, brief)
-		m.When = append(m.When, when...)
+		m.Conditions = append(m.Conditions, when...)
 		p.mu.Unlock()
 		if len(batch) == 0 {
 			return nil
@@ -168,7 +168,7 @@
 		if err == nil {
 			p.over(batch, phase)
 			for some := range slices.Chunk(rest, p.txnOps) {
-				if _, err := p.store.Commit(ctx, wire.Multi{When: m.When[:1], Then: some}); err != nil {
+				if _, err := p.store.Commit(ctx, wire.Txn{Conditions: m.Conditions[:1], Operations: some}); err != nil {
 					p.log.Info("dropping progress", "team", tm.Name, "err", err)
 				}
 			}
@@ -214,27 +214,27 @@
 
 // endsOf makes the transaction that ends jobs of one team, its first condition
 // being the team's claim; rest are drops of progress that it has no room for. The lock is held.
-func (p *Placer) endsOf(batch []*job, phase string, brief bool) (m wire.Multi, rest []wire.Op) {
+func (p *Placer) endsOf(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
 	if len(batch) == 0 {
 		return m, nil
 	}
 	tm := batch[0].team
-	m.When = []wire.Cond{{Key: state.Claims + Duty(tm.Name), Stamp: tm.stamp}}
+	m.Conditions = []wire.Condition{{Key: state.Claims + Duty(tm.Name), ModRevision: tm.stamp}}
 	for _, j := range batch {
-		m.When = append(m.When, wire.Cond{Key: state.Active + j.ID, Stamp: j.Stamp})
+		m.Conditions = append(m.Conditions, wire.Condition{Key: state.Active + j.ID, ModRevision: j.Stamp})
 		if brief || p.txnOps < 2 {
 			over := jobs.Record{Over: phase}
 			over.ID, over.Team, over.Tasks = j.ID, j.Team, j.Tasks
-			m.Then = append(m.Then, wire.Op{Put: state.Active + j.ID, Value: over})
+			m.Operations = append(m.Operations, wire.Operation{Put: state.Active + j.ID, Value: over})
 		} else {
-			m.Then = append(m.Then, wire.Op{Put: state.Final + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
-				wire.Op{Drop: state.Active + j.ID})
+			m.Operations = append(m.Operations, wire.Operation{Put: state.Final + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
+				wire.Operation{Drop: state.Active + j.ID})
 		}
 	}
 	for _, j := range batch {
 		for c := range p.scheduler.progress[j.ID] {
-			if op := (wire.Op{Drop: progressKey(j.ID, c)}); len(m.Then) < p.txnOps {
-				m.Then = append(m.Then, op)
+			if op := (wire.Operation{Drop: progressKey(j.ID, c)}); len(m.Operations) < p.txnOps {
+				m.Operations = append(m.Operations, op)
 			} else {
 				rest = append(rest, op)
 			}
--- a/internal/placer/writes_test.go
+++ b/internal/placer/writes_test.go
@@ -28,13 +28,13 @@
 	changes int
 }
 
-func (n *narrow) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (n *narrow) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	if err := n.budget.WaitN(ctx, len(m.Then)); err != nil {
+	if err := n.budget.WaitN(ctx, len(m.Operations)); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrBudget)
 	}
-	n.changes += len(m.Then)
+	n.changes += len(m.Operations)
 	return n.View.CommitWithCheck(ctx, m, sending)
 }
 
@@ -52,7 +52,7 @@
 }
 
 func newWriter(t *testing.T, view *fakes.View, store Store) *writer {
-	stamp, err := view.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Claims + Duty(red), Value: claim.Record{}}}})
+	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Claims + Duty(red), Value: claim.Record{}}}})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: red}}, nil, 1, func() int64 { return 0 })
 	scheduler.Gain(red, 1, stamp, nil, 0)
@@ -64,7 +64,7 @@
 // accept has a job on record and at the scheduler.
 func (w *writer) accept(id string, tasks int) *job {
 	rec := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
-	stamp, err := w.state.Commit(w.t.Context(), wire.Multi{Then: []wire.Op{{Put: state.Active + id, Value: rec}}})
+	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Active + id, Value: rec}}})
 	require.NoError(w.t, err)
 	w.scheduler.AddJob(jobs.New(rec, stamp), 0)
 	return w.scheduler.teams[red].jobs[id]
@@ -142,8 +142,8 @@
 		for _, most := range []int{1, 2, 3, 12, 100} {
 			w.txnOps = most
 			m, _ := w.endsOf([]*job{j}, wire.Cancelled, false)
-			require.LessOrEqual(t, len(m.When)+MostParts(most), 4*most)
-			require.LessOrEqual(t, len(m.Then), max(most, 1))
+			require.LessOrEqual(t, len(m.Conditions)+MostParts(most), 4*most)
+			require.LessOrEqual(t, len(m.Operations), max(most, 1))
 			require.Positive(t, MostParts(most))
 		}
 	})
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -97,7 +97,7 @@
 		s, err := k.askStage(j)
 		if err != nil {
 			log.Error("the policy script's hook failed; the job goes by its rank", "hook", stageHook, "job", j.ID, "err", err)
-			return recovery.DefaultStage(j.Level, j.DueS != nil)
+			return recovery.DefaultStage(j.Level, j.DeadlineS != nil)
 		}
 		return s
 	}
@@ -107,8 +107,8 @@
 
 func (k *Knobs) askStage(j *jobs.Job) (recovery.Stage, error) {
 	job := starlarkstruct.FromStringDict(starlark.String("job"), starlark.StringDict{
-		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Rank),
-		"deadline": starlark.Bool(j.DueS != nil), "tasks": starlark.MakeInt(j.Tasks),
+		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Priority),
+		"deadline": starlark.Bool(j.DeadlineS != nil), "tasks": starlark.MakeInt(j.Tasks),
 	})
 	v, err := call(k.stage, job)
 	if err != nil {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -145,7 +145,7 @@
 // A script may name the stage of a zone's return that admits a job; one that fails or names none is
 // logged, and the job goes by its rank and deadline.
 func TestTheScriptMayNameStages(t *testing.T) {
-	urgent := jobs.New(jobs.Record{Job: wire.Job{ID: "job-1", Team: "red", Rank: "high"}}, 1)
+	urgent := jobs.New(jobs.Record{Job: wire.Job{ID: "job-1", Team: "red", Priority: "high"}}, 1)
 	for script, want := range map[string]struct {
 		stage  recovery.Stage
 		logged string
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -67,16 +67,16 @@
 // Commit carries out a transaction that must not queue behind others. It takes
 // what the others have left of their part when its own is spent: after an
 // outage users come all at once.
-func (u Urgent) Commit(ctx context.Context, m wire.Multi) (uint64, error) {
+func (u Urgent) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
 	return u.CommitWithCheck(ctx, m, nil)
 }
 
 // CommitAt is Commit, with a word right before the transaction is sent.
-func (u Urgent) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (u Urgent) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	budget := u.Client.urgent
-	if now := time.Now(); budget.AllowN(now, len(m.Then)) || u.Client.writes.AllowN(now, len(m.Then)) {
+	if now := time.Now(); budget.AllowN(now, len(m.Operations)) || u.Client.writes.AllowN(now, len(m.Operations)) {
 		budget = nil
 	}
 	for {
@@ -201,12 +201,12 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		var page wire.Items
+		var page wire.ItemPage
 		if err := decode(r, &page); err != nil {
 			return nil, 0, err
 		}
 		if after == "" {
-			rev = page.Rev
+			rev = page.Revision
 		}
 		items = append(items, page.Items...)
 		if !page.More || len(page.Items) == 0 {
@@ -217,41 +217,41 @@
 }
 
 // Commit carries out a transaction and gives its revision.
-func (c *Client) Commit(ctx context.Context, m wire.Multi) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
 	return c.commit(ctx, m, c.writes, nil)
 }
 
 // CommitAt is Commit, with a word right before the transaction is sent: what
 // holds only from then on, or must hold still at that moment, is settled there
 // and not before the wait for the budget. If sending fails nothing is sent.
-func (c *Client) CommitWithCheck(ctx context.Context, m wire.Multi, sending func() error) (uint64, error) {
+func (c *Client) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	return c.commit(ctx, m, c.writes, sending)
 }
 
-func (c *Client) commit(ctx context.Context, m wire.Multi, budget *rate.Limiter, sending func() error) (uint64, error) {
+func (c *Client) commit(ctx context.Context, m wire.Txn, budget *rate.Limiter, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if n := len(m.Then); n > 0 && budget != nil {
+	if n := len(m.Operations); n > 0 && budget != nil {
 		if err := budget.WaitN(ctx, n); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrRefused, ErrBudget)
 		}
 	}
-	if m.When == nil {
-		m.When = []wire.Cond{}
+	if m.Conditions == nil {
+		m.Conditions = []wire.Condition{}
 	}
-	r, err := c.callAt(ctx, "POST", wire.PathMulti, m, callTimeout, sending)
+	r, err := c.callAt(ctx, "POST", wire.PathTxn, m, callTimeout, sending)
 	if err != nil {
 		return 0, err
 	}
-	var a wire.MultiAnswer
+	var a wire.TxnResponse
 	if err := decode(r, &a); err != nil {
 		return 0, err
 	}
 	switch r.Status {
 	case 200:
-		return a.Rev, nil
+		return a.Revision, nil
 	case 409:
-		return a.Rev, fmt.Errorf("%w: %v", ErrConflict, a.Failed)
+		return a.Revision, fmt.Errorf("%w: %v", ErrConflict, a.Failed)
 	}
 	return 0, fmt.Errorf("%w: status %d", ErrUnknown, r.Status)
 }
@@ -264,15 +264,15 @@
 
 // Grant makes a hold.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	r, err := c.call(ctx, "POST", wire.PathHolds, map[string]int64{"ttl_ms": ttl.Milliseconds()}, callTimeout)
+	r, err := c.call(ctx, "POST", wire.PathLeases, map[string]int64{"ttl_ms": ttl.Milliseconds()}, callTimeout)
 	if err != nil {
 		return 0, err
 	}
-	var a wire.HoldAnswer
-	if err := decode(r, &a); err != nil || r.Status != 200 || a.Hold == 0 {
+	var a wire.LeaseResponse
+	if err := decode(r, &a); err != nil || r.Status != 200 || a.LeaseID == 0 {
 		return 0, fmt.Errorf("%w: making a hold: status %d", ErrUnknown, r.Status)
 	}
-	return a.Hold, nil
+	return a.LeaseID, nil
 }
 
 // Extend renews a hold. It takes from the budget what others wait for, and does not
@@ -281,7 +281,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c.reqs.Reserve()
-	r, err := c.send(ctx, "POST", fmt.Sprintf("%s/%d/extend", wire.PathHolds, hold), struct{}{})
+	r, err := c.send(ctx, "POST", fmt.Sprintf("%s/%d/extend", wire.PathLeases, hold), struct{}{})
 	if err != nil {
 		return err
 	}
@@ -295,9 +295,9 @@
 }
 
 // Watch waits for changes after rev.
-func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.Changes, error) {
-	var ch wire.Changes
-	q := fmt.Sprintf("%s?prefix=%s&after=%d&block_ms=%d", wire.PathChanges, url.QueryEscape(prefix), rev, block.Milliseconds())
+func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+	var ch wire.WatchResponse
+	q := fmt.Sprintf("%s?prefix=%s&after=%d&block_ms=%d", wire.PathWatch, url.QueryEscape(prefix), rev, block.Milliseconds())
 	r, err := c.call(ctx, "GET", q, nil, block+5*time.Second)
 	if errors.Is(err, httpx.ErrTooLarge) {
 		// An answer has no limit of size. What can't be held is read page by
@@ -313,7 +313,7 @@
 	if err := decode(r, &ch); err != nil {
 		return ch, err
 	}
-	if r.Status != 200 || ch.Rev < rev {
+	if r.Status != 200 || ch.Revision < rev {
 		return ch, fmt.Errorf("%w: odd answer", ErrUnknown)
 	}
 	return ch, nil
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -61,10 +61,10 @@
 		{"HTTP/1.1 nonsense\r\n\r\n", state.ErrUnknown},
 		{"", state.ErrUnknown},
 	} {
-		_, err := answering(t, c.answer).Commit(t.Context(), wire.Multi{Then: []wire.Op{{Drop: "k"}}})
+		_, err := answering(t, c.answer).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Drop: "k"}}})
 		require.ErrorIs(t, err, c.want, "%q", c.answer)
 	}
-	rev, err := answering(t, raw(200, `{"ledger_rev":7}`)).Commit(t.Context(), wire.Multi{})
+	rev, err := answering(t, raw(200, `{"ledger_rev":7}`)).Commit(t.Context(), wire.Txn{})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
 }
@@ -73,7 +73,7 @@
 // at once, not given up.
 func TestUrgentChangesOutlastABusyMoment(t *testing.T) {
 	c := answering(t, raw(429, `{}`), raw(429, `{}`), raw(200, `{"ledger_rev":7}`))
-	rev, err := state.Urgent{Client: c}.Commit(t.Context(), wire.Multi{Then: []wire.Op{{Drop: "k"}}})
+	rev, err := state.Urgent{Client: c}.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Drop: "k"}}})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
 }
--- a/internal/state/cost_test.go
+++ b/internal/state/cost_test.go
@@ -16,8 +16,8 @@
 func BenchmarkReplicaLoad(b *testing.B) {
 	v := &fakes.View{State: fakes.NewState()}
 	for i := range 400 {
-		op := wire.Op{Put: fmt.Sprintf("%sjob-%06d", state.Active, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
-		if _, err := v.Commit(b.Context(), wire.Multi{Then: []wire.Op{op}}); err != nil {
+		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", state.Active, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
+		if _, err := v.Commit(b.Context(), wire.Txn{Operations: []wire.Operation{op}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/state/replica.go
+++ b/internal/state/replica.go
@@ -41,7 +41,7 @@
 // Source is what the replica reads from.
 type Source interface {
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
-	Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.Changes, error)
+	Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error)
 }
 
 // Replica follows the keys and tells a listener of every change.
@@ -110,27 +110,27 @@
 }
 
 // apply takes a watch's answer. Replays of what is known are dropped by stamp.
-func (r *Replica) apply(ch wire.Changes) {
+func (r *Replica) apply(ch wire.WatchResponse) {
 	var evs []Event
-	for _, c := range ch.Log {
+	for _, c := range ch.Changes {
 		key := c.Put
 		if key == "" {
 			key = c.Drop
 		}
-		if c.Stamp <= r.stamps[key] || key == "" {
+		if c.ModRevision <= r.stamps[key] || key == "" {
 			continue
 		}
 		if c.Put != "" {
 			if !strings.HasPrefix(key, Final) {
-				r.stamps[key] = c.Stamp
+				r.stamps[key] = c.ModRevision
 			}
-			evs = append(evs, Event{key, c.Value, c.Stamp})
+			evs = append(evs, Event{key, c.Value, c.ModRevision})
 		} else {
 			delete(r.stamps, key)
-			evs = append(evs, Event{key, nil, c.Stamp})
+			evs = append(evs, Event{key, nil, c.ModRevision})
 		}
 	}
-	r.rev = max(r.rev, ch.Rev)
+	r.rev = max(r.rev, ch.Revision)
 	if len(evs) > 0 {
 		r.tell(evs, r.rev)
 	}
@@ -151,8 +151,8 @@
 		}
 		for _, it := range items {
 			seen[it.Key] = true
-			if it.Stamp > r.stamps[it.Key] {
-				evs = append(evs, Event{it.Key, it.Value, it.Stamp})
+			if it.ModRevision > r.stamps[it.Key] {
+				evs = append(evs, Event{it.Key, it.Value, it.ModRevision})
 			}
 		}
 	}
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -23,9 +23,9 @@
 	calls int
 }
 
-func (f *forgetful) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.Changes, error) {
+func (f *forgetful) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	if f.calls++; f.calls%f.every == 0 {
-		return wire.Changes{}, state.ErrTooOld
+		return wire.WatchResponse{}, state.ErrTooOld
 	}
 	return f.View.Watch(ctx, prefix, rev, block)
 }
@@ -56,11 +56,11 @@
 		rng := fakes.Rand(7)
 		for i := range 300 {
 			key := fmt.Sprintf("%s%d", state.Active, rng.IntN(8))
-			op := wire.Op{Put: key, Value: i}
+			op := wire.Operation{Put: key, Value: i}
 			if rng.IntN(3) == 0 {
-				op = wire.Op{Drop: key}
+				op = wire.Operation{Drop: key}
 			}
-			_, err := v.Commit(ctx, wire.Multi{Then: []wire.Op{op}})
+			_, err := v.Commit(ctx, wire.Txn{Operations: []wire.Operation{op}})
 			require.NoError(t, err)
 			if i == 100 {
 				st.SetDown(true)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -11,27 +11,27 @@
 
 // Paths of the interfaces.
 const (
-	PathJobs    = "/api/jobs"
-	PathReady   = "/ready"
-	PathReport  = "/v1/report"
-	PathOrders  = "/orders"
-	PathShow    = "/show"
-	PathCatalog = "/catalog"
-	PathRentals = "/rentals"
-	PathReturn  = "/rentals/return"
-	PathKeys    = "/keys"
-	PathMulti   = "/multi"
-	PathHolds   = "/holds"
-	PathChanges = "/changes"
+	PathJobs      = "/api/jobs"
+	PathReady     = "/ready"
+	PathHeartbeat = "/v1/report"
+	PathOrders    = "/orders"
+	PathShow      = "/show"
+	PathCatalog   = "/catalog"
+	PathInstances = "/rentals"
+	PathScaleIn   = "/rentals/return"
+	PathKeys      = "/keys"
+	PathTxn       = "/multi"
+	PathLeases    = "/holds"
+	PathWatch     = "/changes"
 )
 
 // Limits of the protocol.
 const (
-	MaxBody   = 64 << 10
-	MaxTasks  = 100_000
-	MaxRental = 50
-	MaxList   = 500
-	MaxMulti  = 48 << 10 // bytes of a transaction's values: what they are wrapped in comes on top
+	MaxBody     = 64 << 10
+	MaxTasks    = 100_000
+	MaxScaleOut = 50
+	MaxList     = 500
+	MaxTxnBytes = 48 << 10 // bytes of a transaction's values: what they are wrapped in comes on top
 )
 
 // Phases of a job.
@@ -44,10 +44,10 @@
 
 // Phases of a task on a machine.
 const (
-	TaskFetching = "fetching"
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "exited"
+	TaskFetching      = "fetching"
+	TaskRunning       = "running"
+	TaskCheckpointing = "saving"
+	TaskExited        = "exited"
 )
 
 // Causes of an exit.
@@ -74,12 +74,12 @@
 	MachineFailed  = "failed"
 )
 
-// Ranks are the priorities, lowest first.
-var Ranks = []string{"idle", "normal", "high", "production"}
+// Priorities are the priorities, lowest first.
+var Priorities = []string{"idle", "normal", "high", "production"}
 
-// RankLevel gives the place of a rank, -1 when unknown.
-func RankLevel(rank string) int {
-	for i, r := range Ranks {
+// PriorityLevel gives the place of a rank, -1 when unknown.
+func PriorityLevel(rank string) int {
+	for i, r := range Priorities {
 		if r == rank {
 			return i
 		}
@@ -89,26 +89,26 @@
 
 // Job is a submission.
 type Job struct {
-	ID         string   `json:"id"`
-	Class      string   `json:"jobclass"`
-	Team       string   `json:"owner"`
-	Shape      string   `json:"shape"`
-	Rank       string   `json:"rank"`
-	Tasks      int      `json:"shards"`
-	CPUs       float64  `json:"cpus"`
-	GPUs       float64  `json:"accelerators"`
-	MemGB      float64  `json:"mem_gb"`
-	Image      string   `json:"bundle"`
-	ImageGB    float64  `json:"size_gb"`
-	Types      []string `json:"hulls"`
-	Zone       string   `json:"yard"`
-	OneZone    bool     `json:"one_zone"`
-	Spread     bool     `json:"spread"`
-	Spot       bool     `json:"loaners"`
-	EstimateS  float64  `json:"guess_s"`
-	SaveEveryS float64  `json:"snap_every_s"`
-	SaveS      float64  `json:"snap_s"`
-	DueS       *float64 `json:"due_s"`
+	ID                  string   `json:"id"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"owner"`
+	Shape               string   `json:"shape"`
+	Priority            string   `json:"rank"`
+	Tasks               int      `json:"shards"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"accelerators"`
+	MemGB               float64  `json:"mem_gb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"size_gb"`
+	Types               []string `json:"hulls"`
+	Zone                string   `json:"yard"`
+	OneZone             bool     `json:"one_zone"`
+	Spread              bool     `json:"spread"`
+	Spot                bool     `json:"loaners"`
+	RuntimeEstimateS    float64  `json:"guess_s"`
+	CheckpointIntervalS float64  `json:"snap_every_s"`
+	CheckpointDurationS float64  `json:"snap_s"`
+	DeadlineS           *float64 `json:"due_s"`
 }
 
 // ParseJob reads and checks a submission; any error means a 400.
@@ -156,8 +156,8 @@
 	if j.Shape != "array" {
 		return fmt.Errorf("field shape: %q is not known", j.Shape)
 	}
-	if RankLevel(j.Rank) < 0 {
-		return fmt.Errorf("field rank: %q is not known", j.Rank)
+	if PriorityLevel(j.Priority) < 0 {
+		return fmt.Errorf("field rank: %q is not known", j.Priority)
 	}
 	if j.Tasks < 1 || j.Tasks > MaxTasks {
 		return fmt.Errorf("field shards must be 1 to %d", MaxTasks)
@@ -166,12 +166,12 @@
 		name string
 		v    float64
 	}{{"cpus", j.CPUs}, {"accelerators", j.GPUs}, {"mem_gb", j.MemGB}, {"size_gb", j.ImageGB},
-		{"guess_s", j.EstimateS}, {"snap_every_s", j.SaveEveryS}, {"snap_s", j.SaveS}} {
+		{"guess_s", j.RuntimeEstimateS}, {"snap_every_s", j.CheckpointIntervalS}, {"snap_s", j.CheckpointDurationS}} {
 		if math.IsNaN(f.v) || f.v < 0 || f.v > 1e9 {
 			return fmt.Errorf("field %s is out of range", f.name)
 		}
 	}
-	if j.DueS != nil && (*j.DueS < 0 || *j.DueS > 1e9) {
+	if j.DeadlineS != nil && (*j.DeadlineS < 0 || *j.DeadlineS > 1e9) {
 		return fmt.Errorf("field due_s is out of range")
 	}
 	if j.CPUs == 0 && j.GPUs == 0 && j.MemGB == 0 {
@@ -207,31 +207,31 @@
 
 // Error is the body of every refusal.
 type Error struct {
-	Error   string `json:"error"`
-	Steward string `json:"steward,omitempty"`
+	Error  string `json:"error"`
+	Leader string `json:"steward,omitempty"`
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string `json:"shard"`
-	Attempt uint64 `json:"try"`
-	Phase   string `json:"phase"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task         string `json:"shard"`
+	Attempt      uint64 `json:"try"`
+	Phase        string `json:"phase"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"host"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"hull"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"tenure"`
-	Tick    uint64       `json:"tick"`
-	Token   uint64       `json:"epoch"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []TaskReport `json:"shards"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine         string       `json:"host"`
+	Addr            string       `json:"addr"`
+	Type            string       `json:"hull"`
+	Zone            string       `json:"yard"`
+	Spot            bool         `json:"loaners"`
+	Incarnation     uint64       `json:"tenure"`
+	Tick            uint64       `json:"tick"`
+	FencingToken    uint64       `json:"epoch"`
+	EvictionNoticeS *float64     `json:"recall_s"`
+	Tasks           []TaskStatus `json:"shards"`
 }
 
 // Order is one command to a worker.
@@ -242,17 +242,17 @@
 	GraceS  *float64 `json:"wind_down_s,omitempty"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token  uint64  `json:"epoch"`
-	Orders []Order `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64  `json:"epoch"`
+	Orders       []Order `json:"orders"`
 }
 
 // Orders is the body of POST /orders.
 type Orders struct {
-	Token   uint64  `json:"epoch"`
-	Session uint64  `json:"tenure"`
-	Orders  []Order `json:"orders"`
+	FencingToken uint64  `json:"epoch"`
+	Incarnation  uint64  `json:"tenure"`
+	Orders       []Order `json:"orders"`
 }
 
 // TaskName joins a job and a task number.
@@ -292,8 +292,8 @@
 	Types []MachineType `json:"hulls"`
 }
 
-// RentalRequest asks for machines.
-type RentalRequest struct {
+// ScaleOutRequest asks for machines.
+type ScaleOutRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"hull"`
 	Zone  string `json:"yard"`
@@ -301,13 +301,13 @@
 	Count int    `json:"how_many"`
 }
 
-// Hosts names machines.
-type Hosts struct {
+// HostList names machines.
+type HostList struct {
 	Hosts []string `json:"hosts"`
 }
 
-// Rental is one machine in the cloud's list.
-type Rental struct {
+// Instance is one machine in the cloud's list.
+type Instance struct {
 	ID    string  `json:"id"`
 	Addr  string  `json:"addr"`
 	Type  string  `json:"hull"`
@@ -317,68 +317,68 @@
 	AgeS  float64 `json:"held_s"`
 }
 
-// Rentals is one page of the cloud's list.
-type Rentals struct {
-	Hosts []Rental `json:"hosts"`
-	More  bool     `json:"truncated"`
+// InstancePage is one page of the cloud's list.
+type InstancePage struct {
+	Instances []Instance `json:"hosts"`
+	More      bool       `json:"truncated"`
 }
 
 // Item is a key of the state service.
 type Item struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
-	Hold  uint64          `json:"hold,omitempty"`
+	Key         string          `json:"k"`
+	Value       json.RawMessage `json:"v"`
+	ModRevision uint64          `json:"stamp"`
+	LeaseID     uint64          `json:"hold,omitempty"`
 }
 
-// Items is one page of keys.
-type Items struct {
-	Items []Item `json:"items"`
-	More  bool   `json:"truncated"`
-	Rev   uint64 `json:"ledger_rev"`
+// ItemPage is one page of keys.
+type ItemPage struct {
+	Items    []Item `json:"items"`
+	More     bool   `json:"truncated"`
+	Revision uint64 `json:"ledger_rev"`
 }
 
-// Cond is a condition of a transaction.
-type Cond struct {
-	Key   string `json:"k"`
-	Stamp uint64 `json:"stamp"`
+// Condition is a condition of a transaction.
+type Condition struct {
+	Key         string `json:"k"`
+	ModRevision uint64 `json:"stamp"`
 }
 
-// Op is a put (Put, Value, Hold) or a drop.
-type Op struct {
-	Put   string `json:"put,omitempty"`
-	Value any    `json:"v,omitempty"`
-	Hold  uint64 `json:"hold,omitempty"`
-	Drop  string `json:"drop,omitempty"`
+// Operation is a put (Put, Value, Hold) or a drop.
+type Operation struct {
+	Put     string `json:"put,omitempty"`
+	Value   any    `json:"v,omitempty"`
+	LeaseID uint64 `json:"hold,omitempty"`
+	Drop    string `json:"drop,omitempty"`
 }
 
-// Multi is a transaction.
-type Multi struct {
-	When []Cond `json:"when"`
-	Then []Op   `json:"then"`
+// Txn is a transaction.
+type Txn struct {
+	Conditions []Condition `json:"when"`
+	Operations []Operation `json:"then"`
 }
 
-// MultiAnswer answers a transaction.
-type MultiAnswer struct {
-	Rev    uint64   `json:"ledger_rev"`
-	Failed []string `json:"failed"`
+// TxnResponse answers a transaction.
+type TxnResponse struct {
+	Revision uint64   `json:"ledger_rev"`
+	Failed   []string `json:"failed"`
 }
 
 // Change is one entry of the change log.
 type Change struct {
-	Put   string          `json:"put"`
-	Drop  string          `json:"drop"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
+	Put         string          `json:"put"`
+	Drop        string          `json:"drop"`
+	Value       json.RawMessage `json:"v"`
+	ModRevision uint64          `json:"stamp"`
 }
 
-// Changes answers a watch.
-type Changes struct {
-	Rev uint64   `json:"ledger_rev"`
-	Log []Change `json:"log"`
+// WatchResponse answers a watch.
+type WatchResponse struct {
+	Revision uint64   `json:"ledger_rev"`
+	Changes  []Change `json:"log"`
 }
 
-// HoldAnswer answers the making of a hold.
-type HoldAnswer struct {
-	Hold uint64 `json:"hold"`
+// LeaseResponse answers the making of a hold.
+type LeaseResponse struct {
+	LeaseID uint64 `json:"hold"`
 }
