--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -18,7 +18,7 @@
 
 // Record is the value of a claim's key.
 type Record struct {
-	Holder      string `json:"holder"`
+	Leader      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Term        uint64 `json:"term"`
 }
@@ -31,10 +31,10 @@
 	Unreachable bool `json:"deaf,omitempty"`
 }
 
-// Held is a claim as the replica last showed it.
-type Held struct {
+// Leadership is a claim as the replica last showed it.
+type Leadership struct {
 	Record
-	Stamp uint64
+	ModRevision uint64
 }
 
 type registered struct {
@@ -42,14 +42,14 @@
 	stamp uint64
 }
 
-// Book knows who is registered and who holds what.
-type Book struct {
+// Election knows who is registered and who holds what.
+type Election struct {
 	host   string
 	hosts  []string // all controllers, sorted
 	duties []string // all claims, in a fixed order
 	bound  int      // the first so many of them need the workers
 	nodes  map[string]registered
-	claims map[string]Held
+	claims map[string]Leadership
 	freeAt map[string]clock.Micros
 	seen   map[string]string // incarnations as last looked at, and since when
 	since  map[string]clock.Micros
@@ -61,25 +61,25 @@
 	until       clock.Micros // this incarnation may act until then
 }
 
-// NewBook makes a book for host; hosts names all controllers, duties all claims,
+// NewElection makes a book for host; hosts names all controllers, duties all claims,
 // of which the first so many need the workers.
-func NewBook(host string, hosts, duties []string, bound int) *Book {
+func NewElection(host string, hosts, duties []string, bound int) *Election {
 	hosts = slices.Sorted(slices.Values(hosts))
-	return &Book{host: host, hosts: hosts, duties: duties, bound: bound, nodes: map[string]registered{},
-		claims: map[string]Held{}, freeAt: map[string]clock.Micros{}, seen: map[string]string{},
+	return &Election{host: host, hosts: hosts, duties: duties, bound: bound, nodes: map[string]registered{},
+		claims: map[string]Leadership{}, freeAt: map[string]clock.Micros{}, seen: map[string]string{},
 		since: map[string]clock.Micros{}, giving: map[string]uint64{}, left: map[string]bool{}}
 }
 
-// Preferred names the controller that the i-th duty is meant for, of all
+// PreferredLeader names the controller that the i-th duty is meant for, of all
 // controllers in order; k others are asked before the one that it gives.
-func Preferred(sorted []string, i, k int) string { return sorted[(i+k)%len(sorted)] }
+func PreferredLeader(sorted []string, i, k int) string { return sorted[(i+k)%len(sorted)] }
 
-// Peers is how many other controllers there are.
-func (b *Book) Peers() int { return len(b.hosts) - 1 }
+// PeerCount is how many other controllers there are.
+func (b *Election) PeerCount() int { return len(b.hosts) - 1 }
 
 // Apply takes one event of the replica.
-func (b *Book) Apply(e state.Event) {
-	if name, ok := strings.CutPrefix(e.Key, state.Nodes); ok {
+func (b *Election) Apply(e state.Event) {
+	if name, ok := strings.CutPrefix(e.Key, state.ControllerPrefix); ok {
 		var r Registration
 		if e.Value == nil || json.Unmarshal(e.Value, &r) != nil {
 			if _, there := b.nodes[name]; there {
@@ -88,64 +88,64 @@
 			delete(b.nodes, name)
 			return
 		}
-		b.nodes[name] = registered{r, e.Stamp}
+		b.nodes[name] = registered{r, e.ModRevision}
 		delete(b.left, name)
 		return
 	}
-	name, ok := strings.CutPrefix(e.Key, state.Claims)
+	name, ok := strings.CutPrefix(e.Key, state.LeaderPrefix)
 	if !ok {
 		return
 	}
-	h := Held{Stamp: e.Stamp}
+	h := Leadership{ModRevision: e.ModRevision}
 	if e.Value != nil && json.Unmarshal(e.Value, &h.Record) != nil {
 		return // not understood: nothing is claimed on it
 	}
 	b.claims[name] = h
 }
 
-// Begin starts a new incarnation: every duty of the former one is given up.
-func (b *Book) Begin(incarnation string, hold uint64, until clock.Micros) {
+// StartIncarnation starts a new incarnation: every duty of the former one is given up.
+func (b *Election) StartIncarnation(incarnation string, hold uint64, until clock.Micros) {
 	b.incarnation, b.hold, b.until = incarnation, hold, until
 }
 
 // Resign ends the present incarnation for good and gives its name.
-func (b *Book) Resign() string {
+func (b *Election) Resign() string {
 	inc := b.incarnation
 	b.incarnation, b.hold, b.until = "", 0, 0
 	return inc
 }
 
-// Extend notes that the hold of an incarnation is confirmed until a time.
-func (b *Book) Extend(incarnation string, until clock.Micros) {
+// ExtendLease notes that the hold of an incarnation is confirmed until a time.
+func (b *Election) ExtendLease(incarnation string, until clock.Micros) {
 	if incarnation == b.incarnation && incarnation != "" {
 		b.until = max(b.until, until)
 	}
 }
 
 // Incarnation is the present incarnation and its hold; empty when there is none.
-func (b *Book) Incarnation() (string, uint64) { return b.incarnation, b.hold }
+func (b *Election) Incarnation() (string, uint64) { return b.incarnation, b.hold }
 
-// Confirmed tells whether this process may act.
-func (b *Book) Confirmed(now clock.Micros) bool { return b.incarnation != "" && now < b.until }
+// LeaseValid tells whether this process may act.
+func (b *Election) LeaseValid(now clock.Micros) bool { return b.incarnation != "" && now < b.until }
 
 // registeredMe tells whether the replica shows this incarnation as registered.
-func (b *Book) registeredMe() bool {
+func (b *Election) registeredMe() bool {
 	return b.incarnation != "" && b.nodes[b.host].Incarnation == b.incarnation
 }
 
-// Mine gives the term and stamp of a claim that this incarnation holds and may act on.
-func (b *Book) Mine(duty string, now clock.Micros) (Held, bool) {
+// Leading gives the term and stamp of a claim that this incarnation holds and may act on.
+func (b *Election) Leading(duty string, now clock.Micros) (Leadership, bool) {
 	h, ok := b.claims[duty]
-	ok = ok && b.Confirmed(now) && h.Incarnation == b.incarnation && h.Holder == b.host && b.giving[duty] != h.Stamp
+	ok = ok && b.LeaseValid(now) && h.Incarnation == b.incarnation && h.Leader == b.host && b.giving[duty] != h.ModRevision
 	return h, ok
 }
 
 // barred tells that the i-th duty needs the workers and that a controller is cut
 // off from them.
-func (b *Book) barred(i int, host string) bool { return i < b.bound && b.nodes[host].Unreachable }
+func (b *Election) barred(i int, host string) bool { return i < b.bound && b.nodes[host].Unreachable }
 
 // elsewhere tells that some other controller could hold the i-th duty.
-func (b *Book) elsewhere(i int) bool {
+func (b *Election) elsewhere(i int) bool {
 	for h, r := range b.nodes {
 		if h != b.host && r.Incarnation != "" && !b.barred(i, h) {
 			return true
@@ -154,12 +154,12 @@
 	return false
 }
 
-// HandOver picks duties held here that others should have, and gives the writes
+// TransferLeadership picks duties held here that others should have, and gives the writes
 // that free them: one whose preferred controller has been back for a while, or
 // all that need the workers when this controller is cut off from them. From now
 // on this controller does not act on them, whether the writes succeed or not:
 // should an answer be lost, another may hold the duty already.
-func (b *Book) HandOver(now, after clock.Micros) (out []Write) {
+func (b *Election) TransferLeadership(now, after clock.Micros) (out []Write) {
 	for _, h := range b.hosts {
 		r := b.nodes[h]
 		as := r.Incarnation
@@ -170,72 +170,72 @@
 			b.seen[h], b.since[h] = as, now
 		}
 	}
-	if !b.registeredMe() || !b.Confirmed(now) {
+	if !b.registeredMe() || !b.LeaseValid(now) {
 		return nil
 	}
 	calm := true // one at a time
 	for i, d := range b.duties {
 		h := b.claims[d]
-		if h.Holder != b.host || h.Incarnation != b.incarnation {
+		if h.Leader != b.host || h.Incarnation != b.incarnation {
 			continue
 		}
-		to := Preferred(b.hosts, i, 0)
+		to := PreferredLeader(b.hosts, i, 0)
 		back := to != b.host && b.seen[to] != "" && now >= b.since[to]+after && !b.barred(i, to)
 		urgent := b.barred(i, b.host) && b.elsewhere(i)
-		if b.giving[d] != h.Stamp && !urgent && !(back && calm) {
+		if b.giving[d] != h.ModRevision && !urgent && !(back && calm) {
 			continue
 		}
 		calm = calm && urgent
-		b.giving[d] = h.Stamp
-		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + d, ModRevision: h.Stamp}},
-			Operations: []wire.Operation{{Put: state.Claims + d, Value: Record{Term: h.Term}}}}})
+		b.giving[d] = h.ModRevision
+		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + d, ModRevision: h.ModRevision}},
+			Operations: []wire.Operation{{Put: state.LeaderPrefix + d, Value: Record{Term: h.Term}}}}})
 	}
 	return out
 }
 
-// Note gives the write that tells in this controller's registration whether it is
+// ReachabilityUpdate gives the write that tells in this controller's registration whether it is
 // cut off from the workers; ok is false when it says so already.
-func (b *Book) Note(unreachable bool) (m wire.Txn, ok bool) {
+func (b *Election) ReachabilityUpdate(unreachable bool) (m wire.Txn, ok bool) {
 	r := b.nodes[b.host]
 	if !b.registeredMe() || r.Unreachable == unreachable {
 		return m, false
 	}
-	return wire.Txn{Conditions: []wire.Condition{{Key: state.Nodes + b.host, ModRevision: r.stamp}},
-		Operations: []wire.Operation{{Put: state.Nodes + b.host, Value: Registration{b.incarnation, unreachable}, LeaseID: b.hold}}}, true
+	return wire.Txn{Conditions: []wire.Condition{{Key: state.ControllerPrefix + b.host, ModRevision: r.stamp}},
+		Operations: []wire.Operation{{Put: state.ControllerPrefix + b.host, Value: Registration{b.incarnation, unreachable}, LeaseID: b.hold}}}, true
 }
 
 // Holder names the controller whose registered incarnation holds a duty.
-func (b *Book) Leader(duty string) (string, bool) {
+func (b *Election) Leader(duty string) (string, bool) {
 	h, ok := b.claims[duty]
-	if !ok || h.Holder == "" || b.nodes[h.Holder].Incarnation != h.Incarnation {
+	if !ok || h.Leader == "" || b.nodes[h.Leader].Incarnation != h.Incarnation {
 		return "", false
 	}
-	return h.Holder, true
+	return h.Leader, true
 }
 
 // Claim gives a claim as it stands, and whether the incarnation that it names is registered.
-func (b *Book) Current(duty string) (h Held, live bool) {
+func (b *Election) Current(duty string) (h Leadership, live bool) {
 	_, live = b.Leader(duty)
 	return b.claims[duty], live
 }
 
-// RegisteredOf gives the registered incarnation of a controller and its stamp.
-func (b *Book) RegisteredOf(host string) (string, uint64) {
+// Registered gives the registered incarnation of a controller and its stamp.
+func (b *Election) Registered(host string) (string, uint64) {
 	r := b.nodes[host]
 	return r.Incarnation, r.stamp
 }
 
 // Write is what is to be written of a claim now.
 type Write struct {
-	Duty  string
-	Multi wire.Txn
+	Duty string
+	Txn  wire.Txn
 }
 
-// Wanted decides which free claims to take: its own preferred ones at once, also
+// Campaign decides which free claims to take: its own preferred ones at once, also
 // those of a controller whose hold has just ended, those of one that was never
 // seen after the grace, any claim after twice that.
-func (b *Book) Wanted(now, grace clock.Micros) []Write {
-	if !b.registeredMe() || !b.Confirmed(now) {
+func (b *Election) Campaign(now, grace clock.Micros) []Write {
+	if !b.registeredMe() || !b.LeaseValid(now) {
 		return nil
 	}
 	// Terms grow over all claims, also those of duties that are no longer in use:
@@ -260,23 +260,23 @@
 			continue
 		}
 		h := b.claims[d]
-		when := []wire.Condition{{Key: state.Claims + d, ModRevision: h.Stamp}, {Key: state.Nodes + b.host, ModRevision: b.nodes[b.host].stamp}}
-		if h.Stamp == 0 {
+		when := []wire.Condition{{Key: state.LeaderPrefix + d, ModRevision: h.ModRevision}, {Key: state.ControllerPrefix + b.host, ModRevision: b.nodes[b.host].stamp}}
+		if h.ModRevision == 0 {
 			when[0].ModRevision = 0
 		}
-		if h.Holder != "" && h.Holder != b.host {
-			when = append(when, wire.Condition{Key: state.Nodes + h.Holder, ModRevision: b.nodes[h.Holder].stamp})
+		if h.Leader != "" && h.Leader != b.host {
+			when = append(when, wire.Condition{Key: state.ControllerPrefix + h.Leader, ModRevision: b.nodes[h.Leader].stamp})
 		}
 		out = append(out, Write{d, wire.Txn{Conditions: when, Operations: []wire.Operation{
-			{Put: state.Claims + d, Value: Record{b.host, b.incarnation, term + 1}}}}})
+			{Put: state.LeaderPrefix + d, Value: Record{b.host, b.incarnation, term + 1}}}}})
 	}
 	return out
 }
 
 // turn tells whether it is this controller's turn for the i-th duty.
-func (b *Book) turn(i int, free, grace clock.Micros) bool {
+func (b *Election) turn(i int, free, grace clock.Micros) bool {
 	for k := range b.hosts {
-		h := Preferred(b.hosts, i, k)
+		h := PreferredLeader(b.hosts, i, k)
 		if b.barred(i, h) && free < 4*grace {
 			continue // also this one itself; but a duty is never without any taker
 		}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -19,21 +19,21 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-var timing = Timing{TTL: 24 * clock.Second, Renew: 3 * clock.Second / 2, Grace: 3 * clock.Second, ResignAfter: 5 * clock.Second, Settle: 15 * clock.Second}
+var timing = Timing{TTL: 24 * clock.Second, RenewInterval: 3 * clock.Second / 2, TakeoverGrace: 3 * clock.Second, ResignAfter: 5 * clock.Second, TransferDelay: 15 * clock.Second}
 
 // process is a controller's keeper and replica in a test's bubble.
 type process struct {
-	*Keeper
-	view *fakes.View
+	*Elector
+	view *fakes.KVClient
 	stop context.CancelFunc
 }
 
 var duties = []string{"one", "two", "three"}
 
-func start(t *testing.T, st *fakes.State, host string) *process {
+func start(t *testing.T, st *fakes.KVStore, host string) *process {
 	ctx, cancel := context.WithCancel(t.Context())
-	v := &fakes.View{State: st}
-	k := NewKeeper(NewBook(host, []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
+	v := &fakes.KVClient{KVStore: st}
+	k := NewElector(NewElection(host, []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
 	r := state.NewReplica(v, k.Apply, quiet)
 	go k.Run(ctx)                      //nolint:errcheck // ends with the context
 	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
@@ -47,16 +47,16 @@
 
 // slow is a way to a state service that answers renewals late.
 type slow struct {
-	*fakes.View
+	*fakes.KVClient
 	by time.Duration
 }
 
 func (s slow) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	time.Sleep(min(s.by, timeout))
 	if s.by > timeout {
-		return state.ErrUnknown
+		return state.ErrOutcomeUnknown
 	}
-	return s.View.KeepAlive(ctx, hold, timeout)
+	return s.KVClient.KeepAlive(ctx, hold, timeout)
 }
 
 // The state service answers two seconds late for a minute: duties are kept.
@@ -64,8 +64,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		v := slow{&fakes.View{State: fakes.NewState()}, 2 * time.Second}
-		k := NewKeeper(NewBook("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
+		v := slow{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
+		k := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
 		go k.Run(ctx)                                                        //nolint:errcheck // ends with the context
 		go state.NewReplica(v, k.Apply, quiet).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 		time.Sleep(5 * time.Second)
@@ -82,7 +82,7 @@
 // Each takes the duty it is preferred for; each duty has one holder.
 func TestDutiesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a, b, c := start(t, st, "a"), start(t, st, "b"), start(t, st, "c")
 		time.Sleep(2 * time.Second)
 		require.True(t, a.has("one") && b.has("two") && c.has("three"))
@@ -94,7 +94,7 @@
 // should it live, is out.
 func TestARestartTakesItsDutiesAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
@@ -110,7 +110,7 @@
 // A process that is gone for good loses its duties when its hold ends, not before.
 func TestDutiesMoveWhenTheHoldEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a, b := start(t, st, "a"), start(t, st, "b")
 		time.Sleep(10 * time.Second)
 		require.True(t, a.has("one"))
@@ -126,7 +126,7 @@
 // ends them by the holder's own clock, and a new term begins after it.
 func TestOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
@@ -155,14 +155,14 @@
 // the same duty; told by a peer that can reach it, it gives up early.
 func TestACutOffHolderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a, b := start(t, st, "a"), start(t, st, "b")
 		time.Sleep(10 * time.Second)
 		a.view.SetCut(true)
 		time.Sleep(6 * time.Second)
-		a.Hear(0)
+		a.ObservePeer(0)
 		require.False(t, a.has("one"))
-		_, resigned := a.Contact()
+		_, resigned := a.StoreContact()
 		b.RemoveResigned(t.Context(), "a", resigned)
 		time.Sleep(4 * time.Second)
 		require.True(t, b.has("one"))
@@ -175,7 +175,7 @@
 
 // withoutA has three controllers share the duties, and the first go away for long. It
 // gives the second.
-func withoutA(t *testing.T, st *fakes.State) *process {
+func withoutA(t *testing.T, st *fakes.KVStore) *process {
 	a, b := start(t, st, "a"), start(t, st, "b")
 	start(t, st, "c")
 	time.Sleep(10 * time.Second)
@@ -188,7 +188,7 @@
 // back to it once it has stayed, each under a new term, and never with two holders.
 func TestDutiesComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		b := withoutA(t, st)
 		held, ok := b.Leading("one")
 		require.True(t, ok)
@@ -208,7 +208,7 @@
 // frees it was refused or had no answer: another may have the duty already.
 func TestWhatIsHandedOverIsNotActedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		b := withoutA(t, st)
 		require.True(t, b.has("one"))
 		start(t, st, "a")
@@ -227,7 +227,7 @@
 // again its own come back.
 func TestADeafControllerKeepsWhatNeedsNoWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a, b, c := start(t, st, "a"), start(t, st, "b"), start(t, st, "c")
 		time.Sleep(20 * time.Second)
 		require.True(t, a.has("one") && b.has("two") && c.has("three"))
@@ -250,9 +250,9 @@
 // duty's term is above those of the duties that were there before.
 func TestTermsGrowOverAllDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
-		_, err := (&fakes.View{State: st}).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{
-			{Put: state.Claims + "part-of-old", Value: Record{"a", "gone", 41}}}})
+		st := fakes.NewKVStore()
+		_, err := (&fakes.KVClient{KVStore: st}).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{
+			{Put: state.LeaderPrefix + "part-of-old", Value: Record{"a", "gone", 41}}}})
 		require.NoError(t, err)
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
@@ -266,7 +266,7 @@
 // not make its peers believe that they alone are cut off.
 func TestARestartInAnOutageClaimsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a := start(t, st, "a")
 		time.Sleep(10 * time.Second)
 		st.SetDown(true)
@@ -274,13 +274,13 @@
 		b := start(t, st, "b")
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			ago, _ := b.Contact()
-			a.Hear(ago)
+			ago, _ := b.StoreContact()
+			a.ObservePeer(ago)
 			require.True(t, a.has("one"), "the outage is shared: duties go on")
 		}
 		st.SetDown(false)
 		time.Sleep(2 * time.Second)
-		ago, _ := b.Contact()
+		ago, _ := b.StoreContact()
 		require.Less(t, ago, 3*clock.Second)
 	})
 }
@@ -288,16 +288,16 @@
 // An outage that all share is told apart from being cut off alone.
 func TestSharedOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		a := start(t, st, "a")
 		time.Sleep(10 * time.Second)
 		require.False(t, a.SharedOutage())
 		st.SetDown(true)
 		time.Sleep(6 * time.Second)
 		require.False(t, a.SharedOutage(), "no peer says so")
-		a.Hear(6 * clock.Second)
+		a.ObservePeer(6 * clock.Second)
 		require.True(t, a.SharedOutage())
-		a.Hear(clock.Second)
+		a.ObservePeer(clock.Second)
 		require.False(t, a.SharedOutage(), "a peer has contact")
 	})
 }
@@ -305,7 +305,7 @@
 // A claim's write is held up and arrives when the claim has moved on.
 func TestALateClaimFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
+		st := fakes.NewKVStore()
 		st.SetCapture(true)
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
@@ -327,7 +327,7 @@
 // way round: records keep their fields' names.
 func TestRecordsKeepTheirFields(t *testing.T) {
 	for want, record := range map[string]any{
-		`{"holder":"a","incarnation":"i","term":3}`: Record{Holder: "a", Incarnation: "i", Term: 3},
+		`{"holder":"a","incarnation":"i","term":3}`: Record{Leader: "a", Incarnation: "i", Term: 3},
 		`{"incarnation":"i","deaf":true}`:           Registration{Incarnation: "i", Unreachable: true},
 	} {
 		b, err := json.Marshal(record)
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -24,10 +24,10 @@
 }
 
 // Timing is how long things last.
-type Timing struct{ TTL, Renew, Grace, ResignAfter, Settle clock.Micros }
+type Timing struct{ TTL, RenewInterval, TakeoverGrace, ResignAfter, TransferDelay clock.Micros }
 
-// Keeper keeps this controller registered and takes free claims.
-type Keeper struct {
+// Elector keeps this controller registered and takes free claims.
+type Elector struct {
 	store  Store
 	clock  clock.Clock
 	timing Timing
@@ -35,7 +35,7 @@
 	wake   chan struct{}
 
 	mu          sync.Mutex
-	book        *Book
+	book        *Election
 	lastOK      clock.Micros // when the last confirmed renewal was sent
 	resigned    string       // the last incarnation given up for good
 	peerOK      clock.Micros // when a peer last said that it has contact
@@ -44,13 +44,13 @@
 	unreachable bool         // no worker reaches this controller
 }
 
-// NewKeeper makes a keeper around a book.
-func NewKeeper(book *Book, store Store, c clock.Clock, t Timing, log *slog.Logger) *Keeper {
-	return &Keeper{book: book, store: store, clock: c, timing: t, log: log, wake: make(chan struct{}, 1)}
+// NewElector makes a keeper around a book.
+func NewElector(book *Election, store Store, c clock.Clock, t Timing, log *slog.Logger) *Elector {
+	return &Elector{book: book, store: store, clock: c, timing: t, log: log, wake: make(chan struct{}, 1)}
 }
 
 // Apply takes events of the replica.
-func (k *Keeper) Apply(evs []state.Event, _ uint64) {
+func (k *Elector) Apply(evs []state.Event, _ uint64) {
 	k.mu.Lock()
 	for _, e := range evs {
 		k.book.Apply(e)
@@ -59,7 +59,7 @@
 	k.poke()
 }
 
-func (k *Keeper) poke() {
+func (k *Elector) poke() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -67,14 +67,14 @@
 }
 
 // Mine tells whether this process holds a duty and may act on it now.
-func (k *Keeper) Leading(duty string) (Held, bool) {
+func (k *Elector) Leading(duty string) (Leadership, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Mine(duty, k.clock.Now())
+	return k.book.Leading(duty, k.clock.Now())
 }
 
 // Holder names the registered holder of a duty.
-func (k *Keeper) Leader(duty string) (string, bool) {
+func (k *Elector) Leader(duty string) (string, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Leader(duty)
@@ -82,22 +82,22 @@
 
 // Claim gives a claim as it stands, and whether the incarnation that it names is
 // registered: one that is not never acts again.
-func (k *Keeper) Current(duty string) (Held, bool) {
+func (k *Elector) Current(duty string) (Leadership, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Current(duty)
 }
 
-// Confirmed tells whether this process may act at all.
-func (k *Keeper) Confirmed() bool {
+// LeaseValid tells whether this process may act at all.
+func (k *Elector) LeaseValid() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Confirmed(k.clock.Now())
+	return k.book.LeaseValid(k.clock.Now())
 }
 
-// Contact tells how long ago the state service last confirmed the hold, and
+// StoreContact tells how long ago the state service last confirmed the hold, and
 // the last incarnation that resigned.
-func (k *Keeper) Contact() (ago clock.Micros, resigned string) {
+func (k *Elector) StoreContact() (ago clock.Micros, resigned string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lastOK == 0 {
@@ -106,10 +106,10 @@
 	return k.clock.Now() - k.lastOK, k.resigned
 }
 
-// Hear takes what a peer said of its own contact with the state service. When
+// ObservePeer takes what a peer said of its own contact with the state service. When
 // the peer has contact and this process has not, its duties are given up: the
 // promise is that this incarnation never acts again.
-func (k *Keeper) Hear(peerAgo clock.Micros) {
+func (k *Elector) ObservePeer(peerAgo clock.Micros) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.heardAt = k.clock.Now()
@@ -126,27 +126,27 @@
 // SharedOutage tells that neither this process nor any peer that it hears has
 // contact with the state service. Then no controller is better placed than
 // this one to answer users.
-func (k *Keeper) SharedOutage() bool {
+func (k *Elector) SharedOutage() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	return now-k.lastOK > k.timing.Renew*3/2 && now-k.peerOK > k.timing.ResignAfter/2 && !k.alone(now)
+	return now-k.lastOK > k.timing.RenewInterval*3/2 && now-k.peerOK > k.timing.ResignAfter/2 && !k.alone(now)
 }
 
-// Alone tells that this process reaches neither the state service nor any peer:
+// Isolated tells that this process reaches neither the state service nor any peer:
 // as far as it can tell it is cut off by itself, and users are better served elsewhere.
-func (k *Keeper) Alone() bool {
+func (k *Elector) Isolated() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.alone(k.clock.Now())
 }
 
-func (k *Keeper) alone(now clock.Micros) bool {
-	return k.book.Peers() > 0 && now-k.lastOK > k.timing.ResignAfter && now-k.heardAt > k.timing.ResignAfter
+func (k *Elector) alone(now clock.Micros) bool {
+	return k.book.PeerCount() > 0 && now-k.lastOK > k.timing.ResignAfter && now-k.heardAt > k.timing.ResignAfter
 }
 
 // SetUnreachable tells whether this controller is cut off from the workers.
-func (k *Keeper) SetUnreachable(unreachable bool) {
+func (k *Elector) SetUnreachable(unreachable bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unreachable = unreachable
@@ -154,20 +154,20 @@
 }
 
 // RemoveResigned removes the registration of a peer's incarnation that has resigned.
-func (k *Keeper) RemoveResigned(ctx context.Context, host, incarnation string) {
+func (k *Elector) RemoveResigned(ctx context.Context, host, incarnation string) {
 	k.mu.Lock()
-	inc, stamp := k.book.RegisteredOf(host)
+	inc, stamp := k.book.Registered(host)
 	k.mu.Unlock()
 	if incarnation == "" || inc != incarnation {
 		return
 	}
-	_, err := k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.Nodes + host, ModRevision: stamp}},
-		Operations: []wire.Operation{{Drop: state.Nodes + host}}})
+	_, err := k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.ControllerPrefix + host, ModRevision: stamp}},
+		Operations: []wire.Operation{{Drop: state.ControllerPrefix + host}}})
 	k.log.Info("removed the registration of a resigned controller", "host", host, "err", err)
 }
 
 // Run keeps the registration and takes claims until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Elector) Run(ctx context.Context) error {
 	for tries := 0; ctx.Err() == nil; {
 		if inc, _ := k.current(); inc == "" {
 			if err := k.register(ctx); err != nil {
@@ -185,13 +185,13 @@
 	return nil
 }
 
-func (k *Keeper) current() (string, uint64) {
+func (k *Elector) current() (string, uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Incarnation()
 }
 
-func (k *Keeper) sleep(ctx context.Context, d time.Duration) {
+func (k *Elector) sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -204,8 +204,8 @@
 // register makes a hold and puts a new incarnation under this host's key. The
 // write is conditional on the key as read, so that a late copy of an old
 // process's write can't undo it.
-func (k *Keeper) register(ctx context.Context) error {
-	key := state.Nodes + k.book.host
+func (k *Elector) register(ctx context.Context) error {
+	key := state.ControllerPrefix + k.book.host
 	it, _, err := k.store.Get(ctx, key)
 	if err != nil {
 		return err
@@ -226,14 +226,14 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.book.Begin(inc, hold, k.limit(sent))
+	k.book.StartIncarnation(inc, hold, k.limit(sent))
 	k.lastOK = sent
 	k.log.Info("registered", "incarnation", inc)
 	return nil
 }
 
 // limit is until when a hold confirmed by a request sent at a time surely lasts.
-func (k *Keeper) limit(sent clock.Micros) clock.Micros {
+func (k *Elector) limit(sent clock.Micros) clock.Micros {
 	return sent + k.timing.TTL.LessDrift() - 300*clock.Millisecond
 }
 
@@ -241,23 +241,23 @@
 // hold: giving up sooner would lose every duty to it, and all in vain.
 const extendTimeout = 3 * time.Second
 
-func (k *Keeper) step(ctx context.Context) {
+func (k *Elector) step(ctx context.Context) {
 	inc, hold := k.current()
 	now := k.clock.Now()
 	k.mu.Lock()
-	lapsed := inc != "" && !k.book.Confirmed(now)
+	lapsed := inc != "" && !k.book.LeaseValid(now)
 	if lapsed {
 		k.resigned = k.book.Resign()
 	}
-	due := now-k.lastOK >= k.timing.Renew
-	wanted := k.book.Wanted(now, k.timing.Grace)
+	due := now-k.lastOK >= k.timing.RenewInterval
+	wanted := k.book.Campaign(now, k.timing.TakeoverGrace)
 	var give []Write
 	if !lapsed && now >= k.gaveAt+clock.Second {
-		if give = k.book.HandOver(now, k.timing.Settle); len(give) > 0 {
+		if give = k.book.TransferLeadership(now, k.timing.TransferDelay); len(give) > 0 {
 			k.gaveAt = now
 		}
 	}
-	note, noting := k.book.Note(k.unreachable)
+	note, noting := k.book.ReachabilityUpdate(k.unreachable)
 	k.mu.Unlock()
 	if lapsed {
 		k.log.Info("the hold could not be confirmed in time: duties given up", "incarnation", inc)
@@ -268,12 +268,12 @@
 		switch {
 		case err == nil:
 			k.mu.Lock()
-			k.book.Extend(inc, k.limit(now))
+			k.book.ExtendLease(inc, k.limit(now))
 			if k.lastOK < now {
 				k.lastOK = now
 			}
 			k.mu.Unlock()
-		case errors.Is(err, state.ErrNoHold):
+		case errors.Is(err, state.ErrLeaseNotFound):
 			k.mu.Lock()
 			if cur, _ := k.book.Incarnation(); cur == inc {
 				k.resigned = k.book.Resign()
@@ -294,13 +294,13 @@
 	var wg sync.WaitGroup
 	for _, w := range give {
 		wg.Go(func() {
-			_, err := k.store.Commit(ctx, w.Multi)
+			_, err := k.store.Commit(ctx, w.Txn)
 			k.log.Info("handed a duty over", "duty", w.Duty, "err", err)
 		})
 	}
 	for _, w := range wanted {
 		wg.Go(func() {
-			if _, err := k.store.Commit(ctx, w.Multi); err != nil {
+			if _, err := k.store.Commit(ctx, w.Txn); err != nil {
 				k.log.Debug("taking a claim", "duty", w.Duty, "err", err)
 			} else {
 				k.log.Info("took a claim", "duty", w.Duty)
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -20,8 +20,8 @@
 	until time.Time
 }
 
-// State is a state service in memory. Its holds run by the time of the test's bubble.
-type State struct {
+// KVStore is a state service in memory. Its holds run by the time of the test's bubble.
+type KVStore struct {
 	mu      sync.Mutex
 	keys    map[string]wire.Item
 	log     []wire.Change
@@ -39,46 +39,46 @@
 	late    []wire.Txn
 }
 
-// NewState makes an empty state service.
-func NewState() *State {
-	return &State{keys: map[string]wire.Item{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
+// NewKVStore makes an empty state service.
+func NewKVStore() *KVStore {
+	return &KVStore{keys: map[string]wire.Item{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
 }
 
-// View is one controller's way to the state service; it can be cut off alone.
-type View struct {
-	*State
+// KVClient is one controller's way to the state service; it can be cut off alone.
+type KVClient struct {
+	*KVStore
 	cut bool
 }
 
 // SetCut lets this controller alone be refused, or served again.
-func (v *View) SetCut(cut bool) {
+func (v *KVClient) SetCut(cut bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.cut = cut
 }
 
 // SetLimits bounds the changes of a transaction, four times as many conditions, and the bytes of a value.
-func (s *State) SetLimits(ops, bytes int) {
+func (s *KVStore) SetLimits(ops, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mostOps, s.mostBytes = ops, bytes
 }
 
 // SetMute lets transactions be executed without an answer.
-func (s *State) SetMute(mute bool) {
+func (s *KVStore) SetMute(mute bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mute = mute
 }
 
 // SetCapture keeps transactions back, without an answer, until Release.
-func (s *State) SetCapture(capture bool) {
+func (s *KVStore) SetCapture(capture bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capture = capture
 }
 
-func (s *State) expire() {
+func (s *KVStore) expire() {
 	for id, h := range s.holds {
 		if time.Now().After(h.until) {
 			s.end(id)
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *State) end(id uint64) {
+func (s *KVStore) end(id uint64) {
 	delete(s.holds, id)
 	for k, it := range s.keys {
 		if it.LeaseID == id {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (s *State) drop(k string) {
+func (s *KVStore) drop(k string) {
 	if _, ok := s.keys[k]; ok {
 		delete(s.keys, k)
 		s.log = append(s.log, wire.Change{Drop: k, ModRevision: s.rev})
@@ -104,13 +104,13 @@
 	s.tell()
 }
 
-func (s *State) tell() {
+func (s *KVStore) tell() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // SetDown starts or ends an outage. Once it is over every hold has its full time again.
-func (s *State) SetDown(down bool) {
+func (s *KVStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
@@ -121,7 +121,7 @@
 	s.down = down
 }
 
-func (v *View) refused() error {
+func (v *KVClient) refused() error {
 	if v.cut || v.down {
 		return fmt.Errorf("%w: status 503", state.ErrRefused)
 	}
@@ -129,7 +129,7 @@
 }
 
 // Get reads a key.
-func (v *View) Get(_ context.Context, key string) (wire.Item, bool, error) {
+func (v *KVClient) Get(_ context.Context, key string) (wire.Item, bool, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -141,7 +141,7 @@
 }
 
 // List reads all keys with a prefix.
-func (v *View) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
+func (v *KVClient) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -159,7 +159,7 @@
 }
 
 // Watch waits for changes. During an outage it stays open.
-func (v *View) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+func (v *KVClient) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	deadline := time.Now().Add(block)
 	for {
 		v.mu.Lock()
@@ -189,7 +189,7 @@
 }
 
 // Commit carries out a transaction.
-func (v *View) Commit(_ context.Context, m wire.Txn) (uint64, error) {
+func (v *KVClient) Commit(_ context.Context, m wire.Txn) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -197,17 +197,17 @@
 	}
 	if v.capture {
 		v.late = append(v.late, m)
-		return 0, state.ErrUnknown
+		return 0, state.ErrOutcomeUnknown
 	}
 	rev, err := v.apply(m)
 	if v.mute {
-		return 0, state.ErrUnknown
+		return 0, state.ErrOutcomeUnknown
 	}
 	return rev, err
 }
 
 // CommitAt is Commit, with a word right before.
-func (v *View) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+func (v *KVClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
 	}
@@ -215,7 +215,7 @@
 }
 
 // Release carries out the transactions that were kept back, and tells how many held.
-func (s *State) Release() (applied int) {
+func (s *KVStore) Release() (applied int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.late {
@@ -227,7 +227,7 @@
 	return applied
 }
 
-func (s *State) apply(m wire.Txn) (uint64, error) {
+func (s *KVStore) apply(m wire.Txn) (uint64, error) {
 	s.expire()
 	for _, c := range m.Conditions {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
@@ -268,10 +268,10 @@
 }
 
 // Spare always has room.
-func (v *View) HasSpareWrites(int) bool { return true }
+func (v *KVClient) HasSpareWrites(int) bool { return true }
 
 // Grant makes a hold.
-func (v *View) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
+func (v *KVClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -283,7 +283,7 @@
 }
 
 // Extend renews a hold.
-func (v *View) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
+func (v *KVClient) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refused(); err != nil {
@@ -292,7 +292,7 @@
 	v.expire()
 	h := v.holds[id]
 	if h == nil {
-		return state.ErrNoHold
+		return state.ErrLeaseNotFound
 	}
 	h.until = time.Now().Add(h.ttl)
 	return nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,7 +27,7 @@
 
 // Claims tells whether the fleet is held.
 type Claims interface {
-	Leading(duty string) (claim.Held, bool)
+	Leading(duty string) (claim.Leadership, bool)
 }
 
 // Store takes transactions.
@@ -121,7 +121,7 @@
 	f.fetched, f.listed, f.unlisted, f.listAgain = 0, 0, 0, 0
 }
 
-func (f *Fleet) step(ctx context.Context, h claim.Held) {
+func (f *Fleet) step(ctx context.Context, h claim.Leadership) {
 	now := f.clock.Now()
 	if f.fetched == 0 || now > f.fetched+30*clock.Second {
 		f.fetchCatalog(ctx, h, now)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -90,8 +90,8 @@
 
 type held struct{ term uint64 }
 
-func (h *held) Leading(string) (claim.Held, bool) {
-	return claim.Held{Record: claim.Record{Term: h.term}}, h.term > 0
+func (h *held) Leading(string) (claim.Leadership, bool) {
+	return claim.Leadership{Record: claim.Record{Term: h.term}}, h.term > 0
 }
 
 func newFleet(t *testing.T) (*Fleet, *cloud, *others, *held) {
@@ -117,7 +117,7 @@
 		return err == nil
 	}, time.Minute, 5*time.Millisecond)
 	o, h := &others{}, &held{term: 3}
-	f := New(NewCloud(addr, 10_000, 1<<20), h, &fakes.View{State: fakes.NewState()}, o, clock.NewSteady(),
+	f := New(NewCloud(addr, 10_000, 1<<20), h, &fakes.KVClient{KVStore: fakes.NewKVStore()}, o, clock.NewSteady(),
 		Knobs{IdleReturn: 60 * clock.Second, BootPatience: 3}, 12*clock.Second, 8*clock.Second, clock.Second, time.Now, func() wire.Catalog { return wire.Catalog{} }, quiet)
 	f.begin(3)
 	return f, c, o, h
@@ -132,7 +132,7 @@
 		f.begin(term)
 		for range 3 {
 			f.rented = map[string]Rented{} // as if none had come
-			f.step(t.Context(), claim.Held{Record: claim.Record{Term: term}})
+			f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: term}})
 		}
 	}
 	c.with(func() {
@@ -159,9 +159,9 @@
 			return 200, wire.HostList{Hosts: []string{"m-1"}}
 		}
 	})
-	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 	c.with(func() { require.Equal(t, []bool{true, false}, kinds) })
-	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 	c.with(func() {
 		require.Equal(t, []bool{true, false}, kinds, "the machine is on its way, though the list lags")
 	})
@@ -175,10 +175,10 @@
 		c.listed = []wire.Instance{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
 	})
 	o.views = []peer.MachineView{{ID: "m-7", Type: "big", Zone: "a", Accounted: true, Usable: true, Idle: 90 * clock.Second}}
-	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 	c.with(func() { require.Empty(t, c.returned, "its owner has not set it aside") })
 	o.ready = []string{"m-7"}
-	f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 	c.with(func() { require.Equal(t, []string{"m-7"}, c.returned) })
 	require.Equal(t, []string{"m-7"}, o.gone)
 }
@@ -195,7 +195,7 @@
 	} {
 		c.with(func() { c.answer = a })
 		f.refused = map[Kind]clock.Micros{}
-		f.step(t.Context(), claim.Held{Record: claim.Record{Term: 3}})
+		f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 		require.Empty(t, f.rented)
 	}
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -15,15 +15,15 @@
 
 // fetchCatalog reads the catalog, and keeps it in the state service so that a
 // controller that starts while the cloud is out can decide.
-func (f *Fleet) fetchCatalog(ctx context.Context, h claim.Held, now clock.Micros) {
+func (f *Fleet) fetchCatalog(ctx context.Context, h claim.Leadership, now clock.Micros) {
 	var c wire.Catalog
 	if err := f.cloud.call(ctx, "GET", wire.PathCatalog, nil, &c); err != nil || len(c.Types) == 0 {
 		f.log.Info("reading the catalog", "err", err)
 		return
 	}
 	f.catalog, f.fetched = c, now
-	if _, err := f.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty, ModRevision: h.Stamp}},
-		Operations: []wire.Operation{{Put: state.Catalog, Value: c}}}); err != nil {
+	if _, err := f.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty, ModRevision: h.ModRevision}},
+		Operations: []wire.Operation{{Put: state.CatalogKey, Value: c}}}); err != nil {
 		f.log.Info("keeping the catalog", "err", err)
 		f.fetched = now - 27*clock.Second
 	}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -111,7 +111,7 @@
 }
 
 // stepZones decides, and writes what has changed.
-func (f *Fleet) stepZones(ctx context.Context, h claim.Held, demands []peer.Demand, now clock.Micros) {
+func (f *Fleet) stepZones(ctx context.Context, h claim.Leadership, demands []peer.Demand, now clock.Micros) {
 	z := &f.zones
 	evidence := z.watch.Source.ZoneEvidence()
 	z.mu.Lock()
@@ -129,18 +129,18 @@
 
 // saveZones writes what is not on record yet, each on the condition of the fleet's claim and of the
 // key's stamp as last known: a late copy, or a former holder's write, changes nothing.
-func (f *Fleet) saveZones(ctx context.Context, h claim.Held) error {
+func (f *Fleet) saveZones(ctx context.Context, h claim.Leadership) error {
 	z := &f.zones
 	z.mu.Lock()
 	if z.decider == nil {
 		z.mu.Unlock()
 		return ErrNotHolder
 	}
-	m := wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty, ModRevision: h.Stamp}}}
+	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty, ModRevision: h.ModRevision}}}
 	records := z.decider.Records()
 	names := slices.Sorted(maps.Keys(z.unsaved))
 	for _, name := range names {
-		key := state.Zones + name
+		key := state.ZonePrefix + name
 		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.stamps[name]})
 		m.Operations = append(m.Operations, wire.Operation{Put: key, Value: records[name]})
 	}
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -29,8 +29,8 @@
 
 func (w *zoneWorld) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
 func (w *zoneWorld) ZoneRecords() map[string]ZoneRecord     { return w.records }
-func (w *zoneWorld) Leading(string) (claim.Held, bool) {
-	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 7}, true
+func (w *zoneWorld) Leading(string) (claim.Leadership, bool) {
+	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 7}, true
 }
 
 var errNoAnswer = errors.New("no answer")
@@ -45,7 +45,7 @@
 	w.rev++
 	for _, op := range m.Operations {
 		w.stamps[op.Put] = w.rev
-		w.records[op.Put[len(state.Zones):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
+		w.records[op.Put[len(state.ZonePrefix):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
 	}
 	if w.lose {
 		w.lose = false
@@ -56,7 +56,7 @@
 
 func newZoneWorld() (*zoneWorld, *Fleet) {
 	w := &zoneWorld{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
-		stamps: map[string]uint64{state.Claims + Duty: 7}, rev: 10}
+		stamps: map[string]uint64{state.LeaderPrefix + Duty: 7}, rev: 10}
 	f := &Fleet{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
 	f.WatchZones(ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
 		ReturnAfter: clock.Second, ReturnMost: clock.Second}})
@@ -81,9 +81,9 @@
 	require.Equal(t, zone.Lost, w.records["b"].State)
 	require.NotEmpty(t, w.commits)
 	for _, m := range w.commits {
-		require.Equal(t, wire.Condition{Key: state.Claims + Duty, ModRevision: 7}, m.Conditions[0])
+		require.Equal(t, wire.Condition{Key: state.LeaderPrefix + Duty, ModRevision: 7}, m.Conditions[0])
 		require.Len(t, m.Conditions, 1+len(m.Operations))
-		require.Equal(t, state.Zones+"b", m.Conditions[1].Key)
+		require.Equal(t, state.ZonePrefix+"b", m.Conditions[1].Key)
 	}
 	before := w.records["b"]
 	for _, late := range w.commits {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -45,7 +45,7 @@
 	store   Store
 	placers Placers
 	others  Others
-	book    *jobs.Book
+	book    *jobs.Cache
 	limits  map[string]res.Amounts
 	hasty   map[string]clock.Micros // classes whose tasks should start within so long
 	most    int                     // bytes of a record
@@ -59,7 +59,7 @@
 
 // New makes a front; limits holds each team's limit, an amount of 0 meaning none;
 // most is how large a record may be; hasty names the classes whose tasks should start within a time.
-func New(store Store, placers Placers, others Others, book *jobs.Book, limits map[string]res.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Front {
+func New(store Store, placers Placers, others Others, book *jobs.Cache, limits map[string]res.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Front {
 	return &Front{store: store, placers: placers, others: others, book: book, limits: limits, hasty: hasty, most: most, wall: wall, log: log}
 }
 
@@ -182,7 +182,7 @@
 	// Some begin at once: a watermark would only be one more write to wait for. And of a
 	// swarm of small jobs each would cost as much as a large one.
 	_, hasty := f.hasty[spec.Class]
-	rec.Marked = hasty || spec.Tasks <= fewTasks
+	rec.Watermarked = hasty || spec.Tasks <= fewTasks
 	if b, err := json.Marshal(rec); err != nil || len(b) > f.most {
 		return refuse(400, "the job takes more than a record can hold")
 	}
@@ -193,15 +193,15 @@
 		return refuse(503, "the job can't be stored now")
 	}
 	_, err = f.store.Commit(ctx, wire.Txn{
-		Conditions: []wire.Condition{{Key: state.Active + spec.ID}, {Key: state.Final + spec.ID}},
-		Operations: []wire.Operation{{Put: state.Active + spec.ID, Value: rec}}})
+		Conditions: []wire.Condition{{Key: state.ActiveJobPrefix + spec.ID}, {Key: state.FinalJobPrefix + spec.ID}},
+		Operations: []wire.Operation{{Put: state.ActiveJobPrefix + spec.ID, Value: rec}}})
 	switch {
 	case err == nil:
 		return httpx.JSON(201, map[string]string{"id": spec.ID, "phase": wire.Pending})
 	case errors.Is(err, state.ErrConflict):
 		return f.get(ctx, spec.ID) // known already
 	}
-	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrBudget) {
+	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrBudgetExhausted) {
 		f.setOut()
 	}
 	f.log.Debug("accepting a job", "job", spec.ID, "err", err)
@@ -246,7 +246,7 @@
 // active record. The active one is read first: when it is gone because the job
 // became final, the final one is there.
 func (f *Front) look(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
-	it, found, err := f.store.Get(ctx, state.Active+id)
+	it, found, err := f.store.Get(ctx, state.ActiveJobPrefix+id)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -256,12 +256,12 @@
 			return nil, nil, err
 		}
 		if end, over := rec.End(); over {
-			f.book.Keep(id, end)
+			f.book.AddFinal(id, end)
 			return &end, nil, nil
 		}
 		return nil, &rec, nil
 	}
-	it, found, err = f.store.Get(ctx, state.Final+id)
+	it, found, err = f.store.Get(ctx, state.FinalJobPrefix+id)
 	if err != nil || !found {
 		return nil, nil, err
 	}
@@ -269,7 +269,7 @@
 	if err := json.Unmarshal(it.Value, &s); err != nil {
 		return nil, nil, err
 	}
-	f.book.Keep(id, s)
+	f.book.AddFinal(id, s)
 	return &s, nil, nil
 }
 
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -69,46 +69,46 @@
 // The release before machines shared keys left records of one machine to a key, which are read
 // until their machines are gone.
 func TestMachineRecordOfItsOwnKeyIsRead(t *testing.T) {
-	b := machines.NewBook()
+	b := machines.NewRecords()
 	value := golden(t, "records/machine_of_own_key.json", func() []byte {
 		return []byte(`{"addr":"10.0.0.1:7000","type":"large","zone":"a","spot":true}` + "\n")
 	})
-	came, went := b.Apply(state.Event{Key: "ml/m/m-1", Value: value, Stamp: 7})
+	came, went := b.Apply(state.Event{Key: "ml/m/m-1", Value: value, ModRevision: 7})
 	require.Empty(t, went)
 	require.Equal(t, machines.Group{"m-1": {Addr: "10.0.0.1:7000", Type: "large", Zone: "a", Spot: true}}, came)
-	require.True(t, b.Legacy())
+	require.True(t, b.HasLegacy())
 }
 
 // Keys are found by their prefixes and names: a key of another form would be a record lost.
 func TestKeysKeepTheirForm(t *testing.T) {
 	keys := map[string]string{
-		"root": state.Root, "claims": state.Claims, "nodes": state.Nodes, "active": state.Active,
-		"final": state.Final, "machines": state.Machines, "progress": state.Progress,
-		"watermarks": state.Watermarks, "catalog": state.Catalog, "zones": state.Zones,
-		"claim of a team":            state.Claims + placer.Duty("team/ü 1"),
-		"claim of a partition":       state.Claims + owner.Duty(7),
-		"claim of the fleet":         state.Claims + fleet.Duty,
-		"machines of group 0":        machines.NewBook().Plan(7, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
-		"machines of partition 1234": machines.NewBook().Plan(1234, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
+		"root": state.RootPrefix, "claims": state.LeaderPrefix, "nodes": state.ControllerPrefix, "active": state.ActiveJobPrefix,
+		"final": state.FinalJobPrefix, "machines": state.MachinePrefix, "progress": state.ProgressPrefix,
+		"watermarks": state.WatermarkPrefix, "catalog": state.CatalogKey, "zones": state.ZonePrefix,
+		"claim of a team":            state.LeaderPrefix + placer.Duty("team/ü 1"),
+		"claim of a partition":       state.LeaderPrefix + owner.Duty(7),
+		"claim of the fleet":         state.LeaderPrefix + fleet.Duty,
+		"machines of group 0":        machines.NewRecords().PlanWrites(7, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
+		"machines of partition 1234": machines.NewRecords().PlanWrites(1234, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
 	}
 	group := machines.Group{}
 	for i := range 33 {
 		group[strings.Repeat("m", i+1)] = machines.Record{}
 	}
-	plan := machines.NewBook().Plan(7, group, nil, 1<<16)
+	plan := machines.NewRecords().PlanWrites(7, group, nil, 1<<16)
 	require.Len(t, plan, 2)
 	keys["machines of group 1"] = plan[1].Key
 
 	// The writes of a controller that registers itself as cut off, and takes a claim.
-	b := claim.NewBook("host-1", []string{"host-1"}, []string{"fleet"}, 0)
-	b.Begin("host-1#1", 5, 1<<40)
-	b.Apply(state.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), Stamp: 3})
-	note, ok := b.Note(true)
+	b := claim.NewElection("host-1", []string{"host-1"}, []string{"fleet"}, 0)
+	b.StartIncarnation("host-1#1", 5, 1<<40)
+	b.Apply(state.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), ModRevision: 3})
+	note, ok := b.ReachabilityUpdate(true)
 	require.True(t, ok)
 	keys["registration"] = note.Operations[0].Put
-	wanted := b.Wanted(1<<30, 0)
+	wanted := b.Campaign(1<<30, 0)
 	require.Len(t, wanted, 1)
-	keys["claim"] = wanted[0].Multi.Operations[0].Put
+	keys["claim"] = wanted[0].Txn.Operations[0].Put
 
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -289,9 +289,9 @@
 
 // Users see statuses, bodies and Retry-After; these are the bytes of the answers.
 func TestAnswersToUsersKeepForm(t *testing.T) {
-	view := &fakes.View{State: fakes.NewState()}
+	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	placer := &wirePlacer{err: errors.New("nobody")}
-	book := jobs.NewBook()
+	book := jobs.NewCache()
 	f := front.New(view, placer, wireAlone{}, book, map[string]res.Amounts{"t": res.Have(64, 0, 0)}, nil, 4096,
 		func() time.Time { return time.UnixMilli(0) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var out strings.Builder
@@ -310,7 +310,7 @@
 	ask("not cancelled yet", "POST", "/job-1/withdraw", "")
 	placer.err, placer.answer = nil, peer.JobAnswer{Known: true, Found: true, State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
 	ask("cancelled", "POST", "/job-1/withdraw", "")
-	book.Keep("job-2", jobs.Final{Phase: wire.Done, Team: "t", Tasks: 5})
+	book.AddFinal("job-2", jobs.Final{Phase: wire.Done, Team: "t", Tasks: 5})
 	ask("done", "GET", "/job-2", "")
 	ask("done cancelled", "POST", "/job-2/withdraw", "")
 	ask("done submitted again", "POST", "", strings.Replace(wireJob, "job-1", "job-2", 1))
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -17,34 +17,34 @@
 type Record struct {
 	wire.Job
 	AcceptedMS int64 `json:"accepted_ms"` // time of day at the accepting controller
-	// Marked jobs may be begun without a mark of their own: each of their tasks
+	// Watermarked jobs may be begun without a mark of their own: each of their tasks
 	// counts as asked for from the acceptance on.
-	Marked bool `json:"marked,omitempty"`
-	// Over is the phase that the job ended in. Only where a transaction takes a
+	Watermarked bool `json:"marked,omitempty"`
+	// EndPhase is the phase that the job ended in. Only where a transaction takes a
 	// single change does the end stand here: elsewhere the record is replaced by a Final.
-	Over string `json:"over,omitempty"`
+	EndPhase string `json:"over,omitempty"`
 }
 
 // End is the final state of a job whose record tells that it is over.
 func (r *Record) End() (f Final, over bool) {
-	return Final{Phase: r.Over, Team: r.Team, Tasks: r.Tasks}, r.Over != ""
+	return Final{Phase: r.EndPhase, Team: r.Team, Tasks: r.Tasks}, r.EndPhase != ""
 }
 
 // Job is an accepted job that is not final.
 type Job struct {
 	Record
-	Stamp uint64 // of its record: grows with the order of acceptance
-	Need  res.Amounts
-	Level int
+	ModRevision   uint64 // of its record: grows with the order of acceptance
+	Need          res.Amounts
+	PriorityLevel int
 }
 
 // New makes a job from its record.
 func New(spec Record, stamp uint64) *Job {
-	return &Job{Record: spec, Stamp: stamp, Need: res.Need(spec.CPUs, spec.GPUs, spec.MemGB), Level: wire.PriorityLevel(spec.Priority)}
+	return &Job{Record: spec, ModRevision: stamp, Need: res.Need(spec.CPUs, spec.GPUs, spec.MemGB), PriorityLevel: wire.PriorityLevel(spec.Priority)}
 }
 
-// Grace is how long a task of the job may save when it is stopped.
-func (j *Job) Grace() float64 {
+// StopGraceS is how long a task of the job may save when it is stopped.
+func (j *Job) StopGraceS() float64 {
 	if j.CheckpointIntervalS > 0 {
 		return j.CheckpointDurationS + 0.1
 	}
@@ -70,8 +70,8 @@
 // maxFinals bounds the cache of final states; older ones are read again.
 const maxFinals = 20_000
 
-// Book holds the view.
-type Book struct {
+// Cache holds the view.
+type Cache struct {
 	mu     sync.RWMutex
 	active map[string]*Job
 	finals map[string]Final
@@ -80,14 +80,14 @@
 	ended  func(id string, f Final)
 }
 
-// NewBook makes an empty view.
-func NewBook() *Book { return &Book{active: map[string]*Job{}, finals: map[string]Final{}} }
+// NewCache makes an empty view.
+func NewCache() *Cache { return &Cache{active: map[string]*Job{}, finals: map[string]Final{}} }
 
 // Apply takes one event of the replica.
-func (b *Book) Apply(e state.Event) {
+func (b *Cache) Apply(e state.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if id, ok := strings.CutPrefix(e.Key, state.Active); ok {
+	if id, ok := strings.CutPrefix(e.Key, state.ActiveJobPrefix); ok {
 		if e.Value == nil {
 			delete(b.active, id)
 			return
@@ -101,8 +101,8 @@
 			b.keep(id, f)
 			return
 		}
-		b.active[id] = New(spec, e.Stamp)
-	} else if id, ok := strings.CutPrefix(e.Key, state.Final); ok && e.Value != nil {
+		b.active[id] = New(spec, e.ModRevision)
+	} else if id, ok := strings.CutPrefix(e.Key, state.FinalJobPrefix); ok && e.Value != nil {
 		var f Final
 		if json.Unmarshal(e.Value, &f) == nil && f.Phase != "" {
 			b.keep(id, f)
@@ -112,9 +112,9 @@
 
 // OnEnd has a listener told of each final state when it is first known here. It is called before
 // the book is used, and the listener must not use the book.
-func (b *Book) OnEnd(ended func(id string, f Final)) { b.ended = ended }
+func (b *Cache) OnEnd(ended func(id string, f Final)) { b.ended = ended }
 
-func (b *Book) keep(id string, f Final) {
+func (b *Cache) keep(id string, f Final) {
 	if _, ok := b.finals[id]; !ok {
 		if b.ended != nil {
 			b.ended(id, f)
@@ -128,23 +128,23 @@
 	b.finals[id] = f
 }
 
-// Keep notes a final state that was read.
-func (b *Book) Keep(id string, f Final) {
+// AddFinal notes a final state that was read.
+func (b *Cache) AddFinal(id string, f Final) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.keep(id, f)
 }
 
 // Find gives an active job.
-func (b *Book) Active(id string) (*Job, bool) {
+func (b *Cache) Active(id string) (*Job, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	j, ok := b.active[id]
 	return j, ok
 }
 
-// Reach notes that all changes up to a revision have been applied.
-func (b *Book) Reach(rev uint64) {
+// AdvanceRevision notes that all changes up to a revision have been applied.
+func (b *Cache) AdvanceRevision(rev uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rev = max(b.rev, rev)
@@ -152,7 +152,7 @@
 
 // Over tells that a job whose record was made at a revision is over: its final state
 // is known, or the view is as new as the record and does not show it any more.
-func (b *Book) Ended(id string, made uint64) bool {
+func (b *Cache) Ended(id string, made uint64) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if _, final := b.finals[id]; final {
@@ -163,15 +163,15 @@
 }
 
 // Final gives the final state of a job, if it is known here.
-func (b *Book) Final(id string) (Final, bool) {
+func (b *Cache) Final(id string) (Final, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	f, ok := b.finals[id]
 	return f, ok
 }
 
-// OfTeam lists a team's active jobs.
-func (b *Book) OfTeam(team string) []*Job {
+// ActiveOfTeam lists a team's active jobs.
+func (b *Cache) ActiveOfTeam(team string) []*Job {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var out []*Job
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -56,8 +56,8 @@
 	*fleet
 	settings map[string]string // files, by host
 	running  map[string]*exec.Cmd
-	store    *fakes.State
-	views    map[string]*fakes.View // ways to the state service, by host
+	store    *fakes.KVStore
+	views    map[string]*fakes.KVClient // ways to the state service, by host
 	links    []peerLink
 	workers  []*worker
 }
@@ -74,7 +74,7 @@
 // newCluster starts a cluster, and gives it back once it is ready. Everything ends with ctx.
 func newCluster(ctx context.Context, s Setup, done func(task string)) (*cluster, error) {
 	c := &cluster{Setup: s, settings: map[string]string{}, running: map[string]*exec.Cmd{},
-		store: fakes.NewState(), views: map[string]*fakes.View{},
+		store: fakes.NewKVStore(), views: map[string]*fakes.KVClient{},
 		fleet: &fleet{clock: clock.NewSteady(), runFor: s.RunFor, controllers: map[string]string{}, hosts: []string{"a", "b", "c"},
 			began: map[string]clock.Micros{}, on: map[string]string{}, done: done}}
 	var machines []wire.Instance
@@ -153,7 +153,7 @@
 func (c *cluster) settingsOf(host string, cluster map[string]string) (*config.Settings, error) {
 	set := &config.Settings{Host: host, Zone: c.zoneOf(host), Listen: c.controllers[host], PeerListen: cluster[host]}
 	var err error
-	c.views[host] = &fakes.View{State: c.store}
+	c.views[host] = &fakes.KVClient{KVStore: c.store}
 	if set.Services.State, err = serve(stateService(c.views[host])); err != nil {
 		return nil, err
 	}
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -42,7 +42,7 @@
 const keysMost = 1000
 
 // stateService answers one controller as the state service, over a store in memory.
-func stateService(view *fakes.View) http.Handler {
+func stateService(view *fakes.KVClient) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -45,20 +45,20 @@
 	return g.stamp
 }
 
-// Book knows the groups as the state service last showed them, or as their
+// Records knows the groups as the state service last showed them, or as their
 // writer knows them to be.
-type Book struct {
+type Records struct {
 	groups map[string]group
 	at     map[string]string // the key that a machine is recorded under
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{groups: map[string]group{}, at: map[string]string{}} }
+// NewRecords makes an empty book.
+func NewRecords() *Records { return &Records{groups: map[string]group{}, at: map[string]string{}} }
 
 // Apply takes one event of the replica and tells which machines came and went.
 // Older words than the newest known change nothing.
-func (b *Book) Apply(e state.Event) (came Group, went []string) {
-	if !strings.HasPrefix(e.Key, state.Machines) || e.Stamp < b.groups[e.Key].stamp {
+func (b *Records) Apply(e state.Event) (came Group, went []string) {
+	if !strings.HasPrefix(e.Key, state.MachinePrefix) || e.ModRevision < b.groups[e.Key].stamp {
 		return nil, nil
 	}
 	g := Group{}
@@ -67,9 +67,9 @@
 		if !legacyKey(e.Key) || json.Unmarshal(e.Value, &r) != nil || r.Type == "" {
 			return nil, nil // not understood: what was known stays
 		}
-		g = Group{strings.TrimPrefix(e.Key, state.Machines): {Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
+		g = Group{strings.TrimPrefix(e.Key, state.MachinePrefix): {Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
 	}
-	return b.Set(e.Key, g, e.Stamp)
+	return b.Put(e.Key, g, e.ModRevision)
 }
 
 // earlier is the record of the release before machines shared keys: one to a
@@ -83,12 +83,12 @@
 
 // legacyKey tells a key of that release from one of a partition's groups.
 func legacyKey(key string) bool {
-	return !strings.Contains(strings.TrimPrefix(key, state.Machines), "/")
+	return !strings.Contains(strings.TrimPrefix(key, state.MachinePrefix), "/")
 }
 
-// Legacy tells that there are machines which an earlier release has recorded:
+// HasLegacy tells that there are machines which an earlier release has recorded:
 // tasks may be on them of which its placers left no watermark.
-func (b *Book) Legacy() bool {
+func (b *Records) HasLegacy() bool {
 	for key, g := range b.groups {
 		if legacyKey(key) && len(g.machines) > 0 {
 			return true
@@ -97,8 +97,8 @@
 	return false
 }
 
-// Set notes what a key holds since a revision.
-func (b *Book) Set(key string, g Group, stamp uint64) (came Group, went []string) {
+// Put notes what a key holds since a revision.
+func (b *Records) Put(key string, g Group, stamp uint64) (came Group, went []string) {
 	old := b.groups[key].machines
 	for id := range old {
 		// A machine may have moved to another key in the same transaction.
@@ -122,7 +122,7 @@
 }
 
 // Find gives a machine's record.
-func (b *Book) Find(id string) (Record, bool) {
+func (b *Records) Find(id string) (Record, bool) {
 	key, ok := b.at[id]
 	if !ok {
 		return Record{}, false
@@ -131,7 +131,7 @@
 }
 
 // Each visits all machines that are recorded.
-func (b *Book) Each(visit func(id string, r Record)) {
+func (b *Records) Each(visit func(id string, r Record)) {
 	for id, key := range b.at {
 		visit(id, b.groups[key].machines[id])
 	}
@@ -140,18 +140,18 @@
 // Write is one key's new value, to be written on the condition of its stamp: a
 // late copy of an earlier write must not bring an older list back.
 type Write struct {
-	Key   string
-	Stamp uint64
-	Group Group
+	Key         string
+	ModRevision uint64
+	Group       Group
 }
 
-// Into adds the write and its condition to a transaction. A key without machines is dropped.
-func (w Write) Into(m *wire.Txn) {
+// AppendTo adds the write and its condition to a transaction. A key without machines is dropped.
+func (w Write) AppendTo(m *wire.Txn) {
 	op := wire.Operation{Put: w.Key, Value: w.Group}
 	if len(w.Group) == 0 {
 		op = wire.Operation{Drop: w.Key}
 	}
-	m.Conditions = append(m.Conditions, wire.Condition{Key: w.Key, ModRevision: w.Stamp})
+	m.Conditions = append(m.Conditions, wire.Condition{Key: w.Key, ModRevision: w.ModRevision})
 	m.Operations = append(m.Operations, op)
 }
 
@@ -166,9 +166,9 @@
 // perGroup bounds how many machines share a key, and what a change of one costs.
 const perGroup = 32
 
-// Plan gives the writes that record some machines of a partition and drop the
+// PlanWrites gives the writes that record some machines of a partition and drop the
 // records of others; a value takes at most so many bytes.
-func (b *Book) Plan(part int, fresh Group, drop []string, most int) []Write {
+func (b *Records) PlanWrites(part int, fresh Group, drop []string, most int) []Write {
 	next := map[string]Group{}
 	edit := func(key string) Group {
 		if next[key] == nil {
@@ -192,7 +192,7 @@
 		}
 		cost := r.cost(id)
 		for into == nil || len(into) >= perGroup || size+cost > most {
-			key := fmt.Sprintf("%s%03d/%d", state.Machines, part, n)
+			key := fmt.Sprintf("%s%03d/%d", state.MachinePrefix, part, n)
 			n++
 			into, size = edit(key), 0
 			for id, r := range into {
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -15,19 +15,19 @@
 // writer is an owner that records machines and hears of it through the replica.
 type writer struct {
 	t    *testing.T
-	view *fakes.View
-	book *Book
+	view *fakes.KVClient
+	book *Records
 }
 
 func (w *writer) commit(list []Write) error {
 	var m wire.Txn
 	for _, x := range list {
-		x.Into(&m)
+		x.AppendTo(&m)
 	}
 	rev, err := w.view.Commit(w.t.Context(), m)
 	if err == nil {
 		for _, x := range list {
-			w.book.Set(x.Key, x.Group, rev)
+			w.book.Put(x.Key, x.Group, rev)
 		}
 	}
 	return err
@@ -35,14 +35,14 @@
 
 // A thousand machines that come fifty at a time take a few dozen changes.
 func TestManyMachinesShareKeys(t *testing.T) {
-	w := &writer{t, &fakes.View{State: fakes.NewState()}, NewBook()}
+	w := &writer{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
 	writes := 0
 	for round := range 20 {
 		fresh := Group{}
 		for i := range 50 {
 			fresh[fmt.Sprintf("m-%03d%03d", round, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a"}
 		}
-		list := w.book.Plan(0, fresh, nil, 7000)
+		list := w.book.PlanWrites(0, fresh, nil, 7000)
 		writes += len(list)
 		require.NoError(t, w.commit(list))
 	}
@@ -51,8 +51,8 @@
 
 // What a follower reads is what was recorded, whatever comes and goes.
 func TestRecordsAreWhatIsThere(t *testing.T) {
-	st := fakes.NewState()
-	w := &writer{t, &fakes.View{State: st}, NewBook()}
+	st := fakes.NewKVStore()
+	w := &writer{t, &fakes.KVClient{KVStore: st}, NewRecords()}
 	rng := fakes.Rand(7)
 	there := Group{}
 	for round := range 60 {
@@ -65,7 +65,7 @@
 				drop = append(drop, id)
 			}
 		}
-		list := w.book.Plan(3, fresh, drop, 7000)
+		list := w.book.PlanWrites(3, fresh, drop, 7000)
 		for _, x := range list {
 			b, err := json.Marshal(x.Group)
 			require.NoError(t, err)
@@ -78,11 +78,11 @@
 		for _, id := range drop {
 			delete(there, id)
 		}
-		read := NewBook()
-		items, _, err := w.view.List(t.Context(), state.Machines)
+		read := NewRecords()
+		items, _, err := w.view.List(t.Context(), state.MachinePrefix)
 		require.NoError(t, err)
 		for _, it := range items {
-			read.Apply(state.Event{Key: it.Key, Value: it.Value, Stamp: it.ModRevision})
+			read.Apply(state.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
 		}
 		got := Group{}
 		read.Each(func(id string, r Record) { got[id] = r })
@@ -93,11 +93,11 @@
 // A write that seemed lost and is carried out late must not take machines off
 // the record that were put there since: they may hold tasks.
 func TestLateWriteBringsNoOldListBack(t *testing.T) {
-	st := fakes.NewState()
-	w := &writer{t, &fakes.View{State: st}, NewBook()}
-	require.NoError(t, w.commit(w.book.Plan(0, Group{"m-1": {Type: "big"}}, nil, 7000)))
-	late := w.book.Plan(0, Group{"m-2": {Type: "big"}}, nil, 7000) // sent, and no answer
-	require.NoError(t, w.commit(w.book.Plan(0, Group{"m-3": {Type: "big"}}, nil, 7000)))
+	st := fakes.NewKVStore()
+	w := &writer{t, &fakes.KVClient{KVStore: st}, NewRecords()}
+	require.NoError(t, w.commit(w.book.PlanWrites(0, Group{"m-1": {Type: "big"}}, nil, 7000)))
+	late := w.book.PlanWrites(0, Group{"m-2": {Type: "big"}}, nil, 7000) // sent, and no answer
+	require.NoError(t, w.commit(w.book.PlanWrites(0, Group{"m-3": {Type: "big"}}, nil, 7000)))
 	require.Error(t, w.commit(late))
 	_, found := w.book.Find("m-3")
 	require.True(t, found)
@@ -105,12 +105,12 @@
 
 // Old news of a key, after its writer knows better, take nothing off the record.
 func TestOldNewsChangeNothing(t *testing.T) {
-	b := NewBook()
-	b.Set(state.Machines+"000/0", Group{"m-1": {}, "m-2": {}}, 9)
-	came, went := b.Apply(state.Event{Key: state.Machines + "000/0", Value: json.RawMessage(`{"m-1":{}}`), Stamp: 8})
+	b := NewRecords()
+	b.Put(state.MachinePrefix+"000/0", Group{"m-1": {}, "m-2": {}}, 9)
+	came, went := b.Apply(state.Event{Key: state.MachinePrefix + "000/0", Value: json.RawMessage(`{"m-1":{}}`), ModRevision: 8})
 	require.Empty(t, came)
 	require.Empty(t, went)
-	came, went = b.Apply(state.Event{Key: state.Machines + "000/0", Stamp: 10})
+	came, went = b.Apply(state.Event{Key: state.MachinePrefix + "000/0", ModRevision: 10})
 	require.Empty(t, came)
 	require.Equal(t, []string{"m-1", "m-2"}, went)
 }
@@ -118,22 +118,22 @@
 // Records of the release before machines shared keys are read as they are, until
 // their machines are gone.
 func TestRecordsOfAnEarlierRelease(t *testing.T) {
-	w := &writer{t, &fakes.View{State: fakes.NewState()}, NewBook()}
+	w := &writer{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
 	old := map[string]any{"addr": "10.1.0.1:9000", "type": "big", "zone": "a", "spot": true}
-	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Machines + "m-000007", Value: old}}})
+	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.MachinePrefix + "m-000007", Value: old}}})
 	require.NoError(t, err)
 	raw, err := json.Marshal(old)
 	require.NoError(t, err)
-	came, _ := w.book.Apply(state.Event{Key: state.Machines + "m-000007", Value: raw, Stamp: rev})
+	came, _ := w.book.Apply(state.Event{Key: state.MachinePrefix + "m-000007", Value: raw, ModRevision: rev})
 	require.Equal(t, Group{"m-000007": {Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true}}, came)
-	require.True(t, w.book.Legacy())
-	require.NoError(t, w.commit(w.book.Plan(3, Group{"m-000008": {Addr: "x", Type: "big", Zone: "a"}}, nil, 7000)))
-	require.True(t, w.book.Legacy())
-	require.NoError(t, w.commit(w.book.Plan(3, nil, []string{"m-000007"}, 7000)))
-	require.False(t, w.book.Legacy())
+	require.True(t, w.book.HasLegacy())
+	require.NoError(t, w.commit(w.book.PlanWrites(3, Group{"m-000008": {Addr: "x", Type: "big", Zone: "a"}}, nil, 7000)))
+	require.True(t, w.book.HasLegacy())
+	require.NoError(t, w.commit(w.book.PlanWrites(3, nil, []string{"m-000007"}, 7000)))
+	require.False(t, w.book.HasLegacy())
 	_, there := w.book.Find("m-000007")
 	require.False(t, there)
-	_, found, err := w.view.Get(t.Context(), state.Machines+"m-000007")
+	_, found, err := w.view.Get(t.Context(), state.MachinePrefix+"m-000007")
 	require.NoError(t, err)
 	require.False(t, found)
 }
--- a/internal/node/answers_test.go
+++ b/internal/node/answers_test.go
@@ -113,9 +113,9 @@
 					}
 				}
 				c.setBefore(func(_ string, m wire.Txn) lot {
-					for _, prefix := range []string{state.Active, state.Final} {
+					for _, prefix := range []string{state.ActiveJobPrefix, state.FinalJobPrefix} {
 						if strings.Contains(puts(m), prefix) {
-							if prefix == state.Final {
+							if prefix == state.FinalJobPrefix {
 								ending <- strings.TrimPrefix(strings.Fields(puts(m))[0], prefix)
 							}
 							if c.note("a transaction")%2 == 0 {
@@ -188,8 +188,8 @@
 				require.GreaterOrEqual(t, ends[wire.Cancelled], many/3)
 				require.Equal(t, many, ends[wire.Done]+ends[wire.Cancelled])
 				if x.lot != served {
-					require.NotZero(t, c.count(state.Active+" in trouble"), "an acceptance had no answer")
-					require.NotZero(t, c.count(state.Final+" in trouble"), "an end had no answer")
+					require.NotZero(t, c.count(state.ActiveJobPrefix+" in trouble"), "an acceptance had no answer")
+					require.NotZero(t, c.count(state.FinalJobPrefix+" in trouble"), "an end had no answer")
 				}
 			})
 		})
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -56,7 +56,7 @@
 	slices.Sort(l.hosts)
 	for i := range min(partsPerController*p.Count, placer.MostParts(p.State.TxnOps)) {
 		l.partDuties = append(l.partDuties, owner.Duty(i))
-		l.partZones = append(l.partZones, zoneOf[claim.Preferred(l.hosts, i, 0)])
+		l.partZones = append(l.partZones, zoneOf[claim.PreferredLeader(l.hosts, i, 0)])
 	}
 	for _, t := range p.Teams {
 		team := placer.Team{Name: t.Name, Guarantee: res.Have(t.CPUs, t.GPUs, 0), Limit: res.Have(t.CPUsMax, t.GPUsMax, 0)}
@@ -85,11 +85,11 @@
 	instance := uuid.NewString()
 	valueMost := int(p.State.ValueKB * 1024 * recordShare)
 	n := &Node{
-		fresh: knobs.HoldRenew * 8 / 5, set: set, log: log, store: store, book: jobs.NewBook(), peers: peers,
+		fresh: knobs.HoldRenew * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
 		zones: zoneBook{records: map[string]fleet.ZoneRecord{}}, followZones: knobs.ZoneReturn,
 		contact: map[string]time.Time{}, told: map[string]told{}, loaded: make(chan struct{}),
 	}
-	n.keeper = claim.NewKeeper(claim.NewBook(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
+	n.keeper = claim.NewElector(claim.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
 	_, lines := set.Sockets()
 	n.owner = owner.New(ctx, owner.Options{
 		Host: set.Host, Instance: instance, Split: owner.NewSplit(l.partZones), TxnOps: p.State.TxnOps, ValueMost: valueMost,
@@ -151,8 +151,8 @@
 }
 
 func holdTiming(knobs *policy.Knobs) claim.Timing {
-	return claim.Timing{TTL: knobs.HoldTTL, Renew: knobs.HoldRenew, Grace: knobs.HoldGrace,
-		ResignAfter: knobs.ResignAfter, Settle: knobs.HandOver}
+	return claim.Timing{TTL: knobs.HoldTTL, RenewInterval: knobs.HoldRenew, TakeoverGrace: knobs.HoldGrace,
+		ResignAfter: knobs.ResignAfter, TransferDelay: knobs.HandOver}
 }
 
 func ownerTiming(set *config.Settings, knobs *policy.Knobs) owner.Timing {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -30,7 +30,7 @@
 // process is one life of a controller.
 type process struct {
 	*Node
-	view *fakes.View
+	view *fakes.KVClient
 	kill context.CancelFunc
 }
 
@@ -38,7 +38,7 @@
 // where time is virtual. Connections are calls; cut ones fail.
 type cluster struct {
 	t       *testing.T
-	st      *fakes.State
+	st      *fakes.KVStore
 	clock   clock.Clock
 	workers []*fakes.Worker
 	at      map[string]string // the controller that a worker reports to
@@ -152,8 +152,8 @@
 }
 
 func newClusterWith(t *testing.T, workers int, given *cluster) *cluster {
-	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewState(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
-	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Catalog, Value: wire.Catalog{
+	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewKVStore(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
+	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.CatalogKey, Value: wire.Catalog{
 		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
@@ -206,7 +206,7 @@
 	knobs, err := policy.Parse(script, set)
 	require.NoError(c.t, err)
 	ctx, kill := context.WithCancel(c.t.Context())
-	p := &process{view: &fakes.View{State: c.st}, kill: kill}
+	p := &process{view: &fakes.KVClient{KVStore: c.st}, kill: kill}
 	way := held{p.view, c, host}
 	p.Node = assemble(ctx, set, knobs, way, way, way, peers, fakes.Seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.mu.Lock()
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -127,7 +127,7 @@
 				case "in flight":
 					c.unreachable[leader] = true
 					c.setBefore(func(host string, m wire.Txn) lot {
-						if host == via && strings.Contains(puts(m), state.Final+"job-1") && c.note("the end was on its way") == 1 {
+						if host == via && strings.Contains(puts(m), state.FinalJobPrefix+"job-1") && c.note("the end was on its way") == 1 {
 							refuse()
 							c.unreachable[leader] = false
 						}
@@ -153,7 +153,7 @@
 					c.unreachable[leader] = false
 				}
 				time.Sleep(400 * time.Millisecond)
-				_, _, err := c.up[leader].view.Get(t.Context(), state.Final+"job-1")
+				_, _, err := c.up[leader].view.Get(t.Context(), state.FinalJobPrefix+"job-1")
 				require.ErrorIs(t, err, state.ErrRefused)
 				c.st.SetDown(true)
 				c.run(60*time.Second, 0)
@@ -182,7 +182,7 @@
 				c := busyCluster(t)
 				leader := c.leader()
 				c.setBefore(func(host string, m wire.Txn) lot {
-					if host == leader && strings.Contains(puts(m), state.Final) {
+					if host == leader && strings.Contains(puts(m), state.FinalJobPrefix) {
 						c.note("the end is written")
 						return x.lot
 					}
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(10 * time.Second)
 		runtime.ReadMemStats(&after)
 		for _, h := range hosts {
-			require.True(t, c.up[h].keeper.Confirmed(), "the controllers are at work")
+			require.True(t, c.up[h].keeper.LeaseValid(), "the controllers are at work")
 		}
 		allocations = after.Mallocs - before.Mallocs
 	})
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -94,7 +94,7 @@
 }
 
 // direct is a way to the state service that no controller's trouble concerns.
-func (c *cluster) direct() *fakes.View { return &fakes.View{State: c.st} }
+func (c *cluster) direct() *fakes.KVClient { return &fakes.KVClient{KVStore: c.st} }
 
 // setBehind lets a controller's replica be late.
 func (c *cluster) setBehind(host string, by time.Duration) {
@@ -122,32 +122,32 @@
 // held is a controller's way to the state service: it waits while the controller
 // stands still, and transactions may be carried out late and without an answer.
 type held struct {
-	*fakes.View
+	*fakes.KVClient
 	c    *cluster
 	host string
 }
 
 func (h held) Get(ctx context.Context, key string) (wire.Item, bool, error) {
 	h.c.wait(h.host)
-	return h.View.Get(ctx, key)
+	return h.KVClient.Get(ctx, key)
 }
 
 func (h held) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	h.c.wait(h.host)
-	id, err := h.View.GrantLease(ctx, ttl)
+	id, err := h.KVClient.GrantLease(ctx, ttl)
 	h.c.wait(h.host)
 	return id, err
 }
 
 func (h held) KeepAlive(ctx context.Context, id uint64, timeout time.Duration) error {
 	h.c.wait(h.host)
-	err := h.View.KeepAlive(ctx, id, timeout)
+	err := h.KVClient.KeepAlive(ctx, id, timeout)
 	h.c.wait(h.host)
 	return err
 }
 
 func (h held) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
-	ch, err := h.View.Watch(ctx, prefix, rev, block)
+	ch, err := h.KVClient.Watch(ctx, prefix, rev, block)
 	h.c.mu.Lock()
 	behind := h.c.behind[h.host]
 	h.c.mu.Unlock()
@@ -164,8 +164,8 @@
 	if before != nil {
 		switch before(h.host, m) {
 		case answerLost:
-			h.View.Commit(ctx, m) //nolint:errcheck // nobody hears of it
-			return 0, fmt.Errorf("%w: the answer is lost", state.ErrUnknown)
+			h.KVClient.Commit(ctx, m) //nolint:errcheck // nobody hears of it
+			return 0, fmt.Errorf("%w: the answer is lost", state.ErrOutcomeUnknown)
 		case answerSlow:
 			defer time.Sleep(700 * time.Millisecond)
 		case heldBack:
@@ -175,7 +175,7 @@
 				_, err := h.c.direct().Commit(context.WithoutCancel(ctx), m)
 				return err
 			})
-			return 0, fmt.Errorf("%w: held back", state.ErrUnknown)
+			return 0, fmt.Errorf("%w: held back", state.ErrOutcomeUnknown)
 		}
 	}
 	h.c.mu.Lock()
@@ -185,10 +185,10 @@
 	}
 	h.c.mu.Unlock()
 	if late {
-		time.AfterFunc(after, func() { h.View.Commit(context.WithoutCancel(ctx), m) }) //nolint:errcheck // nobody hears of it
-		return 0, fmt.Errorf("%w: held up", state.ErrUnknown)
+		time.AfterFunc(after, func() { h.KVClient.Commit(context.WithoutCancel(ctx), m) }) //nolint:errcheck // nobody hears of it
+		return 0, fmt.Errorf("%w: held up", state.ErrOutcomeUnknown)
 	}
-	rev, err := h.View.Commit(ctx, m)
+	rev, err := h.KVClient.Commit(ctx, m)
 	h.c.wait(h.host)
 	return rev, err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,8 +43,8 @@
 	set    *config.Settings
 	log    *slog.Logger
 	store  Store
-	keeper *claim.Keeper
-	book   *jobs.Book
+	keeper *claim.Elector
+	book   *jobs.Cache
 	owner  *owner.Owner
 	placer *placer.Placer
 	front  *front.Front
@@ -78,9 +78,9 @@
 		peers[o.Host] = peer.NewClient(o.Addr, report.Traffic(telemetry.Peers))
 	}
 	client := state.NewClient(set.Services.State, p.State.RPS, p.State.WriteRPS, p.Count, answerMost(p.Limits.MemoryMB))
-	client.Count(report.Traffic(telemetry.StateService))
-	urgent := state.Urgent{Client: client}
-	n := assemble(ctx, set, knobs, client, urgent, state.Users{Urgent: urgent}, peers, rand.Uint64(), log)
+	client.CountTraffic(report.Traffic(telemetry.StateService))
+	urgent := state.PriorityClient{Client: client}
+	n := assemble(ctx, set, knobs, client, urgent, state.UserClient{PriorityClient: urgent}, peers, rand.Uint64(), log)
 	n.measure(report)
 	return n
 }
@@ -146,11 +146,11 @@
 	defer func() { n.replayed.Round(time.Since(began)) }()
 	for _, e := range evs {
 		n.book.Apply(e)
-		if e.Key == state.Catalog && e.Value != nil {
+		if e.Key == state.CatalogKey && e.Value != nil {
 			n.setCatalog(e.Value)
 		}
 	}
-	n.book.Reach(rev)
+	n.book.AdvanceRevision(rev)
 	n.owner.Apply(evs)
 	n.placer.Apply(evs)
 	for _, e := range evs {
@@ -158,7 +158,7 @@
 	}
 	n.keeper.Apply(evs, rev)
 	for _, e := range evs {
-		if strings.HasPrefix(e.Key, state.Claims) || strings.HasPrefix(e.Key, state.Nodes) {
+		if strings.HasPrefix(e.Key, state.LeaderPrefix) || strings.HasPrefix(e.Key, state.ControllerPrefix) {
 			n.owner.Reconcile()
 			n.placer.Reconcile()
 			break
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -39,7 +39,7 @@
 			n.log.Debug("greeting", "peer", host, "err", err)
 			continue
 		}
-		n.keeper.Hear(out.Contact)
+		n.keeper.ObservePeer(out.Contact)
 		n.mu.Lock()
 		n.told[host] = told{out.Strays, out.Machines, out.Unheard, time.Now()}
 		if out.Contact < n.fresh {
@@ -53,7 +53,7 @@
 }
 
 func (n *Node) hello() peer.Hello {
-	ago, resigned := n.keeper.Contact()
+	ago, resigned := n.keeper.StoreContact()
 	return peer.Hello{Contact: ago, Resigned: resigned, From: n.set.Host}
 }
 
@@ -107,7 +107,7 @@
 
 // Away tells that this controller has not reached the state service for a while.
 func (n *Node) StoreUnreachable() bool {
-	ago, _ := n.keeper.Contact()
+	ago, _ := n.keeper.StoreContact()
 	return ago > n.fresh
 }
 
--- a/internal/node/records_test.go
+++ b/internal/node/records_test.go
@@ -17,7 +17,7 @@
 // recorded lists the machines on record in the state service.
 func (c *cluster) recorded() map[string]bool {
 	out := map[string]bool{}
-	items, _, err := c.direct().List(c.t.Context(), state.Machines)
+	items, _, err := c.direct().List(c.t.Context(), state.MachinePrefix)
 	require.NoError(c.t, err)
 	for _, it := range items {
 		var g machines.Group
@@ -48,7 +48,7 @@
 				owner := c.at[lost.ID]
 				c.setBefore(func(_ string, m wire.Txn) lot {
 					for _, cond := range m.Conditions {
-						if strings.HasPrefix(cond.Key, state.Machines) && !strings.Contains(written(m), lost.ID) {
+						if strings.HasPrefix(cond.Key, state.MachinePrefix) && !strings.Contains(written(m), lost.ID) {
 							return heldBack
 						}
 					}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -57,7 +57,7 @@
 	default:
 		return text(503, "reading the state service")
 	}
-	if n.keeper.Alone() {
+	if n.keeper.Isolated() {
 		return text(503, "cut off from the state service and all peers")
 	}
 	if n.keeper.SharedOutage() {
@@ -66,7 +66,7 @@
 	if !n.front.Decisive() {
 		return text(503, "the machine types are not known yet")
 	}
-	if !n.keeper.Confirmed() {
+	if !n.keeper.LeaseValid() {
 		return text(503, "not registered with the state service")
 	}
 	return httpx.Response{Status: 200, Body: []byte(`{"ready":true}`)}
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -20,14 +20,14 @@
 // claims lists all claims as the state service has them.
 func (c *cluster) claims() map[string]claim.Record {
 	out := map[string]claim.Record{}
-	items, _, err := c.direct().List(c.t.Context(), state.Claims)
+	items, _, err := c.direct().List(c.t.Context(), state.LeaderPrefix)
 	if err != nil {
 		return out // in an outage
 	}
 	for _, it := range items {
 		var r claim.Record
 		require.NoError(c.t, json.Unmarshal(it.Value, &r))
-		out[strings.TrimPrefix(it.Key, state.Claims)] = r
+		out[strings.TrimPrefix(it.Key, state.LeaderPrefix)] = r
 	}
 	return out
 }
@@ -58,7 +58,7 @@
 func (c *cluster) placerOf(team string) string {
 	h, ok := c.claims()[placer.Duty(team)]
 	require.True(c.t, ok)
-	return h.Holder
+	return h.Leader
 }
 
 // isolate has a controller lose the state service and its peers, or reach them again;
@@ -141,7 +141,7 @@
 		c.run(50*time.Second, 0)
 		require.GreaterOrEqual(t, c.moved(before), partsPerController, "its duties are others'")
 		for duty, r := range c.claims() {
-			require.NotEqual(t, zone, r.Holder, duty)
+			require.NotEqual(t, zone, r.Leader, duty)
 		}
 		for _, w := range c.workers {
 			require.Equal(t, c.only[w.ID] != "", w.Session > 1, "%s: its lease ended", w.ID)
@@ -287,7 +287,7 @@
 		c.run(2*time.Second, 0)
 		require.Equal(t, 2, c.running())
 		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), state.Machines) {
+			if strings.Contains(puts(m), state.MachinePrefix) {
 				c.note("a record was held back")
 				return heldBack
 			}
@@ -418,7 +418,7 @@
 		c.run(4*time.Second, 0)
 		require.Equal(t, 3, c.running())
 		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), state.Progress) {
+			if strings.Contains(puts(m), state.ProgressPrefix) {
 				c.note("progress was held back")
 				return heldBack
 			}
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -22,7 +22,7 @@
 
 // apply takes an event; changed gives the zone that it is about.
 func (b *zoneBook) apply(e state.Event) (name string, r zone.Record, changed bool) {
-	name, ok := strings.CutPrefix(e.Key, state.Zones)
+	name, ok := strings.CutPrefix(e.Key, state.ZonePrefix)
 	if !ok {
 		return "", r, false
 	}
@@ -32,7 +32,7 @@
 		delete(b.records, name)
 		return name, zone.Record{State: zone.Healthy}, true
 	}
-	b.records[name] = fleet.ZoneRecord{Record: r, Stamp: e.Stamp}
+	b.records[name] = fleet.ZoneRecord{Record: r, Stamp: e.ModRevision}
 	return name, r, true
 }
 
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -191,7 +191,7 @@
 func TestWhatMeetsAReturn(t *testing.T) {
 	for name, trouble := range map[string]func(c *cluster, later *plan){
 		"the fleet's holder ends": func(c *cluster, later *plan) {
-			h := c.claims()["fleet"].Holder
+			h := c.claims()["fleet"].Leader
 			c.crash(h)
 			later.after(2*time.Second, func() { c.start(h) })
 		},
--- a/internal/owner/cost_test.go
+++ b/internal/owner/cost_test.go
@@ -21,8 +21,8 @@
 // allHeld are claims of a process that holds every duty.
 type allHeld struct{}
 
-func (allHeld) Leading(string) (claim.Held, bool) {
-	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 1}, true
+func (allHeld) Leading(string) (claim.Leadership, bool) {
+	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 1}, true
 }
 func (allHeld) Leader(string) (string, bool) { return "me", true }
 
--- a/internal/owner/holds_test.go
+++ b/internal/owner/holds_test.go
@@ -17,9 +17,9 @@
 // lapsing are claims that are held for so many looks more, and then over.
 type lapsing struct{ looks int }
 
-func (l *lapsing) Leading(string) (claim.Held, bool) {
+func (l *lapsing) Leading(string) (claim.Leadership, bool) {
 	l.looks--
-	return claim.Held{Record: claim.Record{Term: 1}, Stamp: 1}, l.looks >= 0
+	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 1}, l.looks >= 0
 }
 
 func (l *lapsing) Leader(string) (string, bool) { return "me", true }
--- a/internal/owner/leases.go
+++ b/internal/owner/leases.go
@@ -172,7 +172,7 @@
 
 func (t *Table) graceOf(k *task) float64 {
 	if j, ok := t.jobs.Active(k.id.Job); ok {
-		return j.Grace()
+		return j.StopGraceS()
 	}
 	return 0
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -21,7 +21,7 @@
 
 // Claims tells which duties this process holds.
 type Claims interface {
-	Leading(duty string) (claim.Held, bool)
+	Leading(duty string) (claim.Leadership, bool)
 	Leader(duty string) (string, bool)
 }
 
@@ -50,7 +50,7 @@
 
 	mu      sync.Mutex
 	table   *Table
-	records *machines.Book
+	records *machines.Records
 	lines   *lines
 	feed    feed
 	wake    chan struct{}
@@ -73,7 +73,7 @@
 		ctx: ctx, host: opts.Host, instance: opts.Instance, split: opts.Split, txnOps: opts.TxnOps, valueMost: opts.ValueMost,
 		claims: claims, store: store, clock: c, wall: wall, log: log,
 		table:       NewTable(opts.Timing, jobs),
-		records:     machines.NewBook(),
+		records:     machines.NewRecords(),
 		lines:       newLines(opts.Lines),
 		misdirected: misdirected{of: map[string]map[string]clock.Micros{}},
 		wake:        make(chan struct{}, 1),
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		o.mu.Lock()
-		list := o.records.Plan(p, came[p], went[p], o.valueMost)
+		list := o.records.PlanWrites(p, came[p], went[p], o.valueMost)
 		o.mu.Unlock()
 		for len(list) > 0 {
 			n, size := 0, 0
@@ -89,10 +89,10 @@
 	}
 }
 
-func (o *Owner) write(ctx context.Context, part int, h claim.Held, list []machines.Write) error {
-	m := wire.Txn{Conditions: []wire.Condition{{Key: state.Claims + Duty(part), ModRevision: h.Stamp}}}
+func (o *Owner) write(ctx context.Context, part int, h claim.Leadership, list []machines.Write) error {
+	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
 	for _, w := range list {
-		w.Into(&m)
+		w.AppendTo(&m)
 	}
 	rev, err := o.store.Commit(ctx, m)
 	if err != nil {
@@ -101,7 +101,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, w := range list {
-		o.recorded(o.records.Set(w.Key, w.Group, rev))
+		o.recorded(o.records.Put(w.Key, w.Group, rev))
 	}
 	o.notify()
 	return nil
--- a/internal/owner/reports.go
+++ b/internal/owner/reports.go
@@ -152,7 +152,7 @@
 func (t *Table) foundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
 	k := &task{id: id, since: now}
 	if j, ok := t.jobs.Active(id.Job); ok {
-		k.team, k.rank, k.need = j.Team, j.Level, j.Need
+		k.team, k.rank, k.need = j.Team, j.PriorityLevel, j.Need
 		t.note(m, j.Image, j.ImageGB)
 	}
 	m.tasks[id] = k
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -22,7 +22,7 @@
 	var active []*jobs.Job
 	for i := range waiting {
 		spec := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: red, Priority: "normal", Tasks: 100, CPUs: 2, MemGB: 1, Spot: true, RuntimeEstimateS: 30}
-		active = append(active, jobs.New(jobs.Record{Job: spec, Marked: true}, uint64(i+1)))
+		active = append(active, jobs.New(jobs.Record{Job: spec, Watermarked: true}, uint64(i+1)))
 	}
 	d.Gain(red, 1, 1, active, sec)
 	in := d.Cursor("h0")
--- a/internal/placer/moves.go
+++ b/internal/placer/moves.go
@@ -171,7 +171,7 @@
 	d.moves.ofSource[source], d.moves.ofDestination[b] = mv, mv
 	d.counts.Moves++
 	o := d.owners[to.host]
-	o.next.Asks = append(o.next.Asks, peer.Ask{ID: b.id, Made: j.Stamp, Team: j.team.Name, Rank: j.Level, Need: j.Need, Image: j.Image,
+	o.next.Asks = append(o.next.Asks, peer.Ask{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
 		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.covered, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
 }
 
@@ -183,7 +183,7 @@
 	}
 	switch a {
 	case rebalance.StopSource:
-		d.stop(mv.source, mv.source.job.Grace())
+		d.stop(mv.source, mv.source.job.StopGraceS())
 	case rebalance.StartDestination:
 		b := mv.destination
 		b.held = false
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -24,8 +24,8 @@
 
 // Claims tells which duties this process holds.
 type Claims interface {
-	Leading(duty string) (claim.Held, bool)
-	Current(duty string) (h claim.Held, live bool)
+	Leading(duty string) (claim.Leadership, bool)
+	Current(duty string) (h claim.Leadership, live bool)
 }
 
 // Store takes transactions.
@@ -51,7 +51,7 @@
 	owners    map[string]OwnerCaller
 	claims    Claims
 	store     Store
-	book      *jobs.Book
+	book      *jobs.Cache
 	clock     clock.Clock
 	txnOps    int
 	valueMost int
@@ -65,7 +65,7 @@
 
 	mu        sync.Mutex
 	scheduler *Scheduler
-	records   *machines.Book
+	records   *machines.Records
 	wake      chan struct{}
 	senders   map[string]chan struct{}
 	writes    chan struct{}
@@ -85,9 +85,9 @@
 }
 
 // New makes a placer around a scheduler.
-func New(scheduler *Scheduler, o Options, claims Claims, store, urgent Store, book *jobs.Book, c clock.Clock, log *slog.Logger) *Placer {
+func New(scheduler *Scheduler, o Options, claims Claims, store, urgent Store, book *jobs.Cache, c clock.Clock, log *slog.Logger) *Placer {
 	p := &Placer{teams: o.Teams, parts: o.PartDuties, owners: o.Owners, claims: claims, store: store, book: book, clock: c,
-		txnOps: o.TxnOps, valueMost: o.ValueMost, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: machines.NewBook(), wake: make(chan struct{}, 1),
+		txnOps: o.TxnOps, valueMost: o.ValueMost, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: machines.NewRecords(), wake: make(chan struct{}, 1),
 		senders: map[string]chan struct{}{}, writes: make(chan struct{}, 1), news: make(chan struct{}), running: context.Background()}
 	scheduler.chunk = chunkTasks(o.ValueMost)
 	for h := range o.Owners {
@@ -135,15 +135,15 @@
 	now, recorded := p.clock.Now(), false
 	for _, e := range evs {
 		switch {
-		case strings.HasPrefix(e.Key, state.Active):
-			id := strings.TrimPrefix(e.Key, state.Active)
+		case strings.HasPrefix(e.Key, state.ActiveJobPrefix):
+			id := strings.TrimPrefix(e.Key, state.ActiveJobPrefix)
 			if j, ok := p.book.Active(id); ok && e.Value != nil {
 				p.scheduler.AddJob(j, now)
 			} else {
 				p.scheduler.DropJob(id)
 			}
-		case strings.HasPrefix(e.Key, state.Progress):
-			id, c, _ := strings.Cut(strings.TrimPrefix(e.Key, state.Progress), "/")
+		case strings.HasPrefix(e.Key, state.ProgressPrefix):
+			id, c, _ := strings.Cut(strings.TrimPrefix(e.Key, state.ProgressPrefix), "/")
 			n, ok := parseChunk(c)
 			var text string
 			switch {
@@ -152,16 +152,16 @@
 				p.scheduler.DropProgress(id, n)
 			case json.Unmarshal(e.Value, &text) == nil:
 				if bits, err := base64.StdEncoding.DecodeString(text); err == nil {
-					p.scheduler.Progress(id, n, bits, e.Stamp)
+					p.scheduler.Progress(id, n, bits, e.ModRevision)
 				}
 			}
-		case strings.HasPrefix(e.Key, state.Watermarks):
+		case strings.HasPrefix(e.Key, state.WatermarkPrefix):
 			var jobs map[string]int
 			if e.Value != nil && json.Unmarshal(e.Value, &jobs) != nil {
 				continue
 			}
-			p.scheduler.Watermarks(e.Key, jobs, e.Stamp)
-		case strings.HasPrefix(e.Key, state.Machines):
+			p.scheduler.Watermarks(e.Key, jobs, e.ModRevision)
+		case strings.HasPrefix(e.Key, state.MachinePrefix):
 			came, went := p.records.Apply(e)
 			recorded = true
 			for _, id := range went {
@@ -173,7 +173,7 @@
 		}
 	}
 	if recorded {
-		p.scheduler.legacyRecords = p.records.Legacy()
+		p.scheduler.legacyRecords = p.records.HasLegacy()
 	}
 	poke(p.wake)
 }
@@ -189,8 +189,8 @@
 		term, have := terms[t.Name]
 		switch {
 		case mine && (!have || term != h.Term):
-			active := p.book.OfTeam(t.Name)
-			p.scheduler.Gain(t.Name, h.Term, h.Stamp, active, p.clock.Now())
+			active := p.book.ActiveOfTeam(t.Name)
+			p.scheduler.Gain(t.Name, h.Term, h.ModRevision, active, p.clock.Now())
 			p.log.Info("team taken over", "team", t.Name, "term", h.Term, "jobs", len(active))
 			gained = true
 		case !mine && have:
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -25,7 +25,7 @@
 			switch {
 			case b.stopping:
 				used = used.Minus(o.Need)
-			case o.Level < j.Level && !b.asked:
+			case o.PriorityLevel < j.PriorityLevel && !b.asked:
 				cand = append(cand, b)
 			}
 		}
@@ -43,7 +43,7 @@
 		}
 		used = used.Minus(b.job.Need)
 		d.counts.Preempted++
-		d.stop(b, b.job.Grace())
+		d.stop(b, b.job.StopGraceS())
 	}
 }
 
@@ -68,11 +68,11 @@
 	// Work of higher rank goes first, but a guarantee is not put off for long:
 	// while nothing at all of it finds room.
 	owed := d.timing.Guarantee > 0 && j.dry != 0 && now >= j.dry+d.timing.Guarantee*3/5
-	most := j.Level - 1 // the highest rank that may be stopped
+	most := j.PriorityLevel - 1 // the highest rank that may be stopped
 	if j.covered && owed {
 		most = len(d.ranks) - 1
 	} else if j.covered {
-		most = j.Level
+		most = j.PriorityLevel
 	}
 	if !someRank(&d.ranks, most) || d.full.knowsVictims(j, owed) {
 		return nil, nil, false
@@ -114,10 +114,10 @@
 func (d *Scheduler) victims(j *job, m *mirror, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
 	var cand []*seen
 	for _, t := range m.tasks {
-		if !t.there || t.Stopping || now < t.markedUntil || t.Team == "" || t.Covered && t.Rank >= j.Level {
+		if !t.there || t.Stopping || now < t.markedUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
 			continue
 		}
-		if t.Rank < j.Level || j.covered && t.Team != j.team.Name && (t.Rank == j.Level || owed) {
+		if t.Rank < j.PriorityLevel || j.covered && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || owed) {
 			cand = append(cand, t)
 		}
 	}
@@ -138,7 +138,7 @@
 		free = free.Plus(t.Need)
 		out = append(out, t.ID)
 		cost += now - t.began + clock.Second
-		over = over || t.Rank >= j.Level
+		over = over || t.Rank >= j.PriorityLevel
 		if t.Covered {
 			cost += 100 * clock.Second // what is guaranteed goes last
 		}
--- a/internal/placer/rooms.go
+++ b/internal/placer/rooms.go
@@ -202,7 +202,7 @@
 }
 
 func (j *job) victims(owed bool) victimsOf {
-	return victimsOf{j.Need, j.team.Name, j.Level, j.covered, owed}
+	return victimsOf{j.Need, j.team.Name, j.PriorityLevel, j.covered, owed}
 }
 
 func (f *full) knowsVictims(j *job, owed bool) bool { return f.victims[j.victims(owed)] }
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -261,7 +261,7 @@
 		zones: map[string]int{}, dirty: map[int]bool{}, failedOn: map[string]clock.Micros{},
 		unsettled: map[peer.TaskID]string{}, acked: map[peer.TaskID]uint64{}, since: now}
 	j.stage = d.stageOf(spec)
-	if spec.Stamp < tm.stamp {
+	if spec.ModRevision < tm.stamp {
 		j.former = min(j.watermark, j.Tasks)
 		if j.former > 0 && (j.OneZone || j.Spread) || d.legacyRecords {
 			// Where its other tasks are decides where these may go. And while
--- a/internal/placer/shares.go
+++ b/internal/placer/shares.go
@@ -40,7 +40,7 @@
 // Work within a guarantee asks all the same, and so does work of higher rank.
 func (j *job) yields(host string, now clock.Micros) bool {
 	y, ok := j.team.yielding[host]
-	return ok && now < y.until && j.Level <= y.rank && !j.covered
+	return ok && now < y.until && j.PriorityLevel <= y.rank && !j.covered
 }
 
 // ownerShares is what an owner last told of the teams' shares of its machines.
@@ -118,7 +118,7 @@
 		}
 		places[key] = len(shapes[team])
 		shapes[team] = append(shapes[team], fairshare.Shape{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot,
-			Rank: j.Level, Owed: j.covered, Tasks: tasks})
+			Rank: j.PriorityLevel, Owed: j.covered, Tasks: tasks})
 	})
 	out := make([]fairshare.Demand, 0, len(d.teams))
 	for name, tm := range d.teams {
@@ -139,5 +139,5 @@
 }
 
 func keyOf(j *job) shapeKey {
-	return shapeKey{j.team.Name, j.Need, strings.Join(j.Types, " "), j.Zone, j.Spot, j.Level, j.covered}
+	return shapeKey{j.team.Name, j.Need, strings.Join(j.Types, " "), j.Zone, j.Spot, j.PriorityLevel, j.covered}
 }
--- a/internal/placer/talk.go
+++ b/internal/placer/talk.go
@@ -101,7 +101,7 @@
 			d.counts.Yielded++
 			d.release(b)
 			d.refree(m)
-			b.job.team.yield(host, b.job.Level, now)
+			b.job.team.yield(host, b.job.PriorityLevel, now)
 			continue
 		}
 		if no {
@@ -169,7 +169,7 @@
 			out = append(out, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.Stamp, b.Stamp) })
+	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
 	return out
 }
 
@@ -208,7 +208,7 @@
 // Demands lists what waits, for the fleet.
 func (d *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
 	d.eachWaiting(now, func(j *job, tasks int) {
-		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.Level, Waiting: tasks,
+		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.PriorityLevel, Waiting: tasks,
 			RunFor: clock.FromSeconds(j.RuntimeEstimateS), Stage: int(j.stage) + 1}
 		if start := d.finish(j); j.DeadlineS != nil && !j.late(now) {
 			dm.Slack = max(clock.Second, j.due()-now-dm.RunFor)
--- a/internal/placer/turns.go
+++ b/internal/placer/turns.go
@@ -25,7 +25,7 @@
 	for _, j := range tm.jobs {
 		list = append(list, j)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].Stamp < list[b].Stamp })
+	sort.Slice(list, func(a, b int) bool { return list[a].ModRevision < list[b].ModRevision })
 	var sum res.Amounts
 	for _, j := range list {
 		sum = sum.Plus(j.Need.Times(int64(j.Tasks)))
@@ -56,8 +56,8 @@
 		if lx == hopeless && x.RuntimeEstimateS != y.RuntimeEstimateS {
 			return x.RuntimeEstimateS > y.RuntimeEstimateS
 		}
-		if x.Level != y.Level {
-			return x.Level > y.Level
+		if x.PriorityLevel != y.PriorityLevel {
+			return x.PriorityLevel > y.PriorityLevel
 		}
 		if x.covered != y.covered {
 			return x.covered
@@ -76,7 +76,7 @@
 		if fx, fy := d.finish(x), d.finish(y); fx != fy {
 			return fx < fy
 		}
-		return x.Stamp < y.Stamp
+		return x.ModRevision < y.ModRevision
 	})
 	return out
 }
--- a/internal/placer/watermarks.go
+++ b/internal/placer/watermarks.go
@@ -35,7 +35,7 @@
 	Watermarks map[string]int
 }
 
-func watermarkPrefix(team string) string { return state.Watermarks + url.PathEscape(team) + "/" }
+func watermarkPrefix(team string) string { return state.WatermarkPrefix + url.PathEscape(team) + "/" }
 
 // Watermarks takes a record of watermarks, as the replica shows it or as it was written.
 // Older words than the newest known change nothing; nil means that it is gone.
@@ -61,7 +61,7 @@
 
 // watermarkOf gives a job's watermark on record.
 func (d *Scheduler) watermarkOf(team string, j *jobs.Job) (n int) {
-	if j.Marked {
+	if j.Watermarked {
 		return j.Tasks
 	}
 	for key, r := range d.watermarks {
--- a/internal/placer/withdraw.go
+++ b/internal/placer/withdraw.go
@@ -232,9 +232,9 @@
 	out := make([]PartClaim, 0, len(p.parts))
 	for i, duty := range p.parts {
 		h, live := p.claims.Current(duty)
-		c := PartClaim{Part: i, Key: state.Claims + duty, Stamp: h.Stamp, Term: h.Term}
+		c := PartClaim{Part: i, Key: state.LeaderPrefix + duty, Stamp: h.ModRevision, Term: h.Term}
 		if live {
-			c.Host = h.Holder
+			c.Host = h.Leader
 		}
 		out = append(out, c)
 	}
--- a/internal/placer/world_test.go
+++ b/internal/placer/world_test.go
@@ -47,7 +47,7 @@
 	t             *testing.T
 	now           clock.Micros
 	rng           *rand.Rand
-	book          *jobs.Book
+	book          *jobs.Cache
 	stamp         uint64
 	active        map[string]*jobs.Job
 	hosts         []*host
@@ -82,7 +82,7 @@
 }
 
 func newWorldOf(t *testing.T, seed uint64, machines int, limit float64) *world {
-	w := &world{t: t, limit: limit, now: 100 * sec, rng: fakes.Rand(seed), book: jobs.NewBook(), stamp: 10, active: map[string]*jobs.Job{},
+	w := &world{t: t, limit: limit, now: 100 * sec, rng: fakes.Rand(seed), book: jobs.NewCache(), stamp: 10, active: map[string]*jobs.Job{},
 		registry: map[string]owner.Registered{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
 	for i := range 2 {
 		w.hosts = append(w.hosts, &host{name: fmt.Sprintf("h%d", i)})
@@ -279,7 +279,7 @@
 }
 
 func (w *world) end(id, phase string) {
-	w.book.Keep(id, jobs.Final{Phase: phase, Team: red})
+	w.book.AddFinal(id, jobs.Final{Phase: phase, Team: red})
 	w.ended[id] = true
 	delete(w.active, id)
 	w.scheduler.DropJob(id)
--- a/internal/placer/write_progress.go
+++ b/internal/placer/write_progress.go
@@ -11,7 +11,7 @@
 )
 
 func progressKey(id string, chunk chunkID) string {
-	return fmt.Sprintf("%s%s/%s", state.Progress, id, chunk)
+	return fmt.Sprintf("%s%s/%s", state.ProgressPrefix, id, chunk)
 }
 
 // progressWrite is a record of a job's progress that is to be written.
@@ -70,7 +70,7 @@
 				w.bits = w.j.chunk(w.chunk)
 				// Without the record's own stamp a late copy of an earlier write would take
 				// back what is written down and forgotten by the workers since.
-				m.Conditions = append(m.Conditions, wire.Condition{Key: state.Active + w.j.ID, ModRevision: w.j.Stamp},
+				m.Conditions = append(m.Conditions, wire.Condition{Key: state.ActiveJobPrefix + w.j.ID, ModRevision: w.j.ModRevision},
 					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: p.scheduler.progress[w.j.ID][at].stamp})
 				m.Operations = append(m.Operations, wire.Operation{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
 				delete(w.j.dirty, w.chunk)
--- a/internal/placer/writes.go
+++ b/internal/placer/writes.go
@@ -28,7 +28,7 @@
 				continue
 			}
 			rev, err := p.urgent.Commit(ctx, wire.Txn{
-				Conditions: []wire.Condition{{Key: state.Claims + Duty(w.Team), ModRevision: h.Stamp}, {Key: w.Key, ModRevision: w.Stamp}},
+				Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.Stamp}},
 				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
 				p.log.Debug("writing watermarks", "team", w.Team, "err", err)
@@ -72,7 +72,7 @@
 	if !ok || h.Term != t.term {
 		return wire.Condition{}, errLost
 	}
-	return wire.Condition{Key: state.Claims + Duty(t.Name), ModRevision: h.Stamp}, nil
+	return wire.Condition{Key: state.LeaderPrefix + Duty(t.Name), ModRevision: h.ModRevision}, nil
 }
 
 // endsAtOnce is how many transactions with ends of one team's jobs are under way
@@ -219,16 +219,16 @@
 		return m, nil
 	}
 	tm := batch[0].team
-	m.Conditions = []wire.Condition{{Key: state.Claims + Duty(tm.Name), ModRevision: tm.stamp}}
+	m.Conditions = []wire.Condition{{Key: state.LeaderPrefix + Duty(tm.Name), ModRevision: tm.stamp}}
 	for _, j := range batch {
-		m.Conditions = append(m.Conditions, wire.Condition{Key: state.Active + j.ID, ModRevision: j.Stamp})
+		m.Conditions = append(m.Conditions, wire.Condition{Key: state.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
 		if brief || p.txnOps < 2 {
-			over := jobs.Record{Over: phase}
+			over := jobs.Record{EndPhase: phase}
 			over.ID, over.Team, over.Tasks = j.ID, j.Team, j.Tasks
-			m.Operations = append(m.Operations, wire.Operation{Put: state.Active + j.ID, Value: over})
+			m.Operations = append(m.Operations, wire.Operation{Put: state.ActiveJobPrefix + j.ID, Value: over})
 		} else {
-			m.Operations = append(m.Operations, wire.Operation{Put: state.Final + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
-				wire.Operation{Drop: state.Active + j.ID})
+			m.Operations = append(m.Operations, wire.Operation{Put: state.FinalJobPrefix + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
+				wire.Operation{Drop: state.ActiveJobPrefix + j.ID})
 		}
 	}
 	for _, j := range batch {
@@ -248,7 +248,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range batch {
-		p.book.Keep(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
+		p.book.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
 		p.scheduler.DropJob(j.ID)
 		p.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
 			"after_s", (p.clock.Now() - j.since).Seconds(), "last_start_s", (j.lastStart - j.since).Seconds(), "again", j.again)
--- a/internal/placer/writes_test.go
+++ b/internal/placer/writes_test.go
@@ -23,7 +23,7 @@
 
 // narrow is a state service that takes few changes a second from this controller.
 type narrow struct {
-	*fakes.View
+	*fakes.KVClient
 	budget  *rate.Limiter
 	changes int
 }
@@ -32,39 +32,39 @@
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if err := n.budget.WaitN(ctx, len(m.Operations)); err != nil {
-		return 0, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrBudget)
+		return 0, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrBudgetExhausted)
 	}
 	n.changes += len(m.Operations)
-	return n.View.CommitWithCheck(ctx, m, sending)
+	return n.KVClient.CommitWithCheck(ctx, m, sending)
 }
 
 // always holds every duty.
-type always struct{ claim.Held }
+type always struct{ claim.Leadership }
 
-func (a always) Leading(string) (claim.Held, bool) { return a.Held, true }
-func (a always) Current(string) (claim.Held, bool) { return a.Held, true }
+func (a always) Leading(string) (claim.Leadership, bool) { return a.Leadership, true }
+func (a always) Current(string) (claim.Leadership, bool) { return a.Leadership, true }
 
 // writer is a placer that holds the team red; what it writes goes to a state service.
 type writer struct {
 	*Placer
 	t     *testing.T
-	state *fakes.View
+	state *fakes.KVClient
 }
 
-func newWriter(t *testing.T, view *fakes.View, store Store) *writer {
-	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Claims + Duty(red), Value: claim.Record{}}}})
+func newWriter(t *testing.T, view *fakes.KVClient, store Store) *writer {
+	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.LeaderPrefix + Duty(red), Value: claim.Record{}}}})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: red}}, nil, 1, func() int64 { return 0 })
 	scheduler.Gain(red, 1, stamp, nil, 0)
-	claims := always{claim.Held{Record: claim.Record{Term: 1}, Stamp: stamp}}
-	return &writer{New(scheduler, Options{TxnOps: 12, ValueMost: 4000}, claims, store, store, jobs.NewBook(),
+	claims := always{claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: stamp}}
+	return &writer{New(scheduler, Options{TxnOps: 12, ValueMost: 4000}, claims, store, store, jobs.NewCache(),
 		clock.NewSteady(), slog.New(slog.NewTextHandler(io.Discard, nil))), t, view}
 }
 
 // accept has a job on record and at the scheduler.
 func (w *writer) accept(id string, tasks int) *job {
 	rec := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
-	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.Active + id, Value: rec}}})
+	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.ActiveJobPrefix + id, Value: rec}}})
 	require.NoError(w.t, err)
 	w.scheduler.AddJob(jobs.New(rec, stamp), 0)
 	return w.scheduler.teams[red].jobs[id]
@@ -77,8 +77,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		st := &narrow{View: &fakes.View{State: fakes.NewState()}, budget: rate.NewLimiter(8, 13)}
-		p := newWriter(t, st.View, st)
+		st := &narrow{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
+		p := newWriter(t, st.KVClient, st)
 		const many = 300
 		name := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 		for i := range many {
@@ -113,7 +113,7 @@
 func TestLateProgressTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
-		st := &fakes.View{State: fakes.NewState()}
+		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 		p := newWriter(t, st, st)
 		j := p.accept("job-000001", 8)
 		st.SetCapture(true)
@@ -136,7 +136,7 @@
 // many conditions name the claims of all partitions, the team's and the job's record.
 func TestAWithdrawnJobsEndFitsATransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &fakes.View{State: fakes.NewState()}
+		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 		w := newWriter(t, st, st)
 		j := w.accept("job-000001", 8)
 		for _, most := range []int{1, 2, 3, 12, 100} {
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -26,7 +26,7 @@
 	if d.timing.Stages != nil {
 		return d.timing.Stages(j)
 	}
-	return recovery.DefaultStage(j.Level, j.DeadlineS != nil)
+	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
 // returns tells that work returns to a machine's zone and has not come to a job's stage yet.
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -97,7 +97,7 @@
 		s, err := k.askStage(j)
 		if err != nil {
 			log.Error("the policy script's hook failed; the job goes by its rank", "hook", stageHook, "job", j.ID, "err", err)
-			return recovery.DefaultStage(j.Level, j.DeadlineS != nil)
+			return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 		}
 		return s
 	}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -21,18 +21,18 @@
 var (
 	// ErrRefused means that the request was surely not executed.
 	ErrRefused = errors.New("state service refused the request")
-	// ErrUnknown means that the request may have been executed, or may yet be.
-	ErrUnknown = errors.New("state service gave no answer")
+	// ErrOutcomeUnknown means that the request may have been executed, or may yet be.
+	ErrOutcomeUnknown = errors.New("state service gave no answer")
 	// ErrConflict means that a condition did not hold.
 	ErrConflict = errors.New("a condition did not hold")
-	// ErrNoHold means that the hold has ended.
-	ErrNoHold = errors.New("the hold has ended")
-	// ErrTooOld means that the watched revision is no longer kept.
-	ErrTooOld = errors.New("the revision is no longer kept")
+	// ErrLeaseNotFound means that the hold has ended.
+	ErrLeaseNotFound = errors.New("the hold has ended")
+	// ErrCompacted means that the watched revision is no longer kept.
+	ErrCompacted = errors.New("the revision is no longer kept")
 	// errBusy means that all controllers together ask for more than the service allows.
 	errBusy = errors.New("too many requests")
-	// ErrBudget means that this controller's part of the budget is spent.
-	ErrBudget = errors.New("request budget spent")
+	// ErrBudgetExhausted means that this controller's part of the budget is spent.
+	ErrBudgetExhausted = errors.New("request budget spent")
 )
 
 // Client calls the state service.
@@ -44,21 +44,21 @@
 	asks   *rate.Limiter // keys read on users' behalf
 }
 
-// Users is the way of what users ask: reads for them have a part of the budget
+// UserClient is the way of what users ask: reads for them have a part of the budget
 // and no more, so that however often they ask, also for jobs that nobody knows,
 // holds are renewed and jobs accepted. Their changes go the urgent way.
-type Users struct{ Urgent }
+type UserClient struct{ PriorityClient }
 
 // Get reads a key while the users' part of the budget lasts.
-func (u Users) Get(ctx context.Context, key string) (wire.Item, bool, error) {
+func (u UserClient) Get(ctx context.Context, key string) (wire.Item, bool, error) {
 	if !u.asks.Allow() {
-		return wire.Item{}, false, fmt.Errorf("%w: %w", ErrRefused, ErrBudget)
+		return wire.Item{}, false, fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted)
 	}
 	return u.Client.Get(ctx, key)
 }
 
-// Urgent is a client whose changes have a part of the budget to themselves.
-type Urgent struct{ *Client }
+// PriorityClient is a client whose changes have a part of the budget to themselves.
+type PriorityClient struct{ *Client }
 
 // busyPause is how long an urgent transaction waits when the service has had
 // too many changes from all controllers together.
@@ -67,12 +67,12 @@
 // Commit carries out a transaction that must not queue behind others. It takes
 // what the others have left of their part when its own is spent: after an
 // outage users come all at once.
-func (u Urgent) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
+func (u PriorityClient) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
 	return u.CommitWithCheck(ctx, m, nil)
 }
 
 // CommitAt is Commit, with a word right before the transaction is sent.
-func (u Urgent) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+func (u PriorityClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	budget := u.Client.urgent
@@ -106,8 +106,8 @@
 	}
 }
 
-// Count has the client count its traffic.
-func (c *Client) Count(t *telemetry.Traffic) { c.http.Count(t) }
+// CountTraffic has the client count its traffic.
+func (c *Client) CountTraffic(t *telemetry.Traffic) { c.http.Count(t) }
 
 // callTimeout bounds a call. The service may answer slowly for a while: a call
 // that is given up too soon has been carried out all the same.
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.reqs.Wait(ctx); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrRefused, ErrBudget)
+		return nil, fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted)
 	}
 	if sending != nil {
 		if err := sending(); err != nil {
@@ -144,7 +144,7 @@
 	}
 	r, err := c.http.Do(ctx, method, target, b)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch r.Status {
 	case 200, 404, 409, 410:
@@ -154,12 +154,12 @@
 	case 400, 503:
 		return nil, fmt.Errorf("%w: status %d %.100s", ErrRefused, r.Status, r.Body)
 	}
-	return nil, fmt.Errorf("%w: status %d", ErrUnknown, r.Status)
+	return nil, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, r.Status)
 }
 
 func decode(r *httpx.Response, v any) error {
 	if err := json.Unmarshal(r.Body, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 			Rev *uint64 `json:"ledger_rev"`
 		}
 		if err := decode(r, &none); err != nil || none.Rev == nil {
-			return item, false, fmt.Errorf("%w: odd 404", ErrUnknown)
+			return item, false, fmt.Errorf("%w: odd 404", ErrOutcomeUnknown)
 		}
 		return item, false, nil
 	}
@@ -184,7 +184,7 @@
 		return item, false, err
 	}
 	if r.Status != 200 || item.Key != key {
-		return item, false, fmt.Errorf("%w: odd answer", ErrUnknown)
+		return item, false, fmt.Errorf("%w: odd answer", ErrOutcomeUnknown)
 	}
 	return item, true, nil
 }
@@ -233,7 +233,7 @@
 	defer cancel()
 	if n := len(m.Operations); n > 0 && budget != nil {
 		if err := budget.WaitN(ctx, n); err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrRefused, ErrBudget)
+			return 0, fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted)
 		}
 	}
 	if m.Conditions == nil {
@@ -253,7 +253,7 @@
 	case 409:
 		return a.Revision, fmt.Errorf("%w: %v", ErrConflict, a.Failed)
 	}
-	return 0, fmt.Errorf("%w: status %d", ErrUnknown, r.Status)
+	return 0, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, r.Status)
 }
 
 // Spare tells whether n changes that can wait may be made now, leaving room
@@ -270,7 +270,7 @@
 	}
 	var a wire.LeaseResponse
 	if err := decode(r, &a); err != nil || r.Status != 200 || a.LeaseID == 0 {
-		return 0, fmt.Errorf("%w: making a hold: status %d", ErrUnknown, r.Status)
+		return 0, fmt.Errorf("%w: making a hold: status %d", ErrOutcomeUnknown, r.Status)
 	}
 	return a.LeaseID, nil
 }
@@ -289,9 +289,9 @@
 	case 200:
 		return nil
 	case 404:
-		return ErrNoHold
+		return ErrLeaseNotFound
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, r.Status)
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, r.Status)
 }
 
 // Watch waits for changes after rev.
@@ -302,19 +302,19 @@
 	if errors.Is(err, httpx.ErrTooLarge) {
 		// An answer has no limit of size. What can't be held is read page by
 		// page instead: asking for the same again would fail for ever.
-		return ch, ErrTooOld
+		return ch, ErrCompacted
 	}
 	if err != nil {
 		return ch, err
 	}
 	if r.Status == 410 {
-		return ch, ErrTooOld
+		return ch, ErrCompacted
 	}
 	if err := decode(r, &ch); err != nil {
 		return ch, err
 	}
 	if r.Status != 200 || ch.Revision < rev {
-		return ch, fmt.Errorf("%w: odd answer", ErrUnknown)
+		return ch, fmt.Errorf("%w: odd answer", ErrOutcomeUnknown)
 	}
 	return ch, nil
 }
--- a/internal/state/cost_test.go
+++ b/internal/state/cost_test.go
@@ -14,9 +14,9 @@
 
 // A full read of some hundred keys, as at every start.
 func BenchmarkReplicaLoad(b *testing.B) {
-	v := &fakes.View{State: fakes.NewState()}
+	v := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	for i := range 400 {
-		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", state.Active, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
+		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", state.ActiveJobPrefix, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
 		if _, err := v.Commit(b.Context(), wire.Txn{Operations: []wire.Operation{op}}); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/state/replica.go
+++ b/internal/state/replica.go
@@ -12,30 +12,30 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Root is the prefix of every key of the project; the watch covers it.
-const Root = "ml/"
+// RootPrefix is the prefix of every key of the project; the watch covers it.
+const RootPrefix = "ml/"
 
 // Prefixes of keys below Root.
 const (
-	Claims     = Root + "c/" // duties
-	Nodes      = Root + "n/" // registered incarnations
-	Active     = Root + "a/" // jobs that are not final
-	Final      = Root + "f/" // final states of jobs
-	Machines   = Root + "m/" // machines that may hold tasks
-	Progress   = Root + "p/" // completed tasks of active jobs
-	Watermarks = Root + "w/" // how many tasks of active jobs may have been asked for
-	Catalog    = Root + "k/catalog"
-	Zones      = Root + "z/" // states of zones
+	LeaderPrefix     = RootPrefix + "c/" // duties
+	ControllerPrefix = RootPrefix + "n/" // registered incarnations
+	ActiveJobPrefix  = RootPrefix + "a/" // jobs that are not final
+	FinalJobPrefix   = RootPrefix + "f/" // final states of jobs
+	MachinePrefix    = RootPrefix + "m/" // machines that may hold tasks
+	ProgressPrefix   = RootPrefix + "p/" // completed tasks of active jobs
+	WatermarkPrefix  = RootPrefix + "w/" // how many tasks of active jobs may have been asked for
+	CatalogKey       = RootPrefix + "k/catalog"
+	ZonePrefix       = RootPrefix + "z/" // states of zones
 )
 
 // loaded are the prefixes read at the start; final states are only followed.
-var loaded = []string{Claims, Nodes, Active, Machines, Progress, Watermarks, Zones, Root + "k/"}
+var loaded = []string{LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, RootPrefix + "k/"}
 
 // Event is one change of a key, in order of revisions.
 type Event struct {
-	Key   string
-	Value json.RawMessage // nil: dropped
-	Stamp uint64
+	Key         string
+	Value       json.RawMessage // nil: dropped
+	ModRevision uint64
 }
 
 // Source is what the replica reads from.
@@ -89,9 +89,9 @@
 			}
 		}
 		began := time.Now()
-		ch, err := r.src.Watch(ctx, Root, r.rev, 20*time.Second)
+		ch, err := r.src.Watch(ctx, RootPrefix, r.rev, 20*time.Second)
 		switch {
-		case errors.Is(err, ErrTooOld):
+		case errors.Is(err, ErrCompacted):
 			fresh = false
 			continue
 		case err != nil:
@@ -121,7 +121,7 @@
 			continue
 		}
 		if c.Put != "" {
-			if !strings.HasPrefix(key, Final) {
+			if !strings.HasPrefix(key, FinalJobPrefix) {
 				r.stamps[key] = c.ModRevision
 			}
 			evs = append(evs, Event{key, c.Value, c.ModRevision})
@@ -164,7 +164,7 @@
 	}
 	for _, e := range evs {
 		if e.Value != nil {
-			r.stamps[e.Key] = e.Stamp
+			r.stamps[e.Key] = e.ModRevision
 		}
 	}
 	r.rev = low
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -18,29 +18,29 @@
 
 // forgetful is a state service that now and then no longer keeps the watched revision.
 type forgetful struct {
-	*fakes.View
+	*fakes.KVClient
 	every int
 	calls int
 }
 
 func (f *forgetful) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	if f.calls++; f.calls%f.every == 0 {
-		return wire.WatchResponse{}, state.ErrTooOld
+		return wire.WatchResponse{}, state.ErrCompacted
 	}
-	return f.View.Watch(ctx, prefix, rev, block)
+	return f.KVClient.Watch(ctx, prefix, rev, block)
 }
 
 // Whatever the watch forgets or repeats, the listener ends up with what the
 // service holds, and never hears an older value of a key after a newer one.
 func TestReplicaFollows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewState()
-		v := &fakes.View{State: st}
+		st := fakes.NewKVStore()
+		v := &fakes.KVClient{KVStore: st}
 		known, last := map[string]string{}, map[string]uint64{}
 		tell := func(evs []state.Event, _ uint64) {
 			for _, e := range evs {
-				require.GreaterOrEqual(t, e.Stamp, last[e.Key], e.Key)
-				last[e.Key] = e.Stamp
+				require.GreaterOrEqual(t, e.ModRevision, last[e.Key], e.Key)
+				last[e.Key] = e.ModRevision
 				if e.Value == nil {
 					delete(known, e.Key)
 				} else {
@@ -48,14 +48,14 @@
 				}
 			}
 		}
-		r := state.NewReplica(&forgetful{View: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		r := state.NewReplica(&forgetful{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, stop := context.WithCancel(t.Context())
 		loaded := make(chan struct{})
 		go r.Run(ctx, loaded) //nolint:errcheck // ends with the context
 		<-loaded
 		rng := fakes.Rand(7)
 		for i := range 300 {
-			key := fmt.Sprintf("%s%d", state.Active, rng.IntN(8))
+			key := fmt.Sprintf("%s%d", state.ActiveJobPrefix, rng.IntN(8))
 			op := wire.Operation{Put: key, Value: i}
 			if rng.IntN(3) == 0 {
 				op = wire.Operation{Drop: key}
@@ -70,7 +70,7 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		items, _, err := v.List(ctx, state.Active)
+		items, _, err := v.List(ctx, state.ActiveJobPrefix)
 		require.NoError(t, err)
 		want := map[string]string{}
 		for _, it := range items {
