--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -74,7 +74,7 @@
 	return cmd
 }
 
-func load(settings, script string) (*config.Settings, *policy.Knobs, error) {
+func load(settings, script string) (*config.Settings, *policy.Parameters, error) {
 	set, err := readSettings(settings)
 	if err != nil {
 		return nil, nil, err
@@ -100,7 +100,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-func serve(ctx context.Context, set *config.Settings, knobs *policy.Knobs) error {
+func serve(ctx context.Context, set *config.Settings, knobs *policy.Parameters) error {
 	log, err := logger()
 	if err != nil {
 		return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -90,9 +90,9 @@
 	return max(8, rest*6/7), max(2, rest/7)
 }
 
-// Without tells what the service does without under limits that are very small:
+// Degradations tells what the service does without under limits that are very small:
 // it starts and serves all the same.
-func (s *Settings) Without() (out []string) {
+func (s *Settings) Degradations() (out []string) {
 	p := &s.Params
 	say := func(small bool, format string, args ...any) {
 		if small {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -51,7 +51,7 @@
 func TestVerySmallLimitsAreTold(t *testing.T) {
 	s, err := Parse([]byte(sample(t)))
 	require.NoError(t, err)
-	require.Empty(t, s.Without())
+	require.Empty(t, s.Degradations())
 	for _, c := range []struct{ old, new, want string }{
 		{`"txn_ops": 12`, `"txn_ops": 1`, "txn_ops is 1"},
 		{`"value_kb": 8`, `"value_kb": 0.5`, "value_kb is 0.5"},
@@ -61,8 +61,8 @@
 		require.NotEqual(t, sample(t), text, c.old)
 		s, err := Parse([]byte(text))
 		require.NoError(t, err)
-		require.Len(t, s.Without(), 1)
-		require.Contains(t, s.Without()[0], c.want)
+		require.Len(t, s.Degradations(), 1)
+		require.Contains(t, s.Degradations()[0], c.want)
 	}
 }
 
--- a/internal/console/history.go
+++ b/internal/console/history.go
@@ -47,7 +47,7 @@
 
 // historyOf reads a controller's history, page by page.
 func historyOf(c Controller) (events []history.Event, lost uint64, err error) {
-	for in := (peer.HistoryQuery{Most: historyPage}); ; {
+	for in := (peer.HistoryRequest{Most: historyPage}); ; {
 		var p history.Page
 		if err := c.Call("History", in, &p, callTimeout); err != nil {
 			return nil, 0, err
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -32,7 +32,7 @@
 	if team != "" && rows[team] == nil {
 		return UnknownError{"team", team}
 	}
-	answers, missing, err := ask[peer.TeamsAnswer](controllers, "Teams", peer.TeamsQuery{})
+	answers, missing, err := ask[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 
 // gather joins the controllers' answers: a team's numbers are its placer's of the latest term,
 // its shares are summed over the owners.
-func gather(rows map[string]*teamRow, answers []peer.TeamsAnswer) (capacity float64, shared bool, yielded uint64) {
+func gather(rows map[string]*teamRow, answers []peer.TeamsResponse) (capacity float64, shared bool, yielded uint64) {
 	for i := range answers {
 		a := &answers[i]
 		for _, s := range a.Teams {
@@ -136,10 +136,10 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// PlacerOf names the controller that places a team under the latest term, empty where none
+// SchedulerOf names the controller that places a team under the latest term, empty where none
 // that is reached does.
-func PlacerOf(controllers []Controller, team string) (host string) {
-	answers, _, err := ask[peer.TeamsAnswer](controllers, "Teams", peer.TeamsQuery{})
+func SchedulerOf(controllers []Controller, team string) (host string) {
+	answers, _, err := ask[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return ""
 	}
--- a/internal/console/teams_test.go
+++ b/internal/console/teams_test.go
@@ -14,12 +14,12 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-func controller(host string, a *peer.TeamsAnswer) Controller {
+func controller(host string, a *peer.TeamsResponse) Controller {
 	return Controller{host, func(method string, _, out any, _ time.Duration) error {
 		if a == nil || method != "Teams" {
-			return peer.ErrDown
+			return peer.ErrUnavailable
 		}
-		*out.(*peer.TeamsAnswer) = *a
+		*out.(*peer.TeamsResponse) = *a
 		return nil
 	}}
 }
@@ -34,10 +34,10 @@
 // latest term, its shares are of all owners' machines. Who did not answer is named.
 func TestTeamsOfSeveralControllers(t *testing.T) {
 	wait := telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000}
-	a := &peer.TeamsAnswer{Host: "a", Capacity: res.Have(100, 0, 0), Yielded: 4,
-		Teams:     []peer.TeamStatus{{Team: "red", Term: 7, Used: res.Have(12, 0, 0), Limit: res.Have(40, 0, 0), Jobs: 2, Running: 6, Waiting: 9, Waits: wait}},
+	a := &peer.TeamsResponse{Host: "a", Capacity: res.Capacity(100, 0, 0), Yielded: 4,
+		Teams:     []peer.TeamStatus{{Team: "red", Term: 7, Used: res.Capacity(12, 0, 0), Limit: res.Capacity(40, 0, 0), Jobs: 2, Running: 6, Waiting: 9, Waits: wait}},
 		Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.1}, {Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}}
-	b := &peer.TeamsAnswer{Host: "b", Capacity: res.Have(50, 0, 0),
+	b := &peer.TeamsResponse{Host: "b", Capacity: res.Capacity(50, 0, 0),
 		Teams:     []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}},
 		Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.5, Taken: 0.04}}}
 	var out bytes.Buffer
@@ -55,7 +55,7 @@
 	require.ErrorIs(t, Teams(&out, twoTeams(), []Controller{controller("a", nil)}, ""), ErrUnreachable)
 	require.ErrorContains(t, Teams(&out, twoTeams(), nil, "green"), `there is no team "green"`)
 	require.Empty(t, out.String())
-	require.NoError(t, Teams(&out, twoTeams(), []Controller{controller("a", &peer.TeamsAnswer{Host: "a"})}, "red"))
+	require.NoError(t, Teams(&out, twoTeams(), []Controller{controller("a", &peer.TeamsResponse{Host: "a"})}, "red"))
 	require.Contains(t, out.String(), "fair shares are off")
 	require.NotContains(t, out.String(), "blue")
 }
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -13,13 +13,13 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// ErrNoHolder means that no controller that was reached holds the fleet.
-var ErrNoHolder = errors.New("no controller is known to decide on zones now; try again in a moment")
+// ErrNoLeader means that no controller that was reached holds the fleet.
+var ErrNoLeader = errors.New("no controller is known to decide on zones now; try again in a moment")
 
 // Zones writes how the zones stand, as the fleet's holder sees them, or the first controller
 // that answers where the holder doesn't.
 func Zones(out io.Writer, controllers []Controller) error {
-	answers, missing, err := ask[peer.ZonesAnswer](controllers, "Zones", peer.ZonesQuery{})
+	answers, missing, err := ask[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 }
 
 // waitingOf sums what waits for a later stage over the placers.
-func waitingOf(answers []peer.ZonesAnswer, zone string) (n int) {
+func waitingOf(answers []peer.ZonesResponse, zone string) (n int) {
 	for _, a := range answers {
 		for _, z := range a.Zones {
 			if z.Zone == zone {
@@ -75,7 +75,7 @@
 	if !slices.Contains(set.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
 	}
-	answers, _, err := ask[peer.ZoneHoldAnswer](controllers, "HoldZone", peer.ZoneHold{Zone: zone, Held: held})
+	answers, _, err := ask[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
 	if err != nil {
 		return err
 	}
@@ -94,5 +94,5 @@
 			return errors.New(a.Refusal)
 		}
 	}
-	return ErrNoHolder
+	return ErrNoLeader
 }
--- a/internal/console/zones_test.go
+++ b/internal/console/zones_test.go
@@ -18,21 +18,21 @@
 	return Controller{host, func(method string, in, out any, _ time.Duration) error {
 		answer, ok := answers[method]
 		if !ok {
-			return peer.ErrDown
+			return peer.ErrUnavailable
 		}
 		answer(in, out)
 		return nil
 	}}
 }
 
-func zonesOf(a peer.ZonesAnswer) map[string]func(in, out any) {
-	return map[string]func(in, out any){"Zones": func(_, out any) { *out.(*peer.ZonesAnswer) = a }}
+func zonesOf(a peer.ZonesResponse) map[string]func(in, out any) {
+	return map[string]func(in, out any){"Zones": func(_, out any) { *out.(*peer.ZonesResponse) = a }}
 }
 
 // The holder of the fleet decides, so its view is shown; what waits is summed over all placers.
 func TestZonesAsTheirDeciderSeesThem(t *testing.T) {
-	a := peer.ZonesAnswer{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "z", State: "healthy", Machines: 99, Waiting: 2}}}
-	b := peer.ZonesAnswer{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{{Zone: "z", State: "returning", Stage: "urgent", Held: true,
+	a := peer.ZonesResponse{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "z", State: "healthy", Machines: 99, Waiting: 2}}}
+	b := peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{{Zone: "z", State: "returning", Stage: "urgent", Held: true,
 		Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3, AtMS: 1_000, Why: "1 of 10 machines not heard"}}}
 	var out bytes.Buffer
 	require.NoError(t, Zones(&out, []Controller{answering("a", zonesOf(a)), answering("b", zonesOf(b)), answering("c", nil)}))
@@ -49,16 +49,16 @@
 func TestHoldingAReturnPlainly(t *testing.T) {
 	set := &config.Settings{}
 	set.Params.Zones = []string{"z"}
-	hold := func(a peer.ZoneHoldAnswer) Controller {
-		return answering("a", map[string]func(in, out any){"HoldZone": func(_, out any) { *out.(*peer.ZoneHoldAnswer) = a }})
+	hold := func(a peer.ZoneHoldResponse) Controller {
+		return answering("a", map[string]func(in, out any){"HoldZone": func(_, out any) { *out.(*peer.ZoneHoldResponse) = a }})
 	}
 	var out bytes.Buffer
 	require.ErrorContains(t, HoldZone(&out, set, nil, "y", true), `there is no zone "y"`)
-	require.ErrorIs(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldAnswer{})}, "z", true), ErrNoHolder)
-	require.ErrorContains(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldAnswer{Refusal: "zone states are off"})}, "z", true), "zone states are off")
+	require.ErrorIs(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldResponse{})}, "z", true), ErrNoLeader)
+	require.ErrorContains(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldResponse{Refusal: "zone states are off"})}, "z", true), "zone states are off")
 	require.ErrorIs(t, HoldZone(&out, set, []Controller{answering("a", nil)}, "z", true), ErrUnreachable)
 	require.Empty(t, out.String())
-	require.NoError(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldAnswer{}), hold(peer.ZoneHoldAnswer{Done: true})}, "z", true))
+	require.NoError(t, HoldZone(&out, set, []Controller{hold(peer.ZoneHoldResponse{}), hold(peer.ZoneHoldResponse{Done: true})}, "z", true))
 	require.Contains(t, out.String(), "the return of z stays at its stage")
 }
 
@@ -71,7 +71,7 @@
 		ring.Add(history.Event{Kind: history.JobOver, Job: string(rune('a' + i%20)), Note: "done"})
 	}
 	a := answering("a", map[string]func(in, out any){"History": func(in, out any) {
-		q := in.(peer.HistoryQuery)
+		q := in.(peer.HistoryRequest)
 		*out.(*history.Page) = ring.Page(q.From, q.Most)
 	}})
 	path := filepath.Join(t.TempDir(), "h.parquet")
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -109,8 +109,8 @@
 		withheld: map[string]withheld{}, open: map[string]clock.Micros{}}
 }
 
-// Hear takes what a placer tells of its teams' demand.
-func (a *Arbiter) Hear(list []Demand, now clock.Micros) {
+// UpdateDemand takes what a placer tells of its teams' demand.
+func (a *Arbiter) UpdateDemand(list []Demand, now clock.Micros) {
 	for _, d := range list {
 		if old, ok := a.demands[d.Team]; ok && old.Term > d.Term {
 			continue
@@ -123,14 +123,14 @@
 // between are added to the last count.
 const countEvery = clock.Second / 2
 
-// Due tells whether what runs should be counted: some demand is known, and the last count is old.
-func (a *Arbiter) Due(now clock.Micros) bool {
+// UsageDue tells whether what runs should be counted: some demand is known, and the last count is old.
+func (a *Arbiter) UsageDue(now clock.Micros) bool {
 	return len(a.demands) > 0 && (a.counted == 0 || now >= a.counted+countEvery)
 }
 
-// Count takes what the teams' tasks take of the owner's capacity, drops words that are too
+// UpdateUsage takes what the teams' tasks take of the owner's capacity, drops words that are too
 // old, and divides the capacity.
-func (a *Arbiter) Count(capacity res.Amounts, used map[string]Use, now clock.Micros) {
+func (a *Arbiter) UpdateUsage(capacity res.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.counted = capacity, used, now
 	maps.DeleteFunc(a.demands, func(_ string, d told) bool { return now > d.at+a.settings.Fresh })
 	maps.DeleteFunc(a.open, func(_ string, until clock.Micros) bool { return now >= until })
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -12,23 +12,25 @@
 const sec = clock.Second
 
 // room is enough for one task.
-var room = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: res.Have(3, 0, 8)}
+var room = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: res.Capacity(3, 0, 8)}
 
-func ask(team string, rank int) *Ask { return &Ask{Team: team, Rank: rank, Need: res.Need(2, 0, 1)} }
+func ask(team string, rank int) *Ask { return &Ask{Team: team, Rank: rank, Need: res.Request(2, 0, 1)} }
 
-func shape(tasks int) Shape { return Shape{Need: res.Need(2, 0, 1), Rank: 1, Spot: true, Tasks: tasks} }
+func shape(tasks int) Shape {
+	return Shape{Need: res.Request(2, 0, 1), Rank: 1, Spot: true, Tasks: tasks}
+}
 
 // crowded is an arbiter of 100 CPUs that the hot team has nearly all of, while another waits.
 func crowded(waits Shape) *Arbiter {
 	a := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec, Open: 5 * sec})
-	a.Hear([]Demand{{Team: "hot", Term: 1, Shapes: []Shape{shape(500)}}, {Team: "other", Term: 1, Shapes: []Shape{waits}}}, 10*sec)
-	a.Count(res.Have(100, 0, 200), map[string]Use{"hot": {All: res.Have(96, 0, 50)}}, 10*sec)
+	a.UpdateDemand([]Demand{{Team: "hot", Term: 1, Shapes: []Shape{shape(500)}}, {Team: "other", Term: 1, Shapes: []Shape{waits}}}, 10*sec)
+	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(96, 0, 50)}}, 10*sec)
 	return a
 }
 
 func TestWhoYields(t *testing.T) {
 	zoned, large, low := shape(5), shape(5), shape(5)
-	zoned.Zone, large.Need, low.Rank = "b", res.Need(8, 0, 1), 0
+	zoned.Zone, large.Need, low.Rank = "b", res.Request(8, 0, 1), 0
 	owed := ask("hot", 1)
 	owed.Owed = true
 	for _, x := range []struct {
@@ -68,10 +70,10 @@
 // machine's room.
 func TestNoMoreIsWithheldThanWaits(t *testing.T) {
 	both := *room
-	both.Free = res.Have(4, 0, 8)
+	both.Free = res.Capacity(4, 0, 8)
 	require.False(t, crowded(shape(5)).Yields(ask("hot", 1), &both, 10*sec), "there is room for both")
 	a := crowded(shape(2))
-	a.Count(res.Have(100, 0, 200), map[string]Use{"hot": {All: res.Have(98, 0, 50)}}, 10*sec)
+	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(98, 0, 50)}}, 10*sec)
 	for i, want := range []bool{true, true, false, false} {
 		next := *room
 		next.Machine = string(rune('a' + i))
@@ -87,7 +89,7 @@
 // is counted anew.
 func TestGrantsCountAtOnce(t *testing.T) {
 	a := crowded(shape(1))
-	a.Count(res.Have(100, 0, 200), map[string]Use{"hot": {All: res.Have(98, 0, 50)}}, 10*sec)
+	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(98, 0, 50)}}, 10*sec)
 	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
 	a.Granted(ask("other", 1), room.Machine)
 	require.False(t, a.Yields(ask("hot", 1), room, 10*sec+1), "the other team has its share")
@@ -100,17 +102,17 @@
 	require.True(t, a.Yields(ask("hot", 1), room, 13*sec))
 	require.False(t, a.Yields(ask("hot", 1), room, 13*sec+1))
 	fresh := crowded(shape(5))
-	fresh.Hear([]Demand{{Team: "other", Term: 1}}, 11*sec)
+	fresh.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 11*sec)
 	require.False(t, fresh.Yields(ask("hot", 1), room, 11*sec), "nothing waits any more")
 	none := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec})
-	require.False(t, none.Due(sec), "without demand nothing is counted")
+	require.False(t, none.UsageDue(sec), "without demand nothing is counted")
 	require.False(t, none.Yields(ask("hot", 1), room, sec))
 }
 
 // A former placer's word, that arrives late, does not replace the present one's.
 func TestAFormerPlacersDemandCountsForNothing(t *testing.T) {
 	a := crowded(shape(5))
-	a.Hear([]Demand{{Team: "other", Term: 2, Shapes: []Shape{shape(5)}}}, 10*sec)
-	a.Hear([]Demand{{Team: "other", Term: 1}}, 10*sec)
+	a.UpdateDemand([]Demand{{Team: "other", Term: 2, Shapes: []Shape{shape(5)}}}, 10*sec)
+	a.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 10*sec)
 	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
 }
--- a/internal/fairshare/shares_test.go
+++ b/internal/fairshare/shares_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/res"
 )
 
-func cpus(n float64) res.Amounts { return res.Have(n, 0, 0) }
+func cpus(n float64) res.Amounts { return res.Capacity(n, 0, 0) }
 
 func TestShares(t *testing.T) {
 	for _, x := range []struct {
@@ -33,11 +33,11 @@
 		{"a guarantee is no more than the demand", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(10), Owed: cpus(80)}},
 			map[string]float64{"a": 0.9, "b": 0.1}},
-		{"by the dominant resource", res.Have(90, 0, 180),
-			map[string]Claimant{"a": {Waiting: res.Have(100, 0, 400)}, "b": {Waiting: res.Have(300, 0, 100)}},
+		{"by the dominant resource", res.Capacity(90, 0, 180),
+			map[string]Claimant{"a": {Waiting: res.Capacity(100, 0, 400)}, "b": {Waiting: res.Capacity(300, 0, 100)}},
 			map[string]float64{"a": 2.0 / 3, "b": 2.0 / 3}},
-		{"one resource is used up, who needs another goes on", res.Have(100, 10, 0),
-			map[string]Claimant{"a": {Waiting: res.Have(500, 0, 0)}, "b": {Waiting: res.Have(500, 0, 0)}, "g": {Waiting: res.Have(0, 50, 0)}},
+		{"one resource is used up, who needs another goes on", res.Capacity(100, 10, 0),
+			map[string]Claimant{"a": {Waiting: res.Capacity(500, 0, 0)}, "b": {Waiting: res.Capacity(500, 0, 0)}, "g": {Waiting: res.Capacity(0, 50, 0)}},
 			map[string]float64{"a": 0.5, "b": 0.5, "g": 1}},
 		{"without capacity there are no shares", res.Amounts{},
 			map[string]Claimant{"a": {Waiting: cpus(5)}}, map[string]float64{"a": 0}},
@@ -59,16 +59,16 @@
 func TestSharesWhateverTheDemand(t *testing.T) {
 	rng := fakes.Rand(7)
 	for range 2000 {
-		capacity := res.Have(float64(50+rng.IntN(200)), 0, float64(50+rng.IntN(400)))
+		capacity := res.Capacity(float64(50+rng.IntN(200)), 0, float64(50+rng.IntN(400)))
 		teams := map[string]Claimant{}
 		for i := range 1 + rng.IntN(6) {
 			cpu, mem := float64(rng.IntN(200)), float64(rng.IntN(300))
 			if rng.IntN(4) == 0 {
 				mem = 0
 			}
-			c := Claimant{Weight: float64(1 + rng.IntN(3)), Used: res.Have(cpu/4, 0, mem/4), Waiting: res.Have(cpu, 0, mem)}
+			c := Claimant{Weight: float64(1 + rng.IntN(3)), Used: res.Capacity(cpu/4, 0, mem/4), Waiting: res.Capacity(cpu, 0, mem)}
 			if rng.IntN(4) == 0 {
-				c.Owed = res.Have(float64(rng.IntN(10)), 0, 0)
+				c.Owed = res.Capacity(float64(rng.IntN(10)), 0, 0)
 			}
 			teams[fmt.Sprint(i)] = c
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,9 +20,9 @@
 	Demands(ctx context.Context) []peer.Demand
 	// Views appends the views of all machines.
 	Views(to []peer.MachineView) []peer.MachineView
-	Drain(ctx context.Context, list []peer.Machine) (ready []string)
-	Gone(ctx context.Context, list []peer.Machine)
-	RecordedBefore(atMS int64) []peer.Machine
+	Drain(ctx context.Context, list []peer.MachineRef) (ready []string)
+	Gone(ctx context.Context, list []peer.MachineRef)
+	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
 // Claims tells whether the fleet is held.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -70,19 +70,19 @@
 	records map[string]int64
 }
 
-func (o *others) RecordedBefore(at int64) (out []peer.Machine) {
+func (o *others) RecordedBefore(at int64) (out []peer.MachineRef) {
 	for id, w := range o.records {
 		if w < at {
-			out = append(out, peer.Machine{ID: id})
+			out = append(out, peer.MachineRef{ID: id})
 		}
 	}
 	return out
 }
 
-func (o *others) Demands(context.Context) []peer.Demand              { return o.demands }
-func (o *others) Views(to []peer.MachineView) []peer.MachineView     { return append(to, o.views...) }
-func (o *others) Drain(_ context.Context, _ []peer.Machine) []string { return o.ready }
-func (o *others) Gone(_ context.Context, list []peer.Machine) {
+func (o *others) Demands(context.Context) []peer.Demand                 { return o.demands }
+func (o *others) Views(to []peer.MachineView) []peer.MachineView        { return append(to, o.views...) }
+func (o *others) Drain(_ context.Context, _ []peer.MachineRef) []string { return o.ready }
+func (o *others) Gone(_ context.Context, list []peer.MachineRef) {
 	for _, m := range list {
 		o.gone = append(o.gone, m.ID)
 	}
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -67,9 +67,9 @@
 			delete(f.gone, id) // no list is as old as that
 		}
 	}
-	var gone []peer.Machine
+	var gone []peer.MachineRef
 	lost := func(id, zone string) {
-		gone = append(gone, peer.Machine{ID: id, Zone: zone})
+		gone = append(gone, peer.MachineRef{ID: id, Zone: zone})
 		f.gone[id] = began // an older list may still show it
 		f.drop(id)
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		slices.SortFunc(gone, func(a, b peer.Machine) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(gone, func(a, b peer.MachineRef) int { return strings.Compare(a.ID, b.ID) })
 		f.log.Info("machines are on the cloud's list no more", "machines", gone)
 		f.others.Gone(ctx, gone)
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -145,7 +145,7 @@
 // offer is what a new machine of a type has to offer.
 func (p *planner) offer(typeName string) res.Amounts {
 	t := p.types[typeName]
-	return res.Have(t.CPUs, t.GPUs, t.MemGB)
+	return res.Capacity(t.CPUs, t.GPUs, t.MemGB)
 }
 
 // countViewed takes the room of machines that may get tasks.
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -69,13 +69,13 @@
 func (f *Fleet) giveBack(ctx context.Context, list []Return) {
 	why := map[string]string{}
 	zone := map[string]string{}
-	var some, failed []peer.Machine
+	var some, failed []peer.MachineRef
 	for _, r := range list {
 		if f.rented[r.ID].Phase == wire.MachineFailed {
-			failed = append(failed, peer.Machine{ID: r.ID, Zone: r.Zone})
+			failed = append(failed, peer.MachineRef{ID: r.ID, Zone: r.Zone})
 		}
 		if len(some) < 100 {
-			some = append(some, peer.Machine{ID: r.ID, Zone: r.Zone})
+			some = append(some, peer.MachineRef{ID: r.ID, Zone: r.Zone})
 			why[r.ID], zone[r.ID] = r.Why, r.Zone
 		}
 	}
@@ -94,9 +94,9 @@
 		return
 	}
 	now := f.clock.Now()
-	var gone []peer.Machine
+	var gone []peer.MachineRef
 	for _, id := range ready {
-		gone = append(gone, peer.Machine{ID: id, Zone: zone[id]})
+		gone = append(gone, peer.MachineRef{ID: id, Zone: zone[id]})
 		f.log.Info("returned a machine", "machine", id, "why", why[id])
 		f.gone[id] = now
 		f.drop(id)
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -20,11 +20,11 @@
 			for i := range machines {
 				id := fmt.Sprintf("m-%06d", i)
 				in.Rented[id] = Rented{Kind: kind, ID: id, Phase: wire.MachineRunning, Since: clock.Second, Up: true}
-				in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Spot: true, Cap: res.Have(32, 0, 64),
-					Free: res.Have(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
+				in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Spot: true, Cap: res.Capacity(32, 0, 64),
+					Free: res.Capacity(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
 			}
 			for i := range 60 {
-				in.Demands = append(in.Demands, peer.Demand{Need: res.Need(float64(2+i%4), 0, 2), Spot: true, Rank: 1, Waiting: 100,
+				in.Demands = append(in.Demands, peer.Demand{Need: res.Request(float64(2+i%4), 0, 2), Spot: true, Rank: 1, Waiting: 100,
 					RunFor: 30 * clock.Second})
 			}
 			b.ReportAllocs()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -28,8 +28,8 @@
 
 // Placers finds who places a team's jobs, and asks.
 type Placers interface {
-	Status(ctx context.Context, q peer.JobQuery) (peer.JobAnswer, error)
-	Cancel(ctx context.Context, q peer.JobQuery) (peer.JobAnswer, error)
+	Status(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
+	Cancel(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
 }
 
 // Others are the other controllers, for submissions that this one can't store.
@@ -123,7 +123,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.types {
-		if !j.Need.Fits(res.Have(t.CPUs, t.GPUs, t.MemGB)) {
+		if !j.Need.Fits(res.Capacity(t.CPUs, t.GPUs, t.MemGB)) {
 			continue
 		}
 		allowed := len(j.Types) == 0
@@ -231,7 +231,7 @@
 		return httpx.JSON(200, s.State(id))
 	}
 	if j, ok := f.book.Active(id); ok {
-		a, err := f.placers.Status(ctx, peer.JobQuery{Team: j.Team, ID: id})
+		a, err := f.placers.Status(ctx, peer.JobRequest{Team: j.Team, ID: id})
 		if err == nil && a.Known && a.Found {
 			if a.Retry {
 				return refuse(503, "the job's end is being written")
@@ -308,7 +308,7 @@
 		}
 		team = active.Team
 	}
-	a, err := f.placers.Cancel(ctx, peer.JobQuery{Team: team, ID: id})
+	a, err := f.placers.Cancel(ctx, peer.JobRequest{Team: team, ID: id})
 	if err != nil || !a.Known || !a.Found || a.Retry {
 		return refuse(503, "the job is not cancelled yet, ask again")
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -23,14 +23,14 @@
 
 // placers answers as the team's placer would.
 type placers struct {
-	answer peer.JobAnswer
+	answer peer.JobResponse
 	err    error
 }
 
-func (p *placers) Status(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *placers) Status(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
-func (p *placers) Cancel(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *placers) Cancel(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
 
@@ -63,7 +63,7 @@
 
 func newScene(t *testing.T) *scene {
 	s := &scene{oth: &others{}, t: t, view: &fakes.KVClient{KVStore: fakes.NewKVStore()}, pl: &placers{err: errors.New("nobody")}, book: jobs.NewCache()}
-	s.Front = New(s.view, s.pl, s.oth, s.book, map[string]res.Amounts{"red": res.Have(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
+	s.Front = New(s.view, s.pl, s.oth, s.book, map[string]res.Amounts{"red": res.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	return s
@@ -179,7 +179,7 @@
 	s.do("POST", "", good)
 	it, _, _ := s.view.Get(t.Context(), state.ActiveJobPrefix+"job-000412")
 	s.book.Apply(state.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
-	s.pl.answer, s.pl.err = peer.JobAnswer{Known: true, Found: true, Retry: true}, nil
+	s.pl.answer, s.pl.err = peer.JobResponse{Known: true, Found: true, Retry: true}, nil
 	r := s.do("GET", "/job-000412", "")
 	require.Equal(t, 503, r.Status)
 	require.Equal(t, 503, s.do("POST", "/job-000412/withdraw", "").Status)
--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -23,30 +23,30 @@
 
 // cannedController answers the operators' calls over a real connection.
 type cannedController struct {
-	teams  peer.TeamsAnswer
-	zones  peer.ZonesAnswer
-	hold   peer.ZoneHoldAnswer
+	teams  peer.TeamsResponse
+	zones  peer.ZonesResponse
+	hold   peer.ZoneHoldResponse
 	events []history.Event
 }
 
-func (c *cannedController) Teams(_ peer.TeamsQuery, out *peer.TeamsAnswer) error {
+func (c *cannedController) Teams(_ peer.TeamsRequest, out *peer.TeamsResponse) error {
 	*out = c.teams
 	return nil
 }
 
-func (c *cannedController) Zones(_ peer.ZonesQuery, out *peer.ZonesAnswer) error {
+func (c *cannedController) Zones(_ peer.ZonesRequest, out *peer.ZonesResponse) error {
 	*out = c.zones
 	return nil
 }
 
-func (c *cannedController) HoldZone(in peer.ZoneHold, out *peer.ZoneHoldAnswer) error {
+func (c *cannedController) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
 	*out = c.hold
 	out.Done = out.Done && in.Zone == "north"
 	return nil
 }
 
 // History gives one event a page.
-func (c *cannedController) History(in peer.HistoryQuery, out *history.Page) error {
+func (c *cannedController) History(in peer.HistoryRequest, out *history.Page) error {
 	at := in.From
 	if at == 0 {
 		out.Lost, at = 2, 2
@@ -87,14 +87,14 @@
 
 func cannedPair() (a, b *cannedController) {
 	a = &cannedController{
-		teams: peer.TeamsAnswer{Host: "a", Capacity: res.Have(100, 8, 0), Yielded: 4,
-			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: res.Have(10, 0, 0), Limit: res.Have(40, 0, 0), Used: res.Have(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
+		teams: peer.TeamsResponse{Host: "a", Capacity: res.Capacity(100, 8, 0), Yielded: 4,
+			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: res.Capacity(10, 0, 0), Limit: res.Capacity(40, 0, 0), Used: res.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
 				Waits:    telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000},
 				Lateness: telemetry.Quantiles{Count: 1, P50: 100_000, P95: 200_000, P99: 300_000},
-				Moves:    []peer.MoveNote{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made", Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
-				Unmoved:  []peer.Unmoved{{Why: "gain below margin", Count: 5}}}},
+				Moves:    []peer.MoveRecord{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made", Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
+				Unmoved:  []peer.DeclinedMoves{{Why: "gain below margin", Count: 5}}}},
 			Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.125}, {Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}},
-		zones: peer.ZonesAnswer{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "north", State: "healthy", Machines: 99, Waiting: 2}}},
+		zones: peer.ZonesResponse{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "north", State: "healthy", Machines: 99, Waiting: 2}}},
 		events: []history.Event{
 			{AtMS: 1000, Controller: "a", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north"},
 			{AtMS: 9000, Controller: "a", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north", Note: "done"},
@@ -102,11 +102,11 @@
 		},
 	}
 	b = &cannedController{
-		teams: peer.TeamsAnswer{Host: "b", Capacity: res.Have(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
-		zones: peer.ZonesAnswer{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
+		teams: peer.TeamsResponse{Host: "b", Capacity: res.Capacity(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
+		zones: peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
 			{Zone: "north", State: "returning", Stage: "urgent", Held: true, Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3, AtMS: 1_000, Why: "1 of 10 machines not heard"},
 			{Zone: "south", State: "healthy", Machines: 7}}},
-		hold: peer.ZoneHoldAnswer{Done: true},
+		hold: peer.ZoneHoldResponse{Done: true},
 		events: []history.Event{
 			{AtMS: 2500, Controller: "b", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south"},
 			{AtMS: 8000, Controller: "b", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south", Note: "stopped"},
@@ -136,7 +136,7 @@
 	told("hold where no return is", console.HoldZone(&out, s, all, "south", true))
 	told("hold unknown zone", console.HoldZone(&out, s, all, "west", true))
 	told("teams, nobody reached", console.Teams(&out, s, all[2:], ""))
-	fmt.Fprintf(&out, "placer of red: %q, of blue: %q\n", console.PlacerOf(all, "red"), console.PlacerOf(all, "blue"))
+	fmt.Fprintf(&out, "placer of red: %q, of blue: %q\n", console.SchedulerOf(all, "red"), console.SchedulerOf(all, "blue"))
 	file := filepath.Join(t.TempDir(), "h.parquet")
 	told("export", console.ExportHistory(&out, all, file))
 	told("check of two runs at once and two ends", console.CheckHistory(&out, file, 1000))
@@ -148,7 +148,7 @@
 // A refusal of the controllers reaches the operator word for word; without shares the table has
 // fewer columns.
 func TestOperatorsCommandsKeepOutputWithoutFeatures(t *testing.T) {
-	refusing := &cannedController{teams: peer.TeamsAnswer{Host: "a"}, zones: peer.ZonesAnswer{Host: "a"}, hold: peer.ZoneHoldAnswer{Refusal: "zone states are off"}}
+	refusing := &cannedController{teams: peer.TeamsResponse{Host: "a"}, zones: peer.ZonesResponse{Host: "a"}, hold: peer.ZoneHoldResponse{Refusal: "zone states are off"}}
 	s := serveCanned(t, refusing, refusing)
 	all := console.Controllers(s)[:2]
 	var out bytes.Buffer
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -34,7 +34,7 @@
 // knobFlags are the knobs that are True or False.
 var knobFlags = []string{"fair_shares", "placement_costs", "moves", "zone_return", "history"}
 
-func knobsDump(k *policy.Knobs) []byte {
+func knobsDump(k *policy.Parameters) []byte {
 	var out strings.Builder
 	line := func(name string, value any) {
 		if m, ok := value.(clock.Micros); ok {
@@ -43,23 +43,23 @@
 		fmt.Fprintln(&out, name, value)
 	}
 	line("economy", k.Economy)
-	line("hold_ttl_s", k.HoldTTL)
-	line("hold_renew_s", k.HoldRenew)
+	line("hold_ttl_s", k.LeaderLeaseTTL)
+	line("hold_renew_s", k.LeaderRenewInterval)
 	line("resign_after_s", k.ResignAfter)
-	line("hold_grace_s", k.HoldGrace)
-	line("hand_over_s", k.HandOver)
+	line("hold_grace_s", k.TakeoverGrace)
+	line("hand_over_s", k.TransferDelay)
 	line("sample", k.Sample)
 	line("batch", k.Batch)
-	line("lease_ttl_s", k.LeaseTTL)
+	line("lease_ttl_s", k.RoomLeaseTTL)
 	line("progress_every_s", k.ProgressEvery)
 	line("preempt_after_s", k.PreemptAfter)
-	line("idle_return_s", k.IdleReturn)
+	line("idle_return_s", k.IdleScaleInDelay)
 	line("catchup_s", k.Catchup)
 	line("catchup_ordinary_s", k.CatchupOrdinary)
 	line("spare_share", k.SpareShare)
 	line("boot_patience", k.BootPatience)
-	line("rental_backoff_s", k.RentalBackoff)
-	line("sick_errors", k.SickErrors)
+	line("rental_backoff_s", k.ScaleOutBackoff)
+	line("sick_errors", k.QuarantineErrors)
 	line("fair_shares", k.FairShares)
 	line("team_weights", k.TeamWeights) // printed in the order of the names
 	line("share_fresh_s", k.ShareFresh)
@@ -75,9 +75,9 @@
 	line("moves_per_team", k.TeamMoves)
 	line("moves_per_machine", k.MachineMoves)
 	line("zone_return", k.ZoneReturn)
-	line("zone_suspect_s", k.ZoneSuspect)
-	line("zone_lost_s", k.ZoneLost)
-	line("zone_back_s", k.ZoneBack)
+	line("zone_suspect_s", k.ZoneSuspectAfter)
+	line("zone_lost_s", k.ZoneLostAfter)
+	line("zone_back_s", k.ZoneReturnAfter)
 	line("history", k.History)
 	for _, r := range k.Renamed {
 		line("renamed "+r.Old, r.New)
@@ -186,11 +186,11 @@
 func TestFormerKnobNamesAreAccepted(t *testing.T) {
 	k, err := policy.Parse("hire_backoff_s = 17", fullSettings(t))
 	require.NoError(t, err)
-	require.EqualValues(t, 17_000_000, k.RentalBackoff)
-	require.Equal(t, []policy.Rename{{Old: "hire_backoff_s", New: "rental_backoff_s"}}, k.Renamed)
+	require.EqualValues(t, 17_000_000, k.ScaleOutBackoff)
+	require.Equal(t, []policy.RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}, k.Renamed)
 	k, err = policy.Parse("hire_backoff_s = 17\nrental_backoff_s = 18", fullSettings(t))
 	require.NoError(t, err)
-	require.EqualValues(t, 18_000_000, k.RentalBackoff)
+	require.EqualValues(t, 18_000_000, k.ScaleOutBackoff)
 }
 
 func knobsLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
--- a/internal/golden/rpc_test.go
+++ b/internal/golden/rpc_test.go
@@ -47,40 +47,40 @@
 
 // messages are named as their golden files: a name here stays when its type is renamed.
 var messages = []message{
-	messageOf[peer.Round, FrozenRound]("Round"),
-	messageOf[peer.RoundAnswer, FrozenRoundAnswer]("RoundAnswer"),
-	messageOf[peer.Poll, FrozenPoll]("Poll"),
-	messageOf[peer.PollAnswer, FrozenPollAnswer]("PollAnswer"),
-	messageOf[peer.Hello, FrozenHello]("Hello"),
-	messageOf[peer.DemandAnswer, FrozenDemandAnswer]("DemandAnswer"),
-	messageOf[peer.JobQuery, FrozenJobQuery]("JobQuery"),
-	messageOf[peer.JobAnswer, FrozenJobAnswer]("JobAnswer"),
-	messageOf[peer.SubmitQuery, FrozenSubmitQuery]("SubmitQuery"),
-	messageOf[peer.SubmitAnswer, FrozenSubmitAnswer]("SubmitAnswer"),
-	messageOf[peer.DrainQuery, FrozenDrainQuery]("DrainQuery"),
-	messageOf[peer.DrainAnswer, FrozenDrainAnswer]("DrainAnswer"),
-	messageOf[peer.GoneNote, FrozenGoneNote]("GoneNote"),
-	messageOf[peer.TeamsQuery, FrozenTeamsQuery]("TeamsQuery"),
-	messageOf[peer.TeamsAnswer, FrozenTeamsAnswer]("TeamsAnswer"),
-	messageOf[peer.ZonesQuery, FrozenZonesQuery]("ZonesQuery"),
-	messageOf[peer.ZonesAnswer, FrozenZonesAnswer]("ZonesAnswer"),
-	messageOf[peer.ZoneHold, FrozenZoneHold]("ZoneHold"),
-	messageOf[peer.ZoneHoldAnswer, FrozenZoneHoldAnswer]("ZoneHoldAnswer"),
-	messageOf[peer.HistoryQuery, FrozenHistoryQuery]("HistoryQuery"),
+	messageOf[peer.Batch, FrozenRound]("Round"),
+	messageOf[peer.BatchResponse, FrozenRoundAnswer]("RoundAnswer"),
+	messageOf[peer.PollRequest, FrozenPoll]("Poll"),
+	messageOf[peer.PollResponse, FrozenPollAnswer]("PollAnswer"),
+	messageOf[peer.Heartbeat, FrozenHello]("Hello"),
+	messageOf[peer.DemandResponse, FrozenDemandAnswer]("DemandAnswer"),
+	messageOf[peer.JobRequest, FrozenJobQuery]("JobQuery"),
+	messageOf[peer.JobResponse, FrozenJobAnswer]("JobAnswer"),
+	messageOf[peer.SubmitRequest, FrozenSubmitQuery]("SubmitQuery"),
+	messageOf[peer.SubmitResponse, FrozenSubmitAnswer]("SubmitAnswer"),
+	messageOf[peer.DrainRequest, FrozenDrainQuery]("DrainQuery"),
+	messageOf[peer.DrainResponse, FrozenDrainAnswer]("DrainAnswer"),
+	messageOf[peer.MachinesGone, FrozenGoneNote]("GoneNote"),
+	messageOf[peer.TeamsRequest, FrozenTeamsQuery]("TeamsQuery"),
+	messageOf[peer.TeamsResponse, FrozenTeamsAnswer]("TeamsAnswer"),
+	messageOf[peer.ZonesRequest, FrozenZonesQuery]("ZonesQuery"),
+	messageOf[peer.ZonesResponse, FrozenZonesAnswer]("ZonesAnswer"),
+	messageOf[peer.ZoneHoldRequest, FrozenZoneHold]("ZoneHold"),
+	messageOf[peer.ZoneHoldResponse, FrozenZoneHoldAnswer]("ZoneHoldAnswer"),
+	messageOf[peer.HistoryRequest, FrozenHistoryQuery]("HistoryQuery"),
 	messageOf[history.Page, FrozenPage]("Page"),
 	messageOf[peer.TaskID, FrozenTaskID]("TaskID"),
 	messageOf[peer.TaskView, FrozenTaskView]("TaskView"),
 	messageOf[peer.MachineView, FrozenMachineView]("MachineView"),
-	messageOf[peer.Ask, FrozenAsk]("Ask"),
-	messageOf[peer.Start, FrozenStart]("Start"),
-	messageOf[peer.Stop, FrozenStop]("Stop"),
-	messageOf[peer.Settle, FrozenSettle]("Settle"),
-	messageOf[peer.Cancel, FrozenCancel]("Cancel"),
+	messageOf[peer.Assignment, FrozenAsk]("Ask"),
+	messageOf[peer.StartTask, FrozenStart]("Start"),
+	messageOf[peer.StopTask, FrozenStop]("Stop"),
+	messageOf[peer.Acknowledgement, FrozenSettle]("Settle"),
+	messageOf[peer.CancelJob, FrozenCancel]("Cancel"),
 	messageOf[peer.Demand, FrozenDemand]("Demand"),
-	messageOf[peer.Machine, FrozenMachine]("Machine"),
+	messageOf[peer.MachineRef, FrozenMachine]("Machine"),
 	messageOf[peer.TeamStatus, FrozenTeamStatus]("TeamStatus"),
-	messageOf[peer.MoveNote, FrozenMoveNote]("MoveNote"),
-	messageOf[peer.Unmoved, FrozenUnmoved]("Unmoved"),
+	messageOf[peer.MoveRecord, FrozenMoveNote]("MoveNote"),
+	messageOf[peer.DeclinedMoves, FrozenUnmoved]("Unmoved"),
 	messageOf[peer.ZoneStatus, FrozenZoneStatus]("ZoneStatus"),
 }
 
@@ -113,19 +113,23 @@
 
 var _ peer.Service = (*stub)(nil)
 
-func (s *stub) Round(in peer.Round, out *peer.RoundAnswer) error          { return answer(s, in, out) }
-func (s *stub) Poll(in peer.Poll, out *peer.PollAnswer) error             { return answer(s, in, out) }
-func (s *stub) Hello(in peer.Hello, out *peer.Hello) error                { return answer(s, in, out) }
-func (s *stub) Demand(in peer.Hello, out *peer.DemandAnswer) error        { return answer(s, in, out) }
-func (s *stub) Status(in peer.JobQuery, out *peer.JobAnswer) error        { return answer(s, in, out) }
-func (s *stub) Withdraw(in peer.JobQuery, out *peer.JobAnswer) error      { return answer(s, in, out) }
-func (s *stub) Submit(in peer.SubmitQuery, out *peer.SubmitAnswer) error  { return answer(s, in, out) }
-func (s *stub) Drain(in peer.DrainQuery, out *peer.DrainAnswer) error     { return answer(s, in, out) }
-func (s *stub) Gone(in peer.GoneNote, out *peer.DrainAnswer) error        { return answer(s, in, out) }
-func (s *stub) Teams(in peer.TeamsQuery, out *peer.TeamsAnswer) error     { return answer(s, in, out) }
-func (s *stub) Zones(in peer.ZonesQuery, out *peer.ZonesAnswer) error     { return answer(s, in, out) }
-func (s *stub) HoldZone(in peer.ZoneHold, out *peer.ZoneHoldAnswer) error { return answer(s, in, out) }
-func (s *stub) History(in peer.HistoryQuery, out *history.Page) error     { return answer(s, in, out) }
+func (s *stub) Round(in peer.Batch, out *peer.BatchResponse) error       { return answer(s, in, out) }
+func (s *stub) Poll(in peer.PollRequest, out *peer.PollResponse) error   { return answer(s, in, out) }
+func (s *stub) Hello(in peer.Heartbeat, out *peer.Heartbeat) error       { return answer(s, in, out) }
+func (s *stub) Demand(in peer.Heartbeat, out *peer.DemandResponse) error { return answer(s, in, out) }
+func (s *stub) Status(in peer.JobRequest, out *peer.JobResponse) error   { return answer(s, in, out) }
+func (s *stub) Withdraw(in peer.JobRequest, out *peer.JobResponse) error { return answer(s, in, out) }
+func (s *stub) Submit(in peer.SubmitRequest, out *peer.SubmitResponse) error {
+	return answer(s, in, out)
+}
+func (s *stub) Drain(in peer.DrainRequest, out *peer.DrainResponse) error { return answer(s, in, out) }
+func (s *stub) Gone(in peer.MachinesGone, out *peer.DrainResponse) error  { return answer(s, in, out) }
+func (s *stub) Teams(in peer.TeamsRequest, out *peer.TeamsResponse) error { return answer(s, in, out) }
+func (s *stub) Zones(in peer.ZonesRequest, out *peer.ZonesResponse) error { return answer(s, in, out) }
+func (s *stub) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
+	return answer(s, in, out)
+}
+func (s *stub) History(in peer.HistoryRequest, out *history.Page) error { return answer(s, in, out) }
 
 // earlier is the service of a release in use, with the frozen types and method names.
 type earlier struct{ *stub }
@@ -192,19 +196,19 @@
 }
 
 var methods = []method{
-	methodOf[peer.Round, peer.RoundAnswer, FrozenRound, FrozenRoundAnswer]("Round"),
-	methodOf[peer.Poll, peer.PollAnswer, FrozenPoll, FrozenPollAnswer]("Poll"),
-	methodOf[peer.Hello, peer.Hello, FrozenHello, FrozenHello]("Hello"),
-	methodOf[peer.Hello, peer.DemandAnswer, FrozenHello, FrozenDemandAnswer]("Demand"),
-	methodOf[peer.JobQuery, peer.JobAnswer, FrozenJobQuery, FrozenJobAnswer]("Status"),
-	methodOf[peer.JobQuery, peer.JobAnswer, FrozenJobQuery, FrozenJobAnswer]("Withdraw"),
-	methodOf[peer.SubmitQuery, peer.SubmitAnswer, FrozenSubmitQuery, FrozenSubmitAnswer]("Submit"),
-	methodOf[peer.DrainQuery, peer.DrainAnswer, FrozenDrainQuery, FrozenDrainAnswer]("Drain"),
-	methodOf[peer.GoneNote, peer.DrainAnswer, FrozenGoneNote, FrozenDrainAnswer]("Gone"),
-	methodOf[peer.TeamsQuery, peer.TeamsAnswer, FrozenTeamsQuery, FrozenTeamsAnswer]("Teams"),
-	methodOf[peer.ZonesQuery, peer.ZonesAnswer, FrozenZonesQuery, FrozenZonesAnswer]("Zones"),
-	methodOf[peer.ZoneHold, peer.ZoneHoldAnswer, FrozenZoneHold, FrozenZoneHoldAnswer]("HoldZone"),
-	methodOf[peer.HistoryQuery, history.Page, FrozenHistoryQuery, FrozenPage]("History"),
+	methodOf[peer.Batch, peer.BatchResponse, FrozenRound, FrozenRoundAnswer]("Round"),
+	methodOf[peer.PollRequest, peer.PollResponse, FrozenPoll, FrozenPollAnswer]("Poll"),
+	methodOf[peer.Heartbeat, peer.Heartbeat, FrozenHello, FrozenHello]("Hello"),
+	methodOf[peer.Heartbeat, peer.DemandResponse, FrozenHello, FrozenDemandAnswer]("Demand"),
+	methodOf[peer.JobRequest, peer.JobResponse, FrozenJobQuery, FrozenJobAnswer]("Status"),
+	methodOf[peer.JobRequest, peer.JobResponse, FrozenJobQuery, FrozenJobAnswer]("Withdraw"),
+	methodOf[peer.SubmitRequest, peer.SubmitResponse, FrozenSubmitQuery, FrozenSubmitAnswer]("Submit"),
+	methodOf[peer.DrainRequest, peer.DrainResponse, FrozenDrainQuery, FrozenDrainAnswer]("Drain"),
+	methodOf[peer.MachinesGone, peer.DrainResponse, FrozenGoneNote, FrozenDrainAnswer]("Gone"),
+	methodOf[peer.TeamsRequest, peer.TeamsResponse, FrozenTeamsQuery, FrozenTeamsAnswer]("Teams"),
+	methodOf[peer.ZonesRequest, peer.ZonesResponse, FrozenZonesQuery, FrozenZonesAnswer]("Zones"),
+	methodOf[peer.ZoneHoldRequest, peer.ZoneHoldResponse, FrozenZoneHold, FrozenZoneHoldAnswer]("HoldZone"),
+	methodOf[peer.HistoryRequest, history.Page, FrozenHistoryQuery, FrozenPage]("History"),
 }
 
 // serve has the real server answer with a service on a free port of the loopback, and
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -86,7 +86,7 @@
 	for _, text := range s.Assumed {
 		line("assumed:", text)
 	}
-	for _, text := range s.Without() {
+	for _, text := range s.Degradations() {
 		line("without:", text)
 	}
 	for _, text := range s.Insufficient(config.LargeFleet) {
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -269,15 +269,15 @@
 
 // wirePlacer answers as a team's placer would.
 type wirePlacer struct {
-	answer peer.JobAnswer
+	answer peer.JobResponse
 	err    error
 }
 
-func (p *wirePlacer) Status(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *wirePlacer) Status(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
 
-func (p *wirePlacer) Cancel(context.Context, peer.JobQuery) (peer.JobAnswer, error) {
+func (p *wirePlacer) Cancel(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
 
@@ -292,7 +292,7 @@
 	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	placer := &wirePlacer{err: errors.New("nobody")}
 	book := jobs.NewCache()
-	f := front.New(view, placer, wireAlone{}, book, map[string]res.Amounts{"t": res.Have(64, 0, 0)}, nil, 4096,
+	f := front.New(view, placer, wireAlone{}, book, map[string]res.Amounts{"t": res.Capacity(64, 0, 0)}, nil, 4096,
 		func() time.Time { return time.UnixMilli(0) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var out strings.Builder
 	ask := func(what, method, rest, body string) {
@@ -308,7 +308,7 @@
 	ask("repeated", "POST", "", wireJob)
 	ask("pending", "GET", "/job-1", "")
 	ask("not cancelled yet", "POST", "/job-1/withdraw", "")
-	placer.err, placer.answer = nil, peer.JobAnswer{Known: true, Found: true, State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
+	placer.err, placer.answer = nil, peer.JobResponse{Known: true, Found: true, State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
 	ask("cancelled", "POST", "/job-1/withdraw", "")
 	book.AddFinal("job-2", jobs.Final{Phase: wire.Done, Team: "t", Tasks: 5})
 	ask("done", "GET", "/job-2", "")
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -40,7 +40,7 @@
 
 // New makes a job from its record.
 func New(spec Record, stamp uint64) *Job {
-	return &Job{Record: spec, ModRevision: stamp, Need: res.Need(spec.CPUs, spec.GPUs, spec.MemGB), PriorityLevel: wire.PriorityLevel(spec.Priority)}
+	return &Job{Record: spec, ModRevision: stamp, Need: res.Request(spec.CPUs, spec.GPUs, spec.MemGB), PriorityLevel: wire.PriorityLevel(spec.Priority)}
 }
 
 // StopGraceS is how long a task of the job may save when it is stopped.
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -303,5 +303,5 @@
 	if err != nil {
 		return ""
 	}
-	return console.PlacerOf(console.Controllers(set), team)
+	return console.SchedulerOf(console.Controllers(set), team)
 }
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -59,7 +59,7 @@
 		l.partZones = append(l.partZones, zoneOf[claim.PreferredLeader(l.hosts, i, 0)])
 	}
 	for _, t := range p.Teams {
-		team := placer.Team{Name: t.Name, Guarantee: res.Have(t.CPUs, t.GPUs, 0), Limit: res.Have(t.CPUsMax, t.GPUsMax, 0)}
+		team := placer.Team{Name: t.Name, Guarantee: res.Capacity(t.CPUs, t.GPUs, 0), Limit: res.Capacity(t.CPUsMax, t.GPUsMax, 0)}
 		l.teams = append(l.teams, team)
 		l.limits[t.Name] = team.Limit
 	}
@@ -78,14 +78,14 @@
 // assemble wires a controller to a state service and to peers. What users or
 // other controllers wait for, accepted jobs and claims, goes the urgent way, and
 // what users ask a way of its own. The seed decides which machines placement draws.
-func assemble(ctx context.Context, set *config.Settings, knobs *policy.Knobs, store, urgent Store, users front.Store, peers map[string]Peer, seed uint64, log *slog.Logger) *Node {
+func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users front.Store, peers map[string]Peer, seed uint64, log *slog.Logger) *Node {
 	p := &set.Params
 	steady, wall := clock.NewSteady(), time.Now
 	l := newLayout(set)
 	instance := uuid.NewString()
 	valueMost := int(p.State.ValueKB * 1024 * recordShare)
 	n := &Node{
-		fresh: knobs.HoldRenew * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
+		fresh: knobs.LeaderRenewInterval * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
 		zones: zoneBook{records: map[string]fleet.ZoneRecord{}}, followZones: knobs.ZoneReturn,
 		contact: map[string]time.Time{}, told: map[string]told{}, loaded: make(chan struct{}),
 	}
@@ -106,7 +106,7 @@
 	}, n.keeper, n.store, urgent, n.book, steady, log)
 	n.front = front.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
 	cloud := fleet.NewCloud(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
-	n.fleet = fleet.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.RentalBackoff,
+	n.fleet = fleet.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.ScaleOutBackoff,
 		clock.FromSeconds(p.Cloud.ListLagS), clock.FromSeconds(p.SkewMS/1000), wall, n.keptCatalog, log)
 	n.fleet.WatchZones(n.zoneWatch(knobs))
 	if knobs.History {
@@ -124,7 +124,7 @@
 
 // zoneWatch has the fleet's holder decide the states of zones, where that is on and there are
 // several.
-func (n *Node) zoneWatch(knobs *policy.Knobs) fleet.ZoneWatch {
+func (n *Node) zoneWatch(knobs *policy.Parameters) fleet.ZoneWatch {
 	names := n.set.Params.Zones
 	if !knobs.ZoneReturn {
 		return fleet.ZoneWatch{}
@@ -134,8 +134,8 @@
 		n.followZones = false
 		return fleet.ZoneWatch{}
 	}
-	return fleet.ZoneWatch{Names: names, Source: n, Settings: zone.Settings{SuspectAfter: knobs.ZoneSuspect, LostAfter: knobs.ZoneLost,
-		ReturnAfter: knobs.ZoneBack, ReturnMost: zoneBackMost}}
+	return fleet.ZoneWatch{Names: names, Source: n, Settings: zone.Settings{SuspectAfter: knobs.ZoneSuspectAfter, LostAfter: knobs.ZoneLostAfter,
+		ReturnAfter: knobs.ZoneReturnAfter, ReturnMost: zoneBackMost}}
 }
 
 // zoneBackMost is the longest that a zone which comes and goes must be heard before it returns.
@@ -150,27 +150,27 @@
 	return out
 }
 
-func holdTiming(knobs *policy.Knobs) claim.Timing {
-	return claim.Timing{TTL: knobs.HoldTTL, RenewInterval: knobs.HoldRenew, TakeoverGrace: knobs.HoldGrace,
-		ResignAfter: knobs.ResignAfter, TransferDelay: knobs.HandOver}
+func holdTiming(knobs *policy.Parameters) claim.Timing {
+	return claim.Timing{TTL: knobs.LeaderLeaseTTL, RenewInterval: knobs.LeaderRenewInterval, TakeoverGrace: knobs.TakeoverGrace,
+		ResignAfter: knobs.ResignAfter, TransferDelay: knobs.TransferDelay}
 }
 
-func ownerTiming(set *config.Settings, knobs *policy.Knobs) owner.Timing {
+func ownerTiming(set *config.Settings, knobs *policy.Parameters) owner.Timing {
 	quiet := min(clock.FromSeconds(quietReports*set.Params.Workers.ReportS+1), set.Lease()*2/3)
-	return owner.Timing{Lease: set.Lease(), Quiet: quiet, LeaseTTL: knobs.LeaseTTL, SickErrors: knobs.SickErrors}
+	return owner.Timing{Lease: set.Lease(), Quiet: quiet, LeaseTTL: knobs.RoomLeaseTTL, SickErrors: knobs.QuarantineErrors}
 }
 
 // openTimes is for how many times as long as free room is withheld a machine goes to whoever
 // asks, when it was withheld in vain.
 const openTimes = 5
 
-func shareSettings(knobs *policy.Knobs) fairshare.Settings {
+func shareSettings(knobs *policy.Parameters) fairshare.Settings {
 	return fairshare.Settings{Weights: knobs.TeamWeights, Fresh: knobs.ShareFresh,
 		Withhold: knobs.ShareWithhold, Open: openTimes * knobs.ShareWithhold}
 }
 
 // moveSettings gives the limits of moves; nil where they are off.
-func moveSettings(set *config.Settings, knobs *policy.Knobs, log *slog.Logger) *placer.Moves {
+func moveSettings(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *placer.Moves {
 	if !knobs.Moves {
 		return nil
 	}
@@ -178,7 +178,7 @@
 		PerTeam: knobs.TeamMoves, PerMachine: knobs.MachineMoves, Detect: set.Lease()}}
 }
 
-func schedulerTiming(set *config.Settings, knobs *policy.Knobs, log *slog.Logger) placer.Timing {
+func schedulerTiming(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) placer.Timing {
 	objectives := set.Params.Objectives
 	var costs *placer.Costs
 	if knobs.PlacementCosts {
@@ -193,8 +193,8 @@
 	}
 }
 
-func fleetKnobs(knobs *policy.Knobs) fleet.Knobs {
-	return fleet.Knobs{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleReturn: knobs.IdleReturn,
+func fleetKnobs(knobs *policy.Parameters) fleet.Knobs {
+	return fleet.Knobs{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleReturn: knobs.IdleScaleInDelay,
 		BootPatience: knobs.BootPatience, Catchup: knobs.Catchup, CatchupOrdinary: knobs.CatchupOrdinary}
 }
 
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -125,21 +125,21 @@
 	s := &service{p.Node}
 	switch method {
 	case "Round":
-		return s.Round(in.(peer.Round), out.(*peer.RoundAnswer))
+		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
 	case "Poll":
-		return s.Poll(in.(peer.Poll), out.(*peer.PollAnswer))
+		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
 	case "Hello":
-		return s.Hello(in.(peer.Hello), out.(*peer.Hello))
+		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
 	case "Status":
-		return s.Status(in.(peer.JobQuery), out.(*peer.JobAnswer))
+		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
 	case "Submit":
-		return s.Submit(in.(peer.SubmitQuery), out.(*peer.SubmitAnswer))
+		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
 	case "Demand":
-		return s.Demand(in.(peer.Hello), out.(*peer.DemandAnswer))
+		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
 	case "HoldZone":
-		return s.HoldZone(in.(peer.ZoneHold), out.(*peer.ZoneHoldAnswer))
+		return s.HoldZone(in.(peer.ZoneHoldRequest), out.(*peer.ZoneHoldResponse))
 	case "Withdraw":
-		return s.Withdraw(in.(peer.JobQuery), out.(*peer.JobAnswer))
+		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
 	}
 	return fmt.Errorf("no such method: %s", method)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 
 // New makes a controller from its settings, with clients for the services and
 // peers that they name.
-func New(ctx context.Context, set *config.Settings, knobs *policy.Knobs, log *slog.Logger) *Node {
+func New(ctx context.Context, set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *Node {
 	p := &set.Params
 	report := telemetry.NewReporter(log)
 	peers := map[string]Peer{}
@@ -101,7 +101,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	limits := n.set.Params.Limits
-	for _, w := range n.set.Without() {
+	for _, w := range n.set.Degradations() {
 		n.log.Error("a limit is very small", "what", w)
 	}
 	for _, w := range n.set.Insufficient(config.LargeFleet) {
@@ -179,7 +179,7 @@
 	for _, t := range c.Types {
 		caches[t.Name] = t.CacheGB
 		fetch[t.Name] = t.FetchGBPS
-		types[t.Name] = res.Have(t.CPUs, t.GPUs, t.MemGB)
+		types[t.Name] = res.Capacity(t.CPUs, t.GPUs, t.MemGB)
 	}
 	n.owner.SetTypes(types, caches)
 	n.placer.SetFetch(fetch)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -34,7 +34,7 @@
 			return nil
 		case <-tick.C:
 		}
-		var out peer.Hello
+		var out peer.Heartbeat
 		if err := c.Call("Hello", n.hello(), &out, 800*time.Millisecond); err != nil {
 			n.log.Debug("greeting", "peer", host, "err", err)
 			continue
@@ -52,9 +52,9 @@
 	}
 }
 
-func (n *Node) hello() peer.Hello {
+func (n *Node) hello() peer.Heartbeat {
 	ago, resigned := n.keeper.StoreContact()
-	return peer.Hello{Contact: ago, Resigned: resigned, From: n.set.Host}
+	return peer.Heartbeat{Contact: ago, Resigned: resigned, From: n.set.Host}
 }
 
 // unreachableAfter is for how many looks in a row, a second apart, the workers must be
@@ -127,8 +127,8 @@
 	if host == "" {
 		return r, false
 	}
-	var a peer.SubmitAnswer
-	if err := n.peers[host].Call("Submit", peer.SubmitQuery{Body: body}, &a, submitTimeout); err != nil {
+	var a peer.SubmitResponse
+	if err := n.peers[host].Call("Submit", peer.SubmitRequest{Body: body}, &a, submitTimeout); err != nil {
 		n.log.Debug("handing a submission on", "peer", host, "err", err)
 		return r, false
 	}
@@ -139,24 +139,24 @@
 const askTimeout = 1500 * time.Millisecond
 
 // Status asks the team's placer about a job.
-func (n *Node) Status(_ context.Context, q peer.JobQuery) (peer.JobAnswer, error) {
+func (n *Node) Status(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
 	return n.ask("Status", n.placer.Status, q, askTimeout)
 }
 
 // Withdraw asks the team's placer to end a job.
-func (n *Node) Cancel(_ context.Context, q peer.JobQuery) (peer.JobAnswer, error) {
+func (n *Node) Cancel(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
 	return n.ask("Withdraw", n.placer.Withdraw, q, 2*askTimeout)
 }
 
-func (n *Node) ask(method string, local func(peer.JobQuery) peer.JobAnswer, q peer.JobQuery, timeout time.Duration) (peer.JobAnswer, error) {
+func (n *Node) ask(method string, local func(peer.JobRequest) peer.JobResponse, q peer.JobRequest, timeout time.Duration) (peer.JobResponse, error) {
 	host, ok := n.keeper.Leader(placer.Duty(q.Team))
 	if !ok {
-		return peer.JobAnswer{}, fmt.Errorf("team %s has no placer now", q.Team)
+		return peer.JobResponse{}, fmt.Errorf("team %s has no placer now", q.Team)
 	}
 	if host == n.set.Host {
 		return local(q), nil
 	}
-	var out peer.JobAnswer
+	var out peer.JobResponse
 	err := n.peers[host].Call(method, q, &out, timeout)
 	return out, err
 }
@@ -183,7 +183,7 @@
 // Demands asks all placers what waits.
 func (n *Node) Demands(context.Context) []peer.Demand {
 	out := n.placer.Demands()
-	each(n, "Demand", n.hello(), func(a peer.DemandAnswer) { out = append(out, a.Demands...) })
+	each(n, "Demand", n.hello(), func(a peer.DemandResponse) { out = append(out, a.Demands...) })
 	return out
 }
 
@@ -191,17 +191,17 @@
 func (n *Node) Views(to []peer.MachineView) []peer.MachineView { return n.placer.Views(to) }
 
 // RecordedBefore lists the machines that were on record by a time of day.
-func (n *Node) RecordedBefore(atMS int64) []peer.Machine { return n.owner.RecordedBefore(atMS) }
+func (n *Node) RecordedBefore(atMS int64) []peer.MachineRef { return n.owner.RecordedBefore(atMS) }
 
 // Drain asks all owners to set machines aside.
-func (n *Node) Drain(_ context.Context, list []peer.Machine) []string {
+func (n *Node) Drain(_ context.Context, list []peer.MachineRef) []string {
 	out := n.owner.Drain(list)
-	each(n, "Drain", peer.DrainQuery{Machines: list}, func(a peer.DrainAnswer) { out = append(out, a.Ready...) })
+	each(n, "Drain", peer.DrainRequest{Machines: list}, func(a peer.DrainResponse) { out = append(out, a.Ready...) })
 	return out
 }
 
 // Gone tells all owners of machines that are gone for certain.
-func (n *Node) Gone(_ context.Context, list []peer.Machine) {
+func (n *Node) Gone(_ context.Context, list []peer.MachineRef) {
 	n.owner.Gone(list)
-	each(n, "Gone", peer.GoneNote{Machines: list}, func(peer.DrainAnswer) {})
+	each(n, "Gone", peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -12,19 +12,19 @@
 
 type localOwner struct{ o *owner.Owner }
 
-func (l localOwner) ApplyBatch(in peer.Round) (peer.RoundAnswer, error) { return l.o.Round(in), nil }
+func (l localOwner) ApplyBatch(in peer.Batch) (peer.BatchResponse, error) { return l.o.Round(in), nil }
 
-func (l localOwner) Poll(in peer.Poll) (peer.PollAnswer, error) { return l.o.Poll(in), nil }
+func (l localOwner) Poll(in peer.PollRequest) (peer.PollResponse, error) { return l.o.Poll(in), nil }
 
 type remoteOwner struct{ c Peer }
 
-func (r remoteOwner) ApplyBatch(in peer.Round) (out peer.RoundAnswer, err error) {
+func (r remoteOwner) ApplyBatch(in peer.Batch) (out peer.BatchResponse, err error) {
 	err = r.c.Call("Round", in, &out, 1500*time.Millisecond)
 	return out, err
 }
 
-func (r remoteOwner) Poll(in peer.Poll) (peer.PollAnswer, error) {
-	return peer.CollectPages(in, func(in peer.Poll) (out peer.PollAnswer, err error) {
+func (r remoteOwner) Poll(in peer.PollRequest) (peer.PollResponse, error) {
+	return peer.CollectPages(in, func(in peer.PollRequest) (out peer.PollResponse, err error) {
 		err = r.c.Call("Poll", in, &out, in.Wait.Duration()+1500*time.Millisecond)
 		return out, err
 	})
@@ -35,73 +35,73 @@
 
 var _ peer.Service = (*service)(nil)
 
-func (s *service) Round(in peer.Round, out *peer.RoundAnswer) error {
+func (s *service) Round(in peer.Batch, out *peer.BatchResponse) error {
 	*out = s.n.owner.Round(in)
 	return nil
 }
 
-func (s *service) Poll(in peer.Poll, out *peer.PollAnswer) error {
+func (s *service) Poll(in peer.PollRequest, out *peer.PollResponse) error {
 	*out = s.n.owner.Poll(in)
 	return nil
 }
 
-func (s *service) Hello(in peer.Hello, out *peer.Hello) error {
+func (s *service) Hello(in peer.Heartbeat, out *peer.Heartbeat) error {
 	*out = s.n.hello()
 	out.Strays = s.n.owner.Misdirected(in.From)
 	out.Machines, out.Unheard = s.n.owner.Unheard()
 	return nil
 }
 
-func (s *service) Demand(_ peer.Hello, out *peer.DemandAnswer) error {
+func (s *service) Demand(_ peer.Heartbeat, out *peer.DemandResponse) error {
 	out.Demands = s.n.placer.Demands()
 	return nil
 }
 
-func (s *service) Status(in peer.JobQuery, out *peer.JobAnswer) error {
+func (s *service) Status(in peer.JobRequest, out *peer.JobResponse) error {
 	*out = s.n.placer.Status(in)
 	return nil
 }
 
-func (s *service) Withdraw(in peer.JobQuery, out *peer.JobAnswer) error {
+func (s *service) Withdraw(in peer.JobRequest, out *peer.JobResponse) error {
 	*out = s.n.placer.Withdraw(in)
 	return nil
 }
 
-func (s *service) Submit(in peer.SubmitQuery, out *peer.SubmitAnswer) error {
+func (s *service) Submit(in peer.SubmitRequest, out *peer.SubmitResponse) error {
 	r := s.n.front.Accept(context.Background(), in.Body)
-	*out = peer.SubmitAnswer{Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter}
+	*out = peer.SubmitResponse{Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter}
 	return nil
 }
 
-func (s *service) Drain(in peer.DrainQuery, out *peer.DrainAnswer) error {
+func (s *service) Drain(in peer.DrainRequest, out *peer.DrainResponse) error {
 	out.Ready = s.n.owner.Drain(in.Machines)
 	return nil
 }
 
-func (s *service) Teams(_ peer.TeamsQuery, out *peer.TeamsAnswer) error {
+func (s *service) Teams(_ peer.TeamsRequest, out *peer.TeamsResponse) error {
 	out.Host, out.Teams = s.n.set.Host, s.n.placer.TeamStatuses()
 	out.Capacity, out.Standings, out.Yielded = s.n.owner.Standings()
 	return nil
 }
 
-func (s *service) Zones(_ peer.ZonesQuery, out *peer.ZonesAnswer) error {
+func (s *service) Zones(_ peer.ZonesRequest, out *peer.ZonesResponse) error {
 	_, holds := s.n.keeper.Leading(fleet.Duty)
-	*out = peer.ZonesAnswer{Host: s.n.set.Host, Zones: s.n.zoneStatuses(), On: s.n.followZones, Fleet: holds}
+	*out = peer.ZonesResponse{Host: s.n.set.Host, Zones: s.n.zoneStatuses(), On: s.n.followZones, Fleet: holds}
 	return nil
 }
 
-func (s *service) HoldZone(in peer.ZoneHold, out *peer.ZoneHoldAnswer) error {
+func (s *service) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
 	*out = s.n.holdZone(in)
 	return nil
 }
 
-func (s *service) History(in peer.HistoryQuery, out *history.Page) error {
+func (s *service) History(in peer.HistoryRequest, out *history.Page) error {
 	*out = s.n.history.Page(in.From, in.Most)
 	out.Host = s.n.set.Host
 	return nil
 }
 
-func (s *service) Gone(in peer.GoneNote, _ *peer.DrainAnswer) error {
+func (s *service) Gone(in peer.MachinesGone, _ *peer.DrainResponse) error {
 	s.n.owner.Gone(in.Machines)
 	return nil
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -96,7 +96,7 @@
 }
 
 // holdZone stops a return, or lets it go on, if this controller holds the fleet.
-func (n *Node) holdZone(in peer.ZoneHold) (out peer.ZoneHoldAnswer) {
+func (n *Node) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
 	if holder, ok := n.keeper.Leader(fleet.Duty); ok {
 		out.Holder = holder
 	}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -298,4 +298,4 @@
 	})
 }
 
-func holdOf(held bool) peer.ZoneHold { return peer.ZoneHold{Zone: "b", Held: held} }
+func holdOf(held bool) peer.ZoneHoldRequest { return peer.ZoneHoldRequest{Zone: "b", Held: held} }
--- a/internal/owner/cost_test.go
+++ b/internal/owner/cost_test.go
@@ -43,7 +43,7 @@
 	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Split: NewSplit([]string{"a"}), TxnOps: 12, ValueMost: 7000, Lines: 100,
 		Timing: Timing{Lease: 3600 * sec, LeaseTTL: 5 * sec, SickErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	o.SetTypes(map[string]res.Amounts{"big": res.Have(8, 0, 32)}, nil)
+	o.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)}, nil)
 	o.Reconcile()
 	l := &loadedOwner{tb: tb, owner: o}
 	for i := range machines {
@@ -68,8 +68,8 @@
 }
 
 // poll asks for all that changed after a cursor.
-func (l *loadedOwner) poll(cursor uint64) peer.PollAnswer {
-	return l.owner.Poll(peer.Poll{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
+func (l *loadedOwner) poll(cursor uint64) peer.PollResponse {
+	return l.owner.Poll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
 }
 
 // idleTick is what the owner's loop does a few times a second while nothing happens.
--- a/internal/owner/held.go
+++ b/internal/owner/held.go
@@ -30,7 +30,7 @@
 // startHeld has a task start on the room that is held for it: by the word of its team's
 // present placer, it is gone from where it ran. Without that word the lease lapses. A
 // machine that may get no tasks any more gets none by this way either.
-func (t *Table) startHeld(s *peer.Start, term uint64, now clock.Micros) {
+func (t *Table) startHeld(s *peer.StartTask, term uint64, now clock.Micros) {
 	m := t.machines[s.Machine]
 	if m == nil {
 		return
--- a/internal/owner/held_test.go
+++ b/internal/owner/held_test.go
@@ -11,11 +11,11 @@
 func (s *scene) hold(n int, attempt uint64) bool {
 	a := ask(n, attempt)
 	a.Hold = 20 * sec
-	return !s.round(peer.Round{Asks: []peer.Ask{a}}).Refused[0]
+	return !s.round(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
-func start(n int, attempt uint64) peer.Start {
-	return peer.Start{ID: ask(n, attempt).ID, Machine: "m-1", Team: team}
+func start(n int, attempt uint64) peer.StartTask {
+	return peer.StartTask{ID: ask(n, attempt).ID, Machine: "m-1", Team: team}
 }
 
 // Room that is held for a task that is to move here takes part of the machine's, and nothing is
@@ -32,7 +32,7 @@
 	require.True(t, s.tasks()[0].Held)
 	require.True(t, s.lease(1, 2) && s.lease(2, 3) && s.lease(3, 4))
 	require.False(t, s.lease(4, 5), "the room is taken")
-	s.round(peer.Round{Starts: []peer.Start{start(0, 1)}})
+	s.round(peer.Batch{Starts: []peer.StartTask{start(0, 1)}})
 	s.report()
 	require.True(t, s.w.Running("job-1/0"))
 	require.False(t, s.tasks()[0].Held)
@@ -44,7 +44,7 @@
 	require.True(t, s.hold(0, 1))
 	require.False(t, s.hold(1, 2))
 	require.True(t, s.lease(2, 3), "others find room")
-	s.round(peer.Round{Starts: []peer.Start{start(0, 1)}})
+	s.round(peer.Batch{Starts: []peer.StartTask{start(0, 1)}})
 	require.True(t, s.hold(1, 4))
 }
 
@@ -60,20 +60,20 @@
 		s.now += 2 * sec
 		s.table.Tick(s.now)
 		require.Empty(t, s.tasks())
-		s.round(peer.Round{Starts: []peer.Start{start(0, 1)}})
+		s.round(peer.Batch{Starts: []peer.StartTask{start(0, 1)}})
 		s.report()
 		require.Empty(t, s.w.Tasks, "the word comes too late")
 	})
 	t.Run("is given back", func(t *testing.T) {
 		s := newScene(t)
 		s.hold(0, 1)
-		s.round(peer.Round{Stops: []peer.Stop{{ID: ask(0, 1).ID, Machine: "m-1"}}})
+		s.round(peer.Batch{Stops: []peer.StopTask{{ID: ask(0, 1).ID, Machine: "m-1"}}})
 		require.Empty(t, s.tasks())
 	})
 	t.Run("is over with its job", func(t *testing.T) {
 		s := newScene(t)
 		s.hold(0, 1)
-		s.round(peer.Round{Cancels: []peer.Cancel{{Job: "job-1", Team: team}}, Starts: []peer.Start{start(0, 1)}})
+		s.round(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{start(0, 1)}})
 		s.report()
 		require.Empty(t, s.tasks())
 		require.Empty(t, s.w.Tasks)
@@ -85,7 +85,7 @@
 	s := newScene(t)
 	s.hold(0, 1)
 	s.table.fence(map[string]uint64{team: 2})
-	s.round(peer.Round{Starts: []peer.Start{start(0, 1)}})
+	s.round(peer.Batch{Starts: []peer.StartTask{start(0, 1)}})
 	s.report()
 	require.Empty(t, s.w.Tasks)
 	require.True(t, s.tasks()[0].Held)
@@ -98,7 +98,7 @@
 	notice := 30.0
 	s.w.NoticeS = &notice
 	s.report()
-	s.round(peer.Round{Starts: []peer.Start{start(0, 1)}})
+	s.round(peer.Batch{Starts: []peer.StartTask{start(0, 1)}})
 	s.report()
 	require.Empty(t, s.w.Tasks)
 	require.Empty(t, s.tasks())
--- a/internal/owner/leases.go
+++ b/internal/owner/leases.go
@@ -7,17 +7,17 @@
 
 type lastRound struct {
 	seq    uint64
-	answer peer.RoundAnswer
+	answer peer.BatchResponse
 	at     clock.Micros
 }
 
 // Round carries out what a placing controller has for this owner.
-func (t *Table) Round(in peer.Round, incarnation string, now clock.Micros) peer.RoundAnswer {
+func (t *Table) Round(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
 	last := t.rounds[in.From]
 	if in.Seq == last.seq && in.Seq != 0 {
 		return last.answer
 	}
-	ans := peer.RoundAnswer{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
+	ans := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
 	if in.Seq < last.seq {
 		for i := range ans.Refused {
 			ans.Refused[i] = true
@@ -96,7 +96,7 @@
 
 // lease grants room for one task, or refuses. A second start of a task that is
 // on the machine already is refused.
-func (t *Table) lease(a *peer.Ask, term uint64, now clock.Micros) decision {
+func (t *Table) lease(a *peer.Assignment, term uint64, now clock.Micros) decision {
 	m := t.machines[a.Machine]
 	if !t.mayLease(m, a, term, now) {
 		return refused
@@ -145,7 +145,7 @@
 // mayLease tells whether a task may be given room on a machine at all: who asks places its
 // team, the job is not over, the machine is ours and may be used, and no attempt of the
 // task is there.
-func (t *Table) mayLease(m *machine, a *peer.Ask, term uint64, now clock.Micros) bool {
+func (t *Table) mayLease(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
 	if m == nil || term == 0 || term < t.teamTerms[a.Team] || a.ID.Attempt>>32 != term ||
 		t.parts[m.part] != a.Term || !m.usable(now) {
 		return false
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -218,7 +218,7 @@
 }
 
 // Round carries out a placing controller's round.
-func (o *Owner) Round(in peer.Round) peer.RoundAnswer {
+func (o *Owner) Round(in peer.Batch) peer.BatchResponse {
 	o.Reconcile()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -228,7 +228,7 @@
 }
 
 // Drain keeps machines free for their return.
-func (o *Owner) Drain(list []peer.Machine) []string {
+func (o *Owner) Drain(list []peer.MachineRef) []string {
 	o.Reconcile()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -238,7 +238,7 @@
 }
 
 // Gone takes the word that machines are gone for certain.
-func (o *Owner) Gone(list []peer.Machine) {
+func (o *Owner) Gone(list []peer.MachineRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.Gone(list, o.split.Of, o.clock.Now())
--- a/internal/owner/polls.go
+++ b/internal/owner/polls.go
@@ -62,7 +62,7 @@
 }
 
 // Poll gives the machines that changed after a cursor, waiting for a change.
-func (o *Owner) Poll(in peer.Poll) peer.PollAnswer {
+func (o *Owner) Poll(in peer.PollRequest) peer.PollResponse {
 	o.await(in)
 	began := time.Now()
 	defer func() { o.polls.Round(time.Since(began)) }()
@@ -73,7 +73,7 @@
 }
 
 // await returns when a poll is to be answered: there is news for it, or its time is over.
-func (o *Owner) await(in peer.Poll) {
+func (o *Owner) await(in peer.PollRequest) {
 	deadline := time.NewTimer(in.Wait.Duration())
 	defer deadline.Stop()
 	o.mu.Lock()
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -32,12 +32,12 @@
 }
 
 // RecordedBefore lists the machines that were recorded by a time of day, and are on record still.
-func (o *Owner) RecordedBefore(atMS int64) (out []peer.Machine) {
+func (o *Owner) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.records.Each(func(id string, r Registered) {
 		if r.AtMS > 0 && r.AtMS < atMS {
-			out = append(out, peer.Machine{ID: id, Zone: r.Zone})
+			out = append(out, peer.MachineRef{ID: id, Zone: r.Zone})
 		}
 	})
 	return out
--- a/internal/owner/reports.go
+++ b/internal/owner/reports.go
@@ -38,7 +38,7 @@
 	}
 	m.answered = now
 	if g := t.gates[m.Zone]; g != nil {
-		g.Heard(now)
+		g.HeartbeatSeen(now)
 	}
 	if m.reportsOverdue {
 		m.reportsOverdue = false
--- a/internal/owner/shares.go
+++ b/internal/owner/shares.go
@@ -18,7 +18,7 @@
 	}
 	for i := range list {
 		if list[i].Term >= t.teamTerms[list[i].Team] {
-			t.arbiter.Hear(list[i:i+1], now)
+			t.arbiter.UpdateDemand(list[i:i+1], now)
 		}
 	}
 	t.countShares(now)
@@ -26,7 +26,7 @@
 
 // countShares has the arbiter count anew what runs, where that is due.
 func (t *Table) countShares(now clock.Micros) {
-	if !t.arbiter.Due(now) {
+	if !t.arbiter.UsageDue(now) {
 		return
 	}
 	var capacity res.Amounts
@@ -50,11 +50,11 @@
 			used[k.team] = u
 		}
 	}
-	t.arbiter.Count(capacity, used, now)
+	t.arbiter.UpdateUsage(capacity, used, now)
 }
 
 // yields tells that an ask must leave a machine's free room to another team.
-func (t *Table) yields(m *machine, a *peer.Ask, free res.Amounts, now clock.Micros) bool {
+func (t *Table) yields(m *machine, a *peer.Assignment, free res.Amounts, now clock.Micros) bool {
 	if t.arbiter == nil {
 		return false
 	}
@@ -63,7 +63,7 @@
 	return t.arbiter.Yields(shareAsk(a), &room, now)
 }
 
-func shareAsk(a *peer.Ask) *fairshare.Ask {
+func shareAsk(a *peer.Assignment) *fairshare.Ask {
 	return &fairshare.Ask{Team: a.Team, Rank: a.Rank, Need: a.Need, Owed: a.Covered}
 }
 
--- a/internal/owner/table.go
+++ b/internal/owner/table.go
@@ -210,7 +210,7 @@
 }
 
 // Gone takes the word that machines are gone for certain.
-func (t *Table) Gone(list []peer.Machine, part func(id, zone string) int, now clock.Micros) {
+func (t *Table) Gone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
 	for _, x := range list {
 		m := t.machines[x.ID]
 		if m == nil {
@@ -227,7 +227,7 @@
 }
 
 // Drain keeps machines free of new tasks and names those that hold nothing.
-func (t *Table) Drain(list []peer.Machine, part func(id, zone string) int, now clock.Micros) (ready []string) {
+func (t *Table) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, x := range list {
 		m := t.machines[x.ID]
 		if m == nil {
--- a/internal/owner/table_test.go
+++ b/internal/owner/table_test.go
@@ -45,7 +45,7 @@
 
 func newTable(j *jobList) *Table {
 	tb := NewTable(Timing{Lease: lease, LeaseTTL: 5 * sec, SickErrors: 2}, j)
-	tb.SetTypes(map[string]res.Amounts{"big": res.Have(8, 0, 32)})
+	tb.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
 	return tb
 }
 
@@ -76,19 +76,19 @@
 	return ans
 }
 
-func ask(n int, attempt uint64) peer.Ask {
-	return peer.Ask{ID: peer.TaskID{Job: "job-1", N: n, Attempt: 1<<32 | attempt}, Made: made, Team: team, Rank: 1,
-		Need: res.Need(2, 0, 1), Machine: "m-1", Term: 1}
+func ask(n int, attempt uint64) peer.Assignment {
+	return peer.Assignment{ID: peer.TaskID{Job: "job-1", N: n, Attempt: 1<<32 | attempt}, Made: made, Team: team, Rank: 1,
+		Need: res.Request(2, 0, 1), Machine: "m-1", Term: 1}
 }
 
-func (s *scene) round(r peer.Round) peer.RoundAnswer {
+func (s *scene) round(r peer.Batch) peer.BatchResponse {
 	s.seq++
 	r.From, r.Seq, r.Terms = "placer", s.seq, map[string]uint64{team: 1}
 	return s.table.Round(r, "me", s.now)
 }
 
 func (s *scene) lease(n int, attempt uint64) bool {
-	return !s.round(peer.Round{Asks: []peer.Ask{ask(n, attempt)}}).Refused[0]
+	return !s.round(peer.Batch{Asks: []peer.Assignment{ask(n, attempt)}}).Refused[0]
 }
 
 func (s *scene) tasks() []peer.TaskView {
@@ -123,7 +123,7 @@
 	require.True(t, s.lease(0, 1))
 	_, late := s.table.TakeOrders("m-1", s.now)
 	s.table.Unanswered("m-1", late, s.now)
-	s.round(peer.Round{Stops: []peer.Stop{{ID: ask(0, 1).ID, Machine: "m-1"}}})
+	s.round(peer.Batch{Stops: []peer.StopTask{{ID: ask(0, 1).ID, Machine: "m-1"}}})
 
 	s.now += sec
 	r := s.w.Report(s.now)
@@ -156,7 +156,7 @@
 	s.table.machines["m-1"].seenToken = old
 	_, ok := s.table.Report(&r, 0, s.now)
 	require.True(t, ok)
-	s.round(peer.Round{Settles: []peer.Settle{{ID: ask(0, 1).ID, Machine: "m-1"}}})
+	s.round(peer.Batch{Settles: []peer.Acknowledgement{{ID: ask(0, 1).ID, Machine: "m-1"}}})
 	s.now += sec
 	r = s.w.Report(s.now)
 	ans, _ := s.table.Report(&r, 0, s.now)
@@ -238,7 +238,7 @@
 // A repeat of a round is answered alike; a second start of a task is refused.
 func TestRepeatsAreAnsweredAlike(t *testing.T) {
 	s := newScene(t)
-	in := peer.Round{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Ask{ask(0, 1)}}
+	in := peer.Batch{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{ask(0, 1)}}
 	first := s.table.Round(in, "me", s.now)
 	again := s.table.Round(in, "me", s.now)
 	require.Equal(t, first, again)
@@ -251,7 +251,7 @@
 // The ask of a team's former placer arrives after the new one has been heard.
 func TestAFormerPlacersAskIsRefused(t *testing.T) {
 	s := newScene(t)
-	s.table.Poll(peer.Poll{Terms: map[string]uint64{team: 2}}, "me", s.now)
+	s.table.Poll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
 	require.False(t, s.lease(0, 1))
 }
 
@@ -291,7 +291,7 @@
 	a := ask(4, 9)
 	a.Rank = 2
 	a.Victims = []peer.TaskID{ask(0, 1).ID}
-	require.False(t, s.round(peer.Round{Asks: []peer.Ask{a}}).Refused[0])
+	require.False(t, s.round(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0])
 	_, o := s.table.TakeOrders("m-1", s.now)
 	require.Len(t, o.Orders, 1)
 	require.Equal(t, wire.VerbStop, o.Orders[0].Verb)
@@ -308,7 +308,7 @@
 	require.True(t, s.lease(0, 1))
 	_, late := s.table.TakeOrders("m-1", s.now)
 	s.table.Unanswered("m-1", late, s.now)
-	s.round(peer.Round{Cancels: []peer.Cancel{{Job: "job-1", Team: "red"}}})
+	s.round(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: "red"}}})
 	require.False(t, s.lease(1, 2), "nothing of it may start any more")
 	s.w.Orders(*late, s.now)
 	require.True(t, s.w.Running("job-1/0"))
@@ -366,13 +366,13 @@
 	s := newScene(t)
 	part := func(string, string) int { return 0 }
 	require.True(t, s.lease(0, 1))
-	require.Empty(t, s.table.Drain([]peer.Machine{{ID: "m-1"}}, part, s.now))
+	require.Empty(t, s.table.Drain([]peer.MachineRef{{ID: "m-1"}}, part, s.now))
 	s.now += 6 * sec
 	s.table.Tick(s.now)
-	require.Equal(t, []string{"m-1"}, s.table.Drain([]peer.Machine{{ID: "m-1"}}, part, s.now))
+	require.Equal(t, []string{"m-1"}, s.table.Drain([]peer.MachineRef{{ID: "m-1"}}, part, s.now))
 	require.False(t, s.lease(1, 2))
-	require.Equal(t, []string{"m-9"}, s.table.Drain([]peer.Machine{{ID: "m-9"}}, part, s.now), "one that never reported")
-	s.table.Gone([]peer.Machine{{ID: "m-1"}}, part, s.now)
+	require.Equal(t, []string{"m-9"}, s.table.Drain([]peer.MachineRef{{ID: "m-9"}}, part, s.now), "one that never reported")
+	s.table.Gone([]peer.MachineRef{{ID: "m-1"}}, part, s.now)
 	r := s.w.Report(s.now)
 	_, ok := s.table.Report(&r, 0, s.now)
 	require.False(t, ok, "a late report of a returned machine")
@@ -386,7 +386,7 @@
 	require.True(t, s.lease(0, 1))
 	a := ask(0, 2)
 	a.ID.Job = "job-2"
-	require.False(t, s.round(peer.Round{Asks: []peer.Ask{a}}).Refused[0])
+	require.False(t, s.round(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0])
 	s.report()
 	s.w.Finish("job-1/0", wire.CauseError)
 	s.report()
@@ -433,12 +433,12 @@
 			case 4:
 				for _, v := range s.tasks() {
 					if rng.IntN(2) == 0 {
-						s.round(peer.Round{Stops: []peer.Stop{{ID: v.ID, Machine: "m-1"}}})
+						s.round(peer.Batch{Stops: []peer.StopTask{{ID: v.ID, Machine: "m-1"}}})
 					}
 				}
 			case 5:
 				for _, v := range s.tasks() {
-					s.round(peer.Round{Settles: []peer.Settle{{ID: v.ID, Machine: "m-1"}}})
+					s.round(peer.Batch{Settles: []peer.Acknowledgement{{ID: v.ID, Machine: "m-1"}}})
 				}
 			}
 			s.table.Tick(s.now)
@@ -598,7 +598,7 @@
 	s := newScene(t)
 	s.report()
 	idle := func() clock.Micros {
-		v := s.table.Poll(peer.Poll{}, "i", s.now).Machines
+		v := s.table.Poll(peer.PollRequest{}, "i", s.now).Machines
 		require.Len(t, v, 1)
 		require.Zero(t, v[0].Count)
 		return v[0].Idle
--- a/internal/owner/views.go
+++ b/internal/owner/views.go
@@ -87,10 +87,10 @@
 }
 
 // Poll gives what changed after a cursor.
-func (t *Table) Poll(in peer.Poll, incarnation string, now clock.Micros) peer.PollAnswer {
+func (t *Table) Poll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
 	t.fence(in.Terms)
 	t.hearDemands(in.Demands, now)
-	out := peer.PollAnswer{Incarnation: incarnation, Cursor: t.version, Parts: t.Parts(), Holds: true}
+	out := peer.PollResponse{Incarnation: incarnation, Cursor: t.version, Parts: t.Parts(), Holds: true}
 	after := in.Cursor
 	if in.Incarnation != incarnation {
 		after, out.Full = 0, true
--- a/internal/owner/withdraw_test.go
+++ b/internal/owner/withdraw_test.go
@@ -12,7 +12,7 @@
 
 // withdraw has the owner told that nothing of the job may run any more.
 func (s *scene) withdraw() {
-	s.round(peer.Round{Cancels: []peer.Cancel{{Job: "job-1", Team: team}}})
+	s.round(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}})
 }
 
 // courier sends what is due to the worker's own address and brings the answer back.
--- a/internal/owner/zones.go
+++ b/internal/owner/zones.go
@@ -32,14 +32,14 @@
 		return
 	}
 	if g := t.gates[name]; g != nil {
-		g.Enter(r.Stage, r.Held, now)
+		g.SetStage(r.Stage, r.Held, now)
 		return
 	}
 	t.gates[name] = &gate{Gate: recovery.NewGate(r.Stage, r.Held, now)}
 }
 
 // admits tells whether the gate of a machine's zone admits a task.
-func (t *Table) admits(m *machine, a *peer.Ask, now clock.Micros) bool {
+func (t *Table) admits(m *machine, a *peer.Assignment, now clock.Micros) bool {
 	g := t.gates[m.Zone]
 	if g == nil {
 		return true
--- a/internal/owner/zones_test.go
+++ b/internal/owner/zones_test.go
@@ -15,7 +15,7 @@
 func (s *scene) leaseAt(n int, attempt uint64, stage recovery.Stage) bool {
 	a := ask(n, attempt)
 	a.Stage = int(stage) + 1
-	return !s.round(peer.Round{Asks: []peer.Ask{a}}).Refused[0]
+	return !s.round(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
 func (s *scene) returnAt(stage recovery.Stage) {
--- a/internal/peer/cost_test.go
+++ b/internal/peer/cost_test.go
@@ -10,21 +10,21 @@
 )
 
 // answering is a peer that answers every poll alike.
-type answering struct{ answer PollAnswer }
+type answering struct{ answer PollResponse }
 
-func (a *answering) Poll(_ Poll, out *PollAnswer) error {
+func (a *answering) Poll(_ PollRequest, out *PollResponse) error {
 	*out = a.answer
 	return nil
 }
 
 // changedMachines is a poll's answer with so many machines, a few tasks changed on each.
-func changedMachines(n int) PollAnswer {
-	out := PollAnswer{Incarnation: "incarnation", Cursor: 7, Parts: map[int]uint64{0: 1, 1: 1}}
+func changedMachines(n int) PollResponse {
+	out := PollResponse{Incarnation: "incarnation", Cursor: 7, Parts: map[int]uint64{0: 1, 1: 1}}
 	for i := range n {
-		v := MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a", Cap: res.Have(32, 0, 64), Free: res.Have(4, 0, 8),
+		v := MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a", Cap: res.Capacity(32, 0, 64), Free: res.Capacity(4, 0, 8),
 			Accounted: true, Usable: true, Count: 14}
 		for k := range 3 {
-			v.Tasks = append(v.Tasks, TaskView{ID: TaskID{"job-000001", k, 1 << 32}, Team: "red", Rank: 2, Need: res.Need(2, 0, 1), Phase: "running"})
+			v.Tasks = append(v.Tasks, TaskView{ID: TaskID{"job-000001", k, 1 << 32}, Team: "red", Rank: 2, Need: res.Request(2, 0, 1), Phase: "running"})
 		}
 		out.Machines = append(out.Machines, v)
 	}
@@ -43,10 +43,10 @@
 			go srv.ServeConn(far)
 			client := rpc.NewClient(near)
 			defer client.Close()
-			in := Poll{Incarnation: "incarnation", Cursor: 6, Terms: map[string]uint64{"red": 1}}
+			in := PollRequest{Incarnation: "incarnation", Cursor: 6, Terms: map[string]uint64{"red": 1}}
 			b.ReportAllocs()
 			for b.Loop() {
-				var out PollAnswer
+				var out PollResponse
 				if err := client.Call(serviceName+".Poll", in, &out); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -65,8 +65,8 @@
 	Left       []TaskID // tasks that are there no more, since the asker's cursor
 }
 
-// Ask asks for a lease on a machine's room for one task, and hands the task over.
-type Ask struct {
+// Assignment asks for a lease on a machine's room for one task, and hands the task over.
+type Assignment struct {
 	ID      TaskID
 	Made    uint64 // revision of its job's record
 	Team    string
@@ -86,58 +86,58 @@
 	Stage int
 }
 
-// Start tells that a task is gone from where it ran, and starts on the room held for it.
-type Start struct {
+// StartTask tells that a task is gone from where it ran, and starts on the room held for it.
+type StartTask struct {
 	ID      TaskID
 	Machine string
 	Team    string
 }
 
-// Stop asks for the end of a task.
-type Stop struct {
+// StopTask asks for the end of a task.
+type StopTask struct {
 	ID      TaskID
 	Machine string
 	GraceS  float64
 }
 
-// Settle tells that the end of a task is taken note of: it may be forgotten.
-type Settle struct {
+// Acknowledgement tells that the end of a task is taken note of: it may be forgotten.
+type Acknowledgement struct {
 	ID      TaskID
 	Machine string
 }
 
-// Cancel is a job of which nothing may run any more, by the word of its team's placer.
-type Cancel struct{ Job, Team string }
+// CancelJob is a job of which nothing may run any more, by the word of its team's placer.
+type CancelJob struct{ Job, Team string }
 
-// Round is what a placing controller has for one owner. Rounds from one
+// Batch is what a placing controller has for one owner. Rounds from one
 // incarnation are numbered; a repeat is answered as the first time.
-type Round struct {
+type Batch struct {
 	From    string // incarnation of the placing controller
 	Seq     uint64
 	Terms   map[string]uint64 // its teams' terms: older ones are refused from now on
-	Asks    []Ask
-	Stops   []Stop
-	Settles []Settle
-	Cancels []Cancel
-	Starts  []Start  // of tasks whose room is held
-	Slow    []string // machines on which tasks take much longer than elsewhere
+	Asks    []Assignment
+	Stops   []StopTask
+	Settles []Acknowledgement
+	Cancels []CancelJob
+	Starts  []StartTask // of tasks whose room is held
+	Slow    []string    // machines on which tasks take much longer than elsewhere
 }
 
 // Empty tells that a round carries nothing.
-func (r *Round) Empty() bool {
+func (r *Batch) Empty() bool {
 	return len(r.Asks)+len(r.Stops)+len(r.Settles)+len(r.Cancels)+len(r.Starts)+len(r.Slow) == 0
 }
 
-// RoundAnswer answers a round.
-type RoundAnswer struct {
+// BatchResponse answers a round.
+type BatchResponse struct {
 	Incarnation string
 	Refused     []bool   // one for each ask
 	Versions    []uint64 // of the machine's view that first shows the lease, one for each ask
 	Yielded     []bool   // refused since other teams have a better right to the room; none where no ask was
 }
 
-// Poll asks for the machines that changed after a cursor, waiting for a change.
-type Poll struct {
+// PollRequest asks for the machines that changed after a cursor, waiting for a change.
+type PollRequest struct {
 	Incarnation string // of the owner, as last heard
 	Cursor      uint64
 	Terms       map[string]uint64
@@ -149,8 +149,8 @@
 	Demands []fairshare.Demand
 }
 
-// PollAnswer answers a poll.
-type PollAnswer struct {
+// PollResponse answers a poll.
+type PollResponse struct {
 	Incarnation string
 	Cursor      uint64
 	Full        bool
@@ -163,8 +163,8 @@
 	Holds     bool // the owner holds room for tasks that are to move
 }
 
-// Hello is what controllers tell each other once a second.
-type Hello struct {
+// Heartbeat is what controllers tell each other once a second.
+type Heartbeat struct {
 	Contact  clock.Micros // how long ago the state service confirmed its hold
 	Resigned string       // its last incarnation that gave up for good
 	From     string       // who says this
@@ -198,41 +198,41 @@
 	return out
 }
 
-// DemandAnswer answers the fleet.
-type DemandAnswer struct{ Demands []Demand }
+// DemandResponse answers the fleet.
+type DemandResponse struct{ Demands []Demand }
 
-// JobQuery asks the placer about a job, or to withdraw it.
-type JobQuery struct{ Team, ID string }
+// JobRequest asks the placer about a job, or to withdraw it.
+type JobRequest struct{ Team, ID string }
 
-// JobAnswer is the placer's answer.
-type JobAnswer struct {
+// JobResponse is the placer's answer.
+type JobResponse struct {
 	Known bool // this controller places the team's jobs and may speak
 	Found bool
 	Retry bool // not yet: ask again
 	State wire.JobState
 }
 
-// SubmitQuery hands a user's submission to a controller that reaches the state service.
-type SubmitQuery struct{ Body []byte }
+// SubmitRequest hands a user's submission to a controller that reaches the state service.
+type SubmitRequest struct{ Body []byte }
 
-// SubmitAnswer is what its user is to be told.
-type SubmitAnswer struct {
+// SubmitResponse is what its user is to be told.
+type SubmitResponse struct {
 	Status     int
 	Body       []byte
 	RetryAfter int
 }
 
-// Machine names a machine and its zone, which tells its partition.
-type Machine struct{ ID, Zone string }
+// MachineRef names a machine and its zone, which tells its partition.
+type MachineRef struct{ ID, Zone string }
 
-// DrainQuery asks an owner to keep machines free for their return.
-type DrainQuery struct{ Machines []Machine }
+// DrainRequest asks an owner to keep machines free for their return.
+type DrainRequest struct{ Machines []MachineRef }
 
-// DrainAnswer names those that hold neither task nor lease and get none any more.
-type DrainAnswer struct{ Ready []string }
+// DrainResponse names those that hold neither task nor lease and get none any more.
+type DrainResponse struct{ Ready []string }
 
-// GoneNote tells an owner of machines that are gone for certain.
-type GoneNote struct{ Machines []Machine }
+// MachinesGone tells an owner of machines that are gone for certain.
+type MachinesGone struct{ Machines []MachineRef }
 
 // TeamStatus is how a team stands, as its placer sees it.
 type TeamStatus struct {
@@ -246,28 +246,28 @@
 	Running   int         // tasks that are on a machine, or on their way there
 	Waits     telemetry.Quantiles
 	Lateness  telemetry.Quantiles
-	Moves     []MoveNote // the latest, the last one first
-	Unmoved   []Unmoved  // why tasks on machines that are to be drained were not moved
+	Moves     []MoveRecord    // the latest, the last one first
+	Unmoved   []DeclinedMoves // why tasks on machines that are to be drained were not moved
 }
 
-// MoveNote tells of a move of a running task.
-type MoveNote struct {
+// MoveRecord tells of a move of a running task.
+type MoveRecord struct {
 	Task, From, To, Reason, Outcome string
 	Gain, Cost, Ago                 clock.Micros
 }
 
-// Unmoved tells how often tasks were not moved for a reason.
-type Unmoved struct {
+// DeclinedMoves tells how often tasks were not moved for a reason.
+type DeclinedMoves struct {
 	Why   string
 	Count int
 }
 
-// TeamsQuery asks a controller how the teams stand.
-type TeamsQuery struct{}
+// TeamsRequest asks a controller how the teams stand.
+type TeamsRequest struct{}
 
-// TeamsAnswer is what one controller knows of the teams: of those that it places, and of all
+// TeamsResponse is what one controller knows of the teams: of those that it places, and of all
 // teams' shares of the machines that it owns.
-type TeamsAnswer struct {
+type TeamsResponse struct {
 	Host      string
 	Teams     []TeamStatus
 	Capacity  res.Amounts
@@ -275,8 +275,8 @@
 	Yielded   uint64               // asks that had to leave room to other teams
 }
 
-// ZonesQuery asks a controller how the zones stand.
-type ZonesQuery struct{}
+// ZonesRequest asks a controller how the zones stand.
+type ZonesRequest struct{}
 
 // ZoneStatus is how a zone stands, as one controller sees it.
 type ZoneStatus struct {
@@ -290,46 +290,46 @@
 	Waiting                      int // tasks of its teams that wait for a later stage
 }
 
-// ZonesAnswer is what a controller knows of the zones.
-type ZonesAnswer struct {
+// ZonesResponse is what a controller knows of the zones.
+type ZonesResponse struct {
 	Host  string
 	Zones []ZoneStatus
 	On    bool // work returns in stages
 	Fleet bool // this controller decides
 }
 
-// ZoneHold asks the fleet's holder to stop a zone's return at its stage, or to let it go on.
-type ZoneHold struct {
+// ZoneHoldRequest asks the fleet's holder to stop a zone's return at its stage, or to let it go on.
+type ZoneHoldRequest struct {
 	Zone string
 	Held bool
 }
 
-// ZoneHoldAnswer answers a hold.
-type ZoneHoldAnswer struct {
+// ZoneHoldResponse answers a hold.
+type ZoneHoldResponse struct {
 	Done    bool
 	Holder  string // of the fleet, as far as is known here; empty: nobody
 	Refusal string
 }
 
-// HistoryQuery asks for a part of a controller's history.
-type HistoryQuery struct {
+// HistoryRequest asks for a part of a controller's history.
+type HistoryRequest struct {
 	From uint64
 	Most int
 }
 
 // Service is what every controller offers to its peers.
 type Service interface {
-	Round(in Round, out *RoundAnswer) error
-	Poll(in Poll, out *PollAnswer) error
-	Hello(in Hello, out *Hello) error
-	Demand(in Hello, out *DemandAnswer) error
-	Status(in JobQuery, out *JobAnswer) error
-	Withdraw(in JobQuery, out *JobAnswer) error
-	Submit(in SubmitQuery, out *SubmitAnswer) error
-	Drain(in DrainQuery, out *DrainAnswer) error
-	Gone(in GoneNote, out *DrainAnswer) error
-	Teams(in TeamsQuery, out *TeamsAnswer) error
-	Zones(in ZonesQuery, out *ZonesAnswer) error
-	HoldZone(in ZoneHold, out *ZoneHoldAnswer) error
-	History(in HistoryQuery, out *history.Page) error
+	Round(in Batch, out *BatchResponse) error
+	Poll(in PollRequest, out *PollResponse) error
+	Hello(in Heartbeat, out *Heartbeat) error
+	Demand(in Heartbeat, out *DemandResponse) error
+	Status(in JobRequest, out *JobResponse) error
+	Withdraw(in JobRequest, out *JobResponse) error
+	Submit(in SubmitRequest, out *SubmitResponse) error
+	Drain(in DrainRequest, out *DrainResponse) error
+	Gone(in MachinesGone, out *DrainResponse) error
+	Teams(in TeamsRequest, out *TeamsResponse) error
+	Zones(in ZonesRequest, out *ZonesResponse) error
+	HoldZone(in ZoneHoldRequest, out *ZoneHoldResponse) error
+	History(in HistoryRequest, out *history.Page) error
 }
--- a/internal/peer/names_test.go
+++ b/internal/peer/names_test.go
@@ -14,13 +14,13 @@
 		message any
 		fields  []string
 	}{
-		{Hello{}, []string{"Contact", "Resigned", "From", "Strays", "Machines", "Unheard"}},
-		{Poll{}, []string{"Incarnation", "Cursor", "Terms", "Wait", "Gen", "Most", "AfterID", "Demands"}},
-		{PollAnswer{}, []string{"Incarnation", "Cursor", "Full", "Parts", "Machines", "More", "Capacity", "Standings", "Holds"}},
-		{Round{}, []string{"From", "Seq", "Terms", "Asks", "Stops", "Settles", "Cancels", "Starts", "Slow"}},
-		{RoundAnswer{}, []string{"Incarnation", "Refused", "Versions", "Yielded"}},
-		{JobQuery{}, []string{"Team", "ID"}},
-		{JobAnswer{}, []string{"Known", "Found", "Retry", "State"}},
+		{Heartbeat{}, []string{"Contact", "Resigned", "From", "Strays", "Machines", "Unheard"}},
+		{PollRequest{}, []string{"Incarnation", "Cursor", "Terms", "Wait", "Gen", "Most", "AfterID", "Demands"}},
+		{PollResponse{}, []string{"Incarnation", "Cursor", "Full", "Parts", "Machines", "More", "Capacity", "Standings", "Holds"}},
+		{Batch{}, []string{"From", "Seq", "Terms", "Asks", "Stops", "Settles", "Cancels", "Starts", "Slow"}},
+		{BatchResponse{}, []string{"Incarnation", "Refused", "Versions", "Yielded"}},
+		{JobRequest{}, []string{"Team", "ID"}},
+		{JobResponse{}, []string{"Known", "Found", "Retry", "State"}},
 	} {
 		var names []string
 		for f := range reflect.TypeOf(c.message).Fields() {
--- a/internal/peer/pages.go
+++ b/internal/peer/pages.go
@@ -20,24 +20,24 @@
 // again by the next poll. An answer must list every machine of the partitions that it
 // names, since a machine that is missing from it counts as gone. So pages of another
 // process, or given while other partitions were held, are not joined.
-func CollectPages(in Poll, call func(Poll) (PollAnswer, error)) (PollAnswer, error) {
+func CollectPages(in PollRequest, call func(PollRequest) (PollResponse, error)) (PollResponse, error) {
 	in.Most = PageMachines
 	all, err := call(in)
 	if err != nil {
-		return PollAnswer{}, err
+		return PollResponse{}, err
 	}
 	for more := all.More && len(all.Machines) > 0; more; {
 		in.Wait = 0
 		in.AfterID = all.Machines[len(all.Machines)-1].ID
 		page, err := call(in)
 		if err != nil {
-			return PollAnswer{}, err
+			return PollResponse{}, err
 		}
 		if page.Incarnation != all.Incarnation || page.Full != all.Full || !maps.Equal(page.Parts, all.Parts) {
-			return PollAnswer{}, ErrPagesDiffer
+			return PollResponse{}, ErrPagesDiffer
 		}
 		if len(page.Machines) == 0 || page.Machines[0].ID <= in.AfterID {
-			return PollAnswer{}, ErrPagesDiffer // it would be asked for again for ever
+			return PollResponse{}, ErrPagesDiffer // it would be asked for again for ever
 		}
 		all.Machines = append(all.Machines, page.Machines...)
 		more = page.More
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -13,17 +13,17 @@
 	parts    map[int]uint64
 	version  uint64
 	machines int
-	calls    []Poll
+	calls    []PollRequest
 	between  func(call int)
 	stuck    bool // it answers with the first page always
 }
 
-func (o *pagedOwner) poll(in Poll) (PollAnswer, error) {
+func (o *pagedOwner) poll(in PollRequest) (PollResponse, error) {
 	o.calls = append(o.calls, in)
 	if o.between != nil {
 		o.between(len(o.calls))
 	}
-	out := PollAnswer{Incarnation: o.instance, Cursor: o.version, Full: true, Parts: o.parts}
+	out := PollResponse{Incarnation: o.instance, Cursor: o.version, Full: true, Parts: o.parts}
 	for i := range o.machines {
 		id := fmt.Sprintf("m-%06d", i)
 		if id <= in.AfterID && !o.stuck {
@@ -43,7 +43,7 @@
 func TestPagesAreJoined(t *testing.T) {
 	o := &pagedOwner{instance: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
 	o.between = func(call int) { o.version = uint64(10 * call) }
-	all, err := CollectPages(Poll{Wait: 1000}, o.poll)
+	all, err := CollectPages(PollRequest{Wait: 1000}, o.poll)
 	require.NoError(t, err)
 	require.Len(t, all.Machines, o.machines)
 	require.False(t, all.More)
@@ -75,7 +75,7 @@
 					change(o)
 				}
 			}
-			_, err := CollectPages(Poll{}, o.poll)
+			_, err := CollectPages(PollRequest{}, o.poll)
 			require.ErrorIs(t, err, ErrPagesDiffer)
 		})
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,8 +16,8 @@
 
 const serviceName = "Merlinlatch"
 
-// ErrDown means that a peer can't be reached.
-var ErrDown = errors.New("peer can't be reached")
+// ErrUnavailable means that a peer can't be reached.
+var ErrUnavailable = errors.New("peer can't be reached")
 
 // Serve answers peers on addr until ctx ends, and counts the traffic.
 func Serve(ctx context.Context, addr string, svc any, traffic *telemetry.Traffic) error {
@@ -65,12 +65,12 @@
 		return c.conn, nil
 	}
 	if !c.downAt.IsZero() && time.Since(c.downAt) < 200*time.Millisecond {
-		return nil, ErrDown
+		return nil, ErrUnavailable
 	}
 	nc, err := net.DialTimeout("tcp4", c.addr, 500*time.Millisecond)
 	if err != nil {
 		c.downAt = time.Now()
-		return nil, fmt.Errorf("%w: %w", ErrDown, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	c.downAt = time.Time{}
 	c.conn = rpc.NewClient(c.traffic.Conn(nc))
@@ -96,7 +96,7 @@
 		return call.Error
 	case <-t.C:
 		c.drop(conn)
-		return fmt.Errorf("%w: %s: no answer", ErrDown, method)
+		return fmt.Errorf("%w: %s: no answer", ErrUnavailable, method)
 	}
 }
 
--- a/internal/placer/answers.go
+++ b/internal/placer/answers.go
@@ -5,14 +5,14 @@
 )
 
 // Status tells what a job's user may be told; only while the team is held.
-func (p *Placer) Status(q peer.JobQuery) peer.JobAnswer {
+func (p *Placer) Status(q peer.JobRequest) peer.JobResponse {
 	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
-		return peer.JobAnswer{}
+		return peer.JobResponse{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f, ok := p.book.Final(q.ID); ok {
-		return peer.JobAnswer{Known: true, Found: true, State: f.State(q.ID)}
+		return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 	}
 	return p.scheduler.Status(q.Team, q.ID)
 }
--- a/internal/placer/choose.go
+++ b/internal/placer/choose.go
@@ -134,7 +134,7 @@
 		}
 		d.index(m)
 		o := d.owners[m.host]
-		o.next.Asks = append(o.next.Asks, peer.Ask{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB,
+		o.next.Asks = append(o.next.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB,
 			Machine: m.ID, Term: m.Term, Victims: victims, Over: over, Covered: j.covered,
 			Stage: int(j.stage) + 1})
 		placed++
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -16,7 +16,7 @@
 const leanFleet = 1240
 
 // loadedScheduler is a scheduler of a fleet without room for more, with many jobs that wait.
-func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollAnswer) {
+func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollResponse) {
 	teams := []Team{{Name: red}}
 	d := NewScheduler(Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec}, "scheduler", teams, []string{"h0"}, 1, func() int64 { return 0 })
 	var active []*jobs.Job
@@ -26,13 +26,13 @@
 	}
 	d.Gain(red, 1, 1, active, sec)
 	in := d.Cursor("h0")
-	ans := &peer.PollAnswer{Incarnation: "owner", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
+	ans := &peer.PollResponse{Incarnation: "owner", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
 	for i := range machines {
-		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: res.Have(32, 0, 64),
-			Free: res.Have(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
+		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: res.Capacity(32, 0, 64),
+			Free: res.Capacity(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
 		for n := range 16 {
 			v.Tasks = append(v.Tasks, peer.TaskView{ID: peer.TaskID{Job: "job-999999", N: i*16 + n, Attempt: 1}, Team: "other",
-				Rank: 1, Need: res.Need(2, 0, 1), Phase: wire.TaskRunning})
+				Rank: 1, Need: res.Request(2, 0, 1), Phase: wire.TaskRunning})
 		}
 		ans.Machines = append(ans.Machines, v)
 	}
--- a/internal/placer/distributions.go
+++ b/internal/placer/distributions.go
@@ -63,11 +63,11 @@
 // tellMoves adds a team's moves to what is told of it.
 func (d *Scheduler) tellMoves(s *peer.TeamStatus, now clock.Micros) {
 	for _, r := range d.moves.book.Recent(s.Team) {
-		s.Moves = append(s.Moves, peer.MoveNote{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
+		s.Moves = append(s.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
 			Reason: string(r.Reason), Outcome: string(r.Outcome), Gain: r.Gain, Cost: r.Cost, Ago: now - r.Began})
 	}
 	declined := d.moves.book.DeclinedOf(s.Team)
 	for _, why := range slices.Sorted(maps.Keys(declined)) {
-		s.Unmoved = append(s.Unmoved, peer.Unmoved{Why: string(why), Count: declined[why]})
+		s.Unmoved = append(s.Unmoved, peer.DeclinedMoves{Why: string(why), Count: declined[why]})
 	}
 }
--- a/internal/placer/moves.go
+++ b/internal/placer/moves.go
@@ -113,9 +113,9 @@
 }
 
 // tryMove begins a move of a task, or tells why it is not moved.
-func (d *Scheduler) tryMove(b *binding, c *rebalance.Candidate, now clock.Micros) rebalance.Declined {
+func (d *Scheduler) tryMove(b *binding, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
 	book, j := d.moves.book, b.job
-	if why := book.Consider(c, now); why != rebalance.NotDeclined {
+	if why := book.Evaluate(c, now); why != rebalance.NotDeclined {
 		return why
 	}
 	// The task counts twice until it is gone from the source.
@@ -133,7 +133,7 @@
 		if veto := d.timing.Moves.Veto; veto != nil && veto(proposal) {
 			return rebalance.Vetoed
 		}
-		d.begin(b, to, book.Begin(c, dest, gain, cost, now), now)
+		d.begin(b, to, book.StartMove(c, dest, gain, cost, now), now)
 		return rebalance.NotDeclined
 	}
 	return why
@@ -171,7 +171,7 @@
 	d.moves.ofSource[source], d.moves.ofDestination[b] = mv, mv
 	d.counts.Moves++
 	o := d.owners[to.host]
-	o.next.Asks = append(o.next.Asks, peer.Ask{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
+	o.next.Asks = append(o.next.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
 		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.covered, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
 }
 
@@ -190,7 +190,7 @@
 		b.job.bound[b.id.N] = b
 		if m := d.machines[b.machine]; m != nil {
 			o := d.owners[m.host]
-			o.next.Starts = append(o.next.Starts, peer.Start{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
+			o.next.Starts = append(o.next.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
 		}
 		d.counts.Moved++
 	case rebalance.ReleaseDestination:
@@ -209,7 +209,7 @@
 	}
 	o := d.owners[m.host]
 	before := len(o.next.Asks)
-	o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Ask) bool { return a.ID == b.id })
+	o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
 	if len(o.next.Asks) == before {
 		return false
 	}
@@ -247,7 +247,7 @@
 
 // moves are those under way, by both of their bindings.
 type moves struct {
-	book          *rebalance.Book
+	book          *rebalance.Planner
 	ofSource      map[*binding]*move
 	ofDestination map[*binding]*move
 }
@@ -255,7 +255,7 @@
 func newMoves(m *Moves) moves {
 	out := moves{ofSource: map[*binding]*move{}, ofDestination: map[*binding]*move{}}
 	if m != nil {
-		out.book = rebalance.NewBook(m.Limits)
+		out.book = rebalance.NewPlanner(m.Limits)
 	}
 	return out
 }
--- a/internal/placer/moves_test.go
+++ b/internal/placer/moves_test.go
@@ -214,7 +214,7 @@
 func TestTasksThatAreNotMoved(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(w *world, from string)
-		why    rebalance.Declined
+		why    rebalance.DeclineReason
 	}{
 		"the team is at its limit": {func(w *world, _ string) {
 			w.addJob("job-2", 5, longJob)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -37,8 +37,8 @@
 
 // OwnerCaller speaks with the owner part of a controller, this one's or a peer's.
 type OwnerCaller interface {
-	ApplyBatch(in peer.Round) (peer.RoundAnswer, error)
-	Poll(in peer.Poll) (peer.PollAnswer, error)
+	ApplyBatch(in peer.Batch) (peer.BatchResponse, error)
+	Poll(in peer.PollRequest) (peer.PollResponse, error)
 }
 
 // Duty names the claim of a team.
--- a/internal/placer/rules_test.go
+++ b/internal/placer/rules_test.go
@@ -197,7 +197,7 @@
 		if r == nil {
 			continue
 		}
-		ans := peer.RoundAnswer{Incarnation: "someone else", Refused: []bool{true}}
+		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
 		w.scheduler.Answered(h.name, r, &ans, w.now)
 	}
 	require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 1)
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -115,9 +115,9 @@
 	parts    map[int]uint64
 	fenced   map[string]uint64
 	seq      uint64
-	sending  *peer.Round
+	sending  *peer.Batch
 	sentTo   string // instance that the round was made for
-	next     peer.Round
+	next     peer.Batch
 	settling clock.Micros // since when settlements wait to be sent
 	up       bool
 	swept    clock.Micros
--- a/internal/placer/settle.go
+++ b/internal/placer/settle.go
@@ -204,14 +204,14 @@
 		return
 	}
 	o := d.owners[m.host]
-	o.next.Settles = append(o.next.Settles, peer.Settle{ID: id, Machine: machine})
+	o.next.Settles = append(o.next.Settles, peer.Acknowledgement{ID: id, Machine: machine})
 	j.acked[id] = m.Term
 }
 
 func (d *Scheduler) stop(b *binding, grace float64) {
 	if m := d.machines[b.machine]; m != nil {
 		o := d.owners[m.host]
-		o.next.Stops = append(o.next.Stops, peer.Stop{ID: b.id, Machine: b.machine, GraceS: grace})
+		o.next.Stops = append(o.next.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
 	}
 	b.stopping = true
 }
--- a/internal/placer/takeover_test.go
+++ b/internal/placer/takeover_test.go
@@ -127,7 +127,7 @@
 	w.settle(8)
 	w.addJob("job-1", 16, nil)
 	w.settle(4)
-	in := peer.Poll{Gen: w.scheduler.owners["h0"].gen, Terms: w.scheduler.Terms()}
+	in := peer.PollRequest{Gen: w.scheduler.owners["h0"].gen, Terms: w.scheduler.Terms()}
 	late := w.hosts[0].table.Poll(in, w.hosts[0].instance, w.now)
 	delete(w.registry, "m-0")
 	w.gain(0, 1)
--- a/internal/placer/talk.go
+++ b/internal/placer/talk.go
@@ -12,17 +12,17 @@
 )
 
 // strip takes a lost team's words out of a round that was not sent yet.
-func strip(r *peer.Round, tm *team) {
-	r.Asks = slices.DeleteFunc(r.Asks, func(a peer.Ask) bool { return a.Team == tm.Name })
-	r.Stops = slices.DeleteFunc(r.Stops, func(s peer.Stop) bool { return tm.jobs[s.ID.Job] != nil })
-	r.Settles = slices.DeleteFunc(r.Settles, func(s peer.Settle) bool { return tm.jobs[s.ID.Job] != nil })
-	r.Starts = slices.DeleteFunc(r.Starts, func(s peer.Start) bool { return s.Team == tm.Name })
-	r.Cancels = slices.DeleteFunc(r.Cancels, func(c peer.Cancel) bool { return c.Team == tm.Name })
+func strip(r *peer.Batch, tm *team) {
+	r.Asks = slices.DeleteFunc(r.Asks, func(a peer.Assignment) bool { return a.Team == tm.Name })
+	r.Stops = slices.DeleteFunc(r.Stops, func(s peer.StopTask) bool { return tm.jobs[s.ID.Job] != nil })
+	r.Settles = slices.DeleteFunc(r.Settles, func(s peer.Acknowledgement) bool { return tm.jobs[s.ID.Job] != nil })
+	r.Starts = slices.DeleteFunc(r.Starts, func(s peer.StartTask) bool { return s.Team == tm.Name })
+	r.Cancels = slices.DeleteFunc(r.Cancels, func(c peer.CancelJob) bool { return c.Team == tm.Name })
 }
 
 // Send gives the round to send to an owner now, nil for nothing. A round
 // without an answer is given again as it was.
-func (d *Scheduler) Send(host string) *peer.Round {
+func (d *Scheduler) Send(host string) *peer.Batch {
 	o := d.owners[host]
 	if o.sending != nil && o.sentTo == o.instance {
 		return o.sending
@@ -34,7 +34,7 @@
 	}
 	o.seq++
 	r.From, r.Seq, r.Terms = d.instance, o.seq, d.Terms()
-	o.sending, o.sentTo, o.next, o.settling = &r, o.instance, peer.Round{}, 0
+	o.sending, o.sentTo, o.next, o.settling = &r, o.instance, peer.Batch{}, 0
 	return o.sending
 }
 
@@ -72,7 +72,7 @@
 
 // Answered takes the answer to a round; ok is false when another process has
 // given it than the one that the round was for.
-func (d *Scheduler) Answered(host string, r *peer.Round, ans *peer.RoundAnswer, now clock.Micros) (ok bool) {
+func (d *Scheduler) Answered(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
 	o := d.owners[host]
 	if o.sending != r {
 		return true
@@ -137,17 +137,17 @@
 }
 
 // Status tells what a job's user may be told.
-func (d *Scheduler) Status(teamName, id string) peer.JobAnswer {
+func (d *Scheduler) Status(teamName, id string) peer.JobResponse {
 	tm := d.teams[teamName]
 	if tm == nil {
-		return peer.JobAnswer{}
+		return peer.JobResponse{}
 	}
 	j := tm.jobs[id]
 	if j == nil {
-		return peer.JobAnswer{Known: true}
+		return peer.JobResponse{Known: true}
 	}
 	if j.uncertain {
-		return peer.JobAnswer{Known: true, Found: true, Retry: true}
+		return peer.JobResponse{Known: true, Found: true, Retry: true}
 	}
 	s := wire.JobState{ID: id, Phase: wire.Pending, Done: j.doneCount}
 	for _, b := range j.bound {
@@ -158,7 +158,7 @@
 	if s.Running > 0 || s.Done > 0 {
 		s.Phase = wire.Running
 	}
-	return peer.JobAnswer{Known: true, Found: true, State: s}
+	return peer.JobResponse{Known: true, Found: true, State: s}
 }
 
 // Ready lists a team's jobs whose tasks are all done and whose end is to be
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -82,7 +82,7 @@
 	for _, trickle := range []bool{true, false} {
 		w := newWorldOf(t, 1, 2, 0)
 		w.scheduler.timing.Guarantee = 5 * sec
-		blue := &team{Team: Team{Name: "blue", Guarantee: res.Have(100, 0, 0)}, term: 1, jobs: map[string]*job{},
+		blue := &team{Team: Team{Name: "blue", Guarantee: res.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
 			cleared: map[string]bool{}, strange: map[string]bool{}}
 		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
 			team: blue, covered: true, watermark: 50, since: w.now, bound: map[int]*binding{}, zones: map[string]int{}, done: make([]uint64, 1)}
@@ -104,7 +104,7 @@
 				for _, a := range o.next.Asks {
 					taken = taken || a.Over
 				}
-				o.next = peer.Round{}
+				o.next = peer.Batch{}
 			}
 		}
 		require.Equal(t, !trickle, taken)
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -10,9 +10,9 @@
 
 // Cursor gives the next poll for an owner. When a team's term is new to it,
 // everything is asked for, so that the answer is given under that term's fence.
-func (d *Scheduler) Cursor(host string) peer.Poll {
+func (d *Scheduler) Cursor(host string) peer.PollRequest {
 	o := d.owners[host]
-	in := peer.Poll{Incarnation: o.instance, Cursor: o.cursor, Terms: d.Terms(), Gen: o.gen}
+	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: d.Terms(), Gen: o.gen}
 	for t, term := range in.Terms {
 		if o.fenced[t] != term {
 			in.Incarnation = ""
@@ -29,7 +29,7 @@
 const sweepEvery = 2 * clock.Second
 
 // Hear takes an owner's answer to a poll.
-func (d *Scheduler) Hear(host string, in peer.Poll, ans *peer.PollAnswer, now clock.Micros) {
+func (d *Scheduler) Hear(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
 	o := d.owners[host]
 	d.up(host, true)
 	if ans.Incarnation != o.instance {
--- a/internal/placer/withdraw.go
+++ b/internal/placer/withdraw.go
@@ -45,8 +45,8 @@
 	j.cancelling, j.taken = true, map[string]bool{}
 	d.abandonMoves(tm, id)
 	for _, o := range d.owners {
-		o.next.Starts = slices.DeleteFunc(o.next.Starts, func(s peer.Start) bool { return s.ID.Job == id })
-		o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Ask) bool {
+		o.next.Starts = slices.DeleteFunc(o.next.Starts, func(s peer.StartTask) bool { return s.ID.Job == id })
+		o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Assignment) bool {
 			if a.ID.Job != id {
 				return false
 			}
@@ -63,7 +63,7 @@
 
 // tellCancel has the present process of an owner told of a job's withdrawal, once.
 func (d *Scheduler) tellCancel(o *ownerState, j *job) {
-	c := peer.Cancel{Job: j.ID, Team: j.Team}
+	c := peer.CancelJob{Job: j.ID, Team: j.Team}
 	if slices.Contains(o.next.Cancels, c) || o.sending != nil && o.sentTo == o.instance && slices.Contains(o.sending.Cancels, c) {
 		return
 	}
@@ -129,10 +129,10 @@
 
 // Withdraw ends a job: no task of it starts from now on; once that is certain of
 // every machine, the end is written, and only then told.
-func (p *Placer) Withdraw(q peer.JobQuery) peer.JobAnswer {
-	retry := peer.JobAnswer{Known: true, Found: true, Retry: true}
+func (p *Placer) Withdraw(q peer.JobRequest) peer.JobResponse {
+	retry := peer.JobResponse{Known: true, Found: true, Retry: true}
 	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
-		return peer.JobAnswer{}
+		return peer.JobResponse{}
 	}
 	deadline := time.NewTimer(withdrawWait)
 	defer deadline.Stop()
@@ -143,13 +143,13 @@
 		// and its user be told to come back although it is cancelled.
 		if f, over := p.book.Final(q.ID); over {
 			p.mu.Unlock()
-			return peer.JobAnswer{Known: true, Found: true, State: f.State(q.ID)}
+			return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 		}
 		ctx := p.running
 		tm := p.scheduler.teams[q.Team]
 		if tm == nil || tm.jobs[q.ID] == nil {
 			p.mu.Unlock()
-			return peer.JobAnswer{Known: tm != nil}
+			return peer.JobResponse{Known: tm != nil}
 		}
 		j := tm.jobs[q.ID]
 		if j.finishing && !j.cancelling {
--- a/internal/placer/world_test.go
+++ b/internal/placer/world_test.go
@@ -38,7 +38,7 @@
 type lateRound struct {
 	h     *host
 	table *owner.Table // the process it was sent to
-	round peer.Round
+	round peer.Batch
 }
 
 // world is a small cluster without I/O: owners, one placer, workers, and a
@@ -106,7 +106,7 @@
 	w.crashes++
 	h.instance = fmt.Sprintf("%s-%d", h.name, w.crashes)
 	h.table = owner.NewTable(owner.Timing{Lease: lease, LeaseTTL: 4 * sec, SickErrors: 2}, w)
-	h.table.SetTypes(map[string]res.Amounts{"big": res.Have(8, 0, 32)})
+	h.table.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
 }
 
 func (w *world) part(id string) int { return int(id[2]-'0') % len(w.partHost) }
@@ -141,7 +141,7 @@
 	w.term++
 	w.stamp++
 	w.scheduler = NewScheduler(Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: w.moves}, fmt.Sprintf("scheduler-%d", w.term),
-		[]Team{{Name: red, Limit: res.Have(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
+		[]Team{{Name: red, Limit: res.Capacity(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
 	w.scheduler.legacyRecords = w.legacyRecords
 	for id := range w.registry {
 		w.scheduler.Register(id, true)
--- a/internal/placer/writes_test.go
+++ b/internal/placer/writes_test.go
@@ -92,7 +92,7 @@
 			over = 0
 			retries := 0
 			for i := range many {
-				a := p.Status(peer.JobQuery{Team: red, ID: name(i)})
+				a := p.Status(peer.JobRequest{Team: red, ID: name(i)})
 				require.True(t, a.Known && a.Found)
 				if a.Retry {
 					retries++
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if g := d.zones[name]; g != nil {
-		g.Enter(r.Stage, r.Held, now)
+		g.SetStage(r.Stage, r.Held, now)
 		return
 	}
 	d.zones[name] = recovery.NewGate(r.Stage, r.Held, now)
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -56,7 +56,7 @@
 
 // Veto gives the script's word on moves, nil where the script has no hook for them. A hook that
 // fails or computes for too long counts as a veto and is logged: it never stops the service.
-func (k *Knobs) Veto(log *slog.Logger) func(rebalance.Record) bool {
+func (k *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
 	if k.veto == nil {
 		return nil
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (k *Knobs) askVeto(r rebalance.Record) (vetoed bool, err error) {
+func (k *Parameters) askVeto(r rebalance.Record) (vetoed bool, err error) {
 	move := starlarkstruct.FromStringDict(starlark.String("move"), starlark.StringDict{
 		"team": starlark.String(r.Team), "job": starlark.String(r.Key.Job), "task": starlark.MakeInt(r.Key.N),
 		"source": starlark.String(r.From), "destination": starlark.String(r.To), "reason": starlark.String(r.Reason),
@@ -89,7 +89,7 @@
 
 // Stages gives the script's word on stages, nil where the script has no hook for them. A hook that
 // fails is logged, and the job is admitted by its rank and deadline.
-func (k *Knobs) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
+func (k *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
 	if k.stage == nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 
 var errNoStage = errors.New("the answer must be urgent, services or cold")
 
-func (k *Knobs) askStage(j *jobs.Job) (recovery.Stage, error) {
+func (k *Parameters) askStage(j *jobs.Job) (recovery.Stage, error) {
 	job := starlarkstruct.FromStringDict(starlark.String("job"), starlark.StringDict{
 		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Priority),
 		"deadline": starlark.Bool(j.DeadlineS != nil), "tasks": starlark.MakeInt(j.Tasks),
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -7,23 +7,23 @@
 
 // String lists the parameters as the check command prints them. The names are part of that
 // command's output and stay as they are, whatever the fields are called here.
-func (k *Knobs) String() string {
+func (k *Parameters) String() string {
 	fields := []struct {
 		name  string
 		value any
 	}{
-		{"HoldTTL", k.HoldTTL}, {"HoldRenew", k.HoldRenew}, {"ResignAfter", k.ResignAfter}, {"HoldGrace", k.HoldGrace},
-		{"HandOver", k.HandOver}, {"Sample", k.Sample}, {"Batch", k.Batch}, {"LeaseTTL", k.LeaseTTL},
-		{"ProgressEvery", k.ProgressEvery}, {"PreemptAfter", k.PreemptAfter}, {"IdleReturn", k.IdleReturn},
-		{"RentalBackoff", k.RentalBackoff}, {"Catchup", k.Catchup}, {"CatchupOrdinary", k.CatchupOrdinary},
-		{"SpareShare", k.SpareShare}, {"BootPatience", k.BootPatience}, {"SickErrors", k.SickErrors},
+		{"HoldTTL", k.LeaderLeaseTTL}, {"HoldRenew", k.LeaderRenewInterval}, {"ResignAfter", k.ResignAfter}, {"HoldGrace", k.TakeoverGrace},
+		{"HandOver", k.TransferDelay}, {"Sample", k.Sample}, {"Batch", k.Batch}, {"LeaseTTL", k.RoomLeaseTTL},
+		{"ProgressEvery", k.ProgressEvery}, {"PreemptAfter", k.PreemptAfter}, {"IdleReturn", k.IdleScaleInDelay},
+		{"RentalBackoff", k.ScaleOutBackoff}, {"Catchup", k.Catchup}, {"CatchupOrdinary", k.CatchupOrdinary},
+		{"SpareShare", k.SpareShare}, {"BootPatience", k.BootPatience}, {"SickErrors", k.QuarantineErrors},
 		{"Economy", k.Economy}, {"FairShares", k.FairShares}, {"ShareFresh", k.ShareFresh},
 		{"ShareWithhold", k.ShareWithhold}, {"TeamWeights", k.TeamWeights}, {"PlacementCosts", k.PlacementCosts},
 		{"DataWeight", k.DataWeight}, {"EvenWeight", k.EvenWeight}, {"PriceWeight", k.PriceWeight},
 		{"ImageWait", k.ImageWait}, {"Moves", k.Moves}, {"MoveMargin", k.MoveMargin}, {"MoveCoolDown", k.MoveCoolDown},
 		{"TeamMoves", k.TeamMoves}, {"MachineMoves", k.MachineMoves}, {"veto", address(k.veto)},
-		{"ZoneReturn", k.ZoneReturn}, {"History", k.History}, {"ZoneSuspect", k.ZoneSuspect},
-		{"ZoneLost", k.ZoneLost}, {"ZoneBack", k.ZoneBack}, {"stage", address(k.stage)}, {"Renamed", k.Renamed},
+		{"ZoneReturn", k.ZoneReturn}, {"History", k.History}, {"ZoneSuspect", k.ZoneSuspectAfter},
+		{"ZoneLost", k.ZoneLostAfter}, {"ZoneBack", k.ZoneReturnAfter}, {"stage", address(k.stage)}, {"Renamed", k.Renamed},
 	}
 	var out strings.Builder
 	for i, f := range fields {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -18,17 +18,17 @@
 //go:embed default.star
 var defaults string
 
-// Knobs is what the script sets.
-type Knobs struct {
-	HoldTTL, HoldRenew, ResignAfter, HoldGrace clock.Micros
-	HandOver                                   clock.Micros
-	Sample, Batch                              int
-	LeaseTTL, ProgressEvery, PreemptAfter      clock.Micros
-	IdleReturn, RentalBackoff, Catchup         clock.Micros
-	CatchupOrdinary                            clock.Micros
-	SpareShare, BootPatience                   float64
-	SickErrors                                 int
-	Economy                                    bool
+// Parameters is what the script sets.
+type Parameters struct {
+	LeaderLeaseTTL, LeaderRenewInterval, ResignAfter, TakeoverGrace clock.Micros
+	TransferDelay                                                   clock.Micros
+	Sample, Batch                                                   int
+	RoomLeaseTTL, ProgressEvery, PreemptAfter                       clock.Micros
+	IdleScaleInDelay, ScaleOutBackoff, Catchup                      clock.Micros
+	CatchupOrdinary                                                 clock.Micros
+	SpareShare, BootPatience                                        float64
+	QuarantineErrors                                                int
+	Economy                                                         bool
 	// FairShares has owners divide contended room among teams.
 	FairShares                bool
 	ShareFresh, ShareWithhold clock.Micros
@@ -44,18 +44,18 @@
 	TeamMoves, MachineMoves int
 	veto                    *starlark.Function
 	// ZoneReturn has work return to zones in stages; History has what happens noted.
-	ZoneReturn, History             bool
-	ZoneSuspect, ZoneLost, ZoneBack clock.Micros
-	stage                           *starlark.Function
+	ZoneReturn, History                              bool
+	ZoneSuspectAfter, ZoneLostAfter, ZoneReturnAfter clock.Micros
+	stage                                            *starlark.Function
 	// Renamed are the knobs that the script set by a former name.
-	Renamed []Rename
+	Renamed []RenamedParameter
 }
 
-// Rename is a knob's former name and the one that it has now.
-type Rename struct{ Old, New string }
+// RenamedParameter is a knob's former name and the one that it has now.
+type RenamedParameter struct{ Old, New string }
 
 // renames are the former names that are accepted still.
-var renames = []Rename{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
+var renames = []RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
 
 // longFinish is from how many of the workers' leases on a time to be finished
 // within is one more deadline, also for work that has none: it leaves time to wait
@@ -80,7 +80,7 @@
 }
 
 // Load runs the embedded default and then the script at path, if any.
-func Load(path string, s *config.Settings) (*Knobs, error) {
+func Load(path string, s *config.Settings) (*Parameters, error) {
 	text := ""
 	if path != "" {
 		b, err := os.ReadFile(path)
@@ -93,8 +93,8 @@
 }
 
 // Parse runs the embedded default and then the given script.
-func Parse(text string, s *config.Settings) (*Knobs, error) {
-	k := &Knobs{Economy: Economy(s)}
+func Parse(text string, s *config.Settings) (*Parameters, error) {
+	k := &Parameters{Economy: Economy(s)}
 	given := starlark.StringDict{"economy": starlark.Bool(k.Economy), "controllers": starlark.MakeInt(s.Params.Count)}
 	vals, err := run("default.star", defaults, given)
 	if err != nil {
@@ -169,7 +169,7 @@
 
 // rename gives the knobs that a script set by a former name their present one, unless
 // the script sets that too.
-func (k *Knobs) rename(own starlark.StringDict) {
+func (k *Parameters) rename(own starlark.StringDict) {
 	for _, r := range renames {
 		v, ok := own[r.Old]
 		if !ok {
@@ -210,7 +210,7 @@
 	return err
 }
 
-func (k *Knobs) read(vals starlark.StringDict) error {
+func (k *Parameters) read(vals starlark.StringDict) error {
 	num := func(name string, lo, hi float64) (float64, error) {
 		v, ok := starlark.AsFloat(vals[name])
 		if !ok || !(v >= lo && v <= hi) {
@@ -223,22 +223,22 @@
 		lo, hi float64
 		set    func(v float64)
 	}{
-		{"hold_ttl_s", 1, 600, func(v float64) { k.HoldTTL = clock.FromSeconds(v) }},
-		{"hold_renew_s", 0.1, 60, func(v float64) { k.HoldRenew = clock.FromSeconds(v) }},
+		{"hold_ttl_s", 1, 600, func(v float64) { k.LeaderLeaseTTL = clock.FromSeconds(v) }},
+		{"hold_renew_s", 0.1, 60, func(v float64) { k.LeaderRenewInterval = clock.FromSeconds(v) }},
 		{"resign_after_s", 0.5, 600, func(v float64) { k.ResignAfter = clock.FromSeconds(v) }},
-		{"hold_grace_s", 0, 60, func(v float64) { k.HoldGrace = clock.FromSeconds(v) }},
-		{"hand_over_s", 0, 86400, func(v float64) { k.HandOver = clock.FromSeconds(v) }},
+		{"hold_grace_s", 0, 60, func(v float64) { k.TakeoverGrace = clock.FromSeconds(v) }},
+		{"hand_over_s", 0, 86400, func(v float64) { k.TransferDelay = clock.FromSeconds(v) }},
 		{"sample", 1, 1000, func(v float64) { k.Sample = int(v) }},
 		{"batch", 1, 10000, func(v float64) { k.Batch = int(v) }},
-		{"lease_ttl_s", 1, 600, func(v float64) { k.LeaseTTL = clock.FromSeconds(v) }},
+		{"lease_ttl_s", 1, 600, func(v float64) { k.RoomLeaseTTL = clock.FromSeconds(v) }},
 		{"progress_every_s", 0.1, 60, func(v float64) { k.ProgressEvery = clock.FromSeconds(v) }},
 		{"preempt_after_s", 0, 3600, func(v float64) { k.PreemptAfter = clock.FromSeconds(v) }},
-		{"idle_return_s", 0, 86400, func(v float64) { k.IdleReturn = clock.FromSeconds(v) }},
+		{"idle_return_s", 0, 86400, func(v float64) { k.IdleScaleInDelay = clock.FromSeconds(v) }},
 		{"spare_share", 0, 10, func(v float64) { k.SpareShare = v }},
 		{"boot_patience", 1, 100, func(v float64) { k.BootPatience = v }},
 		{"catchup_s", 1, 3600, func(v float64) { k.Catchup = clock.FromSeconds(v) }},
 		{"catchup_ordinary_s", 1, 3600, func(v float64) { k.CatchupOrdinary = clock.FromSeconds(v) }},
-		{"rental_backoff_s", 0, 3600, func(v float64) { k.RentalBackoff = clock.FromSeconds(v) }},
+		{"rental_backoff_s", 0, 3600, func(v float64) { k.ScaleOutBackoff = clock.FromSeconds(v) }},
 		{"share_fresh_s", 1.5, 60, func(v float64) { k.ShareFresh = clock.FromSeconds(v) }},
 		{"share_withhold_s", 0, 30, func(v float64) { k.ShareWithhold = clock.FromSeconds(v) }},
 		{"data_weight", 0, 100, func(v float64) { k.DataWeight = v }},
@@ -249,10 +249,10 @@
 		{"move_cool_down_s", 0, 86400, func(v float64) { k.MoveCoolDown = clock.FromSeconds(v) }},
 		{"moves_per_team", 0, 10000, func(v float64) { k.TeamMoves = int(v) }},
 		{"moves_per_machine", 0, 10000, func(v float64) { k.MachineMoves = int(v) }},
-		{"zone_suspect_s", 1, 600, func(v float64) { k.ZoneSuspect = clock.FromSeconds(v) }},
-		{"zone_lost_s", 1, 600, func(v float64) { k.ZoneLost = clock.FromSeconds(v) }},
-		{"zone_back_s", 0, 600, func(v float64) { k.ZoneBack = clock.FromSeconds(v) }},
-		{"sick_errors", 1, 1000, func(v float64) { k.SickErrors = int(v) }},
+		{"zone_suspect_s", 1, 600, func(v float64) { k.ZoneSuspectAfter = clock.FromSeconds(v) }},
+		{"zone_lost_s", 1, 600, func(v float64) { k.ZoneLostAfter = clock.FromSeconds(v) }},
+		{"zone_back_s", 0, 600, func(v float64) { k.ZoneReturnAfter = clock.FromSeconds(v) }},
+		{"sick_errors", 1, 1000, func(v float64) { k.QuarantineErrors = int(v) }},
 	} {
 		v, err := num(f.name, f.lo, f.hi)
 		if err != nil {
@@ -268,7 +268,7 @@
 		}
 		*flag = bool(v)
 	}
-	if k.HoldRenew*3 > k.HoldTTL {
+	if k.LeaderRenewInterval*3 > k.LeaderLeaseTTL {
 		return fmt.Errorf("policy: knob hold_renew_s must be at most a third of hold_ttl_s")
 	}
 	return nil
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -37,7 +37,7 @@
 	quick, err := Parse("", early)
 	require.NoError(t, err)
 	require.False(t, quick.Economy)
-	require.Less(t, economical.IdleReturn, quick.IdleReturn)
+	require.Less(t, economical.IdleScaleInDelay, quick.IdleScaleInDelay)
 	// Guests that have minutes must not put off economy for everybody.
 	early.Params.Objectives[1].WithinS = 400
 	require.True(t, Economy(early))
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 8, k.Sample)
 	require.Equal(t, 7, k.Batch)
-	require.Equal(t, 24*clock.Second, k.HoldTTL)
+	require.Equal(t, 24*clock.Second, k.LeaderLeaseTTL)
 	for script, want := range map[string]string{
 		"sampel = 3":                          "sampel",
 		"sample = 'many'":                     "sample",
@@ -76,7 +76,7 @@
 	} {
 		k, err := Parse(script, settings())
 		require.NoError(t, err, script)
-		require.Equal(t, want, k.RentalBackoff, script)
+		require.Equal(t, want, k.ScaleOutBackoff, script)
 		require.Equal(t, script[0] == 'h', len(k.Renamed) == 1, script)
 	}
 }
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -45,7 +45,7 @@
 // latter case, and only while the lease there is held.
 type Move struct {
 	*Record
-	book  *Book
+	book  *Planner
 	stage stage
 	until clock.Micros
 }
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -23,24 +23,24 @@
 	SlowMachine Reason = "slow machine" // it was set aside for return, since its tasks take much longer
 )
 
-// Declined is why a task was not moved.
-type Declined string
+// DeclineReason is why a task was not moved.
+type DeclineReason string
 
 // Why tasks are not moved.
 const (
-	NotDeclined   Declined = ""
-	StaleView     Declined = "the view of a machine is old"
-	CannotSave    Declined = "it can't save its progress"
-	JustStarted   Declined = "it has just started"
-	NearlyDone    Declined = "it is nearly done"
-	MovedLately   Declined = "it was moved lately"
-	TeamAtLimit   Declined = "its team is at its limit"
-	TeamBudget    Declined = "its team's moves of this minute are used up"
-	MachineBudget Declined = "the machine's moves of this minute are used up"
-	NoRoom        Declined = "no machine that fits has room"
-	NoGain        Declined = "the gain does not exceed the cost"
-	NotCooler     Declined = "the destination would be no cooler"
-	Vetoed        Declined = "the policy script vetoed it"
+	NotDeclined   DeclineReason = ""
+	StaleView     DeclineReason = "the view of a machine is old"
+	CannotSave    DeclineReason = "it can't save its progress"
+	JustStarted   DeclineReason = "it has just started"
+	NearlyDone    DeclineReason = "it is nearly done"
+	MovedLately   DeclineReason = "it was moved lately"
+	TeamAtLimit   DeclineReason = "its team is at its limit"
+	TeamBudget    DeclineReason = "its team's moves of this minute are used up"
+	MachineBudget DeclineReason = "the machine's moves of this minute are used up"
+	NoRoom        DeclineReason = "no machine that fits has room"
+	NoGain        DeclineReason = "the gain does not exceed the cost"
+	NotCooler     DeclineReason = "the destination would be no cooler"
+	Vetoed        DeclineReason = "the policy script vetoed it"
 )
 
 // Key names a task, whatever its attempt.
@@ -110,24 +110,24 @@
 	Outcome        Outcome
 }
 
-// Book decides on moves and keeps their budgets.
-type Book struct {
+// Planner decides on moves and keeps their budgets.
+type Planner struct {
 	limits   Limits
 	moved    map[Key]clock.Micros
 	team     map[string][]clock.Micros
 	machine  map[string][]clock.Micros
-	declined map[string]map[Declined]int
+	declined map[string]map[DeclineReason]int
 	recent   []*Record
 }
 
-// NewBook makes an empty book.
-func NewBook(l Limits) *Book {
-	return &Book{limits: l, moved: map[Key]clock.Micros{}, team: map[string][]clock.Micros{}, machine: map[string][]clock.Micros{},
-		declined: map[string]map[Declined]int{}}
+// NewPlanner makes an empty book.
+func NewPlanner(l Limits) *Planner {
+	return &Planner{limits: l, moved: map[Key]clock.Micros{}, team: map[string][]clock.Micros{}, machine: map[string][]clock.Micros{},
+		declined: map[string]map[DeclineReason]int{}}
 }
 
-// Consider tells whether a task may be moved at all, before a destination is looked for.
-func (b *Book) Consider(c *Candidate, now clock.Micros) Declined {
+// Evaluate tells whether a task may be moved at all, before a destination is looked for.
+func (b *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
 	at, moved := b.moved[c.Key]
 	switch {
 	case c.ViewAge > freshView:
@@ -150,7 +150,7 @@
 
 // Weigh tells whether a move to a destination is worth it: its gain exceeds its cost with a
 // margin, and the destination is cooler with the task than the source is now.
-func (b *Book) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why Declined) {
+func (b *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > freshView {
 		return 0, 0, StaleView
 	}
@@ -169,7 +169,7 @@
 }
 
 // gain is how much earlier a task is done by a move, its cost left out.
-func (b *Book) gain(c *Candidate, to *Destination) clock.Micros {
+func (b *Planner) gain(c *Candidate, to *Destination) clock.Micros {
 	pace := func(p float64) float64 {
 		if p <= 0 {
 			return 1
@@ -191,15 +191,15 @@
 }
 
 // Decline takes note of why a task was not moved.
-func (b *Book) Decline(team string, why Declined) {
+func (b *Planner) Decline(team string, why DeclineReason) {
 	if b.declined[team] == nil {
-		b.declined[team] = map[Declined]int{}
+		b.declined[team] = map[DeclineReason]int{}
 	}
 	b.declined[team][why]++
 }
 
-// Begin takes a move on: it counts against the budgets, whatever becomes of it.
-func (b *Book) Begin(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
+// StartMove takes a move on: it counts against the budgets, whatever becomes of it.
+func (b *Planner) StartMove(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
 	b.moved[c.Key] = now
 	b.team[c.Team] = append(b.team[c.Team], now)
 	for _, m := range []string{c.Machine, to.Machine} {
@@ -214,7 +214,7 @@
 }
 
 // Forget drops what no budget looks at any more.
-func (b *Book) Forget(now clock.Micros) {
+func (b *Planner) Forget(now clock.Micros) {
 	for key, at := range b.moved {
 		if now >= at+b.limits.CoolDown {
 			delete(b.moved, key)
@@ -240,7 +240,7 @@
 }
 
 // Recent gives the latest moves of a team, the last one first.
-func (b *Book) Recent(team string) (out []Record) {
+func (b *Planner) Recent(team string) (out []Record) {
 	for _, r := range slices.Backward(b.recent) {
 		if r.Team == team {
 			out = append(out, *r)
@@ -250,4 +250,4 @@
 }
 
 // DeclinedOf counts why tasks of a team were not moved.
-func (b *Book) DeclinedOf(team string) map[Declined]int { return b.declined[team] }
+func (b *Planner) DeclinedOf(team string) map[DeclineReason]int { return b.declined[team] }
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -23,7 +23,7 @@
 
 func TestWhichTasksAreNotMoved(t *testing.T) {
 	for _, x := range []struct {
-		why    Declined
+		why    DeclineReason
 		change func(c *Candidate, to *Destination)
 	}{
 		{NotDeclined, func(*Candidate, *Destination) {}},
@@ -40,8 +40,8 @@
 	} {
 		c, to := slow(), cool()
 		x.change(c, to)
-		b := NewBook(limits)
-		why := b.Consider(c, 100*sec)
+		b := NewPlanner(limits)
+		why := b.Evaluate(c, 100*sec)
 		if why == NotDeclined {
 			_, _, why = b.Weigh(c, to, 100*sec)
 		}
@@ -53,7 +53,7 @@
 func TestMovesOnANotice(t *testing.T) {
 	for _, x := range []struct {
 		left, notice, save clock.Micros
-		want               Declined
+		want               DeclineReason
 	}{
 		{60 * sec, 40 * sec, 2 * sec, NotDeclined},
 		{20 * sec, 40 * sec, 2 * sec, NoGain}, // done by then, even if the notice is short
@@ -62,7 +62,7 @@
 	} {
 		c := slow()
 		c.Reason, c.Left, c.NoticeLeft, c.SaveFor, c.Pace = SpotNotice, x.left, x.notice, x.save, 0
-		_, _, why := NewBook(limits).Weigh(c, cool(), 100*sec)
+		_, _, why := NewPlanner(limits).Weigh(c, cool(), 100*sec)
 		require.Equal(t, x.want, why, "%+v", x)
 	}
 }
@@ -70,7 +70,7 @@
 // Budgets bound what moves in a minute, and a task that was moved stays where it is for a
 // while: nothing goes to and fro.
 func TestBudgets(t *testing.T) {
-	b := NewBook(limits)
+	b := NewPlanner(limits)
 	now := 100 * sec
 	task := func(n int, machine string) *Candidate {
 		c := slow()
@@ -80,25 +80,25 @@
 	begin := func(n int, from, to string) {
 		d := cool()
 		d.Machine = to
-		b.Begin(task(n, from), d, 20*sec, 8*sec, now)
+		b.StartMove(task(n, from), d, 20*sec, 8*sec, now)
 	}
 	begin(0, "m-1", "m-2")
-	require.Equal(t, MovedLately, b.Consider(task(0, "m-2"), now+sec))
-	refused := b.Begin(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-minute)
+	require.Equal(t, MovedLately, b.Evaluate(task(0, "m-2"), now+sec))
+	refused := b.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-minute)
 	refused.Refused()
-	require.Equal(t, NotDeclined, b.Consider(task(9, "m-8"), now), "nothing was moved")
+	require.Equal(t, NotDeclined, b.Evaluate(task(9, "m-8"), now), "nothing was moved")
 	begin(1, "m-1", "m-3")
-	require.Equal(t, MachineBudget, b.Consider(task(2, "m-1"), now))
+	require.Equal(t, MachineBudget, b.Evaluate(task(2, "m-1"), now))
 	begin(2, "m-4", "m-2")
-	require.Equal(t, TeamBudget, b.Consider(task(3, "m-5"), now))
+	require.Equal(t, TeamBudget, b.Evaluate(task(3, "m-5"), now))
 	other := task(4, "m-6")
 	other.Team = "blue"
-	require.Equal(t, NotDeclined, b.Consider(other, now))
+	require.Equal(t, NotDeclined, b.Evaluate(other, now))
 	_, _, why := b.Weigh(other, cool(), now)
 	require.Equal(t, MachineBudget, why, "m-2 has had two")
-	require.Equal(t, NotDeclined, b.Consider(task(3, "m-1"), now+minute))
-	require.Equal(t, MovedLately, b.Consider(task(0, "m-2"), now+119*sec))
-	require.Equal(t, NotDeclined, b.Consider(task(0, "m-2"), now+120*sec))
+	require.Equal(t, NotDeclined, b.Evaluate(task(3, "m-1"), now+minute))
+	require.Equal(t, MovedLately, b.Evaluate(task(0, "m-2"), now+119*sec))
+	require.Equal(t, NotDeclined, b.Evaluate(task(0, "m-2"), now+120*sec))
 	b.Forget(now + 120*sec)
 	require.Empty(t, b.moved)
 	require.Empty(t, b.team)
@@ -136,7 +136,7 @@
 	}
 	outcomes := map[Outcome]int{}
 	for n := range total {
-		m := NewBook(limits).Begin(slow(), cool(), 20*sec, 8*sec, 100*sec)
+		m := NewPlanner(limits).StartMove(slow(), cool(), 20*sec, 8*sec, 100*sec)
 		var told []string
 		granted, lost, over := false, false, false
 		stops, starts, releases := 0, 0, 0
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -43,15 +43,15 @@
 // that are back don't get whatever asks first.
 func NewLostGate() *Gate { return &Gate{stage: Reconcile, lost: true, starts: firstStarts} }
 
-// Heard takes note that a machine of the zone is heard.
-func (g *Gate) Heard(now clock.Micros) {
+// HeartbeatSeen takes note that a machine of the zone is heard.
+func (g *Gate) HeartbeatSeen(now clock.Micros) {
 	if g.lost && g.heard == 0 {
 		g.heard = now
 	}
 }
 
-// Enter takes the word of a stage, or of a hold.
-func (g *Gate) Enter(s Stage, held bool, now clock.Micros) {
+// SetStage takes the word of a stage, or of a hold.
+func (g *Gate) SetStage(s Stage, held bool, now clock.Micros) {
 	if s != g.stage || held != g.held || g.lost {
 		g.stage, g.held, g.since, g.lost = s, held, now, false
 	}
@@ -66,7 +66,7 @@
 		}
 		return Reconcile
 	}
-	if !g.held && now > g.since+g.stage.Most()+lateness {
+	if !g.held && now > g.since+g.stage.MaxDuration()+lateness {
 		return Open
 	}
 	return g.stage
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -33,9 +33,9 @@
 	busy := Facts{Unsettled: 1, Waiting: map[Stage]int{Urgent: 1, Services: 1, Cold: 1}}
 	total := clock.Micros(0)
 	for s := Reconcile; s < Open; s++ {
-		require.Equal(t, s, Advance(s, s.Most()-1, busy))
-		require.Equal(t, s+1, Advance(s, s.Most(), busy))
-		total += s.Most() + lateness
+		require.Equal(t, s, Advance(s, s.MaxDuration()-1, busy))
+		require.Equal(t, s+1, Advance(s, s.MaxDuration(), busy))
+		total += s.MaxDuration() + lateness
 	}
 	require.Less(t, total, 90*sec)
 	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "what waits may not have been told yet")
@@ -74,13 +74,13 @@
 func TestAGateOfALostZone(t *testing.T) {
 	g := NewLostGate()
 	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1000*sec))
-	g.Heard(1000 * sec)
-	g.Heard(1050 * sec)
+	g.HeartbeatSeen(1000 * sec)
+	g.HeartbeatSeen(1050 * sec)
 	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec))
 	require.True(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec+1))
-	g.Enter(Reconcile, false, 1070*sec)
+	g.SetStage(Reconcile, false, 1070*sec)
 	require.Equal(t, Reconcile, g.Stage(1071*sec), "it returns")
-	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.Most()+lateness+1))
+	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.MaxDuration()+lateness+1))
 }
 
 // What succeeds lets more start at a time, up to a bound.
@@ -98,10 +98,10 @@
 // An owner that hears of no end of a stage admits all after a while; one that operators hold stays.
 func TestAGateWithoutNewsOpens(t *testing.T) {
 	g := NewGate(Urgent, false, sec)
-	require.Equal(t, Urgent, g.Stage(sec+Urgent.Most()+lateness))
-	require.Equal(t, Open, g.Stage(sec+Urgent.Most()+lateness+1))
-	g.Enter(Services, false, 30*sec)
+	require.Equal(t, Urgent, g.Stage(sec+Urgent.MaxDuration()+lateness))
+	require.Equal(t, Open, g.Stage(sec+Urgent.MaxDuration()+lateness+1))
+	g.SetStage(Services, false, 30*sec)
 	require.Equal(t, Services, g.Stage(31*sec))
-	g.Enter(Services, true, 31*sec)
+	g.SetStage(Services, true, 31*sec)
 	require.Equal(t, Services, g.Stage(1000*sec))
 }
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -70,8 +70,8 @@
 	Open:      0,
 }
 
-// Most is the longest that a stage lasts.
-func (s Stage) Most() clock.Micros {
+// MaxDuration is the longest that a stage lasts.
+func (s Stage) MaxDuration() clock.Micros {
 	if s < Reconcile || s > Open {
 		return 0
 	}
@@ -92,7 +92,7 @@
 	if s >= Open {
 		return Open
 	}
-	if lasted >= s.Most() {
+	if lasted >= s.MaxDuration() {
 		return s + 1
 	}
 	if lasted < least {
--- a/internal/res/res.go
+++ b/internal/res/res.go
@@ -7,14 +7,14 @@
 // Amounts is a bundle of resources in millionths of a unit.
 type Amounts struct{ CPU, GPU, Mem int64 }
 
-// Need converts wire amounts that a task takes, rounding up.
-func Need(cpu, gpu, mem float64) Amounts {
+// Request converts wire amounts that a task takes, rounding up.
+func Request(cpu, gpu, mem float64) Amounts {
 	up := func(v float64) int64 { return int64(math.Ceil(v*1e6 - 1e-4)) }
 	return Amounts{up(cpu), up(gpu), up(mem)}
 }
 
-// Have converts wire amounts that a machine offers, rounding down.
-func Have(cpu, gpu, mem float64) Amounts {
+// Capacity converts wire amounts that a machine offers, rounding down.
+func Capacity(cpu, gpu, mem float64) Amounts {
 	down := func(v float64) int64 { return int64(math.Floor(v*1e6 + 1e-4)) }
 	return Amounts{down(cpu), down(gpu), down(mem)}
 }
