--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -54,7 +54,7 @@
 		zoneOf[other.Host] = other.Zone
 	}
 	slices.Sort(l.hosts)
-	for i := range min(partsPerController*p.Count, placer.MostParts(p.State.TxnOps)) {
+	for i := range min(partsPerController*p.Count, placer.MaxPartitions(p.State.TxnOps)) {
 		l.partDuties = append(l.partDuties, owner.Duty(i))
 		l.partZones = append(l.partZones, zoneOf[claim.PreferredLeader(l.hosts, i, 0)])
 	}
@@ -92,8 +92,8 @@
 	n.keeper = claim.NewElector(claim.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
 	_, lines := set.Sockets()
 	n.owner = owner.New(ctx, owner.Options{
-		Host: set.Host, Instance: instance, Split: owner.NewSplit(l.partZones), TxnOps: p.State.TxnOps, ValueMost: valueMost,
-		Lines: lines, Timing: ownerTiming(set, knobs),
+		Host: set.Host, Instance: instance, Partitioning: owner.NewPartitioning(l.partZones), TxnOps: p.State.TxnOps, MaxRecordBytes: valueMost,
+		MaxWorkerConnections: lines, Timing: ownerTiming(set, knobs),
 	}, n.book, n.keeper, n.store, steady, wall, log)
 	if knobs.FairShares {
 		n.owner.SetArbiter(fairshare.NewArbiter(shareSettings(knobs)))
@@ -101,8 +101,8 @@
 	scheduler := placer.NewScheduler(schedulerTiming(set, knobs, log), instance, l.teams, l.hosts, seed,
 		func() int64 { return wall().UnixMilli() })
 	n.placer = placer.New(scheduler, placer.Options{
-		Teams: l.teams, PartDuties: l.partDuties, Owners: n.owners(), TxnOps: p.State.TxnOps,
-		ValueMost: valueMost, ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
+		Teams: l.teams, PartitionDuties: l.partDuties, Partitions: n.owners(), TxnOps: p.State.TxnOps,
+		MaxRecordBytes: valueMost, ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
 	}, n.keeper, n.store, urgent, n.book, steady, log)
 	n.front = front.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
 	cloud := fleet.NewCloud(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
@@ -142,8 +142,8 @@
 const zoneBackMost = 60 * clock.Second
 
 // owners gives the ways to the owner parts of all controllers, this one's included.
-func (n *Node) owners() map[string]placer.OwnerCaller {
-	out := map[string]placer.OwnerCaller{n.set.Host: localOwner{n.owner}}
+func (n *Node) owners() map[string]placer.PartitionClient {
+	out := map[string]placer.PartitionClient{n.set.Host: localOwner{n.owner}}
 	for host, p := range n.peers {
 		out[host] = remoteOwner{p}
 	}
@@ -157,7 +157,7 @@
 
 func ownerTiming(set *config.Settings, knobs *policy.Parameters) owner.Timing {
 	quiet := min(clock.FromSeconds(quietReports*set.Params.Workers.ReportS+1), set.Lease()*2/3)
-	return owner.Timing{Lease: set.Lease(), Quiet: quiet, LeaseTTL: knobs.RoomLeaseTTL, SickErrors: knobs.QuarantineErrors}
+	return owner.Timing{Lease: set.Lease(), HeartbeatOverdue: quiet, RoomLeaseTTL: knobs.RoomLeaseTTL, QuarantineErrors: knobs.QuarantineErrors}
 }
 
 // openTimes is for how many times as long as free room is withheld a machine goes to whoever
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,8 +45,8 @@
 	store  Store
 	keeper *claim.Elector
 	book   *jobs.Cache
-	owner  *owner.Owner
-	placer *placer.Placer
+	owner  *owner.Server
+	placer *placer.Server
 	front  *front.Front
 	fleet  *fleet.Fleet
 	peers  map[string]Peer
@@ -182,7 +182,7 @@
 		types[t.Name] = res.Capacity(t.CPUs, t.GPUs, t.MemGB)
 	}
 	n.owner.SetTypes(types, caches)
-	n.placer.SetFetch(fetch)
+	n.placer.SetFetchRates(fetch)
 	n.placer.SetPrices(c.Types)
 	n.front.SetTypes(c.Types)
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -76,12 +76,12 @@
 		case <-tick.C:
 		}
 		if unreachable {
-			if looks++; !n.owner.Reaches(ctx) {
+			if looks++; !n.owner.ReachesWorkers(ctx) {
 				looks = 0
 			}
 		} else {
 			looks++
-			all, unheard := n.owner.Unheard()
+			all, unheard := n.owner.MissedHeartbeats()
 			misdirected, better := 0, false
 			n.mu.Lock()
 			for _, t := range n.told {
@@ -145,7 +145,7 @@
 
 // Withdraw asks the team's placer to end a job.
 func (n *Node) Cancel(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
-	return n.ask("Withdraw", n.placer.Withdraw, q, 2*askTimeout)
+	return n.ask("Withdraw", n.placer.CancelJob, q, 2*askTimeout)
 }
 
 func (n *Node) ask(method string, local func(peer.JobRequest) peer.JobResponse, q peer.JobRequest, timeout time.Duration) (peer.JobResponse, error) {
@@ -188,7 +188,7 @@
 }
 
 // Views appends the mirror of all machines.
-func (n *Node) Views(to []peer.MachineView) []peer.MachineView { return n.placer.Views(to) }
+func (n *Node) Views(to []peer.MachineView) []peer.MachineView { return n.placer.MachineViews(to) }
 
 // RecordedBefore lists the machines that were on record by a time of day.
 func (n *Node) RecordedBefore(atMS int64) []peer.MachineRef { return n.owner.RecordedBefore(atMS) }
@@ -202,6 +202,6 @@
 
 // Gone tells all owners of machines that are gone for certain.
 func (n *Node) Gone(_ context.Context, list []peer.MachineRef) {
-	n.owner.Gone(list)
+	n.owner.HandleMachinesGone(list)
 	each(n, "Gone", peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -32,7 +32,7 @@
 		if r.Method != "POST" {
 			return text(405, "method not allowed")
 		}
-		return n.owner.HandleReport(r.Body)
+		return n.owner.HandleHeartbeat(r.Body)
 	case r.Path == wire.PathReady:
 		if r.Method != "GET" {
 			return text(405, "method not allowed")
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -10,11 +10,15 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-type localOwner struct{ o *owner.Owner }
+type localOwner struct{ o *owner.Server }
 
-func (l localOwner) ApplyBatch(in peer.Batch) (peer.BatchResponse, error) { return l.o.Round(in), nil }
+func (l localOwner) ApplyBatch(in peer.Batch) (peer.BatchResponse, error) {
+	return l.o.HandleBatch(in), nil
+}
 
-func (l localOwner) Poll(in peer.PollRequest) (peer.PollResponse, error) { return l.o.Poll(in), nil }
+func (l localOwner) Poll(in peer.PollRequest) (peer.PollResponse, error) {
+	return l.o.HandlePoll(in), nil
+}
 
 type remoteOwner struct{ c Peer }
 
@@ -36,19 +40,19 @@
 var _ peer.Service = (*service)(nil)
 
 func (s *service) Round(in peer.Batch, out *peer.BatchResponse) error {
-	*out = s.n.owner.Round(in)
+	*out = s.n.owner.HandleBatch(in)
 	return nil
 }
 
 func (s *service) Poll(in peer.PollRequest, out *peer.PollResponse) error {
-	*out = s.n.owner.Poll(in)
+	*out = s.n.owner.HandlePoll(in)
 	return nil
 }
 
 func (s *service) Hello(in peer.Heartbeat, out *peer.Heartbeat) error {
 	*out = s.n.hello()
 	out.Strays = s.n.owner.Misdirected(in.From)
-	out.Machines, out.Unheard = s.n.owner.Unheard()
+	out.Machines, out.Unheard = s.n.owner.MissedHeartbeats()
 	return nil
 }
 
@@ -63,7 +67,7 @@
 }
 
 func (s *service) Withdraw(in peer.JobRequest, out *peer.JobResponse) error {
-	*out = s.n.placer.Withdraw(in)
+	*out = s.n.placer.CancelJob(in)
 	return nil
 }
 
@@ -102,6 +106,6 @@
 }
 
 func (s *service) Gone(in peer.MachinesGone, _ *peer.DrainResponse) error {
-	s.n.owner.Gone(in.Machines)
+	s.n.owner.HandleMachinesGone(in.Machines)
 	return nil
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -49,7 +49,7 @@
 
 // ZoneEvidence tells what is known of each zone's machines.
 func (n *Node) ZoneEvidence() map[string]zone.Evidence {
-	return n.placer.ZoneEvidence(n.owner.Strangers())
+	return n.placer.ZoneEvidence(n.owner.MisdirectedMachines())
 }
 
 // applyZone takes a zone's state from the replica, where states are followed.
@@ -58,8 +58,8 @@
 	if !changed || !n.followZones {
 		return
 	}
-	n.owner.SetZone(name, r)
-	n.placer.SetZone(name, r)
+	n.owner.SetZoneState(name, r)
+	n.placer.SetZoneState(name, r)
 	note := string(r.State)
 	if r.State == zone.Returning {
 		note += " " + r.Stage.String()
@@ -69,7 +69,7 @@
 
 // zoneStatuses tells how each zone stands.
 func (n *Node) zoneStatuses() []peer.ZoneStatus {
-	evidence, records, gates := n.ZoneEvidence(), n.ZoneRecords(), n.owner.Gates()
+	evidence, records, gates := n.ZoneEvidence(), n.ZoneRecords(), n.owner.AdmittedStages()
 	waiting := peer.WaitingByStage(n.placer.Demands())
 	out := make([]peer.ZoneStatus, 0, len(n.set.Params.Zones))
 	for _, name := range n.set.Params.Zones {
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -264,7 +264,7 @@
 		c.cutZone(false)
 		c.run(60*time.Second, 6*time.Second)
 		require.Empty(t, c.up["a"].ZoneRecords())
-		require.Empty(t, c.up["a"].owner.Gates())
+		require.Empty(t, c.up["a"].owner.AdmittedStages())
 		c.allDoneOnce("job-1")
 	})
 }
@@ -283,7 +283,7 @@
 		}
 		c.runAnd(25*time.Second, 0, func() {
 			for _, h := range hosts {
-				if s, ok := c.up[h].owner.Gates()["b"]; ok {
+				if s, ok := c.up[h].owner.AdmittedStages()["b"]; ok {
 					gated[h][s] = true
 				}
 			}
@@ -293,7 +293,7 @@
 		}
 		c.run(40*time.Second, 0)
 		for _, h := range hosts {
-			require.Empty(t, c.up[h].owner.Gates())
+			require.Empty(t, c.up[h].owner.AdmittedStages())
 		}
 	})
 }
--- a/internal/owner/cost_test.go
+++ b/internal/owner/cost_test.go
@@ -13,6 +13,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/res"
 	"github.com/merlinlatch/merlinlatch/wire"
@@ -29,31 +30,31 @@
 // loadedOwner is an owner of a fleet whose machines all run tasks and report.
 type loadedOwner struct {
 	tb      testing.TB
-	owner   *Owner
+	owner   *Server
 	reports []wire.Heartbeat
 }
 
 // tasksEach is how many tasks each machine of a loaded owner runs.
 const tasksEach = 6
 
-func newLoadedOwner(tb testing.TB, machines int) *loadedOwner {
+func newLoadedOwner(tb testing.TB, count int) *loadedOwner {
 	tb.Helper()
-	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: machines * tasksEach, CPUs: 1, MemGB: 1}
+	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: count * tasksEach, CPUs: 1, MemGB: 1}
 	list := &jobList{map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, made)}, map[string]jobs.Final{}, made}
-	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Split: NewSplit([]string{"a"}), TxnOps: 12, ValueMost: 7000, Lines: 100,
-		Timing: Timing{Lease: 3600 * sec, LeaseTTL: 5 * sec, SickErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
+	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Partitioning: NewPartitioning([]string{"a"}), TxnOps: 12, MaxRecordBytes: 7000, MaxWorkerConnections: 100,
+		Timing: Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	o.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)}, nil)
 	o.Reconcile()
 	l := &loadedOwner{tb: tb, owner: o}
-	for i := range machines {
+	for i := range count {
 		r := wire.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.0.0.9:9000", Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1<<32 + 1}
 		for n := range tasksEach {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(spec.ID, i*tasksEach+n), Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
 		}
 		l.reports = append(l.reports, r)
 		l.report(i)
-		o.table.Registered(r.Machine, 0, Registered{Type: "big", Zone: "a"}, true, o.clock.Now())
+		o.table.HandleMachineRecord(r.Machine, 0, machines.Record{Type: "big", Zone: "a"}, true, o.clock.Now())
 	}
 	return l
 }
@@ -64,20 +65,20 @@
 	r.Tick++
 	body, err := json.Marshal(r)
 	require.NoError(l.tb, err)
-	require.Equal(l.tb, 200, l.owner.HandleReport(body).Status)
+	require.Equal(l.tb, 200, l.owner.HandleHeartbeat(body).Status)
 }
 
 // poll asks for all that changed after a cursor.
 func (l *loadedOwner) poll(cursor uint64) peer.PollResponse {
-	return l.owner.Poll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
+	return l.owner.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
 }
 
 // idleTick is what the owner's loop does a few times a second while nothing happens.
 func (l *loadedOwner) idleTick() {
 	now := l.owner.clock.Now()
 	l.owner.table.Tick(now)
-	l.owner.table.Unregistered()
-	l.owner.table.Pending(now)
+	l.owner.table.UnrecordedMachines()
+	l.owner.table.PendingDeliveries(now)
 }
 
 // leanFleet is about as many machines as one controller of the smaller sites owns.
@@ -125,7 +126,7 @@
 	l := newLoadedOwner(b, machines)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.owner.table.Lose(0)
+		l.owner.table.ReleasePartition(0)
 		l.owner.Reconcile()
 		for i := range l.reports {
 			l.report(i)
@@ -150,7 +151,7 @@
 		next := 0
 		costs[machines] = cost{
 			report: testing.AllocsPerRun(100, func() {
-				l.owner.HandleReport(body[next])
+				l.owner.HandleHeartbeat(body[next])
 				next++
 			}),
 			poll: testing.AllocsPerRun(100, func() { l.poll(cursor) }),
--- a/internal/owner/delivery.go
+++ b/internal/owner/delivery.go
@@ -13,19 +13,19 @@
 )
 
 // send starts a delivery for each machine that has something to be sent.
-func (o *Owner) send(ctx context.Context) {
+func (o *Server) send(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock.Now()
-	for _, id := range o.table.Pending(now) {
-		part, _ := o.table.PartOf(id)
-		if term, _ := o.table.Part(part); !o.holds(part, term) {
+	for _, id := range o.table.PendingDeliveries(now) {
+		part, _ := o.table.PartitionOf(id)
+		if term, _ := o.table.PartitionTerm(part); !o.holds(part, term) {
 			continue
 		}
 		if !o.lines.room(id) {
 			return // they are looked at again when a delivery is over
 		}
-		addr, orders := o.table.TakeOrders(id, now)
+		addr, orders := o.table.NextDelivery(id, now)
 		if orders == nil {
 			continue
 		}
@@ -36,7 +36,7 @@
 const orderTimeout = 1200 * time.Millisecond
 
 // deliver sends orders to one worker's own address and takes its answer.
-func (o *Owner) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
+func (o *Server) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	r, err := o.post(ctx, part, c, orders)
@@ -48,10 +48,10 @@
 	now := o.clock.Now()
 	if err != nil {
 		o.log.Debug("orders had no answer", "machine", id, "err", err)
-		o.table.Unanswered(id, orders, now)
+		o.table.HandleDeliveryTimeout(id, orders, now)
 		return
 	}
-	o.table.Answered(id, orders, r, now)
+	o.table.HandleDeliveryResponse(id, orders, r, now)
 	o.notify()
 }
 
@@ -61,7 +61,7 @@
 )
 
 // post sends orders while their partition is held under the term of their token.
-func (o *Owner) post(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
+func (o *Server) post(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
 	b, err := json.Marshal(orders)
 	if err != nil {
 		return nil, err
--- a/internal/owner/held.go
+++ b/internal/owner/held.go
@@ -20,17 +20,17 @@
 }
 
 // lapses is when a lease of which nothing was sent is over.
-func (t *Table) lapses(k *task) clock.Micros {
+func (t *State) lapses(k *task) clock.Micros {
 	if k.held {
 		return k.since + k.hold
 	}
-	return k.since + t.timing.LeaseTTL
+	return k.since + t.timing.RoomLeaseTTL
 }
 
 // startHeld has a task start on the room that is held for it: by the word of its team's
 // present placer, it is gone from where it ran. Without that word the lease lapses. A
 // machine that may get no tasks any more gets none by this way either.
-func (t *Table) startHeld(s *peer.StartTask, term uint64, now clock.Micros) {
+func (t *State) startHeld(s *peer.StartTask, term uint64, now clock.Micros) {
 	m := t.machines[s.Machine]
 	if m == nil {
 		return
--- a/internal/owner/held_test.go
+++ b/internal/owner/held_test.go
@@ -25,7 +25,7 @@
 	require.True(t, s.hold(0, 1))
 	for range 3 {
 		s.report()
-		_, orders := s.table.TakeOrders("m-1", s.now)
+		_, orders := s.table.NextDelivery("m-1", s.now)
 		require.Nil(t, orders)
 	}
 	require.Empty(t, s.w.Tasks)
--- a/internal/owner/holds_test.go
+++ b/internal/owner/holds_test.go
@@ -33,7 +33,7 @@
 		l.reports[0].Tick++
 		body, err := json.Marshal(&l.reports[0])
 		require.NoError(t, err)
-		require.Equal(t, want, l.owner.HandleReport(body).Status, "held for %d looks", looks)
+		require.Equal(t, want, l.owner.HandleHeartbeat(body).Status, "held for %d looks", looks)
 	}
 }
 
--- a/internal/owner/leases.go
+++ b/internal/owner/leases.go
@@ -11,8 +11,8 @@
 	at     clock.Micros
 }
 
-// Round carries out what a placing controller has for this owner.
-func (t *Table) Round(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
+// HandleBatch carries out what a placing controller has for this owner.
+func (t *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
 	last := t.rounds[in.From]
 	if in.Seq == last.seq && in.Seq != 0 {
 		return last.answer
@@ -79,7 +79,7 @@
 }
 
 // fence refuses, from now on, what comes under lower terms of these teams.
-func (t *Table) fence(terms map[string]uint64) {
+func (t *State) fence(terms map[string]uint64) {
 	for team, term := range terms {
 		t.teamTerms[team] = max(t.teamTerms[team], term)
 	}
@@ -96,7 +96,7 @@
 
 // lease grants room for one task, or refuses. A second start of a task that is
 // on the machine already is refused.
-func (t *Table) lease(a *peer.Assignment, term uint64, now clock.Micros) decision {
+func (t *State) lease(a *peer.Assignment, term uint64, now clock.Micros) decision {
 	m := t.machines[a.Machine]
 	if !t.mayLease(m, a, term, now) {
 		return refused
@@ -145,7 +145,7 @@
 // mayLease tells whether a task may be given room on a machine at all: who asks places its
 // team, the job is not over, the machine is ours and may be used, and no attempt of the
 // task is there.
-func (t *Table) mayLease(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
+func (t *State) mayLease(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
 	if m == nil || term == 0 || term < t.teamTerms[a.Team] || a.ID.Attempt>>32 != term ||
 		t.parts[m.part] != a.Term || !m.usable(now) {
 		return false
@@ -170,7 +170,7 @@
 	return true
 }
 
-func (t *Table) graceOf(k *task) float64 {
+func (t *State) graceOf(k *task) float64 {
 	if j, ok := t.jobs.Active(k.id.Job); ok {
 		return j.StopGraceS()
 	}
@@ -178,7 +178,7 @@
 }
 
 // end stops a task; a lease of which nothing was sent just ends.
-func (t *Table) end(m *machine, k *task, grace float64) {
+func (t *State) end(m *machine, k *task, grace float64) {
 	switch {
 	case !k.sent:
 		t.remove(m, k)
--- a/internal/owner/machine.go
+++ b/internal/owner/machine.go
@@ -4,6 +4,7 @@
 	"container/list"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/res"
 	"github.com/merlinlatch/merlinlatch/wire"
@@ -38,7 +39,7 @@
 type machine struct {
 	id   string
 	part int
-	Registered
+	machines.Record
 	cap            res.Amounts
 	token          uint64 // what orders are sent with
 	seenToken      uint64 // highest that the worker showed
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -12,7 +12,7 @@
 // was found, its job not being active is proof: the record was there before
 // the task's start, and the replica is as new as this owner's claim. For one that was
 // asked for, the replica must be as new as its record.
-func (t *Table) over(k *task) bool {
+func (t *State) over(k *task) bool {
 	if _, ok := t.cancelled[k.id.Job]; ok {
 		return true
 	}
@@ -28,7 +28,7 @@
 }
 
 // orders collects what the worker should do now.
-func (t *Table) orders(m *machine, inReport bool, now clock.Micros) []wire.Order {
+func (t *State) orders(m *machine, inReport bool, now clock.Micros) []wire.Order {
 	tasks := m.inOrder(0)
 	t.endTasksOfOverJobs(m, tasks)
 	out := stops(tasks, inReport, now)
@@ -43,7 +43,7 @@
 
 // endTasksOfOverJobs decides to stop what runs of jobs that are over; their ends need
 // no placer's word to be forgotten.
-func (t *Table) endTasksOfOverJobs(m *machine, tasks []*task) {
+func (t *State) endTasksOfOverJobs(m *machine, tasks []*task) {
 	for _, k := range tasks {
 		if !t.over(k) {
 			continue
@@ -80,7 +80,7 @@
 
 // runs appends the starts that are due: of tasks whose worker has not shown them
 // yet, as far as the worker's own room suffices.
-func (t *Table) runs(m *machine, tasks []*task, out []wire.Order, inReport bool, now clock.Micros) []wire.Order {
+func (t *State) runs(m *machine, tasks []*task, out []wire.Order, inReport bool, now clock.Micros) []wire.Order {
 	started, _ := m.inUse()
 	for _, k := range tasks {
 		if len(out) >= maxOrders {
@@ -127,9 +127,9 @@
 	return append(out, others...)
 }
 
-// TakeOrders gives what to send to a worker's own address now, nil for nothing.
+// NextDelivery gives what to send to a worker's own address now, nil for nothing.
 // Until it is answered, its runs count as possibly still on their way.
-func (t *Table) TakeOrders(id string, now clock.Micros) (addr string, o *wire.Orders) {
+func (t *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
 	m := t.machines[id]
 	if m == nil || m.inflight || m.gone || m.silent || m.Addr == "" || now < m.quietUntil {
 		return "", nil
@@ -157,8 +157,8 @@
 	return m.Addr, o
 }
 
-// Answered takes the answer to /orders: the worker's report after it.
-func (t *Table) Answered(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
+// HandleDeliveryResponse takes the answer to /orders: the worker's report after it.
+func (t *State) HandleDeliveryResponse(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
 	m := t.machines[id]
 	if m == nil || !m.inflight || sent.FencingToken>>termShift != t.parts[m.part] {
 		return
@@ -194,9 +194,9 @@
 	t.absorb(m, r, false, now)
 }
 
-// Unanswered notes that /orders had no answer: it may still be executed, until
+// HandleDeliveryTimeout notes that /orders had no answer: it may still be executed, until
 // the worker shows a higher token. Orders go with reports for a while.
-func (t *Table) Unanswered(id string, sent *wire.Orders, now clock.Micros) {
+func (t *State) HandleDeliveryTimeout(id string, sent *wire.Orders, now clock.Micros) {
 	m := t.machines[id]
 	if m == nil || sent.FencingToken>>termShift != t.parts[m.part] {
 		return
@@ -210,9 +210,9 @@
 	t.touch(m)
 }
 
-// Pending lists machines that should be sent to now, or probed. Those that want
+// PendingDeliveries lists machines that should be sent to now, or probed. Those that want
 // nothing any more are looked at again when something about them changes.
-func (t *Table) Pending(now clock.Micros) []string {
+func (t *State) PendingDeliveries(now clock.Micros) []string {
 	var out []string
 	for id, m := range t.due {
 		if m.inflight || now < m.quietUntil {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -19,8 +19,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Claims tells which duties this process holds.
-type Claims interface {
+// Elections tells which duties this process holds.
+type Elections interface {
 	Leading(duty string) (claim.Leadership, bool)
 	Leader(duty string) (string, bool)
 }
@@ -30,14 +30,14 @@
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Owner serves the partitions that this process holds.
-type Owner struct {
+// Server serves the partitions that this process holds.
+type Server struct {
 	host        string
 	instance    string
-	split       Split
+	split       Partitioning
 	txnOps      int
 	valueMost   int // bytes of a record
-	claims      Claims
+	claims      Elections
 	store       Store
 	clock       clock.Clock
 	log         *slog.Logger
@@ -49,7 +49,7 @@
 	ticks       *telemetry.Duty // the loop's own rounds
 
 	mu      sync.Mutex
-	table   *Table
+	table   *State
 	records *machines.Records
 	lines   *lines
 	feed    feed
@@ -58,23 +58,23 @@
 
 // Options of an owner.
 type Options struct {
-	Host      string
-	Instance  string // names this process
-	Split     Split
-	TxnOps    int // changes in a transaction
-	ValueMost int // bytes of a record
-	Lines     int // connections to workers' own addresses
-	Timing    Timing
+	Host                 string
+	Instance             string // names this process
+	Partitioning         Partitioning
+	TxnOps               int // changes in a transaction
+	MaxRecordBytes       int // bytes of a record
+	MaxWorkerConnections int // connections to workers' own addresses
+	Timing               Timing
 }
 
 // New makes an owner.
-func New(ctx context.Context, opts Options, jobs Jobs, claims Claims, store Store, c clock.Clock, wall func() time.Time, log *slog.Logger) *Owner {
-	o := &Owner{
-		ctx: ctx, host: opts.Host, instance: opts.Instance, split: opts.Split, txnOps: opts.TxnOps, valueMost: opts.ValueMost,
+func New(ctx context.Context, opts Options, jobs JobLookup, claims Elections, store Store, c clock.Clock, wall func() time.Time, log *slog.Logger) *Server {
+	o := &Server{
+		ctx: ctx, host: opts.Host, instance: opts.Instance, split: opts.Partitioning, txnOps: opts.TxnOps, valueMost: opts.MaxRecordBytes,
 		claims: claims, store: store, clock: c, wall: wall, log: log,
-		table:       NewTable(opts.Timing, jobs),
+		table:       NewState(opts.Timing, jobs),
 		records:     machines.NewRecords(),
-		lines:       newLines(opts.Lines),
+		lines:       newLines(opts.MaxWorkerConnections),
 		misdirected: misdirected{of: map[string]map[string]clock.Micros{}},
 		wake:        make(chan struct{}, 1),
 	}
@@ -83,14 +83,14 @@
 }
 
 // SetArbiter has contended room divided among teams by fair shares. It is called before Run.
-func (o *Owner) SetArbiter(a *fairshare.Arbiter) {
+func (o *Server) SetArbiter(a *fairshare.Arbiter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.SetArbiter(a)
 }
 
 // Measure has the owner count its rounds and its traffic. It is called before Run.
-func (o *Owner) Measure(r *telemetry.Reporter) {
+func (o *Server) Measure(r *telemetry.Reporter) {
 	o.reports, o.polls, o.ticks = r.Duty("owner_report"), r.Duty("owner_poll"), r.Duty("owner_tick")
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,7 +98,7 @@
 }
 
 // SetTypes tells what the machine types offer, and how many GB of images they keep.
-func (o *Owner) SetTypes(types map[string]res.Amounts, caches map[string]float64) {
+func (o *Server) SetTypes(types map[string]res.Amounts, caches map[string]float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.SetCaches(caches)
@@ -107,13 +107,13 @@
 }
 
 // notify has waiting polls and the loop that sends orders take note of a change. The lock is held.
-func (o *Owner) notify() {
-	o.feed.changed(o.table.Version(), pollGap(o.table.Len(), o.feed.waiting))
+func (o *Server) notify() {
+	o.feed.changed(o.table.Version(), pollGap(o.table.MachineCount(), o.feed.waiting))
 	o.poke()
 }
 
 // poke has the loop that sends orders look for machines that want some.
-func (o *Owner) poke() {
+func (o *Server) poke() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
@@ -121,27 +121,27 @@
 }
 
 // Reconcile takes over and gives up partitions as the claims now say.
-func (o *Owner) Reconcile() {
+func (o *Server) Reconcile() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock.Now()
 	changed := false
 	for _, p := range o.split.all {
 		h, mine := o.claims.Leading(Duty(p))
-		term, have := o.table.Part(p)
+		term, have := o.table.PartitionTerm(p)
 		switch {
 		case mine && (!have || term != h.Term):
 			found := machines.Group{}
-			o.records.Each(func(id string, r Registered) {
-				if o.split.Of(id, r.Zone) == p {
+			o.records.Each(func(id string, r machines.Record) {
+				if o.split.PartitionOf(id, r.Zone) == p {
 					found[id] = r
 				}
 			})
-			o.table.Gain(p, h.Term, found, now)
+			o.table.AcquirePartition(p, h.Term, found, now)
 			o.log.Info("partition taken over", "part", p, "term", h.Term, "machines", len(found))
 			changed = true
 		case !mine && have:
-			o.table.Lose(p)
+			o.table.ReleasePartition(p)
 			o.log.Info("partition given up", "part", p, "term", term)
 			changed = true
 		}
@@ -170,15 +170,15 @@
 	return true
 }
 
-// HandleReport answers a worker's report.
-func (o *Owner) HandleReport(body []byte) httpx.Response {
+// HandleHeartbeat answers a worker's report.
+func (o *Server) HandleHeartbeat(body []byte) httpx.Response {
 	began := time.Now()
 	defer func() { o.reports.Round(time.Since(began)) }()
 	var r wire.Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil || !validMachine(r.Machine) || r.Incarnation == 0 || r.Tick == 0 {
 		return refuse(400, "not a report", "", 0)
 	}
-	part := o.split.Of(r.Machine, r.Zone)
+	part := o.split.PartitionOf(r.Machine, r.Zone)
 	h, mine := o.claims.Leading(Duty(part))
 	if !mine {
 		if holder, ok := o.claims.Leader(Duty(part)); ok && holder != o.host {
@@ -188,13 +188,13 @@
 		return refuse(503, "no controller has this machine now", "", 1)
 	}
 	o.mu.Lock()
-	term, have := o.table.Part(part)
+	term, have := o.table.PartitionTerm(part)
 	if !have || term != h.Term {
 		o.mu.Unlock()
 		return refuse(503, "taking over", "", 1)
 	}
 	before := o.table.Version()
-	ans, ok := o.table.Report(&r, part, o.clock.Now())
+	ans, ok := o.table.HandleHeartbeat(&r, part, o.clock.Now())
 	if o.table.Version() != before {
 		o.notify()
 	}
@@ -212,41 +212,41 @@
 
 // holds tells that a partition is held under a term at this moment. It is asked
 // before anything is sent, after all that may have taken long.
-func (o *Owner) holds(part int, term uint64) bool {
+func (o *Server) holds(part int, term uint64) bool {
 	h, mine := o.claims.Leading(Duty(part))
 	return mine && h.Term == term
 }
 
-// Round carries out a placing controller's round.
-func (o *Owner) Round(in peer.Batch) peer.BatchResponse {
+// HandleBatch carries out a placing controller's round.
+func (o *Server) HandleBatch(in peer.Batch) peer.BatchResponse {
 	o.Reconcile()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ans := o.table.Round(in, o.instance, o.clock.Now())
+	ans := o.table.HandleBatch(in, o.instance, o.clock.Now())
 	o.notify()
 	return ans
 }
 
 // Drain keeps machines free for their return.
-func (o *Owner) Drain(list []peer.MachineRef) []string {
+func (o *Server) Drain(list []peer.MachineRef) []string {
 	o.Reconcile()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ready := o.table.Drain(list, o.split.Of, o.clock.Now())
+	ready := o.table.Drain(list, o.split.PartitionOf, o.clock.Now())
 	o.notify()
 	return ready
 }
 
-// Gone takes the word that machines are gone for certain.
-func (o *Owner) Gone(list []peer.MachineRef) {
+// HandleMachinesGone takes the word that machines are gone for certain.
+func (o *Server) HandleMachinesGone(list []peer.MachineRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.table.Gone(list, o.split.Of, o.clock.Now())
+	o.table.HandleMachinesGone(list, o.split.PartitionOf, o.clock.Now())
 	o.notify()
 }
 
 // Run does what is due until ctx ends: lapses, records of machines, orders.
-func (o *Owner) Run(ctx context.Context) error {
+func (o *Server) Run(ctx context.Context) error {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	var recording sync.Mutex
@@ -267,11 +267,11 @@
 			if n++; n%2 == 0 { // it looks at every task, and none of what it finds is due at once
 				drop = o.table.Tick(now)
 			}
-			o.lines.keep(func(id string) bool { _, here := o.table.PartOf(id); return here })
+			o.lines.keep(func(id string) bool { _, here := o.table.PartitionOf(id); return here })
 			if o.table.Version() != before {
 				o.notify()
 			}
-			fresh := o.table.Unregistered()
+			fresh := o.table.UnrecordedMachines()
 			o.mu.Unlock()
 			if (len(drop) > 0 || len(fresh) > 0) && recording.TryLock() {
 				go func() {
--- a/internal/owner/polls.go
+++ b/internal/owner/polls.go
@@ -61,19 +61,19 @@
 	f.next = make(chan struct{})
 }
 
-// Poll gives the machines that changed after a cursor, waiting for a change.
-func (o *Owner) Poll(in peer.PollRequest) peer.PollResponse {
+// HandlePoll gives the machines that changed after a cursor, waiting for a change.
+func (o *Server) HandlePoll(in peer.PollRequest) peer.PollResponse {
 	o.await(in)
 	began := time.Now()
 	defer func() { o.polls.Round(time.Since(began)) }()
 	o.Reconcile() // what is held no more is not told of
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.table.Poll(in, o.instance, o.clock.Now())
+	return o.table.HandlePoll(in, o.instance, o.clock.Now())
 }
 
 // await returns when a poll is to be answered: there is news for it, or its time is over.
-func (o *Owner) await(in peer.PollRequest) {
+func (o *Server) await(in peer.PollRequest) {
 	deadline := time.NewTimer(in.Wait.Duration())
 	defer deadline.Stop()
 	o.mu.Lock()
--- a/internal/owner/polls_test.go
+++ b/internal/owner/polls_test.go
@@ -26,7 +26,7 @@
 				go func() {
 					cursor := l.poll(0).Cursor
 					for time.Now().Before(end) {
-						cursor = l.owner.Poll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
+						cursor = l.owner.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
 						answers <- time.Now()
 					}
 					last <- cursor
--- a/internal/owner/reach.go
+++ b/internal/owner/reach.go
@@ -61,27 +61,27 @@
 	return out
 }
 
-// Strangers lists the machines of other controllers that have come to this one lately.
-func (o *Owner) Strangers() map[string]bool { return o.misdirected.all(o.clock.Now()) }
+// MisdirectedMachines lists the machines of other controllers that have come to this one lately.
+func (o *Server) MisdirectedMachines() map[string]bool { return o.misdirected.all(o.clock.Now()) }
 
 // Misdirected is how many machines of a controller's have come to this one lately.
-func (o *Owner) Misdirected(holder string) int { return o.misdirected.count(holder, o.clock.Now()) }
+func (o *Server) Misdirected(holder string) int { return o.misdirected.count(holder, o.clock.Now()) }
 
-// Unheard tells how many machines should be reporting here, and how many of them
+// MissedHeartbeats tells how many machines should be reporting here, and how many of them
 // have left out a report.
-func (o *Owner) Unheard() (all, unheard int) {
+func (o *Server) MissedHeartbeats() (all, unheard int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.table.unheard(o.clock.Now())
 }
 
-func (t *Table) unheard(now clock.Micros) (all, unheard int) {
+func (t *State) unheard(now clock.Micros) (all, unheard int) {
 	for _, m := range t.machines {
 		if m.silent || m.gone || !m.registered {
 			continue
 		}
 		all++
-		if now > m.answered+t.timing.Quiet/2+clock.Second/5 {
+		if now > m.answered+t.timing.HeartbeatOverdue/2+clock.Second/5 {
 			unheard++
 		}
 	}
@@ -91,8 +91,8 @@
 // probes is how many workers are asked whether this controller reaches them.
 const probes = 6
 
-// Reaches asks some of the workers on record and tells whether most of them answer.
-func (o *Owner) Reaches(ctx context.Context) bool {
+// ReachesWorkers asks some of the workers on record and tells whether most of them answer.
+func (o *Server) ReachesWorkers(ctx context.Context) bool {
 	var addrs []string
 	o.mu.Lock()
 	o.records.Each(func(_ string, r machines.Record) {
--- a/internal/owner/records.go
+++ b/internal/owner/records.go
@@ -11,7 +11,7 @@
 )
 
 // Apply takes events of the replica: the records of machines.
-func (o *Owner) Apply(evs []state.Event) {
+func (o *Server) Apply(evs []state.Event) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, e := range evs {
@@ -21,21 +21,21 @@
 }
 
 // recorded tells the table which machines are on record. The lock is held.
-func (o *Owner) recorded(came machines.Group, went []string) {
+func (o *Server) recorded(came machines.Group, went []string) {
 	now := o.clock.Now()
 	for _, id := range went {
-		o.table.Registered(id, 0, Registered{}, false, now)
+		o.table.HandleMachineRecord(id, 0, machines.Record{}, false, now)
 	}
 	for id, r := range came {
-		o.table.Registered(id, o.split.Of(id, r.Zone), r, true, now)
+		o.table.HandleMachineRecord(id, o.split.PartitionOf(id, r.Zone), r, true, now)
 	}
 }
 
 // RecordedBefore lists the machines that were recorded by a time of day, and are on record still.
-func (o *Owner) RecordedBefore(atMS int64) (out []peer.MachineRef) {
+func (o *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.records.Each(func(id string, r Registered) {
+	o.records.Each(func(id string, r machines.Record) {
 		if r.AtMS > 0 && r.AtMS < atMS {
 			out = append(out, peer.MachineRef{ID: id, Zone: r.Zone})
 		}
@@ -45,12 +45,12 @@
 
 // record writes the records of new machines, and drops those of machines that
 // are gone, each on the condition that the partition is still held.
-func (o *Owner) record(ctx context.Context, fresh machines.Group, drop []string) {
+func (o *Server) record(ctx context.Context, fresh machines.Group, drop []string) {
 	came, went := map[int]machines.Group{}, map[int][]string{}
 	parts := map[int]bool{}
 	for id, r := range fresh {
 		r.AtMS = o.wall().UnixMilli()
-		p := o.split.Of(id, r.Zone)
+		p := o.split.PartitionOf(id, r.Zone)
 		if came[p] == nil {
 			came[p] = machines.Group{}
 		}
@@ -62,7 +62,7 @@
 		if !ok {
 			continue
 		}
-		p := o.split.Of(id, r.Zone)
+		p := o.split.PartitionOf(id, r.Zone)
 		went[p], parts[p] = append(went[p], id), true
 	}
 	o.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-func (o *Owner) write(ctx context.Context, part int, h claim.Leadership, list []machines.Write) error {
+func (o *Server) write(ctx context.Context, part int, h claim.Leadership, list []machines.Write) error {
 	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
 	for _, w := range list {
 		w.AppendTo(&m)
--- a/internal/owner/reports.go
+++ b/internal/owner/reports.go
@@ -2,16 +2,17 @@
 
 import (
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Report takes a worker's report and decides the answer. ok is false when the
+// HandleHeartbeat takes a worker's report and decides the answer. ok is false when the
 // report is of a former session: it must not be answered with 200.
-func (t *Table) Report(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
+func (t *State) HandleHeartbeat(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
 	m := t.machines[r.Machine]
 	if m == nil {
-		m = t.add(r.Machine, part, Registered{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
+		m = t.add(r.Machine, part, machines.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
 	}
 	if m.part != part {
 		return ans, false // it says now that it is of another zone: that is not understood
@@ -54,7 +55,7 @@
 
 // absorb takes what a worker says of itself, from a report or from the answer
 // to /orders. Older words than the newest known are dropped.
-func (t *Table) absorb(m *machine, r *wire.Heartbeat, isReport bool, now clock.Micros) {
+func (t *State) absorb(m *machine, r *wire.Heartbeat, isReport bool, now clock.Micros) {
 	if m.heard && (r.Incarnation < m.session || r.Incarnation == m.session && r.Tick <= m.tick) {
 		return
 	}
@@ -74,7 +75,7 @@
 }
 
 // absorbSession takes a worker's session and tick; changed tells that something is different now.
-func (t *Table) absorbSession(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
+func (t *State) absorbSession(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
 	changed = !m.heard
 	if !m.heard || r.Incarnation > m.session {
 		// A session lasts its whole lease from its own beginning, answered or
@@ -100,7 +101,7 @@
 }
 
 // absorbState takes which token a worker has seen, and its spot notice.
-func (t *Table) absorbState(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
+func (t *State) absorbState(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
 	m.seenToken = max(m.seenToken, r.FencingToken)
 	if m.unconfirmed && r.FencingToken >= m.token {
 		m.unconfirmed, changed = false, true
@@ -120,7 +121,7 @@
 }
 
 // absorbTasks takes the tasks that a worker shows, and gives their ids.
-func (t *Table) absorbTasks(m *machine, r *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
+func (t *State) absorbTasks(m *machine, r *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
 	listed = make(map[peer.TaskID]bool, len(r.Tasks))
 	for _, tr := range r.Tasks {
 		job, n, ok := wire.SplitTask(tr.Task)
@@ -149,7 +150,7 @@
 }
 
 // foundTask adds a task that a worker shows and nobody has asked for here.
-func (t *Table) foundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
+func (t *State) foundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
 	k := &task{id: id, since: now}
 	if j, ok := t.jobs.Active(id.Job); ok {
 		k.team, k.rank, k.need = j.Team, j.PriorityLevel, j.Need
@@ -160,7 +161,7 @@
 }
 
 // removeUnlisted takes off the tasks that a worker does not show any more, or never will.
-func (t *Table) removeUnlisted(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, isReport bool) {
+func (t *State) removeUnlisted(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, isReport bool) {
 	for id, k := range m.tasks {
 		if listed[id] || !k.sent {
 			continue
@@ -178,14 +179,14 @@
 // back takes note that a machine may be used again: while it was cut off or hung it
 // was given nothing, so it has not been idle. Without this all machines of a cut
 // are returned in the moment they are back, and rented anew.
-func (t *Table) back(m *machine, now clock.Micros) {
+func (t *State) back(m *machine, now clock.Micros) {
 	m.idleSince = now
 	t.touch(m)
 }
 
 // exit keeps account of failures: a machine on which several jobs fail in a
 // row is sick, unless the jobs fail everywhere.
-func (t *Table) exit(m *machine, k *task, cause string, now clock.Micros) {
+func (t *State) exit(m *machine, k *task, cause string, now clock.Micros) {
 	switch cause {
 	case wire.CauseDone:
 		m.errors = 0
@@ -204,7 +205,7 @@
 		m.errors++
 		m.errJobs[k.id.Job] = true
 		m.setAsideUntil = now + min(5*clock.Second<<min(m.errors, 4), 60*clock.Second)
-		if len(m.errJobs) >= t.timing.SickErrors || m.errors >= 8 {
+		if len(m.errJobs) >= t.timing.QuarantineErrors || m.errors >= 8 {
 			m.sick = true
 		}
 	}
--- a/internal/owner/scale_test.go
+++ b/internal/owner/scale_test.go
@@ -28,7 +28,7 @@
 		b.Run(fmt.Sprintf("page/%d", machines), func(b *testing.B) {
 			l := newLoadedOwner(b, machines)
 			for b.Loop() {
-				l.owner.Poll(peer.PollRequest{Most: peer.PageMachines})
+				l.owner.HandlePoll(peer.PollRequest{Most: peer.PageMachines})
 			}
 		})
 	}
--- a/internal/owner/shares.go
+++ b/internal/owner/shares.go
@@ -8,11 +8,11 @@
 )
 
 // SetArbiter has contended room divided among teams by fair shares.
-func (t *Table) SetArbiter(a *fairshare.Arbiter) { t.arbiter = a }
+func (t *State) SetArbiter(a *fairshare.Arbiter) { t.arbiter = a }
 
 // hearDemands takes what placers tell of their teams' demand. A former placer's word counts
 // for nothing.
-func (t *Table) hearDemands(list []fairshare.Demand, now clock.Micros) {
+func (t *State) hearDemands(list []fairshare.Demand, now clock.Micros) {
 	if t.arbiter == nil {
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // countShares has the arbiter count anew what runs, where that is due.
-func (t *Table) countShares(now clock.Micros) {
+func (t *State) countShares(now clock.Micros) {
 	if !t.arbiter.UsageDue(now) {
 		return
 	}
@@ -54,7 +54,7 @@
 }
 
 // yields tells that an ask must leave a machine's free room to another team.
-func (t *Table) yields(m *machine, a *peer.Assignment, free res.Amounts, now clock.Micros) bool {
+func (t *State) yields(m *machine, a *peer.Assignment, free res.Amounts, now clock.Micros) bool {
 	if t.arbiter == nil {
 		return false
 	}
@@ -69,7 +69,7 @@
 
 // Standings gives the teams' shares of the machines held, the capacity that they are of, and
 // how many asks had to leave room to other teams.
-func (o *Owner) Standings() (capacity res.Amounts, list []fairshare.Standing, yielded uint64) {
+func (o *Server) Standings() (capacity res.Amounts, list []fairshare.Standing, yielded uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.table.arbiter == nil {
@@ -80,7 +80,7 @@
 }
 
 // Standings gives the teams' shares of the machines held, and the capacity that they are of.
-func (t *Table) Standings(now clock.Micros) (capacity res.Amounts, list []fairshare.Standing) {
+func (t *State) Standings(now clock.Micros) (capacity res.Amounts, list []fairshare.Standing) {
 	if t.arbiter == nil {
 		return res.Amounts{}, nil
 	}
--- a/internal/owner/split.go
+++ b/internal/owner/split.go
@@ -8,18 +8,18 @@
 // Duty names the claim of a partition.
 func Duty(part int) string { return fmt.Sprintf("part-%03d", part) }
 
-// Split tells which partition a machine belongs to. Those of a zone belong to
+// Partitioning tells which partition a machine belongs to. Those of a zone belong to
 // partitions whose preferred controllers are in that zone: when it is cut off from
 // the others, its machines stay with a controller that reaches them, and no other
 // machines lose theirs. Machines of a zone without controllers go anywhere.
-type Split struct {
+type Partitioning struct {
 	all    []int
 	byZone map[string][]int
 }
 
-// NewSplit splits the machines; zones holds the zone of each partition's preferred controller.
-func NewSplit(zones []string) Split {
-	s := Split{byZone: map[string][]int{}}
+// NewPartitioning splits the machines; zones holds the zone of each partition's preferred controller.
+func NewPartitioning(zones []string) Partitioning {
+	s := Partitioning{byZone: map[string][]int{}}
 	for p, z := range zones {
 		s.all = append(s.all, p)
 		s.byZone[z] = append(s.byZone[z], p)
@@ -27,8 +27,8 @@
 	return s
 }
 
-// Of gives the partition of a machine.
-func (s Split) Of(machine, zone string) int {
+// PartitionOf gives the partition of a machine.
+func (s Partitioning) PartitionOf(machine, zone string) int {
 	list := s.byZone[zone]
 	if len(list) == 0 {
 		list = s.all
--- a/internal/owner/split_test.go
+++ b/internal/owner/split_test.go
@@ -10,11 +10,11 @@
 // A zone that is cut off keeps its machines with controllers that reach them; a
 // zone without controllers has its machines spread over all.
 func TestMachinesBelongToControllersOfTheirZone(t *testing.T) {
-	s := NewSplit([]string{"a", "a", "b", "a", "b"})
+	s := NewPartitioning([]string{"a", "a", "b", "a", "b"})
 	count := map[string]map[int]int{"a": {}, "b": {}, "c": {}}
 	for zone, c := range count {
 		for i := range 3000 {
-			c[s.Of(fmt.Sprintf("m-%06d", i), zone)]++
+			c[s.PartitionOf(fmt.Sprintf("m-%06d", i), zone)]++
 		}
 	}
 	for zone, parts := range map[string][]int{"a": {0, 1, 3}, "b": {2, 4}, "c": {0, 1, 2, 3, 4}} {
--- a/internal/owner/table.go
+++ b/internal/owner/table.go
@@ -18,27 +18,24 @@
 	"github.com/merlinlatch/merlinlatch/internal/res"
 )
 
-// Registered is the record of a machine that may hold tasks.
-type Registered = machines.Record
-
-// Jobs tells which jobs are active.
-type Jobs interface {
+// JobLookup tells which jobs are active.
+type JobLookup interface {
 	Active(id string) (*jobs.Job, bool)
 	Ended(id string, made uint64) bool
 }
 
 // Timing is what the table needs to know of spans.
 type Timing struct {
-	Lease      clock.Micros // the workers' lease
-	Quiet      clock.Micros // a machine that was not heard for so long gets no tasks for now
-	LeaseTTL   clock.Micros // of leases on room
-	SickErrors int
+	Lease            clock.Micros // the workers' lease
+	HeartbeatOverdue clock.Micros // a machine that was not heard for so long gets no tasks for now
+	RoomLeaseTTL     clock.Micros // of leases on room
+	QuarantineErrors int
 }
 
-// Table holds the machines of the partitions that this controller owns.
-type Table struct {
+// State holds the machines of the partitions that this controller owns.
+type State struct {
 	timing    Timing
-	jobs      Jobs
+	jobs      JobLookup
 	types     map[string]res.Amounts
 	caches    map[string]float64 // GB by machine type
 	sizes     map[string]float64 // GB by image
@@ -62,15 +59,15 @@
 	term uint64 // of its team, as that placer held it
 }
 
-// NewTable makes an empty table.
-func NewTable(t Timing, j Jobs) *Table {
-	return &Table{caches: map[string]float64{}, sizes: map[string]float64{}, timing: t, jobs: j, types: map[string]res.Amounts{}, parts: map[int]uint64{},
+// NewState makes an empty table.
+func NewState(t Timing, j JobLookup) *State {
+	return &State{caches: map[string]float64{}, sizes: map[string]float64{}, timing: t, jobs: j, types: map[string]res.Amounts{}, parts: map[int]uint64{},
 		machines: map[string]*machine{}, changes: list.New(), due: map[string]*machine{}, teamTerms: map[string]uint64{}, rounds: map[string]lastRound{},
 		cancelled: map[string]cancel{}, failing: map[string]map[string]bool{}, gates: map[string]*gate{}}
 }
 
 // SetTypes tells what the machine types offer.
-func (t *Table) SetTypes(types map[string]res.Amounts) {
+func (t *State) SetTypes(types map[string]res.Amounts) {
 	t.types = types
 	for _, m := range t.machines {
 		m.cap = types[m.Type]
@@ -78,21 +75,21 @@
 	}
 }
 
-func (t *Table) touch(m *machine) {
+func (t *State) touch(m *machine) {
 	t.version++
 	m.version = t.version
 	t.changes.MoveToBack(m.place)
 }
 
 // show has the next views tell of a task.
-func (t *Table) show(m *machine, k *task) {
+func (t *State) show(m *machine, k *task) {
 	t.touch(m)
 	k.version = t.version
 	t.due[m.id] = m
 }
 
 // remove takes a task off its machine.
-func (t *Table) remove(m *machine, k *task) {
+func (t *State) remove(m *machine, k *task) {
 	delete(m.tasks, k.id)
 	t.touch(m)
 	m.left = append(m.left, departed{k.id, t.version})
@@ -103,14 +100,14 @@
 }
 
 // showAll has the next views tell of all tasks.
-func (t *Table) showAll(m *machine) {
+func (t *State) showAll(m *machine) {
 	t.touch(m)
 	m.floor, m.left = t.version, nil
 	t.due[m.id] = m
 }
 
 // drop takes a machine out of the table.
-func (t *Table) drop(m *machine) {
+func (t *State) drop(m *machine) {
 	t.changes.Remove(m.place)
 	delete(t.machines, m.id)
 	delete(t.due, m.id)
@@ -122,11 +119,11 @@
 // baseToken is the lowest token of a term.
 func baseToken(term uint64) uint64 { return term << termShift }
 
-// Gain takes a partition over. Every machine registered for it may hold tasks
+// AcquirePartition takes a partition over. Every machine registered for it may hold tasks
 // of the former owner's until a report shows a token of this term, or it was
 // not answered by anybody for its lease, counted from now at the latest.
-func (t *Table) Gain(part int, term uint64, recorded machines.Group, now clock.Micros) {
-	t.Lose(part)
+func (t *State) AcquirePartition(part int, term uint64, recorded machines.Group, now clock.Micros) {
+	t.ReleasePartition(part)
 	t.parts[part] = term
 	for id, r := range recorded {
 		m := t.add(id, part, r, now)
@@ -135,8 +132,8 @@
 	t.version++
 }
 
-// Lose gives a partition up.
-func (t *Table) Lose(part int) {
+// ReleasePartition gives a partition up.
+func (t *State) ReleasePartition(part int) {
 	if _, ok := t.parts[part]; !ok {
 		return
 	}
@@ -149,8 +146,8 @@
 	t.version++
 }
 
-func (t *Table) add(id string, part int, r Registered, now clock.Micros) *machine {
-	m := &machine{id: id, part: part, Registered: r, cap: t.types[r.Type], token: baseToken(t.parts[part]) + 1,
+func (t *State) add(id string, part int, r machines.Record, now clock.Micros) *machine {
+	m := &machine{id: id, part: part, Record: r, cap: t.types[r.Type], token: baseToken(t.parts[part]) + 1,
 		answered: now, idleSince: now, tasks: map[peer.TaskID]*task{}, errJobs: map[string]bool{}, session: 1}
 	t.machines[id] = m
 	m.place = t.changes.PushBack(m)
@@ -160,7 +157,7 @@
 
 // Tick lets leases lapse and machines fall silent. It gives the machines whose
 // record may be dropped: nothing can be on them any more.
-func (t *Table) Tick(now clock.Micros) (drop []string) {
+func (t *State) Tick(now clock.Micros) (drop []string) {
 	for id, m := range t.machines {
 		if !m.gone && !m.silent && now > m.answered+t.timing.Lease.PlusDrift()+500*clock.Millisecond {
 			// Not answered 200 by any possible owner for its whole lease:
@@ -169,7 +166,7 @@
 			clear(m.tasks)
 			t.showAll(m)
 		}
-		if quiet := t.timing.Quiet > 0 && now > m.answered+t.timing.Quiet; quiet && !m.reportsOverdue {
+		if quiet := t.timing.HeartbeatOverdue > 0 && now > m.answered+t.timing.HeartbeatOverdue; quiet && !m.reportsOverdue {
 			// Long before its lease is over: what is placed there now would be
 			// lost if it is gone, and others may be rented in its place.
 			m.reportsOverdue = true
@@ -209,8 +206,8 @@
 	return drop
 }
 
-// Gone takes the word that machines are gone for certain.
-func (t *Table) Gone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
+// HandleMachinesGone takes the word that machines are gone for certain.
+func (t *State) HandleMachinesGone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
 	for _, x := range list {
 		m := t.machines[x.ID]
 		if m == nil {
@@ -218,7 +215,7 @@
 			if _, ok := t.parts[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, Registered{Zone: x.Zone}, now)
+			m = t.add(x.ID, p, machines.Record{Zone: x.Zone}, now)
 		}
 		m.gone, m.answered = true, now
 		clear(m.tasks)
@@ -227,7 +224,7 @@
 }
 
 // Drain keeps machines free of new tasks and names those that hold nothing.
-func (t *Table) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
+func (t *State) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, x := range list {
 		m := t.machines[x.ID]
 		if m == nil {
@@ -235,7 +232,7 @@
 			if _, ok := t.parts[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, Registered{Zone: x.Zone}, now) // not up yet
+			m = t.add(x.ID, p, machines.Record{Zone: x.Zone}, now) // not up yet
 			m.draining = true
 			ready = append(ready, x.ID)
 			continue
@@ -249,10 +246,10 @@
 	return ready
 }
 
-// Registered notes that a machine's record is in the state service, or gone from
+// HandleMachineRecord notes that a machine's record is in the state service, or gone from
 // it. A record without a machine, which a late copy of an old write brings back,
 // counts as a machine that nothing is known of: it falls silent, and its record goes.
-func (t *Table) Registered(id string, part int, r Registered, there bool, now clock.Micros) {
+func (t *State) HandleMachineRecord(id string, part int, r machines.Record, there bool, now clock.Micros) {
 	m := t.machines[id]
 	if m == nil && there {
 		if _, ok := t.parts[part]; !ok {
@@ -266,31 +263,31 @@
 	}
 }
 
-// Unregistered lists machines that report and have no record yet.
-func (t *Table) Unregistered() machines.Group {
+// UnrecordedMachines lists machines that report and have no record yet.
+func (t *State) UnrecordedMachines() machines.Group {
 	var out machines.Group
 	for id, m := range t.machines {
 		if m.heard && !m.registered && !m.silent && !m.gone {
 			if out == nil {
 				out = machines.Group{}
 			}
-			out[id] = m.Registered
+			out[id] = m.Record
 		}
 	}
 	return out
 }
 
-// Part gives the term of a partition that is owned.
-func (t *Table) Part(part int) (term uint64, ok bool) {
+// PartitionTerm gives the term of a partition that is owned.
+func (t *State) PartitionTerm(part int) (term uint64, ok bool) {
 	term, ok = t.parts[part]
 	return term, ok
 }
 
-// Parts gives the partitions that are owned, with their terms.
-func (t *Table) Parts() map[int]uint64 { return maps.Clone(t.parts) }
+// PartitionTerms gives the partitions that are owned, with their terms.
+func (t *State) PartitionTerms() map[int]uint64 { return maps.Clone(t.parts) }
 
-// PartOf gives the partition of a machine in the table.
-func (t *Table) PartOf(id string) (int, bool) {
+// PartitionOf gives the partition of a machine in the table.
+func (t *State) PartitionOf(id string) (int, bool) {
 	m := t.machines[id]
 	if m == nil {
 		return 0, false
@@ -298,5 +295,5 @@
 	return m.part, true
 }
 
-// Len is how many machines the table holds.
-func (t *Table) Len() int { return len(t.machines) }
+// MachineCount is how many machines the table holds.
+func (t *State) MachineCount() int { return len(t.machines) }
--- a/internal/owner/table_test.go
+++ b/internal/owner/table_test.go
@@ -8,6 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/res"
 	"github.com/merlinlatch/merlinlatch/wire"
@@ -38,13 +39,13 @@
 	t     *testing.T
 	now   clock.Micros
 	jobs  *jobList
-	table *Table
+	table *State
 	w     *fakes.Worker
 	seq   uint64
 }
 
-func newTable(j *jobList) *Table {
-	tb := NewTable(Timing{Lease: lease, LeaseTTL: 5 * sec, SickErrors: 2}, j)
+func newTable(j *jobList) *State {
+	tb := NewState(Timing{Lease: lease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, j)
 	tb.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
 	return tb
 }
@@ -54,9 +55,9 @@
 	s := &scene{t: t, now: 100 * sec, jobs: &jobList{map[string]*jobs.Job{"job-1": jobs.New(jobs.Record{Job: spec}, made)}, map[string]jobs.Final{}, made}}
 	s.table = newTable(s.jobs)
 	s.w = fakes.NewWorker("m-1", lease, s.now)
-	s.table.Gain(0, 1, nil, s.now)
+	s.table.AcquirePartition(0, 1, nil, s.now)
 	s.report()
-	s.table.Registered("m-1", 0, Registered{}, true, s.now)
+	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
 	s.report()
 	return s
 }
@@ -67,9 +68,9 @@
 	return s.reportTo(s.table)
 }
 
-func (s *scene) reportTo(tb *Table) wire.HeartbeatResponse {
+func (s *scene) reportTo(tb *State) wire.HeartbeatResponse {
 	r := s.w.Report(s.now)
-	ans, ok := tb.Report(&r, 0, s.now)
+	ans, ok := tb.HandleHeartbeat(&r, 0, s.now)
 	if ok {
 		s.w.Take(ans, s.now)
 	}
@@ -84,7 +85,7 @@
 func (s *scene) round(r peer.Batch) peer.BatchResponse {
 	s.seq++
 	r.From, r.Seq, r.Terms = "placer", s.seq, map[string]uint64{team: 1}
-	return s.table.Round(r, "me", s.now)
+	return s.table.HandleBatch(r, "me", s.now)
 }
 
 func (s *scene) lease(n int, attempt uint64) bool {
@@ -100,11 +101,11 @@
 func TestLateOrdersOfAFormerOwnerAreDead(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, late := s.table.TakeOrders("m-1", s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
 	require.Len(t, late.Orders, 1)
 
 	next := newTable(s.jobs)
-	next.Gain(0, 2, map[string]Registered{"m-1": {Addr: "10.0.0.9:9000", Type: "big", Zone: "a"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "10.0.0.9:9000", Type: "big", Zone: "a"}}, s.now)
 	s.now += sec
 	s.reportTo(next)
 	require.False(t, next.machines["m-1"].accounted, "the report was made before the new token was seen")
@@ -121,13 +122,13 @@
 func TestUnansweredRunCountsUntilAHigherTokenIsSeen(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, late := s.table.TakeOrders("m-1", s.now)
-	s.table.Unanswered("m-1", late, s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
+	s.table.HandleDeliveryTimeout("m-1", late, s.now)
 	s.round(peer.Batch{Stops: []peer.StopTask{{ID: ask(0, 1).ID, Machine: "m-1"}}})
 
 	s.now += sec
 	r := s.w.Report(s.now)
-	ans, ok := s.table.Report(&r, 0, s.now)
+	ans, ok := s.table.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	require.Len(t, s.tasks(), 1, "the worker has not shown the new token: the run may still arrive")
 	_, executed := s.w.Orders(*late, s.now)
@@ -144,8 +145,8 @@
 func TestForgetWaitsForTheLastCopyOfTheRun(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, late := s.table.TakeOrders("m-1", s.now)
-	s.table.Unanswered("m-1", late, s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
+	s.table.HandleDeliveryTimeout("m-1", late, s.now)
 	old := s.w.Token
 	s.report() // carries the run as well: it starts
 	require.True(t, s.w.Running("job-1/0"))
@@ -154,12 +155,12 @@
 	s.now += sec
 	r := s.w.Report(s.now)
 	s.table.machines["m-1"].seenToken = old
-	_, ok := s.table.Report(&r, 0, s.now)
+	_, ok := s.table.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	s.round(peer.Batch{Settles: []peer.Acknowledgement{{ID: ask(0, 1).ID, Machine: "m-1"}}})
 	s.now += sec
 	r = s.w.Report(s.now)
-	ans, _ := s.table.Report(&r, 0, s.now)
+	ans, _ := s.table.HandleHeartbeat(&r, 0, s.now)
 	for _, o := range ans.Orders {
 		require.NotEqual(t, wire.VerbForget, o.Verb)
 	}
@@ -179,14 +180,14 @@
 	s.report()
 	s.report()
 	require.True(t, s.w.Running("job-1/0"))
-	_, ok := s.table.Report(&held, 0, s.now)
+	_, ok := s.table.HandleHeartbeat(&held, 0, s.now)
 	require.False(t, ok)
 	require.Len(t, s.tasks(), 1)
 
 	s.w.Session = 2
 	s.w.Tick = 0
 	s.report()
-	_, ok = s.table.Report(&held, 0, s.now)
+	_, ok = s.table.HandleHeartbeat(&held, 0, s.now)
 	require.False(t, ok, "a report of a former session must not be answered with 200")
 }
 
@@ -213,9 +214,9 @@
 	s.now += lease + 200*clock.Millisecond
 	for n := range 2 { // the first orders name the former session and are refused
 		require.True(t, s.lease(n, uint64(n+1)))
-		_, o := s.table.TakeOrders("m-1", s.now)
+		_, o := s.table.NextDelivery("m-1", s.now)
 		r, _ := s.w.Orders(*o, s.now)
-		s.table.Answered("m-1", o, &r, s.now)
+		s.table.HandleDeliveryResponse("m-1", o, &r, s.now)
 	}
 	require.True(t, s.w.Running("job-1/1"))
 	s.now += 2 * sec
@@ -229,9 +230,9 @@
 // owner would not know of it.
 func TestNoTaskBeforeTheRecord(t *testing.T) {
 	s := newScene(t)
-	s.table.Registered("m-1", 0, Registered{}, false, s.now)
+	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, false, s.now)
 	require.False(t, s.lease(0, 1))
-	s.table.Registered("m-1", 0, Registered{}, true, s.now)
+	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
 	require.True(t, s.lease(0, 2))
 }
 
@@ -239,8 +240,8 @@
 func TestRepeatsAreAnsweredAlike(t *testing.T) {
 	s := newScene(t)
 	in := peer.Batch{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{ask(0, 1)}}
-	first := s.table.Round(in, "me", s.now)
-	again := s.table.Round(in, "me", s.now)
+	first := s.table.HandleBatch(in, "me", s.now)
+	again := s.table.HandleBatch(in, "me", s.now)
 	require.Equal(t, first, again)
 	require.False(t, first.Refused[0])
 	require.Len(t, s.tasks(), 1)
@@ -251,14 +252,14 @@
 // The ask of a team's former placer arrives after the new one has been heard.
 func TestAFormerPlacersAskIsRefused(t *testing.T) {
 	s := newScene(t)
-	s.table.Poll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
+	s.table.HandlePoll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
 	require.False(t, s.lease(0, 1))
 }
 
 // An ask made to the former owner of a partition reaches the next one.
 func TestAnAskUnderAFormerTermIsRefused(t *testing.T) {
 	s := newScene(t)
-	s.table.Gain(0, 2, map[string]Registered{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	s.table.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.report()
 	s.report()
 	require.True(t, s.table.machines["m-1"].usable(s.now))
@@ -274,7 +275,7 @@
 	require.Empty(t, s.tasks())
 	s.report()
 	require.True(t, s.lease(1, 2))
-	s.table.TakeOrders("m-1", s.now)
+	s.table.NextDelivery("m-1", s.now)
 	s.now += 6 * sec
 	s.table.Tick(s.now)
 	require.Len(t, s.tasks(), 1)
@@ -292,13 +293,13 @@
 	a.Rank = 2
 	a.Victims = []peer.TaskID{ask(0, 1).ID}
 	require.False(t, s.round(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0])
-	_, o := s.table.TakeOrders("m-1", s.now)
+	_, o := s.table.NextDelivery("m-1", s.now)
 	require.Len(t, o.Orders, 1)
 	require.Equal(t, wire.VerbStop, o.Orders[0].Verb)
 	r, ok := s.w.Orders(*o, s.now)
 	require.True(t, ok)
-	s.table.Answered("m-1", o, &r, s.now)
-	_, o = s.table.TakeOrders("m-1", s.now)
+	s.table.HandleDeliveryResponse("m-1", o, &r, s.now)
+	_, o = s.table.NextDelivery("m-1", s.now)
 	require.Equal(t, wire.VerbRun, o.Orders[0].Verb)
 }
 
@@ -306,8 +307,8 @@
 func TestCancelInFlight(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, late := s.table.TakeOrders("m-1", s.now)
-	s.table.Unanswered("m-1", late, s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
+	s.table.HandleDeliveryTimeout("m-1", late, s.now)
 	s.round(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: "red"}}})
 	require.False(t, s.lease(1, 2), "nothing of it may start any more")
 	s.w.Orders(*late, s.now)
@@ -323,7 +324,7 @@
 	s.report()
 	delete(s.jobs.active, "job-1")
 	next := newTable(s.jobs)
-	next.Gain(0, 2, map[string]Registered{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	for range 4 {
 		s.now += sec
 		s.reportTo(next)
@@ -372,9 +373,9 @@
 	require.Equal(t, []string{"m-1"}, s.table.Drain([]peer.MachineRef{{ID: "m-1"}}, part, s.now))
 	require.False(t, s.lease(1, 2))
 	require.Equal(t, []string{"m-9"}, s.table.Drain([]peer.MachineRef{{ID: "m-9"}}, part, s.now), "one that never reported")
-	s.table.Gone([]peer.MachineRef{{ID: "m-1"}}, part, s.now)
+	s.table.HandleMachinesGone([]peer.MachineRef{{ID: "m-1"}}, part, s.now)
 	r := s.w.Report(s.now)
-	_, ok := s.table.Report(&r, 0, s.now)
+	_, ok := s.table.HandleHeartbeat(&r, 0, s.now)
 	require.False(t, ok, "a late report of a returned machine")
 }
 
@@ -412,13 +413,13 @@
 				attempt++
 				s.lease(rng.IntN(10), attempt)
 			case 1:
-				if _, o := s.table.TakeOrders("m-1", s.now); o != nil {
+				if _, o := s.table.NextDelivery("m-1", s.now); o != nil {
 					if rng.IntN(2) == 0 {
 						late = append(late, o)
-						s.table.Unanswered("m-1", o, s.now)
+						s.table.HandleDeliveryTimeout("m-1", o, s.now)
 					} else {
 						r, _ := s.w.Orders(*o, s.now)
-						s.table.Answered("m-1", o, &r, s.now)
+						s.table.HandleDeliveryResponse("m-1", o, &r, s.now)
 					}
 				}
 			case 2:
@@ -427,7 +428,7 @@
 				}
 			case 3:
 				r := s.w.Report(s.now)
-				if ans, ok := s.table.Report(&r, 0, s.now); ok && rng.IntN(3) > 0 {
+				if ans, ok := s.table.HandleHeartbeat(&r, 0, s.now); ok && rng.IntN(3) > 0 {
 					s.w.Take(ans, s.now)
 				}
 			case 4:
@@ -463,7 +464,7 @@
 // gets them again when it is heard.
 func TestAQuietMachineGetsNoTasks(t *testing.T) {
 	s := newScene(t)
-	s.table.timing.Quiet = lease / 2
+	s.table.timing.HeartbeatOverdue = lease / 2
 	usable := func() bool { return s.table.view(s.table.machines["m-1"], 0, s.now).Usable }
 	require.True(t, usable())
 	s.now += lease/2 + sec
@@ -479,12 +480,12 @@
 func TestADeafMachineGetsNoMoreTasks(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, o := s.table.TakeOrders("m-1", s.now)
-	s.table.Unanswered("m-1", o, s.now)
+	_, o := s.table.NextDelivery("m-1", s.now)
+	s.table.HandleDeliveryTimeout("m-1", o, s.now)
 	silence := func() {
 		s.now += sec
 		r := s.w.Report(s.now)
-		s.table.Report(&r, 0, s.now) // its answer is lost
+		s.table.HandleHeartbeat(&r, 0, s.now) // its answer is lost
 	}
 	for range 4 {
 		silence()
@@ -504,17 +505,17 @@
 func TestLateCopiesKeepNoMachineAlive(t *testing.T) {
 	s := newScene(t)
 	early := s.w.Report(s.now)
-	_, ok := s.table.Report(&early, 0, s.now)
+	_, ok := s.table.HandleHeartbeat(&early, 0, s.now)
 	require.True(t, ok)
 	require.True(t, s.lease(0, 1))
 	s.report()
 	require.True(t, s.w.Running("job-1/0"))
 	last := s.w.Report(s.now)
-	s.table.Report(&last, 0, s.now)
+	s.table.HandleHeartbeat(&last, 0, s.now)
 	for range 30 { // the machine is gone; copies come for three leases
 		s.now += sec
 		for _, c := range []wire.Heartbeat{early, last} {
-			_, ok := s.table.Report(&c, 0, s.now)
+			_, ok := s.table.HandleHeartbeat(&c, 0, s.now)
 			require.False(t, ok)
 		}
 		s.table.Tick(s.now)
@@ -536,12 +537,12 @@
 	s.w.Session, s.w.Tick = 2, 0
 	clear(s.w.Tasks)
 	require.True(t, s.lease(0, 1))
-	_, o := s.table.TakeOrders("m-1", s.now)
+	_, o := s.table.NextDelivery("m-1", s.now)
 	o.Incarnation = 2
 	after, _ := s.w.Orders(*o, s.now)
-	s.table.Answered("m-1", o, &after, s.now)
+	s.table.HandleDeliveryResponse("m-1", o, &after, s.now)
 	r := s.w.Report(s.now)
-	_, ok := s.table.Report(&r, 0, s.now)
+	_, ok := s.table.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 }
 
@@ -557,16 +558,16 @@
 	s.w.Tick, s.w.Token = 0, 0
 	s.w.Renew(s.now)
 	require.True(t, s.lease(0, 1))
-	_, o := s.table.TakeOrders("m-1", s.now)
+	_, o := s.table.NextDelivery("m-1", s.now)
 	after, done := s.w.Orders(*o, s.now)
 	require.True(t, done)
-	s.table.Answered("m-1", o, &after, s.now)
+	s.table.HandleDeliveryResponse("m-1", o, &after, s.now)
 	require.False(t, s.lease(1, 2), "nothing more for a worker that is not understood")
 	for range 30 {
 		s.now += sec / 2
 		s.w.Check(s.now)
 		if r := s.w.Report(s.now); r.Tick < 8 { // it is silent before its ticks have caught up
-			s.table.Report(&r, 0, s.now)
+			s.table.HandleHeartbeat(&r, 0, s.now)
 		}
 		s.table.Tick(s.now)
 		if s.w.Running("job-1/0") {
@@ -583,11 +584,11 @@
 	s := newScene(t)
 	r := s.w.Report(s.now)
 	require.True(t, s.lease(0, 1))
-	_, o := s.table.TakeOrders("m-1", s.now)
+	_, o := s.table.NextDelivery("m-1", s.now)
 	after, done := s.w.Orders(*o, s.now)
 	require.True(t, done)
-	s.table.Answered("m-1", o, &after, s.now)
-	_, ok := s.table.Report(&r, 0, s.now)
+	s.table.HandleDeliveryResponse("m-1", o, &after, s.now)
+	_, ok := s.table.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	require.Len(t, s.tasks(), 1)
 }
@@ -598,7 +599,7 @@
 	s := newScene(t)
 	s.report()
 	idle := func() clock.Micros {
-		v := s.table.Poll(peer.PollRequest{}, "i", s.now).Machines
+		v := s.table.HandlePoll(peer.PollRequest{}, "i", s.now).Machines
 		require.Len(t, v, 1)
 		require.Zero(t, v[0].Count)
 		return v[0].Idle
--- a/internal/owner/views.go
+++ b/internal/owner/views.go
@@ -25,14 +25,14 @@
 }
 
 // SetCaches tells how many GB of images the machine types keep.
-func (t *Table) SetCaches(gb map[string]float64) { t.caches = gb }
+func (t *State) SetCaches(gb map[string]float64) { t.caches = gb }
 
 // maxImages bounds what is known of a machine's cache.
 const maxImages = 48
 
 // note takes an image that a machine has or is to fetch: it keeps the latest
 // used, as many as its cache holds.
-func (t *Table) note(m *machine, image string, gb float64) {
+func (t *State) note(m *machine, image string, gb float64) {
 	t.sizes[image] = gb
 	if len(m.images) > 0 && m.images[0] == image {
 		return
@@ -54,7 +54,7 @@
 }
 
 // view shows a machine to who knows it as of a version.
-func (t *Table) view(m *machine, after uint64, now clock.Micros) peer.MachineView {
+func (t *State) view(m *machine, after uint64, now clock.Micros) peer.MachineView {
 	_, all := m.inUse()
 	v := peer.MachineView{ID: m.id, Part: m.part, Term: t.parts[m.part], Version: m.version, Type: m.Type, Zone: m.Zone,
 		Spot: m.Spot, Cap: m.cap, Free: m.cap.Minus(all), Accounted: m.accounted || m.silent || m.gone, Usable: m.usable(now),
@@ -86,11 +86,11 @@
 	return v
 }
 
-// Poll gives what changed after a cursor.
-func (t *Table) Poll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
+// HandlePoll gives what changed after a cursor.
+func (t *State) HandlePoll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
 	t.fence(in.Terms)
 	t.hearDemands(in.Demands, now)
-	out := peer.PollResponse{Incarnation: incarnation, Cursor: t.version, Parts: t.Parts(), Holds: true}
+	out := peer.PollResponse{Incarnation: incarnation, Cursor: t.version, Parts: t.PartitionTerms(), Holds: true}
 	after := in.Cursor
 	if in.Incarnation != incarnation {
 		after, out.Full = 0, true
@@ -119,4 +119,4 @@
 }
 
 // Version is the table's present version.
-func (t *Table) Version() uint64 { return t.version }
+func (t *State) Version() uint64 { return t.version }
--- a/internal/owner/withdraw_test.go
+++ b/internal/owner/withdraw_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -17,12 +18,12 @@
 
 // courier sends what is due to the worker's own address and brings the answer back.
 func (s *scene) courier() (sent *wire.Orders, ok bool) {
-	_, sent = s.table.TakeOrders("m-1", s.now)
+	_, sent = s.table.NextDelivery("m-1", s.now)
 	if sent == nil {
 		return nil, false
 	}
 	r, ok := s.w.Orders(*sent, s.now)
-	s.table.Answered("m-1", sent, &r, s.now)
+	s.table.HandleDeliveryResponse("m-1", sent, &r, s.now)
 	return sent, ok
 }
 
@@ -68,13 +69,13 @@
 func TestAStopInFlightAndTheNextOwner(t *testing.T) {
 	s := running(t)
 	s.withdraw()
-	_, late := s.table.TakeOrders("m-1", s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
 	require.Len(t, late.Orders, 1)
-	s.table.Lose(0)
-	s.table.Answered("m-1", late, &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Tick: 99, FencingToken: 99 << 32}, s.now)
+	s.table.ReleasePartition(0)
+	s.table.HandleDeliveryResponse("m-1", late, &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Tick: 99, FencingToken: 99 << 32}, s.now)
 	delete(s.jobs.active, "job-1")
 	next := newTable(s.jobs)
-	next.Gain(0, 2, map[string]Registered{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.now += sec
 	s.reportTo(next)
 	require.True(t, s.w.Running("job-1/0"), "its first answer brings the token, and no orders")
@@ -99,14 +100,14 @@
 		{"hangs for longer than its lease", func(s *scene) {}, 2 * lease, lease + 2*sec},
 		{"hears direct orders only", func(s *scene) { s.courier() }, 3 * lease, 2 * sec},
 		{"its answers to direct orders are lost", func(s *scene) {
-			if _, o := s.table.TakeOrders("m-1", s.now); o != nil {
+			if _, o := s.table.NextDelivery("m-1", s.now); o != nil {
 				s.w.Orders(*o, s.now)
-				s.table.Unanswered("m-1", o, s.now)
+				s.table.HandleDeliveryTimeout("m-1", o, s.now)
 			}
 		}, 3 * lease, 2 * sec},
 		{"reports arrive, answers and orders don't", func(s *scene) {
 			r := s.w.Report(s.now)
-			s.table.Report(&r, 0, s.now)
+			s.table.HandleHeartbeat(&r, 0, s.now)
 		}, 3 * lease, lease + 2*sec},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -140,9 +141,9 @@
 func TestARunHeldUpCountsUntilItCannotArrive(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.lease(0, 1))
-	_, late := s.table.TakeOrders("m-1", s.now)
+	_, late := s.table.NextDelivery("m-1", s.now)
 	require.Len(t, late.Orders, 1)
-	s.table.Unanswered("m-1", late, s.now)
+	s.table.HandleDeliveryTimeout("m-1", late, s.now)
 	s.withdraw()
 	require.Len(t, s.tasks(), 1, "it may still start")
 	s.now += 3 * sec
@@ -186,8 +187,8 @@
 	require.GreaterOrEqual(t, ended, 2, "its leases have ended")
 	s.report()
 	s.report()
-	require.Contains(t, s.table.Unregistered(), "m-1", "its record was to be dropped: it is recorded anew")
-	s.table.Registered("m-1", 0, Registered{}, true, s.now)
+	require.Contains(t, s.table.UnrecordedMachines(), "m-1", "its record was to be dropped: it is recorded anew")
+	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
 	s.report()
 	require.True(t, s.table.machines["m-1"].usable(s.now), "it reaches its owner again")
 }
--- a/internal/owner/zones.go
+++ b/internal/owner/zones.go
@@ -19,9 +19,9 @@
 // gateCount is how often the starts under way in a zone are counted anew.
 const gateCount = 100 * clock.Millisecond
 
-// SetZone takes the state of a zone: nothing new is admitted from its loss until it returns, and
+// SetZoneState takes the state of a zone: nothing new is admitted from its loss until it returns, and
 // then it is in stages. A controller inside a zone that is cut off does not hear of that, and goes on.
-func (t *Table) SetZone(name string, r zone.Record, now clock.Micros) {
+func (t *State) SetZoneState(name string, r zone.Record, now clock.Micros) {
 	switch r.State {
 	case zone.Lost:
 		t.gates[name] = &gate{Gate: recovery.NewLostGate()}
@@ -39,7 +39,7 @@
 }
 
 // admits tells whether the gate of a machine's zone admits a task.
-func (t *Table) admits(m *machine, a *peer.Assignment, now clock.Micros) bool {
+func (t *State) admits(m *machine, a *peer.Assignment, now clock.Micros) bool {
 	g := t.gates[m.Zone]
 	if g == nil {
 		return true
@@ -55,7 +55,7 @@
 }
 
 // startsUnderWay counts the tasks in a zone that were granted and not seen running yet.
-func (t *Table) startsUnderWay(zone string) (n int) {
+func (t *State) startsUnderWay(zone string) (n int) {
 	for _, m := range t.machines {
 		if m.Zone == zone && !m.silent && !m.gone {
 			n += m.pending()
@@ -75,15 +75,15 @@
 }
 
 // warmed takes note that a task was seen running on a machine: its image is there, and it works.
-func (t *Table) warmed(m *machine) {
+func (t *State) warmed(m *machine) {
 	m.warmSession = m.session
 	if g := t.gates[m.Zone]; g != nil {
 		g.Succeeded()
 	}
 }
 
-// Gates tells the stages of the zones to which work returns, as this owner admits it.
-func (t *Table) Gates(now clock.Micros) map[string]recovery.Stage {
+// AdmittedStages tells the stages of the zones to which work returns, as this owner admits it.
+func (t *State) AdmittedStages(now clock.Micros) map[string]recovery.Stage {
 	out := make(map[string]recovery.Stage, len(t.gates))
 	for name, g := range t.gates {
 		out[name] = g.Stage(now)
@@ -91,29 +91,29 @@
 	return out
 }
 
-// SetZone takes the state of a zone.
-func (o *Owner) SetZone(name string, r zone.Record) {
+// SetZoneState takes the state of a zone.
+func (o *Server) SetZoneState(name string, r zone.Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.table.SetZone(name, r, o.clock.Now())
+	o.table.SetZoneState(name, r, o.clock.Now())
 }
 
-// Gates tells the stages that this owner admits in zones to which work returns.
-func (o *Owner) Gates() map[string]recovery.Stage {
+// AdmittedStages tells the stages that this owner admits in zones to which work returns.
+func (o *Server) AdmittedStages() map[string]recovery.Stage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.table.Gates(o.clock.Now())
+	return o.table.AdmittedStages(o.clock.Now())
 }
 
 // SetHistory has what tasks do noted.
-func (o *Owner) SetHistory(r *history.Ring) {
+func (o *Server) SetHistory(r *history.Ring) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.history = r
 }
 
 // noteEvent notes that a task runs or has ended.
-func (t *Table) noteEvent(m *machine, id peer.TaskID, phase, cause string) {
+func (t *State) noteEvent(m *machine, id peer.TaskID, phase, cause string) {
 	if t.history == nil {
 		return
 	}
--- a/internal/owner/zones_test.go
+++ b/internal/owner/zones_test.go
@@ -19,7 +19,7 @@
 }
 
 func (s *scene) returnAt(stage recovery.Stage) {
-	s.table.SetZone("a", zone.Record{State: zone.Returning, Stage: stage}, s.now)
+	s.table.SetZoneState("a", zone.Record{State: zone.Returning, Stage: stage}, s.now)
 }
 
 // While work returns to a zone its owner admits what the stage does; a machine that was not seen at work yet
@@ -38,7 +38,7 @@
 	require.True(t, s.w.Running("job-1/0"))
 	require.True(t, s.leaseAt(1, 5, recovery.Urgent), "it is warm")
 	require.False(t, s.leaseAt(2, 6, recovery.Services))
-	s.table.SetZone("a", zone.Record{State: zone.Healthy}, s.now)
+	s.table.SetZoneState("a", zone.Record{State: zone.Healthy}, s.now)
 	require.True(t, s.leaseAt(2, 7, recovery.Cold))
 }
 
--- a/internal/placer/answers.go
+++ b/internal/placer/answers.go
@@ -5,7 +5,7 @@
 )
 
 // Status tells what a job's user may be told; only while the team is held.
-func (p *Placer) Status(q peer.JobRequest) peer.JobResponse {
+func (p *Server) Status(q peer.JobRequest) peer.JobResponse {
 	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
 	}
@@ -18,21 +18,21 @@
 }
 
 // Demands lists what waits, for the fleet.
-func (p *Placer) Demands() []peer.Demand {
+func (p *Server) Demands() []peer.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.Demands(p.clock.Now())
 }
 
-// Views appends the mirror of all machines, for the fleet.
-func (p *Placer) Views(to []peer.MachineView) []peer.MachineView {
+// MachineViews appends the mirror of all machines, for the fleet.
+func (p *Server) MachineViews(to []peer.MachineView) []peer.MachineView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.scheduler.Views(to, p.clock.Now())
+	return p.scheduler.MachineViews(to, p.clock.Now())
 }
 
 // TeamStatuses tells how each team that is held stands.
-func (p *Placer) TeamStatuses() []peer.TeamStatus {
+func (p *Server) TeamStatuses() []peer.TeamStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.TeamStatuses(p.clock.Now())
--- a/internal/placer/choose.go
+++ b/internal/placer/choose.go
@@ -43,9 +43,9 @@
 	return (limit.CPU == 0 || a.CPU <= limit.CPU) && (limit.GPU == 0 || a.GPU <= limit.GPU)
 }
 
-// Place decides on asks for one round of decisions. What it decides waits in
+// Schedule decides on asks for one round of decisions. What it decides waits in
 // the owners' next rounds. The batch widens with what waits.
-func (d *Scheduler) Place(now clock.Micros) (placed int) {
+func (d *Scheduler) Schedule(now clock.Micros) (placed int) {
 	d.weighShares(now)
 	d.moveTasks(now)
 	list := d.order(now)
--- a/internal/placer/chunks.go
+++ b/internal/placer/chunks.go
@@ -43,9 +43,9 @@
 	stamp uint64
 }
 
-// Progress takes a record of completed tasks, as the replica shows it or as it
+// HandleProgressRecord takes a record of completed tasks, as the replica shows it or as it
 // was written. Older words than the newest known change nothing.
-func (d *Scheduler) Progress(id string, chunk chunkID, bits []byte, stamp uint64) {
+func (d *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, stamp uint64) {
 	if d.progress[id] == nil {
 		d.progress[id] = map[chunkID]progress{}
 	}
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -24,8 +24,8 @@
 		spec := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: red, Priority: "normal", Tasks: 100, CPUs: 2, MemGB: 1, Spot: true, RuntimeEstimateS: 30}
 		active = append(active, jobs.New(jobs.Record{Job: spec, Watermarked: true}, uint64(i+1)))
 	}
-	d.Gain(red, 1, 1, active, sec)
-	in := d.Cursor("h0")
+	d.AcquireTeam(red, 1, 1, active, sec)
+	in := d.NextPoll("h0")
 	ans := &peer.PollResponse{Incarnation: "owner", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
 	for i := range machines {
 		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: res.Capacity(32, 0, 64),
@@ -36,7 +36,7 @@
 		}
 		ans.Machines = append(ans.Machines, v)
 	}
-	d.Hear("h0", in, ans, sec)
+	d.HandlePollResponse("h0", in, ans, sec)
 	return d, ans
 }
 
@@ -46,7 +46,7 @@
 	now := 2 * sec
 	for b.Loop() {
 		now += 50 * clock.Millisecond
-		d.Place(now)
+		d.Schedule(now)
 	}
 }
 
@@ -67,9 +67,9 @@
 			v.Free, v.Count, v.Tasks, v.Version = v.Cap, 0, nil, 2
 		}
 		ans.Cursor = 2
-		d.Hear("h0", d.Cursor("h0"), ans, 2*sec)
+		d.HandlePollResponse("h0", d.NextPoll("h0"), ans, 2*sec)
 		b.StartTimer()
-		if d.Place(3*sec) == 0 {
+		if d.Schedule(3*sec) == 0 {
 			b.Fatal("nothing was placed")
 		}
 	}
@@ -86,7 +86,7 @@
 		d, ans := loadedScheduler(machines, 1)
 		b.StartTimer()
 		ans.Cursor++
-		d.Hear("h0", d.Cursor("h0"), ans, 2*sec)
+		d.HandlePollResponse("h0", d.NextPoll("h0"), ans, 2*sec)
 	}
 }
 
@@ -96,7 +96,7 @@
 	var views []peer.MachineView
 	b.ReportAllocs()
 	for b.Loop() {
-		views = d.Views(views[:0], 2*sec)
+		views = d.MachineViews(views[:0], 2*sec)
 	}
 }
 
@@ -105,7 +105,7 @@
 func schedulerAfterRestart(machines int) *Scheduler {
 	d, _ := loadedScheduler(machines/2, 60)
 	for i := range machines / 2 {
-		d.Register(fmt.Sprintf("m-1%05d", i), true)
+		d.HandleMachineRecord(fmt.Sprintf("m-1%05d", i), true)
 	}
 	return d
 }
@@ -121,7 +121,7 @@
 func TestARoundAfterARestartLooksAtEachMachineAFewTimesAtMost(t *testing.T) {
 	d := schedulerAfterRestart(leanFleet)
 	before := d.counts.Looked
-	d.Place(2 * sec)
+	d.Schedule(2 * sec)
 	require.Equal(t, leanFleet/2, d.teams[red].unknown)
 	require.Equal(t, d.largest().Times(leanFleet/2), d.teams[red].held)
 	require.Less(t, d.counts.Looked-before, 4*leanFleet)
--- a/internal/placer/costs_test.go
+++ b/internal/placer/costs_test.go
@@ -13,7 +13,7 @@
 func withCosts(t *testing.T) *world {
 	w := newWorldOf(t, 1, 3, 0)
 	w.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
-	w.scheduler.SetFetch(map[string]float64{"big": 1})
+	w.scheduler.SetFetchRates(map[string]float64{"big": 1})
 	w.settle(8)
 	w.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 })
 	w.settle(4)
@@ -75,7 +75,7 @@
 			w.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 60 * sec}
 		}
 		if rates {
-			w.scheduler.SetFetch(map[string]float64{"big": 1})
+			w.scheduler.SetFetchRates(map[string]float64{"big": 1})
 		}
 		w.settle(8)
 		var at []string
--- a/internal/placer/meetings_test.go
+++ b/internal/placer/meetings_test.go
@@ -24,7 +24,7 @@
 
 // withdraw has a job withdrawn and its end written.
 func (w *world) withdraw(id string) {
-	w.scheduler.Cancel(red, id)
+	w.scheduler.CancelJob(red, id)
 	j := w.scheduler.teams[red].jobs[id]
 	for range 4 {
 		for _, h := range w.hosts {
@@ -32,7 +32,7 @@
 			w.poll(h, false)
 		}
 	}
-	require.True(w.t, w.scheduler.Cancelled(j, w.parts()), "the owners have taken it")
+	require.True(w.t, w.scheduler.CancellationConfirmed(j, w.parts()), "the owners have taken it")
 	w.end(id, wire.Cancelled)
 }
 
@@ -149,7 +149,7 @@
 				}
 			}
 			x.until(w, at)
-			w.scheduler.Cancel(red, "job-1")
+			w.scheduler.CancelJob(red, "job-1")
 			j := w.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
 				w.now += 200 * clock.Millisecond
@@ -162,7 +162,7 @@
 						w.report(id, true)
 					}
 				}
-				require.False(t, w.scheduler.Cancelled(j, w.parts()), "it may start yet")
+				require.False(t, w.scheduler.CancellationConfirmed(j, w.parts()), "it may start yet")
 			}
 			for _, h := range w.hosts {
 				require.True(t, j.taken[h.instance], "its owners know")
--- a/internal/placer/moves_test.go
+++ b/internal/placer/moves_test.go
@@ -122,7 +122,7 @@
 			w.newScheduler()
 			w.settle(2)
 			for _, r := range w.rounds {
-				r.table.Round(r.round, r.h.instance, w.now)
+				r.table.HandleBatch(r.round, r.h.instance, w.now)
 			}
 		},
 		"the source goes on silently beyond its lease": func(w *world, from, _ string) {
@@ -151,7 +151,7 @@
 		"the task is done": func(w *world, _, _ string) { w.exitAll(wire.CauseDone) },
 		"the task fails":   func(w *world, _, _ string) { w.exitAll(wire.CauseError) },
 		"the job is withdrawn": func(w *world, _, _ string) {
-			w.scheduler.Cancel(red, "job-1")
+			w.scheduler.CancelJob(red, "job-1")
 		},
 		"the destination gets a notice": func(w *world, _, to string) { w.notice(to) },
 	}
@@ -290,7 +290,7 @@
 				w.tick()
 				for _, r := range w.rounds { // late ones reach the process they were sent to, if that lives
 					if r.h.table == r.table && w.rng.IntN(4) == 0 {
-						r.table.Round(r.round, r.h.instance, w.now)
+						r.table.HandleBatch(r.round, r.h.instance, w.now)
 					}
 				}
 			case 11:
@@ -303,7 +303,7 @@
 					begun, carriedOut = begun+w.scheduler.counts.Moves, carriedOut+w.scheduler.counts.Moved
 					w.newScheduler()
 				case 3:
-					w.scheduler.Cancel(red, "job-3")
+					w.scheduler.CancelJob(red, "job-3")
 				}
 			}
 			w.check(fmt.Sprintf("seed %d step %d", seed, step))
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -22,8 +22,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Claims tells which duties this process holds.
-type Claims interface {
+// Elections tells which duties this process holds.
+type Elections interface {
 	Leading(duty string) (claim.Leadership, bool)
 	Current(duty string) (h claim.Leadership, live bool)
 }
@@ -35,8 +35,8 @@
 	HasSpareWrites(n int) bool
 }
 
-// OwnerCaller speaks with the owner part of a controller, this one's or a peer's.
-type OwnerCaller interface {
+// PartitionClient speaks with the owner part of a controller, this one's or a peer's.
+type PartitionClient interface {
 	ApplyBatch(in peer.Batch) (peer.BatchResponse, error)
 	Poll(in peer.PollRequest) (peer.PollResponse, error)
 }
@@ -44,12 +44,12 @@
 // Duty names the claim of a team.
 func Duty(team string) string { return "team-" + url.PathEscape(team) }
 
-// Placer places the jobs of the teams that this process holds.
-type Placer struct {
+// Server places the jobs of the teams that this process holds.
+type Server struct {
 	teams     []Team
 	parts     []string // duties of the partitions
-	owners    map[string]OwnerCaller
-	claims    Claims
+	owners    map[string]PartitionClient
+	claims    Elections
 	store     Store
 	book      *jobs.Cache
 	clock     clock.Clock
@@ -75,34 +75,34 @@
 
 // Options of a placer.
 type Options struct {
-	Teams         []Team
-	PartDuties    []string
-	Owners        map[string]OwnerCaller
-	TxnOps        int
-	ValueMost     int // bytes of a record
-	ProgressEvery clock.Micros
-	FairShares    bool // owners are told what waits of each team
+	Teams           []Team
+	PartitionDuties []string
+	Partitions      map[string]PartitionClient
+	TxnOps          int
+	MaxRecordBytes  int // bytes of a record
+	ProgressEvery   clock.Micros
+	FairShares      bool // owners are told what waits of each team
 }
 
 // New makes a placer around a scheduler.
-func New(scheduler *Scheduler, o Options, claims Claims, store, urgent Store, book *jobs.Cache, c clock.Clock, log *slog.Logger) *Placer {
-	p := &Placer{teams: o.Teams, parts: o.PartDuties, owners: o.Owners, claims: claims, store: store, book: book, clock: c,
-		txnOps: o.TxnOps, valueMost: o.ValueMost, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: machines.NewRecords(), wake: make(chan struct{}, 1),
+func New(scheduler *Scheduler, o Options, claims Elections, store, urgent Store, book *jobs.Cache, c clock.Clock, log *slog.Logger) *Server {
+	p := &Server{teams: o.Teams, parts: o.PartitionDuties, owners: o.Partitions, claims: claims, store: store, book: book, clock: c,
+		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: machines.NewRecords(), wake: make(chan struct{}, 1),
 		senders: map[string]chan struct{}{}, writes: make(chan struct{}, 1), news: make(chan struct{}), running: context.Background()}
-	scheduler.chunk = chunkTasks(o.ValueMost)
-	for h := range o.Owners {
+	scheduler.chunk = chunkTasks(o.MaxRecordBytes)
+	for h := range o.Partitions {
 		p.senders[h] = make(chan struct{}, 1)
 	}
 	return p
 }
 
 // Measure has the placer count its rounds. It is called before Run.
-func (p *Placer) Measure(r *telemetry.Reporter) {
+func (p *Server) Measure(r *telemetry.Reporter) {
 	p.rounds, p.views = r.Duty("placer_round"), r.Duty("placer_view")
 }
 
 // heard has withdrawals that wait look again. The lock is held.
-func (p *Placer) heard() {
+func (p *Server) heard() {
 	close(p.news)
 	p.news = make(chan struct{})
 }
@@ -114,22 +114,22 @@
 	}
 }
 
-// SetFetch tells how fast machine types fetch images, in GB a second.
-func (p *Placer) SetFetch(rates map[string]float64) {
+// SetFetchRates tells how fast machine types fetch images, in GB a second.
+func (p *Server) SetFetchRates(rates map[string]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.scheduler.SetFetch(rates)
+	p.scheduler.SetFetchRates(rates)
 }
 
 // SetPrices tells what machines cost.
-func (p *Placer) SetPrices(types []wire.MachineType) {
+func (p *Server) SetPrices(types []wire.MachineType) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.SetPrices(types)
 }
 
 // Apply takes events of the replica: jobs, progress and machines' records.
-func (p *Placer) Apply(evs []state.Event) {
+func (p *Server) Apply(evs []state.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, recorded := p.clock.Now(), false
@@ -152,7 +152,7 @@
 				p.scheduler.DropProgress(id, n)
 			case json.Unmarshal(e.Value, &text) == nil:
 				if bits, err := base64.StdEncoding.DecodeString(text); err == nil {
-					p.scheduler.Progress(id, n, bits, e.ModRevision)
+					p.scheduler.HandleProgressRecord(id, n, bits, e.ModRevision)
 				}
 			}
 		case strings.HasPrefix(e.Key, state.WatermarkPrefix):
@@ -160,15 +160,15 @@
 			if e.Value != nil && json.Unmarshal(e.Value, &jobs) != nil {
 				continue
 			}
-			p.scheduler.Watermarks(e.Key, jobs, e.ModRevision)
+			p.scheduler.HandleWatermarkRecord(e.Key, jobs, e.ModRevision)
 		case strings.HasPrefix(e.Key, state.MachinePrefix):
 			came, went := p.records.Apply(e)
 			recorded = true
 			for _, id := range went {
-				p.scheduler.Register(id, false)
+				p.scheduler.HandleMachineRecord(id, false)
 			}
 			for id := range came {
-				p.scheduler.Register(id, true)
+				p.scheduler.HandleMachineRecord(id, true)
 			}
 		}
 	}
@@ -179,10 +179,10 @@
 }
 
 // Reconcile takes over and gives up teams as the claims now say.
-func (p *Placer) Reconcile() {
+func (p *Server) Reconcile() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	terms := p.scheduler.Terms()
+	terms := p.scheduler.TeamTerms()
 	gained := false
 	for _, t := range p.teams {
 		h, mine := p.claims.Leading(Duty(t.Name))
@@ -190,11 +190,11 @@
 		switch {
 		case mine && (!have || term != h.Term):
 			active := p.book.ActiveOfTeam(t.Name)
-			p.scheduler.Gain(t.Name, h.Term, h.ModRevision, active, p.clock.Now())
+			p.scheduler.AcquireTeam(t.Name, h.Term, h.ModRevision, active, p.clock.Now())
 			p.log.Info("team taken over", "team", t.Name, "term", h.Term, "jobs", len(active))
 			gained = true
 		case !mine && have:
-			p.scheduler.Lose(t.Name)
+			p.scheduler.ReleaseTeam(t.Name)
 			p.log.Info("team given up", "team", t.Name, "term", term)
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 // Run places until ctx ends.
-func (p *Placer) Run(ctx context.Context) error {
+func (p *Server) Run(ctx context.Context) error {
 	p.mu.Lock()
 	p.running = ctx
 	p.mu.Unlock()
@@ -232,11 +232,11 @@
 	}
 }
 
-func (p *Placer) pollLoop(ctx context.Context, host string) error {
+func (p *Server) pollLoop(ctx context.Context, host string) error {
 	for ctx.Err() == nil {
 		if err := p.poll(host, clock.Second); err != nil {
 			p.mu.Lock()
-			p.scheduler.Down(host)
+			p.scheduler.MarkUnreachable(host)
 			p.mu.Unlock()
 			pause(ctx, 150*time.Millisecond)
 		}
@@ -246,12 +246,12 @@
 
 // poll asks an owner for what changed; for everything when a team's term is
 // new to it, so that its answer is given under the fence of that term.
-func (p *Placer) poll(host string, wait clock.Micros) error {
+func (p *Server) poll(host string, wait clock.Micros) error {
 	p.mu.Lock()
-	in := p.scheduler.Cursor(host)
+	in := p.scheduler.NextPoll(host)
 	in.Wait = wait
 	if p.fairShares {
-		in.Demands = p.scheduler.TellDemands(host, p.clock.Now())
+		in.Demands = p.scheduler.DemandsFor(host, p.clock.Now())
 	}
 	p.mu.Unlock()
 	ans, err := p.owners[host].Poll(in)
@@ -261,7 +261,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	began := p.clock.Now()
-	p.scheduler.Hear(host, in, &ans, began)
+	p.scheduler.HandlePollResponse(host, in, &ans, began)
 	p.views.Round((p.clock.Now() - began).Duration())
 	p.heard()
 	poke(p.wake)
@@ -269,7 +269,7 @@
 	return nil
 }
 
-func (p *Placer) sendLoop(ctx context.Context, host string) error {
+func (p *Server) sendLoop(ctx context.Context, host string) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -278,7 +278,7 @@
 		}
 		for ctx.Err() == nil {
 			p.mu.Lock()
-			r := p.scheduler.Send(host)
+			r := p.scheduler.NextBatch(host)
 			p.mu.Unlock()
 			if r == nil {
 				break
@@ -286,13 +286,13 @@
 			ans, err := p.owners[host].ApplyBatch(*r)
 			p.mu.Lock()
 			if err != nil {
-				p.scheduler.Down(host)
+				p.scheduler.MarkUnreachable(host)
 				p.mu.Unlock()
 				p.log.Debug("round had no answer", "owner", host, "err", err)
 				pause(ctx, 150*time.Millisecond)
 				continue
 			}
-			met := p.scheduler.Answered(host, r, &ans, p.clock.Now())
+			met := p.scheduler.HandleBatchResponse(host, r, &ans, p.clock.Now())
 			p.heard()
 			poke(p.wake)
 			poke(p.writes)
@@ -307,8 +307,8 @@
 }
 
 // tellLoop logs now and then how placing stands.
-func (p *Placer) tellLoop(ctx context.Context) error {
-	var last Counts
+func (p *Server) tellLoop(ctx context.Context) error {
+	var last Counters
 	for ctx.Err() == nil {
 		pause(ctx, 10*time.Second)
 		p.mu.Lock()
@@ -331,7 +331,7 @@
 	return max(min(8*time.Millisecond+time.Duration(bound)*20*time.Microsecond, 50*time.Millisecond), 3*took)
 }
 
-func (p *Placer) placeLoop(ctx context.Context) error {
+func (p *Server) placeLoop(ctx context.Context) error {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -345,9 +345,9 @@
 		}
 		p.mu.Lock()
 		began := p.clock.Now()
-		p.scheduler.Place(began)
+		p.scheduler.Schedule(began)
 		for h, c := range p.senders {
-			if p.scheduler.Waiting(h, began) {
+			if p.scheduler.HasBatch(h, began) {
 				poke(c)
 			}
 		}
--- a/internal/placer/rules_test.go
+++ b/internal/placer/rules_test.go
@@ -32,9 +32,9 @@
 				w.poll(h, rng.IntN(4) == 0)
 			case 2, 3:
 				w.watermark(rng.IntN(4) > 0, rng.IntN(4) > 0)
-				w.scheduler.Place(w.now)
+				w.scheduler.Schedule(w.now)
 				for key, m := range w.watermarks { // the replica tells in the end
-					w.scheduler.Watermarks(key, m.Watermarks, m.Stamp)
+					w.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
 				}
 			case 4, 5:
 				w.send(h, rng.IntN(5) > 0, rng.IntN(4) > 0)
@@ -50,7 +50,7 @@
 			case 11:
 				if len(w.rounds) > 0 { // a late round reaches the process it was sent to, if that lives
 					if r := w.rounds[rng.IntN(len(w.rounds))]; r.h.table == r.table {
-						r.table.Round(r.round, r.h.instance, w.now)
+						r.table.HandleBatch(r.round, r.h.instance, w.now)
 					}
 				}
 			case 12:
@@ -79,7 +79,7 @@
 				if len(w.copies) > 0 {
 					r := w.copies[rng.IntN(len(w.copies))]
 					p := w.part(r.Machine)
-					w.hosts[w.partHost[p]].table.Report(&r, p, w.now)
+					w.hosts[w.partHost[p]].table.HandleHeartbeat(&r, p, w.now)
 				}
 			case 17:
 				switch rng.IntN(20) {
@@ -87,7 +87,7 @@
 					w.now += clock.Micros(3+rng.IntN(40)) * sec
 				case 1:
 					if id := fmt.Sprintf("job-%d", 1+rng.IntN(6)); w.active[id] != nil {
-						w.scheduler.Cancel(red, id)
+						w.scheduler.CancelJob(red, id)
 					}
 				}
 			}
@@ -109,12 +109,12 @@
 	w.addJob("job-1", 1, nil)
 	w.place()
 	h := w.hosts[0]
-	r := w.scheduler.Send(h.name)
-	ans := h.table.Round(*r, h.instance, w.now)
+	r := w.scheduler.NextBatch(h.name)
+	ans := h.table.HandleBatch(*r, h.instance, w.now)
 	w.now += 5 * sec
 	h.table.Tick(w.now) // the lease lapses unused
 	w.poll(h, false)
-	w.scheduler.Answered(h.name, r, &ans, w.now)
+	w.scheduler.HandleBatchResponse(h.name, r, &ans, w.now)
 	require.Empty(t, w.scheduler.teams[red].jobs["job-1"].bound)
 	w.settle(8)
 	require.Equal(t, 1, w.running())
@@ -146,9 +146,9 @@
 	w.place()
 	var at *host
 	for _, h := range w.hosts {
-		if r := w.scheduler.Send(h.name); r != nil {
+		if r := w.scheduler.NextBatch(h.name); r != nil {
 			at = h
-			h.table.Round(*r, h.instance, w.now)
+			h.table.HandleBatch(*r, h.instance, w.now)
 		}
 	}
 	p := 0
@@ -193,12 +193,12 @@
 	w.addJob("job-1", 1, nil)
 	w.place()
 	for _, h := range w.hosts {
-		r := w.scheduler.Send(h.name)
+		r := w.scheduler.NextBatch(h.name)
 		if r == nil {
 			continue
 		}
 		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
-		w.scheduler.Answered(h.name, r, &ans, w.now)
+		w.scheduler.HandleBatchResponse(h.name, r, &ans, w.now)
 	}
 	require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 1)
 	require.NotZero(t, w.scheduler.teams[red].used.CPU, "it counts against the limit")
@@ -232,14 +232,14 @@
 	w.addJob("job-1", 2, nil)
 	w.settle(2)
 	require.Equal(t, 2, w.running())
-	require.True(t, w.scheduler.Cancel(red, "job-1"))
+	require.True(t, w.scheduler.CancelJob(red, "job-1"))
 	j := w.scheduler.teams[red].jobs["job-1"]
-	require.False(t, w.scheduler.Cancelled(j, w.parts()))
+	require.False(t, w.scheduler.CancellationConfirmed(j, w.parts()))
 	w.send(w.hosts[0], true, true)
 	w.send(w.hosts[1], true, false) // taken, but the answer is lost
-	require.False(t, w.scheduler.Cancelled(j, w.parts()))
+	require.False(t, w.scheduler.CancellationConfirmed(j, w.parts()))
 	w.send(w.hosts[1], true, true)
-	require.True(t, w.scheduler.Cancelled(j, w.parts()))
+	require.True(t, w.scheduler.CancellationConfirmed(j, w.parts()))
 	w.settle(4)
 	require.Zero(t, w.running())
 }
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -128,11 +128,11 @@
 	toldAt   clock.Micros // when it was last told what waits
 }
 
-// SetFetch tells how fast machine types fetch images, in GB a second.
-func (d *Scheduler) SetFetch(rates map[string]float64) { d.fetch = rates }
+// SetFetchRates tells how fast machine types fetch images, in GB a second.
+func (d *Scheduler) SetFetchRates(rates map[string]float64) { d.fetch = rates }
 
-// Counts is what happened since the start, for the logs.
-type Counts struct {
+// Counters is what happened since the start, for the logs.
+type Counters struct {
 	Placed, Refused, Preempted, Done, Stopped, Failed, Lost int
 	Yielded                                                 int          // refused since other teams have a better right
 	Moves, Moved                                            int          // begun, and carried out
@@ -165,7 +165,7 @@
 	ranks         [4]int             // tasks seen on machines, by rank
 	sizes         map[int64]int      // and by the CPUs they take
 	full          full               // what found no room in this round
-	counts        Counts
+	counts        Counters
 	demands       []fairshare.Demand // what waits, as last counted for the owners
 	demandsAt     clock.Micros
 
@@ -190,9 +190,9 @@
 	return d
 }
 
-// Gain takes a team over, with its active jobs.
-func (d *Scheduler) Gain(name string, term, stamp uint64, active []*jobs.Job, now clock.Micros) {
-	d.Lose(name)
+// AcquireTeam takes a team over, with its active jobs.
+func (d *Scheduler) AcquireTeam(name string, term, stamp uint64, active []*jobs.Job, now clock.Micros) {
+	d.ReleaseTeam(name)
 	tm := &team{Team: d.known[name], salt: hashOf(name), term: term, stamp: stamp, jobs: map[string]*job{}, cleared: map[string]bool{},
 		strange: maps.Clone(d.registry), yielding: map[string]yielding{}}
 	d.teams[name] = tm
@@ -204,8 +204,8 @@
 	}
 }
 
-// Lose gives a team up.
-func (d *Scheduler) Lose(name string) {
+// ReleaseTeam gives a team up.
+func (d *Scheduler) ReleaseTeam(name string) {
 	tm := d.teams[name]
 	if tm == nil {
 		return
@@ -227,7 +227,7 @@
 
 // Summary gives the counts, how many tasks wait and are bound, and how many
 // withdrawn jobs are not over yet.
-func (d *Scheduler) Summary() (c Counts, waiting, bound, withdrawn int) {
+func (d *Scheduler) Summary() (c Counters, waiting, bound, withdrawn int) {
 	for _, tm := range d.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
@@ -240,8 +240,8 @@
 	return d.counts, waiting, bound, withdrawn
 }
 
-// Terms gives the teams held and their terms.
-func (d *Scheduler) Terms() map[string]uint64 {
+// TeamTerms gives the teams held and their terms.
+func (d *Scheduler) TeamTerms() map[string]uint64 {
 	out := make(map[string]uint64, len(d.teams))
 	for n, t := range d.teams {
 		out[n] = t.term
@@ -302,8 +302,8 @@
 	}
 }
 
-// Register takes note of a machine's record.
-func (d *Scheduler) Register(id string, there bool) {
+// HandleMachineRecord takes note of a machine's record.
+func (d *Scheduler) HandleMachineRecord(id string, there bool) {
 	if there {
 		d.registry[id] = true
 		for _, tm := range d.teams {
--- a/internal/placer/shares.go
+++ b/internal/placer/shares.go
@@ -84,8 +84,8 @@
 // one another much faster under load, and most of a small controller's time goes into them.
 const demandGap = 250 * clock.Millisecond
 
-// TellDemands gives what to tell an owner with a poll, nothing where it was told a moment ago.
-func (d *Scheduler) TellDemands(host string, now clock.Micros) []fairshare.Demand {
+// DemandsFor gives what to tell an owner with a poll, nothing where it was told a moment ago.
+func (d *Scheduler) DemandsFor(host string, now clock.Micros) []fairshare.Demand {
 	o := d.owners[host]
 	if o.toldAt != 0 && now < o.toldAt+demandGap {
 		return nil
--- a/internal/placer/takeover_test.go
+++ b/internal/placer/takeover_test.go
@@ -127,14 +127,14 @@
 	w.settle(8)
 	w.addJob("job-1", 16, nil)
 	w.settle(4)
-	in := peer.PollRequest{Gen: w.scheduler.owners["h0"].gen, Terms: w.scheduler.Terms()}
-	late := w.hosts[0].table.Poll(in, w.hosts[0].instance, w.now)
+	in := peer.PollRequest{Gen: w.scheduler.owners["h0"].gen, Terms: w.scheduler.TeamTerms()}
+	late := w.hosts[0].table.HandlePoll(in, w.hosts[0].instance, w.now)
 	delete(w.registry, "m-0")
 	w.gain(0, 1)
 	w.record("m-0", false)
 	w.poll(w.hosts[1], false)
 	require.NotContains(t, w.scheduler.machines, "m-0")
-	w.scheduler.Hear("h0", in, &late, w.now)
+	w.scheduler.HandlePollResponse("h0", in, &late, w.now)
 	for range 4 {
 		w.now += sec
 		w.poll(w.hosts[0], false)
@@ -179,7 +179,7 @@
 		require.False(t, ok, odd)
 	}
 	w := newWorldOf(t, 1, 4, 0)
-	w.scheduler.Progress("job-1", chunkID{1, 8}, []byte{0b101}, 1)
+	w.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
 	w.addJob("job-1", 20, nil)
 	j := w.scheduler.teams[red].jobs["job-1"]
 	require.Equal(t, 2, j.doneCount)
--- a/internal/placer/talk.go
+++ b/internal/placer/talk.go
@@ -20,9 +20,9 @@
 	r.Cancels = slices.DeleteFunc(r.Cancels, func(c peer.CancelJob) bool { return c.Team == tm.Name })
 }
 
-// Send gives the round to send to an owner now, nil for nothing. A round
+// NextBatch gives the round to send to an owner now, nil for nothing. A round
 // without an answer is given again as it was.
-func (d *Scheduler) Send(host string) *peer.Batch {
+func (d *Scheduler) NextBatch(host string) *peer.Batch {
 	o := d.owners[host]
 	if o.sending != nil && o.sentTo == o.instance {
 		return o.sending
@@ -33,7 +33,7 @@
 		return nil
 	}
 	o.seq++
-	r.From, r.Seq, r.Terms = d.instance, o.seq, d.Terms()
+	r.From, r.Seq, r.Terms = d.instance, o.seq, d.TeamTerms()
 	o.sending, o.sentTo, o.next, o.settling = &r, o.instance, peer.Batch{}, 0
 	return o.sending
 }
@@ -53,8 +53,8 @@
 // settleGap gathers settlements, for which nobody waits.
 const settleGap = 300 * clock.Millisecond
 
-// Waiting tells whether there is something to send to an owner now.
-func (d *Scheduler) Waiting(host string, now clock.Micros) bool {
+// HasBatch tells whether there is something to send to an owner now.
+func (d *Scheduler) HasBatch(host string, now clock.Micros) bool {
 	o := d.owners[host]
 	if o.sending != nil {
 		return true
@@ -70,9 +70,9 @@
 	return !rest.Empty() || now >= o.settling+settleGap
 }
 
-// Answered takes the answer to a round; ok is false when another process has
+// HandleBatchResponse takes the answer to a round; ok is false when another process has
 // given it than the one that the round was for.
-func (d *Scheduler) Answered(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
+func (d *Scheduler) HandleBatchResponse(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
 	o := d.owners[host]
 	if o.sending != r {
 		return true
@@ -161,9 +161,9 @@
 	return peer.JobResponse{Known: true, Found: true, State: s}
 }
 
-// Ready lists a team's jobs whose tasks are all done and whose end is to be
+// CompletedJobs lists a team's jobs whose tasks are all done and whose end is to be
 // written, those that were accepted first in front.
-func (d *Scheduler) Ready(tm *team) (out []*job) {
+func (d *Scheduler) CompletedJobs(tm *team) (out []*job) {
 	for _, j := range tm.jobs {
 		if j.doneCount == j.Tasks && !j.finishing && !j.cancelling {
 			out = append(out, j)
@@ -220,9 +220,9 @@
 	return out
 }
 
-// Views appends the mirror of all machines, for the fleet. An idle machine sends
+// MachineViews appends the mirror of all machines, for the fleet. An idle machine sends
 // no news of itself, so its idle time is what it was then and what has passed since.
-func (d *Scheduler) Views(to []peer.MachineView, now clock.Micros) []peer.MachineView {
+func (d *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
 	to = slices.Grow(to, len(d.machines))
 	for _, m := range d.machines {
 		if o := d.owners[m.host]; o.parts[m.Part] == m.Term {
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -116,7 +116,7 @@
 func TestImagesAreFetchedApart(t *testing.T) {
 	w := newWorldOf(t, 1, 4, 0)
 	w.settle(8)
-	w.scheduler.SetFetch(map[string]float64{"big": 0.25})
+	w.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
 	w.scheduler.timing.Waits = map[string]clock.Micros{"rescore": 4 * sec}
 	for i := range 2 {
 		w.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) { j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2 })
@@ -143,7 +143,7 @@
 func TestEconomyWaitsForAnImage(t *testing.T) {
 	w := newWorldOf(t, 1, 10, 0)
 	w.scheduler.timing.Economy = true
-	w.scheduler.SetFetch(map[string]float64{"big": 0.5})
+	w.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
 	w.settle(8)
 	image := func(j *wire.Job) { j.Image, j.ImageGB = "img-1", 2 }
 	w.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and is full
@@ -282,10 +282,10 @@
 		require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 6)
 		for _, h := range w.hosts {
 			w.send(h, true, true)
-			in := w.scheduler.Cursor(h.name)
-			ans := h.table.Poll(in, h.instance, w.now)
+			in := w.scheduler.NextPoll(h.name)
+			ans := h.table.HandlePoll(in, h.instance, w.now)
 			told += len(ans.Machines)
-			w.scheduler.Hear(h.name, in, &ans, w.now)
+			w.scheduler.HandlePollResponse(h.name, in, &ans, w.now)
 		}
 		// A job for which no machine is large enough searches none of them.
 		w.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -8,11 +8,11 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Cursor gives the next poll for an owner. When a team's term is new to it,
+// NextPoll gives the next poll for an owner. When a team's term is new to it,
 // everything is asked for, so that the answer is given under that term's fence.
-func (d *Scheduler) Cursor(host string) peer.PollRequest {
+func (d *Scheduler) NextPoll(host string) peer.PollRequest {
 	o := d.owners[host]
-	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: d.Terms(), Gen: o.gen}
+	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: d.TeamTerms(), Gen: o.gen}
 	for t, term := range in.Terms {
 		if o.fenced[t] != term {
 			in.Incarnation = ""
@@ -28,8 +28,8 @@
 // late word of a former owner may have brought one back that is gone.
 const sweepEvery = 2 * clock.Second
 
-// Hear takes an owner's answer to a poll.
-func (d *Scheduler) Hear(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
+// HandlePollResponse takes an owner's answer to a poll.
+func (d *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
 	o := d.owners[host]
 	d.up(host, true)
 	if ans.Incarnation != o.instance {
@@ -86,8 +86,8 @@
 	o.gen++
 }
 
-// Down notes that an owner can't be reached now.
-func (d *Scheduler) Down(host string) { d.up(host, false) }
+// MarkUnreachable notes that an owner can't be reached now.
+func (d *Scheduler) MarkUnreachable(host string) { d.up(host, false) }
 
 // see takes one machine's view and settles with it what it can.
 func (d *Scheduler) see(host string, o *ownerState, v *peer.MachineView, now clock.Micros) {
--- a/internal/placer/watermarks.go
+++ b/internal/placer/watermarks.go
@@ -29,17 +29,17 @@
 
 // WatermarkWrite is one key's new value, to be written on the condition of its stamp.
 type WatermarkWrite struct {
-	Team       string
-	Key        string
-	Stamp      uint64
-	Watermarks map[string]int
+	Team        string
+	Key         string
+	ModRevision uint64
+	Watermarks  map[string]int
 }
 
 func watermarkPrefix(team string) string { return state.WatermarkPrefix + url.PathEscape(team) + "/" }
 
-// Watermarks takes a record of watermarks, as the replica shows it or as it was written.
+// HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written.
 // Older words than the newest known change nothing; nil means that it is gone.
-func (d *Scheduler) Watermarks(key string, of map[string]int, stamp uint64) {
+func (d *Scheduler) HandleWatermarkRecord(key string, of map[string]int, stamp uint64) {
 	if old := d.watermarks[key]; stamp < old.stamp {
 		return
 	}
@@ -113,7 +113,7 @@
 	for n := 0; len(rest) > 0; n++ {
 		key := fmt.Sprintf("%s%d", prefix, n)
 		old := d.watermarks[key]
-		w := WatermarkWrite{Team: tm.Name, Key: key, Stamp: old.stamp, Watermarks: map[string]int{}}
+		w := WatermarkWrite{Team: tm.Name, Key: key, ModRevision: old.stamp, Watermarks: map[string]int{}}
 		size := 0
 		for id, n := range old.of {
 			if tm.jobs[id] != nil { // jobs that are over need no watermark
--- a/internal/placer/withdraw.go
+++ b/internal/placer/withdraw.go
@@ -17,23 +17,23 @@
 // has heard of it, or has taken its partition later and found it in its replica;
 // and it need not have reached the state service since.
 
-// PartClaim is the claim of a partition as the placer's replica shows it.
-type PartClaim struct {
-	Part  int
-	Key   string
-	Stamp uint64
-	Term  uint64
-	Host  string // of the holder; empty when that is not registered any more
+// PartitionLeadership is the claim of a partition as the placer's replica shows it.
+type PartitionLeadership struct {
+	Partition   int
+	Key         string
+	ModRevision uint64
+	Term        uint64
+	Host        string // of the holder; empty when that is not registered any more
 }
 
-// MostParts is how many partitions there may be where a transaction takes so many
+// MaxPartitions is how many partitions there may be where a transaction takes so many
 // changes, and four times as many conditions: the end of a withdrawn job is written
 // on the condition of all their claims, of its team's and of its own record.
-func MostParts(txnOps int) int { return max(1, min(4*txnOps-2, 1000)) }
+func MaxPartitions(txnOps int) int { return max(1, min(4*txnOps-2, 1000)) }
 
-// Cancel starts the end of a job: nothing of it starts any more, and every owner
+// CancelJob starts the end of a job: nothing of it starts any more, and every owner
 // is to be told. found is false when the job is not active here.
-func (d *Scheduler) Cancel(teamName, id string) (found bool) {
+func (d *Scheduler) CancelJob(teamName, id string) (found bool) {
 	tm := d.teams[teamName]
 	if tm == nil || tm.jobs[id] == nil {
 		return false
@@ -74,10 +74,10 @@
 // none was, only this placer could start one, and the end needs nobody else.
 func (j *job) offered() bool { return j.asked || j.former > 0 }
 
-// Cancelled tells whether the end of a withdrawn job may be written on the condition of
+// CancellationConfirmed tells whether the end of a withdrawn job may be written on the condition of
 // these claims: the present process of each holder has the withdrawal in memory, and
 // nothing of the job can start any more. Processes that have not been told are told.
-func (d *Scheduler) Cancelled(j *job, parts []PartClaim) bool {
+func (d *Scheduler) CancellationConfirmed(j *job, parts []PartitionLeadership) bool {
 	if !j.offered() {
 		return j.cancelling
 	}
@@ -97,7 +97,7 @@
 			// earlier one has taken.
 			d.tellCancel(o, j)
 			ready = false
-		} else if o.parts[c.Part] != c.Term {
+		} else if o.parts[c.Partition] != c.Term {
 			ready = false // that process has not said that it holds the partition under this claim
 		}
 	}
@@ -127,9 +127,9 @@
 // claim has moved, and the replica is about to show it.
 const cancelGap = 200 * clock.Millisecond
 
-// Withdraw ends a job: no task of it starts from now on; once that is certain of
+// CancelJob ends a job: no task of it starts from now on; once that is certain of
 // every machine, the end is written, and only then told.
-func (p *Placer) Withdraw(q peer.JobRequest) peer.JobResponse {
+func (p *Server) CancelJob(q peer.JobRequest) peer.JobResponse {
 	retry := peer.JobResponse{Known: true, Found: true, Retry: true}
 	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
@@ -156,7 +156,7 @@
 			p.mu.Unlock()
 			return retry // its end as done is being written
 		}
-		p.scheduler.Cancel(q.Team, q.ID)
+		p.scheduler.CancelJob(q.Team, q.ID)
 		ready := p.beginCancelled(j, parts)
 		news := p.news
 		p.mu.Unlock()
@@ -176,10 +176,10 @@
 
 // startCancels goes on with withdrawals whose users were told to come back: they
 // find the end written, and a job of which nothing may start is not left for ever.
-func (p *Placer) startCancels(ctx context.Context) {
+func (p *Server) startCancels(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var parts []PartClaim
+	var parts []PartitionLeadership
 	for _, tm := range p.scheduler.teams {
 		for _, j := range tm.jobs {
 			if !j.cancelling {
@@ -197,8 +197,8 @@
 
 // beginCancelled tells whether the end of a withdrawn job is to be written now, by the
 // caller. The lock is held.
-func (p *Placer) beginCancelled(j *job, parts []PartClaim) bool {
-	if j.finishing || p.clock.Now() < j.endAfter || !p.scheduler.Cancelled(j, parts) {
+func (p *Server) beginCancelled(j *job, parts []PartitionLeadership) bool {
+	if j.finishing || p.clock.Now() < j.endAfter || !p.scheduler.CancellationConfirmed(j, parts) {
 		return false
 	}
 	j.finishing = true
@@ -207,12 +207,12 @@
 
 // finishCancelled writes the end of a withdrawn job that is marked as finishing, on the
 // condition that no partition has changed hands.
-func (p *Placer) finishCancelled(ctx context.Context, j *job, parts []PartClaim) error {
+func (p *Server) finishCancelled(ctx context.Context, j *job, parts []PartitionLeadership) error {
 	var when []wire.Condition
 	p.mu.Lock()
 	if j.offered() {
 		for _, c := range parts {
-			when = append(when, wire.Condition{Key: c.Key, ModRevision: c.Stamp})
+			when = append(when, wire.Condition{Key: c.Key, ModRevision: c.ModRevision})
 		}
 	}
 	p.mu.Unlock()
@@ -228,11 +228,11 @@
 }
 
 // partClaims gives the claims of all partitions as the replica shows them.
-func (p *Placer) partClaims() []PartClaim {
-	out := make([]PartClaim, 0, len(p.parts))
+func (p *Server) partClaims() []PartitionLeadership {
+	out := make([]PartitionLeadership, 0, len(p.parts))
 	for i, duty := range p.parts {
 		h, live := p.claims.Current(duty)
-		c := PartClaim{Part: i, Key: state.LeaderPrefix + duty, Stamp: h.ModRevision, Term: h.Term}
+		c := PartitionLeadership{Partition: i, Key: state.LeaderPrefix + duty, ModRevision: h.ModRevision, Term: h.Term}
 		if live {
 			c.Host = h.Leader
 		}
--- a/internal/placer/world_test.go
+++ b/internal/placer/world_test.go
@@ -10,6 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/owner"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/res"
@@ -27,7 +28,7 @@
 type host struct {
 	name     string
 	instance string
-	table    *owner.Table
+	table    *owner.State
 }
 
 type lateOrders struct {
@@ -37,7 +38,7 @@
 
 type lateRound struct {
 	h     *host
-	table *owner.Table // the process it was sent to
+	table *owner.State // the process it was sent to
 	round peer.Batch
 }
 
@@ -53,7 +54,7 @@
 	hosts         []*host
 	partHost      []int
 	partTerm      []uint64
-	registry      map[string]owner.Registered
+	registry      map[string]machines.Record
 	workers       map[string]*fakes.Worker
 	names         []string
 	scheduler     *Scheduler
@@ -77,19 +78,19 @@
 	return final || w.active[id] == nil && w.stamp >= made
 }
 
-func newWorld(t *testing.T, seed uint64, machines int) *world {
-	return newWorldOf(t, seed, machines, limitCPU)
+func newWorld(t *testing.T, seed uint64, count int) *world {
+	return newWorldOf(t, seed, count, limitCPU)
 }
 
-func newWorldOf(t *testing.T, seed uint64, machines int, limit float64) *world {
+func newWorldOf(t *testing.T, seed uint64, count int, limit float64) *world {
 	w := &world{t: t, limit: limit, now: 100 * sec, rng: fakes.Rand(seed), book: jobs.NewCache(), stamp: 10, active: map[string]*jobs.Job{},
-		registry: map[string]owner.Registered{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
+		registry: map[string]machines.Record{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
 	for i := range 2 {
 		w.hosts = append(w.hosts, &host{name: fmt.Sprintf("h%d", i)})
 		w.boot(w.hosts[i])
 		w.partHost, w.partTerm = append(w.partHost, i), append(w.partTerm, 0)
 	}
-	for i := range machines {
+	for i := range count {
 		id := fmt.Sprintf("m-%d", i)
 		w.names = append(w.names, id)
 		w.workers[id] = fakes.NewWorker(id, lease, w.now)
@@ -105,7 +106,7 @@
 func (w *world) boot(h *host) {
 	w.crashes++
 	h.instance = fmt.Sprintf("%s-%d", h.name, w.crashes)
-	h.table = owner.NewTable(owner.Timing{Lease: lease, LeaseTTL: 4 * sec, SickErrors: 2}, w)
+	h.table = owner.NewState(owner.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, w)
 	h.table.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
 }
 
@@ -113,17 +114,17 @@
 
 // gain moves a partition to a host: the former holder's authority is over.
 func (w *world) gain(p, to int) {
-	w.hosts[w.partHost[p]].table.Lose(p)
+	w.hosts[w.partHost[p]].table.ReleasePartition(p)
 	w.partHost[p] = to
 	w.partTerm[p]++
 	w.stamp++
-	found := map[string]owner.Registered{}
+	found := map[string]machines.Record{}
 	for id, r := range w.registry {
 		if w.part(id) == p {
 			found[id] = r
 		}
 	}
-	w.hosts[to].table.Gain(p, w.partTerm[p], found, w.now)
+	w.hosts[to].table.AcquirePartition(p, w.partTerm[p], found, w.now)
 }
 
 // restart ends a host's process. The next one takes its partitions anew.
@@ -144,37 +145,37 @@
 		[]Team{{Name: red, Limit: res.Capacity(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
 	w.scheduler.legacyRecords = w.legacyRecords
 	for id := range w.registry {
-		w.scheduler.Register(id, true)
+		w.scheduler.HandleMachineRecord(id, true)
 	}
 	for key, m := range w.watermarks {
-		w.scheduler.Watermarks(key, m.Watermarks, m.Stamp)
+		w.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
 	}
 	var list []*jobs.Job
 	for _, j := range w.active {
 		list = append(list, j)
 	}
-	w.scheduler.Gain(red, w.term, w.stamp, list, w.now)
+	w.scheduler.AcquireTeam(red, w.term, w.stamp, list, w.now)
 }
 
 // watermark has the placer's watermarks written down; the answer may be lost, or the write.
 func (w *world) watermark(written, answered bool) {
 	for _, m := range w.scheduler.PlanWatermarks(w.now, 4000) {
-		if !written || m.Stamp != w.watermarks[m.Key].Stamp {
+		if !written || m.ModRevision != w.watermarks[m.Key].ModRevision {
 			continue
 		}
 		w.stamp++
-		m.Stamp = w.stamp
+		m.ModRevision = w.stamp
 		w.watermarks[m.Key] = m
 		if answered {
-			w.scheduler.Watermarks(m.Key, m.Watermarks, m.Stamp)
+			w.scheduler.HandleWatermarkRecord(m.Key, m.Watermarks, m.ModRevision)
 		}
 	}
 }
 
 // parts are the claims of the partitions, as the placer knows them.
-func (w *world) parts() (out []PartClaim) {
+func (w *world) parts() (out []PartitionLeadership) {
 	for p, h := range w.partHost {
-		out = append(out, PartClaim{Part: p, Term: w.partTerm[p], Host: w.hosts[h].name})
+		out = append(out, PartitionLeadership{Partition: p, Term: w.partTerm[p], Host: w.hosts[h].name})
 	}
 	return out
 }
@@ -182,7 +183,7 @@
 // place lets the placer decide, with watermarks written at once.
 func (w *world) place() {
 	w.watermark(true, true)
-	w.scheduler.Place(w.now)
+	w.scheduler.Schedule(w.now)
 }
 
 func (w *world) addJob(id string, tasks int, change func(*wire.Job)) {
@@ -197,19 +198,19 @@
 
 // poll lets the placer hear an owner.
 func (w *world) poll(h *host, lost bool) {
-	in := w.scheduler.Cursor(h.name)
-	ans := h.table.Poll(in, h.instance, w.now)
+	in := w.scheduler.NextPoll(h.name)
+	ans := h.table.HandlePoll(in, h.instance, w.now)
 	ans.Holds = ans.Holds && !w.oldOwners
 	if lost {
-		w.scheduler.Down(h.name)
+		w.scheduler.MarkUnreachable(h.name)
 		return
 	}
-	w.scheduler.Hear(h.name, in, &ans, w.now)
+	w.scheduler.HandlePollResponse(h.name, in, &ans, w.now)
 }
 
 // send lets the placer's next round reach an owner.
 func (w *world) send(h *host, reached, answered bool) {
-	r := w.scheduler.Send(h.name)
+	r := w.scheduler.NextBatch(h.name)
 	if r == nil {
 		return
 	}
@@ -217,9 +218,9 @@
 		w.rounds = append(w.rounds, lateRound{h, h.table, *r})
 		return
 	}
-	ans := h.table.Round(*r, h.instance, w.now)
+	ans := h.table.HandleBatch(*r, h.instance, w.now)
 	if answered {
-		w.scheduler.Answered(h.name, r, &ans, w.now)
+		w.scheduler.HandleBatchResponse(h.name, r, &ans, w.now)
 	}
 }
 
@@ -230,7 +231,7 @@
 	if w.copies = append(w.copies, r); len(w.copies) > 40 {
 		w.copies = w.copies[1:]
 	}
-	ans, ok := w.hosts[w.partHost[p]].table.Report(&r, p, w.now)
+	ans, ok := w.hosts[w.partHost[p]].table.HandleHeartbeat(&r, p, w.now)
 	if ok && answered {
 		k.Take(ans, w.now)
 	}
@@ -239,20 +240,20 @@
 // deliver carries /orders: in time, late, or without the answer.
 func (w *world) deliver(id string, late, answered bool) {
 	t := w.hosts[w.partHost[w.part(id)]].table
-	_, o := t.TakeOrders(id, w.now)
+	_, o := t.NextDelivery(id, w.now)
 	if o == nil {
 		return
 	}
 	if late {
 		w.orders = append(w.orders, lateOrders{id, *o})
-		t.Unanswered(id, o, w.now)
+		t.HandleDeliveryTimeout(id, o, w.now)
 		return
 	}
 	r, _ := w.workers[id].Orders(*o, w.now)
 	if answered {
-		t.Answered(id, o, &r, w.now)
+		t.HandleDeliveryResponse(id, o, &r, w.now)
 	} else {
-		t.Unanswered(id, o, w.now)
+		t.HandleDeliveryTimeout(id, o, w.now)
 	}
 }
 
@@ -263,16 +264,16 @@
 			delete(w.registry, id)
 			w.record(id, false)
 		}
-		for id, r := range h.table.Unregistered() {
+		for id, r := range h.table.UnrecordedMachines() {
 			w.registry[id] = r
 			w.record(id, true)
 		}
 	}
-	for _, j := range w.scheduler.Ready(w.scheduler.teams[red]) {
+	for _, j := range w.scheduler.CompletedJobs(w.scheduler.teams[red]) {
 		w.end(j.ID, wire.Done)
 	}
 	for id := range w.active {
-		if j := w.scheduler.teams[red].jobs[id]; j != nil && j.cancelling && w.scheduler.Cancelled(j, w.parts()) {
+		if j := w.scheduler.teams[red].jobs[id]; j != nil && j.cancelling && w.scheduler.CancellationConfirmed(j, w.parts()) {
 			w.end(id, wire.Cancelled)
 		}
 	}
@@ -286,9 +287,9 @@
 }
 
 func (w *world) record(id string, there bool) {
-	w.scheduler.Register(id, there)
+	w.scheduler.HandleMachineRecord(id, there)
 	for _, h := range w.hosts {
-		h.table.Registered(id, w.part(id), w.registry[id], there, w.now)
+		h.table.HandleMachineRecord(id, w.part(id), w.registry[id], there, w.now)
 	}
 }
 
--- a/internal/placer/write_progress.go
+++ b/internal/placer/write_progress.go
@@ -26,7 +26,7 @@
 func (w *progressWrite) size() int { return min(w.j.per, w.j.Tasks)/6 + 300 }
 
 // writeProgress writes down which tasks are done, and then lets their machines forget them.
-func (p *Placer) writeProgress(ctx context.Context) {
+func (p *Server) writeProgress(ctx context.Context) {
 	p.mu.Lock()
 	byTeam := map[*team][]progressWrite{}
 	for _, tm := range p.scheduler.teams {
@@ -90,7 +90,7 @@
 					continue
 				}
 				if p.active(w.j) {
-					p.scheduler.Progress(w.j.ID, chunkID{w.chunk, w.j.per}, w.bits, rev)
+					p.scheduler.HandleProgressRecord(w.j.ID, chunkID{w.chunk, w.j.per}, w.bits, rev)
 				}
 				for id, e := range w.ends {
 					delete(w.j.unsettled, id)
--- a/internal/placer/writes.go
+++ b/internal/placer/writes.go
@@ -16,7 +16,7 @@
 const watermarkGap = 150 * time.Millisecond
 
 // watermarkLoop writes which tasks may be asked for, ahead of their turn.
-func (p *Placer) watermarkLoop(ctx context.Context) error {
+func (p *Server) watermarkLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, watermarkGap)
 		p.mu.Lock()
@@ -28,14 +28,14 @@
 				continue
 			}
 			rev, err := p.urgent.Commit(ctx, wire.Txn{
-				Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.Stamp}},
+				Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
 				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
 				p.log.Debug("writing watermarks", "team", w.Team, "err", err)
 				continue
 			}
 			p.mu.Lock()
-			p.scheduler.Watermarks(w.Key, w.Watermarks, rev)
+			p.scheduler.HandleWatermarkRecord(w.Key, w.Watermarks, rev)
 			p.mu.Unlock()
 			poke(p.wake)
 		}
@@ -44,7 +44,7 @@
 }
 
 // writeLoop writes the ends of jobs at once and progress now and then.
-func (p *Placer) writeLoop(ctx context.Context) error {
+func (p *Server) writeLoop(ctx context.Context) error {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	var last clock.Micros
@@ -67,7 +67,7 @@
 var errLost = errors.New("the team is held no more")
 
 // mine gives the condition that a team is still held under a term.
-func (p *Placer) mine(t *team) (wire.Condition, error) {
+func (p *Server) mine(t *team) (wire.Condition, error) {
 	h, ok := p.claims.Leading(Duty(t.Name))
 	if !ok || h.Term != t.term {
 		return wire.Condition{}, errLost
@@ -85,12 +85,12 @@
 
 // startEnds has the ends of jobs written that are due, as many to a transaction
 // as it takes. A job keeps being answered for until its end is about to be sent.
-func (p *Placer) startEnds(ctx context.Context) {
+func (p *Server) startEnds(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := min(p.txnOps, mostEnds)
 	for _, tm := range p.scheduler.teams {
-		ready := p.scheduler.Ready(tm)
+		ready := p.scheduler.CompletedJobs(tm)
 		// Where many wait for the budget, each end costs one change instead of two.
 		brief := most < 2 || len(ready) > most/2
 		for len(ready) > 0 && tm.ending < endsAtOnce {
@@ -121,7 +121,7 @@
 }
 
 // changes is how many changes the end of a job takes. The lock is held.
-func (p *Placer) changes(j *job, brief bool) int {
+func (p *Server) changes(j *job, brief bool) int {
 	n := 2 + len(p.scheduler.progress[j.ID])
 	if brief {
 		n--
@@ -138,7 +138,7 @@
 // from here. That begins only when the transaction is about to be sent: with
 // hundreds of ends a minute most of the time is spent waiting for the budget,
 // and jobs of which nothing is told for so long count as forgotten.
-func (p *Placer) finish(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
+func (p *Server) finish(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
 	tm := batch[0].team
 	for try := 0; ctx.Err() == nil; try++ {
 		p.mu.Lock()
@@ -208,13 +208,13 @@
 }
 
 // active tells that a job is still this placer's to end. The lock is held.
-func (p *Placer) active(j *job) bool {
+func (p *Server) active(j *job) bool {
 	return j.team.jobs[j.ID] == j && p.scheduler.teams[j.team.Name] == j.team
 }
 
 // endsOf makes the transaction that ends jobs of one team, its first condition
 // being the team's claim; rest are drops of progress that it has no room for. The lock is held.
-func (p *Placer) endsOf(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
+func (p *Server) endsOf(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
 	if len(batch) == 0 {
 		return m, nil
 	}
@@ -244,7 +244,7 @@
 }
 
 // over takes note that jobs' ends are written.
-func (p *Placer) over(batch []*job, phase string) {
+func (p *Server) over(batch []*job, phase string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range batch {
--- a/internal/placer/writes_test.go
+++ b/internal/placer/writes_test.go
@@ -46,7 +46,7 @@
 
 // writer is a placer that holds the team red; what it writes goes to a state service.
 type writer struct {
-	*Placer
+	*Server
 	t     *testing.T
 	state *fakes.KVClient
 }
@@ -55,9 +55,9 @@
 	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.LeaderPrefix + Duty(red), Value: claim.Record{}}}})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: red}}, nil, 1, func() int64 { return 0 })
-	scheduler.Gain(red, 1, stamp, nil, 0)
+	scheduler.AcquireTeam(red, 1, stamp, nil, 0)
 	claims := always{claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: stamp}}
-	return &writer{New(scheduler, Options{TxnOps: 12, ValueMost: 4000}, claims, store, store, jobs.NewCache(),
+	return &writer{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000}, claims, store, store, jobs.NewCache(),
 		clock.NewSteady(), slog.New(slog.NewTextHandler(io.Discard, nil))), t, view}
 }
 
@@ -142,9 +142,9 @@
 		for _, most := range []int{1, 2, 3, 12, 100} {
 			w.txnOps = most
 			m, _ := w.endsOf([]*job{j}, wire.Cancelled, false)
-			require.LessOrEqual(t, len(m.Conditions)+MostParts(most), 4*most)
+			require.LessOrEqual(t, len(m.Conditions)+MaxPartitions(most), 4*most)
 			require.LessOrEqual(t, len(m.Operations), max(most, 1))
-			require.Positive(t, MostParts(most))
+			require.Positive(t, MaxPartitions(most))
 		}
 	})
 }
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -7,9 +7,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// SetZone takes the state of a zone. What its owners would not admit is not asked for; they
+// SetZoneState takes the state of a zone. What its owners would not admit is not asked for; they
 // decide, whatever a placer believes.
-func (d *Scheduler) SetZone(name string, r zone.Record, now clock.Micros) {
+func (d *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
 	if r.State != zone.Returning {
 		delete(d.zones, name)
 		return
@@ -56,16 +56,16 @@
 	return out
 }
 
-// SetZone takes the state of a zone.
-func (p *Placer) SetZone(name string, r zone.Record) {
+// SetZoneState takes the state of a zone.
+func (p *Server) SetZoneState(name string, r zone.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.scheduler.SetZone(name, r, p.clock.Now())
+	p.scheduler.SetZoneState(name, r, p.clock.Now())
 	poke(p.wake)
 }
 
 // ZoneEvidence counts for each zone what is known of its machines.
-func (p *Placer) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
+func (p *Server) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.ZoneEvidence(strangers)
