--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -14,25 +14,25 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Cloud calls the cloud's API within its budget.
-type Cloud struct {
+// CloudClient calls the cloud's API within its budget.
+type CloudClient struct {
 	http  *httpx.Client
 	limit *rate.Limiter
 	rps   float64
 }
 
-// NewCloud makes a client for the cloud; answers over limit bytes are refused.
-func NewCloud(addr string, rps float64, limit int) *Cloud {
-	return &Cloud{rps: rps, http: httpx.NewClient(addr, 4, limit), limit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
+// NewCloudClient makes a client for the cloud; answers over limit bytes are refused.
+func NewCloudClient(addr string, rps float64, limit int) *CloudClient {
+	return &CloudClient{rps: rps, http: httpx.NewClient(addr, 4, limit), limit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
 }
 
-// Count has the client count its traffic.
-func (c *Cloud) Count(t *telemetry.Traffic) { c.http.Count(t) }
+// CountTraffic has the client count its traffic.
+func (c *CloudClient) CountTraffic(t *telemetry.Traffic) { c.http.Count(t) }
 
 // errNoCapacity is the cloud's refusal to rent.
 var errNoCapacity = errors.New("no capacity")
 
-func (c *Cloud) call(ctx context.Context, method, target string, body, into any) error {
+func (c *CloudClient) call(ctx context.Context, method, target string, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	if err := c.limit.Wait(ctx); err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,8 +15,8 @@
 // Duty is the fleet's claim.
 const Duty = "fleet"
 
-// Controllers asks all controllers for what the fleet needs.
-type Controllers interface {
+// ControllerClient asks all controllers for what the fleet needs.
+type ControllerClient interface {
 	Demands(ctx context.Context) []peer.Demand
 	// Views appends the views of all machines.
 	Views(to []peer.MachineView) []peer.MachineView
@@ -25,8 +25,8 @@
 	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
-// Claims tells whether the fleet is held.
-type Claims interface {
+// Elections tells whether the fleet is held.
+type Elections interface {
 	Leading(duty string) (claim.Leadership, bool)
 }
 
@@ -35,14 +35,14 @@
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Fleet rents and returns machines while it holds the claim.
-type Fleet struct {
-	cloud   *Cloud
-	claims  Claims
+// Autoscaler rents and returns machines while it holds the claim.
+type Autoscaler struct {
+	cloud   *CloudClient
+	claims  Elections
 	store   Store
-	others  Controllers
+	others  ControllerClient
 	clock   clock.Clock
-	knobs   Knobs
+	knobs   Parameters
 	backoff clock.Micros
 	lag     clock.Micros
 	skew    clock.Micros // the most that times of day are off
@@ -54,20 +54,20 @@
 
 	term      uint64
 	counter   uint64
-	rented    map[string]Rented
+	rented    map[string]Instance
 	listedAt  map[string]clock.Micros // when a machine was last on the list, or was rented
 	known     map[string]clock.Micros // when a machine was first seen on the list
 	gone      map[string]clock.Micros
-	refused   map[Kind]clock.Micros
+	refused   map[InstanceKind]clock.Micros
 	catalog   wire.Catalog
 	fetched   clock.Micros
 	listed    clock.Micros
 	told      clock.Micros
 	unlisted  int // lists that failed in a row
 	listAgain clock.Micros
-	window    map[Kind]int // rental requests of a kind at a time
-	atOnce    int          // rental requests at a time
-	most      int          // machines of a kind asked for at a time
+	window    map[InstanceKind]int // rental requests of a kind at a time
+	atOnce    int                  // rental requests at a time
+	most      int                  // machines of a kind asked for at a time
 
 	// What a step looks at, kept for the next one's use: all machines are looked at
 	// several times a second, and copies of them were most of what this process allocated.
@@ -76,19 +76,19 @@
 }
 
 // New makes a fleet.
-func New(cloud *Cloud, claims Claims, store Store, others Controllers, c clock.Clock, k Knobs, backoff, lag, skew clock.Micros, wall func() time.Time, kept func() wire.Catalog, log *slog.Logger) *Fleet {
+func New(cloud *CloudClient, claims Elections, store Store, others ControllerClient, c clock.Clock, k Parameters, backoff, lag, skew clock.Micros, wall func() time.Time, kept func() wire.Catalog, log *slog.Logger) *Autoscaler {
 	atOnce := max(1, int(cloud.rps*1.6))
-	return &Fleet{atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: cloud, claims: claims, store: store, others: others, clock: c, knobs: k, backoff: backoff, lag: lag, skew: skew, wall: wall, kept: kept, log: log}
+	return &Autoscaler{atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: cloud, claims: claims, store: store, others: others, clock: c, knobs: k, backoff: backoff, lag: lag, skew: skew, wall: wall, kept: kept, log: log}
 }
 
 // Measure has the fleet count its rounds and its traffic. It is called before Run.
-func (f *Fleet) Measure(r *telemetry.Reporter) {
+func (f *Autoscaler) Measure(r *telemetry.Reporter) {
 	f.steps = r.Duty("fleet")
-	f.cloud.Count(r.Traffic(telemetry.Cloud))
+	f.cloud.CountTraffic(r.Traffic(telemetry.Cloud))
 }
 
 // Run does the duty while it is held, until ctx ends.
-func (f *Fleet) Run(ctx context.Context) error {
+func (f *Autoscaler) Run(ctx context.Context) error {
 	tick := time.NewTicker(400 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -113,15 +113,15 @@
 }
 
 // begin starts the duty under a term, knowing nothing of what is rented.
-func (f *Fleet) begin(term uint64) {
+func (f *Autoscaler) begin(term uint64) {
 	f.term, f.counter = term, 0
-	f.rented, f.listedAt = map[string]Rented{}, map[string]clock.Micros{}
-	f.known, f.window = map[string]clock.Micros{}, map[Kind]int{}
-	f.gone, f.refused = map[string]clock.Micros{}, map[Kind]clock.Micros{}
+	f.rented, f.listedAt = map[string]Instance{}, map[string]clock.Micros{}
+	f.known, f.window = map[string]clock.Micros{}, map[InstanceKind]int{}
+	f.gone, f.refused = map[string]clock.Micros{}, map[InstanceKind]clock.Micros{}
 	f.fetched, f.listed, f.unlisted, f.listAgain = 0, 0, 0, 0
 }
 
-func (f *Fleet) step(ctx context.Context, h claim.Leadership) {
+func (f *Autoscaler) step(ctx context.Context, h claim.Leadership) {
 	now := f.clock.Now()
 	if f.fetched == 0 || now > f.fetched+30*clock.Second {
 		f.fetchCatalog(ctx, h, now)
@@ -147,8 +147,8 @@
 	}
 	f.views = f.others.Views(f.views[:0])
 	f.viewAt = indexViews(f.viewAt, f.views)
-	in := Input{Now: f.clock.Now(), Types: f.catalog.Types, Rented: f.rented, Views: f.views, Demands: f.others.Demands(ctx),
-		Refused: f.refused, Knobs: f.knobs, MaxCount: f.most, viewAt: f.viewAt}
+	in := Input{Now: f.clock.Now(), Types: f.catalog.Types, Instances: f.rented, Views: f.views, Demands: f.others.Demands(ctx),
+		Refused: f.refused, Parameters: f.knobs, MaxCount: f.most, viewAt: f.viewAt}
 	f.notice(in, now)
 	unsettled := false
 	in.Closed, unsettled = f.closedZones()
@@ -181,7 +181,7 @@
 
 // notice takes from the views which machines' workers have reported, and since
 // when some are silent or gone.
-func (f *Fleet) notice(in Input, now clock.Micros) {
+func (f *Autoscaler) notice(in Input, now clock.Micros) {
 	for id, r := range f.rented {
 		was := r
 		here := false
@@ -202,7 +202,7 @@
 }
 
 // tell logs how the fleet stands.
-func (f *Fleet) tell(in Input) {
+func (f *Autoscaler) tell(in Input) {
 	var have, used, waiting, large, pieces int64
 	for _, d := range in.Demands {
 		large = max(large, d.Need.CPU)
@@ -226,7 +226,7 @@
 				"noticed", v.Noticed, "free_cpus", v.Free.CPUs(), "free_gb", float64(v.Free.Mem)/1e6, "tasks", v.Count, "idle_s", v.Idle.Seconds())
 		}
 	}
-	for _, r := range in.Rented {
+	for _, r := range in.Instances {
 		if r.Spot {
 			spot++
 		}
@@ -234,5 +234,5 @@
 	for _, d := range in.Demands {
 		waiting += d.Need.CPU * int64(d.Waiting)
 	}
-	f.log.Info("fleet", "up", up, "rented", len(in.Rented), "spot", spot, "cpus", have/1e6, "used", used/1e6, "waiting_cpus", waiting/1e6, "pieces", pieces/1e6)
+	f.log.Info("fleet", "up", up, "rented", len(in.Instances), "spot", spot, "cpus", have/1e6, "used", used/1e6, "waiting_cpus", waiting/1e6, "pieces", pieces/1e6)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -94,7 +94,7 @@
 	return claim.Leadership{Record: claim.Record{Term: h.term}}, h.term > 0
 }
 
-func newFleet(t *testing.T) (*Fleet, *cloud, *others, *held) {
+func newFleet(t *testing.T) (*Autoscaler, *cloud, *others, *held) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
@@ -117,8 +117,8 @@
 		return err == nil
 	}, time.Minute, 5*time.Millisecond)
 	o, h := &others{}, &held{term: 3}
-	f := New(NewCloud(addr, 10_000, 1<<20), h, &fakes.KVClient{KVStore: fakes.NewKVStore()}, o, clock.NewSteady(),
-		Knobs{IdleReturn: 60 * clock.Second, BootPatience: 3}, 12*clock.Second, 8*clock.Second, clock.Second, time.Now, func() wire.Catalog { return wire.Catalog{} }, quiet)
+	f := New(NewCloudClient(addr, 10_000, 1<<20), h, &fakes.KVClient{KVStore: fakes.NewKVStore()}, o, clock.NewSteady(),
+		Parameters{IdleScaleInDelay: 60 * clock.Second, BootPatience: 3}, 12*clock.Second, 8*clock.Second, clock.Second, time.Now, func() wire.Catalog { return wire.Catalog{} }, quiet)
 	f.begin(3)
 	return f, c, o, h
 }
@@ -131,7 +131,7 @@
 		h.term = term
 		f.begin(term)
 		for range 3 {
-			f.rented = map[string]Rented{} // as if none had come
+			f.rented = map[string]Instance{} // as if none had come
 			f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: term}})
 		}
 	}
@@ -194,7 +194,7 @@
 		func(wire.ScaleOutRequest) (int, any) { return 500, strings.Repeat("x", 300) },
 	} {
 		c.with(func() { c.answer = a })
-		f.refused = map[Kind]clock.Micros{}
+		f.refused = map[InstanceKind]clock.Micros{}
 		f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
 		require.Empty(t, f.rented)
 	}
@@ -218,7 +218,7 @@
 	}
 	kept := wire.Instance{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
 	taken := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	f.rented["m-9"], f.listedAt["m-9"] = Rented{ID: "m-9"}, at.now // rented just now
+	f.rented["m-9"], f.listedAt["m-9"] = Instance{ID: "m-9"}, at.now // rented just now
 	see(kept, taken)
 	at.now += 16 * clock.Second // the list may lag twice its 8 s
 	see(kept)
@@ -247,10 +247,10 @@
 // all it is asked for is asked for twice as much the next time.
 func TestRequestsGrowWithWhatIsGiven(t *testing.T) {
 	f, _, _, _ := newFleet(t)
-	k := Kind{"big", "a", true}
-	many := make([]RentalRequest, 20)
+	k := InstanceKind{"big", "a", true}
+	many := make([]ScaleOut, 20)
 	for i := range many {
-		many[i] = RentalRequest{k, 1}
+		many[i] = ScaleOut{k, 1}
 	}
 	f.atOnce = 8
 	for _, want := range []int{2, 4, 8, 8} {
@@ -258,7 +258,7 @@
 		require.Len(t, got, want)
 		f.rent(t.Context(), got)
 	}
-	f.refused = map[Kind]clock.Micros{}
-	f.rent(t.Context(), []RentalRequest{{k, 2}}) // one comes of two
+	f.refused = map[InstanceKind]clock.Micros{}
+	f.rent(t.Context(), []ScaleOut{{k, 2}}) // one comes of two
 	require.Len(t, f.some(many), 1)
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -15,7 +15,7 @@
 
 // fetchCatalog reads the catalog, and keeps it in the state service so that a
 // controller that starts while the cloud is out can decide.
-func (f *Fleet) fetchCatalog(ctx context.Context, h claim.Leadership, now clock.Micros) {
+func (f *Autoscaler) fetchCatalog(ctx context.Context, h claim.Leadership, now clock.Micros) {
 	var c wire.Catalog
 	if err := f.cloud.call(ctx, "GET", wire.PathCatalog, nil, &c); err != nil || len(c.Types) == 0 {
 		f.log.Info("reading the catalog", "err", err)
@@ -34,7 +34,7 @@
 // describes a later moment than that first sight, though it may be twice the lag
 // old, and lacks the machine is the cloud's word that it is gone with all that was
 // on it: nobody need wait for its worker's lease to run out.
-func (f *Fleet) list(ctx context.Context) error {
+func (f *Autoscaler) list(ctx context.Context) error {
 	after, began, wall := "", f.clock.Now(), f.wall()
 	for {
 		var page wire.InstancePage
@@ -51,7 +51,7 @@
 			if ok {
 				since = min(old.Since, since)
 			}
-			f.rented[r.ID] = Rented{Kind: Kind{r.Type, r.Zone, r.Spot}, ID: r.ID, Phase: r.Phase, Since: since, Up: old.Up, Lost: old.Lost}
+			f.rented[r.ID] = Instance{InstanceKind: InstanceKind{r.Type, r.Zone, r.Spot}, ID: r.ID, Phase: r.Phase, Since: since, Up: old.Up, Lost: old.Lost}
 			f.listedAt[r.ID] = began
 			if f.known[r.ID] == 0 {
 				f.known[r.ID] = f.clock.Now()
@@ -98,7 +98,7 @@
 }
 
 // drop takes a machine off what is known to be rented.
-func (f *Fleet) drop(id string) {
+func (f *Autoscaler) drop(id string) {
 	delete(f.rented, id)
 	delete(f.listedAt, id)
 	delete(f.known, id)
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -15,16 +15,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Kind is what one rental request can ask for.
-type Kind struct {
+// InstanceKind is what one rental request can ask for.
+type InstanceKind struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Rented is a machine that the cloud lists or has just rented to us.
-type Rented struct {
-	Kind
+// Instance is a machine that the cloud lists or has just rented to us.
+type Instance struct {
+	InstanceKind
 	ID    string
 	Phase string
 	Since clock.Micros // of the rental request, on our clock
@@ -32,26 +32,26 @@
 	Lost  clock.Micros // since when its worker is silent, or gone; 0: it is not
 }
 
-// Knobs of the plan.
-type Knobs struct {
+// Parameters of the plan.
+type Parameters struct {
 	Economy                  bool
 	SpareShare               float64
-	IdleReturn               clock.Micros
+	IdleScaleInDelay         clock.Micros
 	BootPatience             float64
 	Catchup, CatchupOrdinary clock.Micros // with economy: waiting work is to be done in so long
 }
 
 // Input is what a plan is made from.
 type Input struct {
-	Now      clock.Micros
-	Types    []wire.MachineType
-	Rented   map[string]Rented
-	Views    []peer.MachineView
-	Demands  []peer.Demand
-	Refused  map[Kind]clock.Micros // not to be asked for until
-	Knobs    Knobs
-	MaxCount int             // machines of a kind asked for at once
-	Closed   map[string]bool // zones in which none are rented now
+	Now        clock.Micros
+	Types      []wire.MachineType
+	Instances  map[string]Instance
+	Views      []peer.MachineView
+	Demands    []peer.Demand
+	Refused    map[InstanceKind]clock.Micros // not to be asked for until
+	Parameters Parameters
+	MaxCount   int             // machines of a kind asked for at once
+	Closed     map[string]bool // zones in which none are rented now
 
 	// viewAt gives the place of a machine in Views. Plan makes it where it is not given.
 	viewAt map[string]int
@@ -69,20 +69,20 @@
 	return into
 }
 
-// RentalRequest is a decision to rent.
-type RentalRequest struct {
-	Kind
+// ScaleOut is a decision to rent.
+type ScaleOut struct {
+	InstanceKind
 	Count int
 }
 
-// Return is a decision to give a machine back.
-type Return struct {
+// ScaleIn is a decision to give a machine back.
+type ScaleIn struct {
 	ID, Zone string
-	Why      string
+	Reason   string
 }
 
 type bin struct {
-	kind  Kind
+	kind  InstanceKind
 	free  res.Amounts
 	taken bool // something that waits is to go there
 }
@@ -103,7 +103,7 @@
 	return n
 }
 
-func allows(d *peer.Demand, k Kind) bool {
+func allows(d *peer.Demand, k InstanceKind) bool {
 	return (!k.Spot || d.Spot) && (d.Zone == "" || d.Zone == k.Zone) && (len(d.Types) == 0 || slices.Contains(d.Types, k.Type))
 }
 
@@ -112,21 +112,21 @@
 type planner struct {
 	Input
 	types map[string]wire.MachineType
-	open  []Kind // that may be asked for now, the cheapest first
-	price map[Kind]float64
-	wants map[Kind]int // machines to rent
-	bins  []*bin       // room there is or will be
-	room  []bin        // of the machine of each view
-	have  int64        // CPUs of all machines that may get tasks, in millionths
-	used  int64        // and those in use
+	open  []InstanceKind // that may be asked for now, the cheapest first
+	price map[InstanceKind]float64
+	wants map[InstanceKind]int // machines to rent
+	bins  []*bin               // room there is or will be
+	room  []bin                // of the machine of each view
+	have  int64                // CPUs of all machines that may get tasks, in millionths
+	used  int64                // and those in use
 }
 
 // Plan decides what to rent and what to return.
-func Plan(in Input) (rentals []RentalRequest, returns []Return) {
+func Plan(in Input) (rentals []ScaleOut, returns []ScaleIn) {
 	if in.viewAt == nil {
 		in.viewAt = indexViews(nil, in.Views)
 	}
-	p := &planner{Input: in, types: map[string]wire.MachineType{}, wants: map[Kind]int{}}
+	p := &planner{Input: in, types: map[string]wire.MachineType{}, wants: map[InstanceKind]int{}}
 	for _, t := range in.Types {
 		p.types[t.Name] = t
 	}
@@ -134,7 +134,7 @@
 	p.countViewed()
 	p.countBooting()
 	p.fill()
-	if in.Knobs.Economy {
+	if in.Parameters.Economy {
 		trim(in, p.wants, p.open, p.types, p.have, p.used)
 	} else {
 		p.addSpare()
@@ -157,7 +157,7 @@
 		if !v.Usable {
 			continue
 		}
-		p.room[i] = bin{kind: Kind{v.Type, v.Zone, v.Spot}, free: v.Free}
+		p.room[i] = bin{kind: InstanceKind{v.Type, v.Zone, v.Spot}, free: v.Free}
 		p.bins = append(p.bins, &p.room[i])
 		p.used += v.Cap.CPU - v.Free.CPU
 		p.have += v.Cap.CPU
@@ -166,13 +166,13 @@
 
 // countBooting takes the room of machines that are rented and not up yet.
 func (p *planner) countBooting() {
-	for _, r := range p.Rented {
+	for _, r := range p.Instances {
 		_, viewed := p.viewAt[r.ID]
 		_, known := p.types[r.Type]
 		if !known || viewed || r.Up || r.Phase == wire.MachineFailed {
 			continue
 		}
-		b := &bin{kind: r.Kind, free: p.offer(r.Type)}
+		b := &bin{kind: r.InstanceKind, free: p.offer(r.Type)}
 		p.bins = append(p.bins, b)
 		p.have += b.free.CPU
 	}
@@ -209,7 +209,7 @@
 
 // rentFor adds a machine of the cheapest kind that serves a demand; nil when none does.
 func (p *planner) rentFor(d *peer.Demand) *bin {
-	var best *Kind
+	var best *InstanceKind
 	for i := range p.open {
 		k := &p.open[i]
 		if !allows(d, *k) || !d.Need.Fits(p.offer(k.Type)) || p.wants[*k] >= p.MaxCount {
@@ -229,7 +229,7 @@
 }
 
 // cost is a kind's price; of equals, the zone with fewer machines: a wave takes fewer.
-func (p *planner) cost(k Kind) float64 { return p.price[k] + spreadWeight*float64(p.wants[k]) }
+func (p *planner) cost(k InstanceKind) float64 { return p.price[k] + spreadWeight*float64(p.wants[k]) }
 
 // spreadWeight is by how much each machine of a kind makes another one of it dearer. It
 // only decides between equals.
@@ -237,7 +237,7 @@
 
 // addSpare rents room ahead, as a share of what is in use.
 func (p *planner) addSpare() {
-	spare := int64(p.Knobs.SpareShare*float64(p.used)) - (p.have - p.used)
+	spare := int64(p.Parameters.SpareShare*float64(p.used)) - (p.have - p.used)
 	for _, k := range p.open {
 		cpu := p.types[k.Type].CPUs
 		for spare > 0 && p.wants[k] < p.MaxCount && cpu > 0 {
@@ -248,10 +248,10 @@
 }
 
 // requests splits what is wanted into requests that the cloud takes, in a fixed order.
-func (p *planner) requests() (out []RentalRequest) {
+func (p *planner) requests() (out []ScaleOut) {
 	for k, n := range p.wants {
 		for ; n > 0; n -= wire.MaxScaleOut {
-			out = append(out, RentalRequest{k, min(n, wire.MaxScaleOut)})
+			out = append(out, ScaleOut{k, min(n, wire.MaxScaleOut)})
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool {
@@ -263,7 +263,7 @@
 // trim keeps economical deployments from renting machines for work that those at
 // hand can do in time: together they do what waits within the time to catch
 // up, or sooner where a deadline asks for it.
-func trim(in Input, wants map[Kind]int, open []Kind, types map[string]wire.MachineType, have, used int64) {
+func trim(in Input, wants map[InstanceKind]int, open []InstanceKind, types map[string]wire.MachineType, have, used int64) {
 	var run, n float64
 	for _, d := range in.Demands {
 		run += d.RunFor.Seconds() * float64(d.Waiting)
@@ -276,9 +276,9 @@
 			continue
 		}
 		t := types[k.Type]
-		limit := in.Knobs.Catchup.Seconds()
+		limit := in.Parameters.Catchup.Seconds()
 		if !k.Spot {
-			limit = in.Knobs.CatchupOrdinary.Seconds()
+			limit = in.Parameters.CatchupOrdinary.Seconds()
 		}
 		rate := float64(used) / 1e6 * run / 2 / limit // what runs is half done
 		for _, d := range in.Demands {
@@ -296,17 +296,17 @@
 
 // kinds lists what may be asked for now, the cheapest CPU first, and its price;
 // of equals, the zone with fewer machines.
-func kinds(in Input) ([]Kind, map[Kind]float64) {
-	var list []Kind
-	price := map[Kind]float64{}
-	have := map[Kind]int{}
-	for _, r := range in.Rented {
-		have[r.Kind]++
+func kinds(in Input) ([]InstanceKind, map[InstanceKind]float64) {
+	var list []InstanceKind
+	price := map[InstanceKind]float64{}
+	have := map[InstanceKind]int{}
+	for _, r := range in.Instances {
+		have[r.InstanceKind]++
 	}
 	for _, t := range in.Types {
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				k := Kind{t.Name, z, spot}
+				k := InstanceKind{t.Name, z, spot}
 				p := t.Price
 				if spot {
 					p = t.SpotPrice
@@ -326,13 +326,13 @@
 // lostFor tells that the worker of a machine was silent for long enough to give
 // the machine back. One that is dead is soon listed as failed; what is listed as
 // running hangs or is cut off, and may be back sooner than another has booted.
-func (r Rented) lostFor(now clock.Micros, types map[string]wire.MachineType) bool {
+func (r Instance) lostFor(now clock.Micros, types map[string]wire.MachineType) bool {
 	return r.Lost != 0 && now >= r.Lost+clock.FromSeconds(types[r.Type].BootS)
 }
 
 // idleFor tells that a machine which can't be used now, and so has nothing to do,
 // was so for as long as another takes to boot: until then it may be back sooner.
-func (r Rented) idleFor(idle clock.Micros, types map[string]wire.MachineType) bool {
+func (r Instance) idleFor(idle clock.Micros, types map[string]wire.MachineType) bool {
 	return idle > clock.FromSeconds(types[r.Type].BootS)
 }
 
@@ -342,40 +342,40 @@
 // giveBack decides which machines are of no more use. On a large fleet something
 // waits at every moment, so with economy an idle machine is kept only for what is
 // to go to that machine; without economy, for anything that waits.
-func giveBack(in Input, types map[string]wire.MachineType, room []bin) (out []Return) {
+func giveBack(in Input, types map[string]wire.MachineType, room []bin) (out []ScaleIn) {
 	for i := range in.Views {
 		v := &in.Views[i]
-		wanted := v.Usable && len(in.Demands) > 0 && (room[i].taken || !in.Knobs.Economy)
-		r, listed := in.Rented[v.ID]
+		wanted := v.Usable && len(in.Demands) > 0 && (room[i].taken || !in.Parameters.Economy)
+		r, listed := in.Instances[v.ID]
 		switch {
 		case r.Phase == wire.MachineFailed:
-			out = append(out, Return{v.ID, v.Zone, "failed"})
+			out = append(out, ScaleIn{v.ID, v.Zone, "failed"})
 		case v.Silent:
 			if listed && r.lostFor(in.Now, types) {
-				out = append(out, Return{v.ID, v.Zone, "silent for its whole lease"})
+				out = append(out, ScaleIn{v.ID, v.Zone, "silent for its whole lease"})
 			}
 		case v.Sick && v.Count == 0:
-			out = append(out, Return{v.ID, v.Zone, "several jobs failed on it, or it is slow"})
+			out = append(out, ScaleIn{v.ID, v.Zone, "several jobs failed on it, or it is slow"})
 		case v.Draining && v.Count == 0:
-			out = append(out, Return{v.ID, v.Zone, "set aside for return"})
-		case v.Accounted && v.Count == 0 && v.Idle > in.Knobs.IdleReturn && !wanted && (v.Usable || v.Noticed || r.idleFor(v.Idle-in.Knobs.IdleReturn, types)):
-			out = append(out, Return{v.ID, v.Zone, whyIdle})
+			out = append(out, ScaleIn{v.ID, v.Zone, "set aside for return"})
+		case v.Accounted && v.Count == 0 && v.Idle > in.Parameters.IdleScaleInDelay && !wanted && (v.Usable || v.Noticed || r.idleFor(v.Idle-in.Parameters.IdleScaleInDelay, types)):
+			out = append(out, ScaleIn{v.ID, v.Zone, whyIdle})
 		}
 	}
-	for _, r := range in.Rented {
+	for _, r := range in.Instances {
 		if _, viewed := in.viewAt[r.ID]; viewed {
 			continue
 		}
 		age := in.Now - r.Since
 		if r.Phase == wire.MachineFailed {
-			out = append(out, Return{r.ID, r.Zone, "failed"})
+			out = append(out, ScaleIn{r.ID, r.Zone, "failed"})
 		} else if r.Up {
 			if !r.lostFor(in.Now, types) {
 				continue
 			}
-			out = append(out, Return{r.ID, r.Zone, "its worker is gone"})
-		} else if t, ok := types[r.Type]; ok && age.Seconds() > max(t.BootS, 5)*in.Knobs.BootPatience {
-			out = append(out, Return{r.ID, r.Zone, "never came up"})
+			out = append(out, ScaleIn{r.ID, r.Zone, "its worker is gone"})
+		} else if t, ok := types[r.Type]; ok && age.Seconds() > max(t.BootS, 5)*in.Parameters.BootPatience {
+			out = append(out, ScaleIn{r.ID, r.Zone, "never came up"})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -15,9 +15,9 @@
 const sec = clock.Second
 
 func input() Input {
-	return Input{Now: 1000 * sec, Rented: map[string]Rented{}, Refused: map[Kind]clock.Micros{}, MaxCount: 20,
-		Types: []wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Price: 1.2, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}}},
-		Knobs: Knobs{IdleReturn: 60 * sec, BootPatience: 3, Catchup: 60 * sec, CatchupOrdinary: 150 * sec}}
+	return Input{Now: 1000 * sec, Instances: map[string]Instance{}, Refused: map[InstanceKind]clock.Micros{}, MaxCount: 20,
+		Types:      []wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Price: 1.2, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}}},
+		Parameters: Parameters{IdleScaleInDelay: 60 * sec, BootPatience: 3, Catchup: 60 * sec, CatchupOrdinary: 150 * sec}}
 }
 
 func waiting(n int, change func(*peer.Demand)) []peer.Demand {
@@ -28,7 +28,7 @@
 	return []peer.Demand{d}
 }
 
-func total(rentals []RentalRequest) (spot, ordinary int) {
+func total(rentals []ScaleOut) (spot, ordinary int) {
 	for _, h := range rentals {
 		if h.Spot {
 			spot += h.Count
@@ -43,7 +43,7 @@
 	in := input()
 	in.Demands = waiting(8, nil)
 	in.Views = []peer.MachineView{{ID: "m-1", Type: "big", Zone: "a", Usable: true, Cap: res.Capacity(32, 0, 128), Free: res.Capacity(32, 0, 128)}}
-	in.Rented["m-2"] = Rented{Kind: Kind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, Since: in.Now}
+	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, Since: in.Now}
 	rentals, returns := Plan(in)
 	spot, ordinary := total(rentals)
 	require.Equal(t, 2, spot, "four machines are needed, one is up and one on its way")
@@ -56,24 +56,24 @@
 func TestRefusalsAndKinds(t *testing.T) {
 	in := input()
 	in.Demands = waiting(4, nil)
-	in.Refused[Kind{"big", "a", true}] = in.Now + sec
-	in.Refused[Kind{"big", "b", true}] = in.Now + sec
+	in.Refused[InstanceKind{"big", "a", true}] = in.Now + sec
+	in.Refused[InstanceKind{"big", "b", true}] = in.Now + sec
 	spot, ordinary := total(first(Plan(in)))
 	require.Zero(t, spot)
 	require.Equal(t, 2, ordinary)
 	in = input()
 	in.Demands = waiting(4, func(d *peer.Demand) { d.Spot, d.Zone = false, "b" })
 	rentals, _ := Plan(in)
-	require.Equal(t, []RentalRequest{{Kind{"big", "b", false}, 2}}, rentals)
+	require.Equal(t, []ScaleOut{{InstanceKind{"big", "b", false}, 2}}, rentals)
 }
 
-func first(h []RentalRequest, _ []Return) []RentalRequest { return h }
+func first(h []ScaleOut, _ []ScaleIn) []ScaleOut { return h }
 
 // With economy, work that can wait is done by the machines at hand; work whose
 // deadline is near is not left waiting.
 func TestEconomy(t *testing.T) {
 	in := input()
-	in.Knobs.Economy = true
+	in.Parameters.Economy = true
 	in.Views = []peer.MachineView{}
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Usable: true, Cap: res.Capacity(32, 0, 128)})
@@ -90,11 +90,11 @@
 
 func TestReturns(t *testing.T) {
 	in := input()
-	old := Rented{Kind: Kind{"big", "a", true}, Phase: wire.MachineBooting, Since: in.Now - 91*sec}
-	in.Rented["m-5"], in.Rented["m-6"] = with(old, "m-5", ""), with(old, "m-6", wire.MachineFailed)
+	old := Instance{InstanceKind: InstanceKind{"big", "a", true}, Phase: wire.MachineBooting, Since: in.Now - 91*sec}
+	in.Instances["m-5"], in.Instances["m-6"] = with(old, "m-5", ""), with(old, "m-6", wire.MachineFailed)
 	lost := with(old, "m-3", wire.MachineRunning)
 	lost.Lost = in.Now - 31*sec
-	in.Rented["m-3"] = lost
+	in.Instances["m-3"] = lost
 	in.Views = []peer.MachineView{
 		{ID: "m-1", Accounted: true, Usable: true, Idle: 61 * sec},
 		{ID: "m-2", Accounted: true, Usable: true, Idle: 59 * sec},
@@ -103,7 +103,7 @@
 		{ID: "m-7", Accounted: true, Sick: true, Count: 1},
 		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // gets nothing now: not idle by choice
 	}
-	in.Rented["m-8"] = with(Rented{Kind: Kind{"big", "a", true}, Up: true}, "m-8", wire.MachineRunning)
+	in.Instances["m-8"] = with(Instance{InstanceKind: InstanceKind{"big", "a", true}, Up: true}, "m-8", wire.MachineRunning)
 	_, returns := Plan(in)
 	ids := []string{}
 	for _, r := range returns {
@@ -112,7 +112,7 @@
 	require.Equal(t, []string{"m-1", "m-3", "m-4", "m-5", "m-6"}, ids)
 }
 
-func with(r Rented, id, phase string) Rented {
+func with(r Instance, id, phase string) Instance {
 	r.ID = id
 	if phase != "" {
 		r.Phase = phase
@@ -131,16 +131,16 @@
 	}
 	_, returns := Plan(in)
 	require.Empty(t, returns, "without economy they are kept while anything waits")
-	in.Knobs.Economy = true
+	in.Parameters.Economy = true
 	_, returns = Plan(in)
-	require.Equal(t, []Return{{"m-3", "a", "idle"}, {"m-4", "a", "idle"}}, returns)
+	require.Equal(t, []ScaleIn{{"m-3", "a", "idle"}, {"m-4", "a", "idle"}}, returns)
 }
 
 // Many machines are cut off for longer than their leases. They are silent then, but
 // listed as running: each is kept for as long as another would take to boot, and
 // used when it is back. One that is listed as failed goes at once.
 func TestMachinesThatAreCutOffAreWaitedFor(t *testing.T) {
-	f := &Fleet{rented: map[string]Rented{}}
+	f := &Autoscaler{rented: map[string]Instance{}}
 	in := input()
 	views := func(silent bool) (out []peer.MachineView) {
 		for id := range f.rented {
@@ -150,11 +150,11 @@
 	}
 	for i := range 245 {
 		id := fmt.Sprintf("m-%03d", i)
-		f.rented[id] = Rented{Kind: Kind{"big", "a", true}, ID: id, Phase: wire.MachineRunning}
+		f.rented[id] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: id, Phase: wire.MachineRunning}
 	}
-	step := func(after clock.Micros, silent bool) []Return {
+	step := func(after clock.Micros, silent bool) []ScaleIn {
 		in.Now += after
-		in.Rented, in.Views = f.rented, views(silent)
+		in.Instances, in.Views = f.rented, views(silent)
 		in.viewAt = indexViews(nil, in.Views)
 		f.notice(in, in.Now)
 		_, returns := Plan(in)
@@ -168,6 +168,6 @@
 	r := f.rented["m-007"]
 	r.Phase = wire.MachineFailed
 	f.rented["m-007"] = r
-	require.Equal(t, []Return{{"m-007", "a", "failed"}}, step(28*sec, true))
+	require.Equal(t, []ScaleIn{{"m-007", "a", "failed"}}, step(28*sec, true))
 	require.Len(t, step(3*sec, true), 245)
 }
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -14,14 +14,14 @@
 // some picks the requests to send now: of a kind that gave less than it was
 // asked for, one; of one that gave all, twice as many as the last time. So what
 // the cloud has not got costs few calls, and what it has comes in a few steps.
-func (f *Fleet) some(rentals []RentalRequest) (out []RentalRequest) {
-	n := map[Kind]int{}
+func (f *Autoscaler) some(rentals []ScaleOut) (out []ScaleOut) {
+	n := map[InstanceKind]int{}
 	for _, h := range rentals {
-		if f.window[h.Kind] == 0 {
-			f.window[h.Kind] = 2
+		if f.window[h.InstanceKind] == 0 {
+			f.window[h.InstanceKind] = 2
 		}
-		if n[h.Kind] < f.window[h.Kind] && len(out) < f.atOnce {
-			n[h.Kind]++
+		if n[h.InstanceKind] < f.window[h.InstanceKind] && len(out) < f.atOnce {
+			n[h.InstanceKind]++
 			out = append(out, h)
 		}
 	}
@@ -30,7 +30,7 @@
 
 // rent sends rental requests, all kinds at once, and tells whether fewer came than were asked
 // for. A request's name is never used again: the term and a counter.
-func (f *Fleet) rent(ctx context.Context, list []RentalRequest) (short bool) {
+func (f *Autoscaler) rent(ctx context.Context, list []ScaleOut) (short bool) {
 	sent := f.clock.Now()
 	got := make([]wire.HostList, len(list))
 	errs := make([]error, len(list))
@@ -41,23 +41,23 @@
 		wg.Go(func() { errs[i] = f.cloud.call(ctx, "POST", wire.PathInstances, req, &got[i]) })
 	}
 	wg.Wait()
-	grown := map[Kind]bool{}
+	grown := map[InstanceKind]bool{}
 	for _, h := range list {
-		if !grown[h.Kind] {
-			grown[h.Kind] = true
-			f.window[h.Kind] = min(2*f.window[h.Kind], f.atOnce)
+		if !grown[h.InstanceKind] {
+			grown[h.InstanceKind] = true
+			f.window[h.InstanceKind] = min(2*f.window[h.InstanceKind], f.atOnce)
 		}
 	}
 	for i, h := range list {
 		hosts, err := got[i].Hosts, errs[i]
 		f.log.Info("renting", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(hosts), "err", err)
 		if errors.Is(err, errNoCapacity) || err == nil && len(hosts) < h.Count {
-			f.refused[h.Kind], f.window[h.Kind] = sent+f.backoff, 1
-		} else if err != nil && f.refused[h.Kind] < sent {
-			f.refused[h.Kind] = sent + 3*clock.Second // perhaps rented all the same: the list will tell
+			f.refused[h.InstanceKind], f.window[h.InstanceKind] = sent+f.backoff, 1
+		} else if err != nil && f.refused[h.InstanceKind] < sent {
+			f.refused[h.InstanceKind] = sent + 3*clock.Second // perhaps rented all the same: the list will tell
 		}
 		for _, id := range hosts {
-			f.rented[id] = Rented{Kind: h.Kind, ID: id, Phase: wire.MachineBooting, Since: sent}
+			f.rented[id] = Instance{InstanceKind: h.InstanceKind, ID: id, Phase: wire.MachineBooting, Since: sent}
 			f.listedAt[id] = sent
 		}
 		short = short || len(hosts) < h.Count
@@ -66,7 +66,7 @@
 }
 
 // giveBack returns machines that their owners have set aside.
-func (f *Fleet) giveBack(ctx context.Context, list []Return) {
+func (f *Autoscaler) giveBack(ctx context.Context, list []ScaleIn) {
 	why := map[string]string{}
 	zone := map[string]string{}
 	var some, failed []peer.MachineRef
@@ -76,7 +76,7 @@
 		}
 		if len(some) < 100 {
 			some = append(some, peer.MachineRef{ID: r.ID, Zone: r.Zone})
-			why[r.ID], zone[r.ID] = r.Why, r.Zone
+			why[r.ID], zone[r.ID] = r.Reason, r.Zone
 		}
 	}
 	if len(failed) > 0 {
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -27,7 +27,7 @@
 // ZoneRecord is a state on record.
 type ZoneRecord struct {
 	zone.Record
-	Stamp uint64
+	ModRevision uint64
 }
 
 // ZoneWatch has the fleet's holder decide the states of zones.
@@ -39,9 +39,9 @@
 
 // Errors of a hold.
 var (
-	ErrNotHolder = errors.New("this controller does not hold the fleet")
-	ErrNoZone    = errors.New("there is no such zone")
-	ErrZonesOff  = errors.New("zone states are off")
+	ErrNotLeader          = errors.New("this controller does not hold the fleet")
+	ErrUnknownZone        = errors.New("there is no such zone")
+	ErrZoneReturnDisabled = errors.New("zone states are off")
 )
 
 // zones is the deciding part of the duty.
@@ -55,14 +55,14 @@
 }
 
 // WatchZones has the duty decide the states of zones. It is called before Run.
-func (f *Fleet) WatchZones(w ZoneWatch) { f.zones.watch = w }
+func (f *Autoscaler) WatchZones(w ZoneWatch) { f.zones.watch = w }
 
 // zonesEvery is how often the states of zones are looked at.
 const zonesEvery = 500 * time.Millisecond
 
 // RunZones decides the states of zones while the duty is held, until ctx ends. It does not wait
 // for the cloud, whose calls may take seconds.
-func (f *Fleet) RunZones(ctx context.Context) error {
+func (f *Autoscaler) RunZones(ctx context.Context) error {
 	z := &f.zones
 	if z.watch.Source == nil {
 		return nil
@@ -98,7 +98,7 @@
 	records := map[string]zone.Record{}
 	z.stamps, z.unsaved = map[string]uint64{}, map[string]bool{}
 	for name, r := range z.watch.Source.ZoneRecords() {
-		records[name], z.stamps[name] = r.Record, r.Stamp
+		records[name], z.stamps[name] = r.Record, r.ModRevision
 	}
 	z.decider = zone.NewDecider(z.watch.Settings, z.watch.Names, records, now)
 }
@@ -111,7 +111,7 @@
 }
 
 // stepZones decides, and writes what has changed.
-func (f *Fleet) stepZones(ctx context.Context, h claim.Leadership, demands []peer.Demand, now clock.Micros) {
+func (f *Autoscaler) stepZones(ctx context.Context, h claim.Leadership, demands []peer.Demand, now clock.Micros) {
 	z := &f.zones
 	evidence := z.watch.Source.ZoneEvidence()
 	z.mu.Lock()
@@ -129,12 +129,12 @@
 
 // saveZones writes what is not on record yet, each on the condition of the fleet's claim and of the
 // key's stamp as last known: a late copy, or a former holder's write, changes nothing.
-func (f *Fleet) saveZones(ctx context.Context, h claim.Leadership) error {
+func (f *Autoscaler) saveZones(ctx context.Context, h claim.Leadership) error {
 	z := &f.zones
 	z.mu.Lock()
 	if z.decider == nil {
 		z.mu.Unlock()
-		return ErrNotHolder
+		return ErrNotLeader
 	}
 	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty, ModRevision: h.ModRevision}}}
 	records := z.decider.Records()
@@ -154,7 +154,7 @@
 	if err != nil {
 		// Its fate may be unknown: what is on record by now is what the replica shows.
 		for name, r := range z.watch.Source.ZoneRecords() {
-			z.stamps[name] = r.Stamp
+			z.stamps[name] = r.ModRevision
 		}
 		return err
 	}
@@ -168,16 +168,16 @@
 }
 
 // HoldZone stops a zone's return at its stage, or lets it go on. It returns once that is on record.
-func (f *Fleet) HoldZone(ctx context.Context, name string, held bool) error {
+func (f *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
 	z := &f.zones
 	if z.watch.Source == nil {
-		return ErrZonesOff
+		return ErrZoneReturnDisabled
 	}
 	h, mine := f.claims.Leading(Duty)
 	z.mu.Lock()
 	if !mine || z.decider == nil {
 		z.mu.Unlock()
-		return ErrNotHolder
+		return ErrNotLeader
 	}
 	_, known := z.decider.Hold(name, held, f.wall().UnixMilli())
 	if known {
@@ -185,13 +185,13 @@
 	}
 	z.mu.Unlock()
 	if !known {
-		return ErrNoZone
+		return ErrUnknownZone
 	}
 	return f.saveZones(ctx, h)
 }
 
 // closedZones are those in which no machines are rented now.
-func (f *Fleet) closedZones() (closed map[string]bool, unsettled bool) {
+func (f *Autoscaler) closedZones() (closed map[string]bool, unsettled bool) {
 	z := &f.zones
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -213,10 +213,10 @@
 const returnsAtOnce = 2
 
 // limitReturns leaves of the machines to give back those that can't be used, and a few idle ones.
-func limitReturns(list []Return) (out []Return) {
+func limitReturns(list []ScaleIn) (out []ScaleIn) {
 	idle := 0
 	for _, r := range list {
-		if r.Why == whyIdle {
+		if r.Reason == whyIdle {
 			if idle++; idle > returnsAtOnce {
 				continue
 			}
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -54,17 +54,17 @@
 	return w.rev, nil
 }
 
-func newZoneWorld() (*zoneWorld, *Fleet) {
+func newZoneWorld() (*zoneWorld, *Autoscaler) {
 	w := &zoneWorld{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
 		stamps: map[string]uint64{state.LeaderPrefix + Duty: 7}, rev: 10}
-	f := &Fleet{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
+	f := &Autoscaler{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
 	f.WatchZones(ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
 		ReturnAfter: clock.Second, ReturnMost: clock.Second}})
 	f.zones.begin(clock.Second)
 	return w, f
 }
 
-func (w *zoneWorld) steps(t *testing.T, f *Fleet, from clock.Micros, n int) {
+func (w *zoneWorld) steps(t *testing.T, f *Autoscaler, from clock.Micros, n int) {
 	h, _ := w.Leading(Duty)
 	for i := range n {
 		f.stepZones(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
@@ -100,10 +100,10 @@
 	w, f := newZoneWorld()
 	require.NoError(t, f.HoldZone(t.Context(), "b", true))
 	require.True(t, w.records["b"].Held)
-	require.ErrorIs(t, f.HoldZone(t.Context(), "c", true), ErrNoZone)
+	require.ErrorIs(t, f.HoldZone(t.Context(), "c", true), ErrUnknownZone)
 	f.zones.end()
-	require.ErrorIs(t, f.HoldZone(t.Context(), "b", false), ErrNotHolder)
-	require.ErrorIs(t, (&Fleet{}).HoldZone(t.Context(), "b", true), ErrZonesOff)
+	require.ErrorIs(t, f.HoldZone(t.Context(), "b", false), ErrNotLeader)
+	require.ErrorIs(t, (&Autoscaler{}).HoldZone(t.Context(), "b", true), ErrZoneReturnDisabled)
 }
 
 // No machines are rented in a zone that is lost, and few idle ones given back while it returns.
@@ -118,8 +118,8 @@
 	for _, k := range list {
 		require.Equal(t, "a", k.Zone)
 	}
-	returns := []Return{{ID: "1", Why: whyIdle}, {ID: "2", Why: whyIdle}, {ID: "3", Why: whyIdle}, {ID: "4", Why: "failed"}}
-	require.Equal(t, []Return{returns[0], returns[1], returns[3]}, limitReturns(returns))
+	returns := []ScaleIn{{ID: "1", Reason: whyIdle}, {ID: "2", Reason: whyIdle}, {ID: "3", Reason: whyIdle}, {ID: "4", Reason: "failed"}}
+	require.Equal(t, []ScaleIn{returns[0], returns[1], returns[3]}, limitReturns(returns))
 	w.evidence["b"] = zone.Evidence{Machines: 10}
 	w.steps(t, f, 20*clock.Second, 4)
 	require.Equal(t, zone.Returning, w.records["b"].State)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -26,25 +26,25 @@
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Placers finds who places a team's jobs, and asks.
-type Placers interface {
+// Schedulers finds who places a team's jobs, and asks.
+type Schedulers interface {
 	Status(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
 	Cancel(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
 }
 
-// Others are the other controllers, for submissions that this one can't store.
-type Others interface {
+// Peers are the other controllers, for submissions that this one can't store.
+type Peers interface {
 	// Away tells that this controller has no contact with the state service now.
 	StoreUnreachable() bool
 	// Submit hands a submission to a controller that has; ok is false when none is known.
 	Submit(body []byte) (r httpx.Response, ok bool)
 }
 
-// Front answers users.
-type Front struct {
+// Handler answers users.
+type Handler struct {
 	store   Store
-	placers Placers
-	others  Others
+	placers Schedulers
+	others  Peers
 	book    *jobs.Cache
 	limits  map[string]res.Amounts
 	hasty   map[string]clock.Micros // classes whose tasks should start within so long
@@ -59,19 +59,19 @@
 
 // New makes a front; limits holds each team's limit, an amount of 0 meaning none;
 // most is how large a record may be; hasty names the classes whose tasks should start within a time.
-func New(store Store, placers Placers, others Others, book *jobs.Cache, limits map[string]res.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Front {
-	return &Front{store: store, placers: placers, others: others, book: book, limits: limits, hasty: hasty, most: most, wall: wall, log: log}
+func New(store Store, placers Schedulers, others Peers, book *jobs.Cache, limits map[string]res.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Handler {
+	return &Handler{store: store, placers: placers, others: others, book: book, limits: limits, hasty: hasty, most: most, wall: wall, log: log}
 }
 
 // SetTypes tells the machine types.
-func (f *Front) SetTypes(types []wire.MachineType) {
+func (f *Handler) SetTypes(types []wire.MachineType) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.types = types
 }
 
-// Decisive tells whether the machine types are known.
-func (f *Front) Decisive() bool {
+// KnowsMachineTypes tells whether the machine types are known.
+func (f *Handler) KnowsMachineTypes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.types) > 0
@@ -86,7 +86,7 @@
 }
 
 // Handle answers a request below /api/jobs; rest is the path after that.
-func (f *Front) Handle(ctx context.Context, r *httpx.Request, rest string) httpx.Response {
+func (f *Handler) Handle(ctx context.Context, r *httpx.Request, rest string) httpx.Response {
 	if rest == "" {
 		if r.Method != "POST" {
 			return refuse(405, "method not allowed")
@@ -112,7 +112,7 @@
 }
 
 // canRun tells why a job can never run; "" when it can.
-func (f *Front) canRun(j *jobs.Job) string {
+func (f *Handler) canRun(j *jobs.Job) string {
 	limit, ok := f.limits[j.Team]
 	if !ok {
 		return "unknown team"
@@ -146,16 +146,16 @@
 
 // submit accepts a job, or has another controller do so when this one alone
 // can't reach the state service: its users need not be sent away.
-func (f *Front) submit(ctx context.Context, body []byte) (r httpx.Response) {
+func (f *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := f.wall()
 	defer func() { f.log.Debug("answered a submission", "status", r.Status, "after", f.wall().Sub(began)) }()
 	if f.others.StoreUnreachable() {
 		if o, ok := f.others.Submit(body); ok && o.Status != 503 {
 			return o
 		}
-		return f.Accept(ctx, body)
+		return f.AcceptJob(ctx, body)
 	}
-	if r = f.Accept(ctx, body); r.Status == 503 {
+	if r = f.AcceptJob(ctx, body); r.Status == 503 {
 		if o, ok := f.others.Submit(body); ok {
 			return o
 		}
@@ -163,8 +163,8 @@
 	return r
 }
 
-// Accept accepts a job here. It is accepted only once its record is durable.
-func (f *Front) Accept(ctx context.Context, body []byte) httpx.Response {
+// AcceptJob accepts a job here. It is accepted only once its record is durable.
+func (f *Handler) AcceptJob(ctx context.Context, body []byte) httpx.Response {
 	spec, err := wire.ParseJob(body)
 	if err != nil {
 		return refuse(400, err.Error())
@@ -175,7 +175,7 @@
 	if _, ok := f.book.Active(spec.ID); ok {
 		return f.get(ctx, spec.ID)
 	}
-	if !f.Decisive() {
+	if !f.KnowsMachineTypes() {
 		return refuse(503, "the machine types are not known yet")
 	}
 	rec := jobs.Record{Job: spec, AcceptedMS: f.wall().UnixMilli()}
@@ -213,20 +213,20 @@
 // budget that those who come when it is over need.
 const outFor = 250 * time.Millisecond
 
-func (f *Front) isOut() bool {
+func (f *Handler) isOut() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.wall().Before(f.out)
 }
 
-func (f *Front) setOut() {
+func (f *Handler) setOut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.out = f.wall().Add(outFor)
 }
 
 // get tells a job's state.
-func (f *Front) get(ctx context.Context, id string) httpx.Response {
+func (f *Handler) get(ctx context.Context, id string) httpx.Response {
 	if s, ok := f.book.Final(id); ok {
 		return httpx.JSON(200, s.State(id))
 	}
@@ -245,7 +245,7 @@
 // look reads a job's record from the state service: its final state, or its
 // active record. The active one is read first: when it is gone because the job
 // became final, the final one is there.
-func (f *Front) look(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
+func (f *Handler) look(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
 	it, found, err := f.store.Get(ctx, state.ActiveJobPrefix+id)
 	if err != nil {
 		return nil, nil, err
@@ -275,7 +275,7 @@
 
 // read answers from the state service: a job whose active record was there at
 // the time of the read was not final then, so nobody had been told its end.
-func (f *Front) read(ctx context.Context, id string) httpx.Response {
+func (f *Handler) read(ctx context.Context, id string) httpx.Response {
 	final, active, err := f.look(ctx, id)
 	switch {
 	case err != nil:
@@ -289,7 +289,7 @@
 }
 
 // withdraw ends a job.
-func (f *Front) withdraw(ctx context.Context, id string) httpx.Response {
+func (f *Handler) withdraw(ctx context.Context, id string) httpx.Response {
 	if s, ok := f.book.Final(id); ok {
 		return httpx.JSON(200, map[string]string{"id": id, "phase": s.Phase})
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -52,7 +52,7 @@
  "spread":false,"loaners":true,"guess_s":240.0,"snap_every_s":30.0,"snap_s":4.0,"due_s":900.0,"later":"ignored"}`
 
 type scene struct {
-	*Front
+	*Handler
 	t    *testing.T
 	view *fakes.KVClient
 	pl   *placers
@@ -63,7 +63,7 @@
 
 func newScene(t *testing.T) *scene {
 	s := &scene{oth: &others{}, t: t, view: &fakes.KVClient{KVStore: fakes.NewKVStore()}, pl: &placers{err: errors.New("nobody")}, book: jobs.NewCache()}
-	s.Front = New(s.view, s.pl, s.oth, s.book, map[string]res.Amounts{"red": res.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
+	s.Handler = New(s.view, s.pl, s.oth, s.book, map[string]res.Amounts{"red": res.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	return s
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -78,13 +78,13 @@
 // assemble wires a controller to a state service and to peers. What users or
 // other controllers wait for, accepted jobs and claims, goes the urgent way, and
 // what users ask a way of its own. The seed decides which machines placement draws.
-func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users front.Store, peers map[string]Peer, seed uint64, log *slog.Logger) *Node {
+func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users front.Store, peers map[string]PeerClient, seed uint64, log *slog.Logger) *Controller {
 	p := &set.Params
 	steady, wall := clock.NewSteady(), time.Now
 	l := newLayout(set)
 	instance := uuid.NewString()
 	valueMost := int(p.State.ValueKB * 1024 * recordShare)
-	n := &Node{
+	n := &Controller{
 		fresh: knobs.LeaderRenewInterval * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
 		zones: zoneBook{records: map[string]fleet.ZoneRecord{}}, followZones: knobs.ZoneReturn,
 		contact: map[string]time.Time{}, told: map[string]told{}, loaded: make(chan struct{}),
@@ -105,7 +105,7 @@
 		MaxRecordBytes: valueMost, ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
 	}, n.keeper, n.store, urgent, n.book, steady, log)
 	n.front = front.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
-	cloud := fleet.NewCloud(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
+	cloud := fleet.NewCloudClient(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
 	n.fleet = fleet.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.ScaleOutBackoff,
 		clock.FromSeconds(p.Cloud.ListLagS), clock.FromSeconds(p.SkewMS/1000), wall, n.keptCatalog, log)
 	n.fleet.WatchZones(n.zoneWatch(knobs))
@@ -124,7 +124,7 @@
 
 // zoneWatch has the fleet's holder decide the states of zones, where that is on and there are
 // several.
-func (n *Node) zoneWatch(knobs *policy.Parameters) fleet.ZoneWatch {
+func (n *Controller) zoneWatch(knobs *policy.Parameters) fleet.ZoneWatch {
 	names := n.set.Params.Zones
 	if !knobs.ZoneReturn {
 		return fleet.ZoneWatch{}
@@ -142,7 +142,7 @@
 const zoneBackMost = 60 * clock.Second
 
 // owners gives the ways to the owner parts of all controllers, this one's included.
-func (n *Node) owners() map[string]placer.PartitionClient {
+func (n *Controller) owners() map[string]placer.PartitionClient {
 	out := map[string]placer.PartitionClient{n.set.Host: localOwner{n.owner}}
 	for host, p := range n.peers {
 		out[host] = remoteOwner{p}
@@ -193,8 +193,8 @@
 	}
 }
 
-func fleetKnobs(knobs *policy.Parameters) fleet.Knobs {
-	return fleet.Knobs{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleReturn: knobs.IdleScaleInDelay,
+func fleetKnobs(knobs *policy.Parameters) fleet.Parameters {
+	return fleet.Parameters{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleScaleInDelay: knobs.IdleScaleInDelay,
 		BootPatience: knobs.BootPatience, Catchup: knobs.Catchup, CatchupOrdinary: knobs.CatchupOrdinary}
 }
 
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -29,7 +29,7 @@
 
 // process is one life of a controller.
 type process struct {
-	*Node
+	*Controller
 	view *fakes.KVClient
 	kill context.CancelFunc
 }
@@ -122,7 +122,7 @@
 		time.Sleep(50 * time.Millisecond)
 		return errCut
 	}
-	s := &service{p.Node}
+	s := &service{p.Controller}
 	switch method {
 	case "Round":
 		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
@@ -192,7 +192,7 @@
 		}
 	}
 	slices.Sort(set.Params.Zones)
-	peers := map[string]Peer{}
+	peers := map[string]PeerClient{}
 	for _, h := range hosts {
 		if h != host {
 			set.Peers = append(set.Peers, config.Peer{Host: h, Zone: c.zones[h]})
@@ -208,7 +208,7 @@
 	ctx, kill := context.WithCancel(c.t.Context())
 	p := &process{view: &fakes.KVClient{KVStore: c.st}, kill: kill}
 	way := held{p.view, c, host}
-	p.Node = assemble(ctx, set, knobs, way, way, way, peers, fakes.Seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p.Controller = assemble(ctx, set, knobs, way, way, way, peers, fakes.Seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.mu.Lock()
 	c.up[host] = p
 	c.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,8 +38,8 @@
 	state.Source
 }
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	set    *config.Settings
 	log    *slog.Logger
 	store  Store
@@ -47,9 +47,9 @@
 	book   *jobs.Cache
 	owner  *owner.Server
 	placer *placer.Server
-	front  *front.Front
-	fleet  *fleet.Fleet
-	peers  map[string]Peer
+	front  *front.Handler
+	fleet  *fleet.Autoscaler
+	peers  map[string]PeerClient
 	loaded chan struct{}
 	report *telemetry.Reporter
 	// replayed counts the batches of changes taken from the replica.
@@ -70,10 +70,10 @@
 
 // New makes a controller from its settings, with clients for the services and
 // peers that they name.
-func New(ctx context.Context, set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *Node {
+func New(ctx context.Context, set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *Controller {
 	p := &set.Params
 	report := telemetry.NewReporter(log)
-	peers := map[string]Peer{}
+	peers := map[string]PeerClient{}
 	for _, o := range set.Peers {
 		peers[o.Host] = peer.NewClient(o.Addr, report.Traffic(telemetry.Peers))
 	}
@@ -86,7 +86,7 @@
 }
 
 // measure has all parts count what they do.
-func (n *Node) measure(r *telemetry.Reporter) {
+func (n *Controller) measure(r *telemetry.Reporter) {
 	n.report = r
 	n.owner.Measure(r)
 	n.placer.Measure(r)
@@ -98,7 +98,7 @@
 func answerMost(memoryMB float64) int { return int(min(max(memoryMB/16, 1), 32) * (1 << 20)) }
 
 // Run serves until ctx ends.
-func (n *Node) Run(ctx context.Context) error {
+func (n *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	limits := n.set.Params.Limits
 	for _, w := range n.set.Degradations() {
@@ -124,7 +124,7 @@
 }
 
 // duties runs all that needs the state service and the peers only.
-func (n *Node) duties(ctx context.Context) error {
+func (n *Controller) duties(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	replica := state.NewReplica(n.store, n.apply, n.log)
 	g.Go(func() error { return replica.Run(ctx, n.loaded) })
@@ -141,7 +141,7 @@
 
 // apply takes events of the replica. Jobs, machines and progress are taken
 // before claims, so that a duty gained stands on all that came before it.
-func (n *Node) apply(evs []state.Event, rev uint64) {
+func (n *Controller) apply(evs []state.Event, rev uint64) {
 	began := time.Now()
 	defer func() { n.replayed.Round(time.Since(began)) }()
 	for _, e := range evs {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (n *Node) setCatalog(raw json.RawMessage) {
+func (n *Controller) setCatalog(raw json.RawMessage) {
 	var c wire.Catalog
 	if err := json.Unmarshal(raw, &c); err != nil || len(c.Types) == 0 {
 		n.log.Error("the kept catalog is not understood", "err", err)
@@ -187,7 +187,7 @@
 	n.front.SetTypes(c.Types)
 }
 
-func (n *Node) keptCatalog() wire.Catalog {
+func (n *Controller) keptCatalog() wire.Catalog {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.catalog
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,14 +18,14 @@
 	at                             time.Time
 }
 
-// Peer calls another controller.
-type Peer interface {
+// PeerClient calls another controller.
+type PeerClient interface {
 	Call(method string, in, out any, timeout time.Duration) error
 }
 
 // greet exchanges a word with a peer once a second: it tells whether a peer can
 // reach the state service while this controller can't, and which incarnations resigned.
-func (n *Node) greet(ctx context.Context, host string, c Peer) error {
+func (n *Controller) greet(ctx context.Context, host string, c PeerClient) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (n *Node) hello() peer.Heartbeat {
+func (n *Controller) hello() peer.Heartbeat {
 	ago, resigned := n.keeper.StoreContact()
 	return peer.Heartbeat{Contact: ago, Resigned: resigned, From: n.set.Host}
 }
@@ -65,7 +65,7 @@
 // listen finds out whether the workers reach this controller. When they don't, it
 // says so and hands the machines to those whom they reach; once it reaches workers
 // again it takes its part back.
-func (n *Node) listen(ctx context.Context) error {
+func (n *Controller) listen(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	unreachable, looks := false, 0
@@ -106,7 +106,7 @@
 }
 
 // Away tells that this controller has not reached the state service for a while.
-func (n *Node) StoreUnreachable() bool {
+func (n *Controller) StoreUnreachable() bool {
 	ago, _ := n.keeper.StoreContact()
 	return ago > n.fresh
 }
@@ -115,7 +115,7 @@
 const submitTimeout = 800 * time.Millisecond
 
 // Submit hands a submission to a peer that has said lately that it reaches the state service.
-func (n *Node) Submit(body []byte) (r httpx.Response, ok bool) {
+func (n *Controller) Submit(body []byte) (r httpx.Response, ok bool) {
 	host := ""
 	n.mu.Lock()
 	for h, at := range n.contact {
@@ -139,16 +139,16 @@
 const askTimeout = 1500 * time.Millisecond
 
 // Status asks the team's placer about a job.
-func (n *Node) Status(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
+func (n *Controller) Status(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
 	return n.ask("Status", n.placer.Status, q, askTimeout)
 }
 
 // Withdraw asks the team's placer to end a job.
-func (n *Node) Cancel(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
+func (n *Controller) Cancel(_ context.Context, q peer.JobRequest) (peer.JobResponse, error) {
 	return n.ask("Withdraw", n.placer.CancelJob, q, 2*askTimeout)
 }
 
-func (n *Node) ask(method string, local func(peer.JobRequest) peer.JobResponse, q peer.JobRequest, timeout time.Duration) (peer.JobResponse, error) {
+func (n *Controller) ask(method string, local func(peer.JobRequest) peer.JobResponse, q peer.JobRequest, timeout time.Duration) (peer.JobResponse, error) {
 	host, ok := n.keeper.Leader(placer.Duty(q.Team))
 	if !ok {
 		return peer.JobResponse{}, fmt.Errorf("team %s has no placer now", q.Team)
@@ -162,7 +162,7 @@
 }
 
 // each calls a method of all peers at once.
-func each[Out any](n *Node, method string, in any, take func(Out)) {
+func each[Out any](n *Controller, method string, in any, take func(Out)) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for _, c := range n.peers {
@@ -181,27 +181,31 @@
 }
 
 // Demands asks all placers what waits.
-func (n *Node) Demands(context.Context) []peer.Demand {
+func (n *Controller) Demands(context.Context) []peer.Demand {
 	out := n.placer.Demands()
 	each(n, "Demand", n.hello(), func(a peer.DemandResponse) { out = append(out, a.Demands...) })
 	return out
 }
 
 // Views appends the mirror of all machines.
-func (n *Node) Views(to []peer.MachineView) []peer.MachineView { return n.placer.MachineViews(to) }
+func (n *Controller) Views(to []peer.MachineView) []peer.MachineView {
+	return n.placer.MachineViews(to)
+}
 
 // RecordedBefore lists the machines that were on record by a time of day.
-func (n *Node) RecordedBefore(atMS int64) []peer.MachineRef { return n.owner.RecordedBefore(atMS) }
+func (n *Controller) RecordedBefore(atMS int64) []peer.MachineRef {
+	return n.owner.RecordedBefore(atMS)
+}
 
 // Drain asks all owners to set machines aside.
-func (n *Node) Drain(_ context.Context, list []peer.MachineRef) []string {
+func (n *Controller) Drain(_ context.Context, list []peer.MachineRef) []string {
 	out := n.owner.Drain(list)
 	each(n, "Drain", peer.DrainRequest{Machines: list}, func(a peer.DrainResponse) { out = append(out, a.Ready...) })
 	return out
 }
 
 // Gone tells all owners of machines that are gone for certain.
-func (n *Node) Gone(_ context.Context, list []peer.MachineRef) {
+func (n *Controller) Gone(_ context.Context, list []peer.MachineRef) {
 	n.owner.HandleMachinesGone(list)
 	each(n, "Gone", peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,7 +10,7 @@
 )
 
 // handle answers a request of a user, a worker or the load balancer, and counts it.
-func (n *Node) handle(ctx context.Context, r *httpx.Request) httpx.Response {
+func (n *Controller) handle(ctx context.Context, r *httpx.Request) httpx.Response {
 	kind := telemetry.Users
 	if r.Path == wire.PathHeartbeat {
 		kind = telemetry.Workers
@@ -26,7 +26,7 @@
 	return r.Path == wire.PathHeartbeat || r.Path == wire.PathReady
 }
 
-func (n *Node) answer(ctx context.Context, r *httpx.Request) httpx.Response {
+func (n *Controller) answer(ctx context.Context, r *httpx.Request) httpx.Response {
 	switch {
 	case r.Path == wire.PathHeartbeat:
 		if r.Method != "POST" {
@@ -51,7 +51,7 @@
 // ready tells whether users should come here. In an outage of the state service
 // that all controllers share they should: they are told at once when to come
 // back, and need not wait for the load balancer to take the controllers back in.
-func (n *Node) ready() httpx.Response {
+func (n *Controller) ready() httpx.Response {
 	select {
 	case <-n.loaded:
 	default:
@@ -63,7 +63,7 @@
 	if n.keeper.SharedOutage() {
 		return httpx.Response{Status: 200, Body: []byte(`{"ready":true}`)}
 	}
-	if !n.front.Decisive() {
+	if !n.front.KnowsMachineTypes() {
 		return text(503, "the machine types are not known yet")
 	}
 	if !n.keeper.LeaseValid() {
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -20,7 +20,7 @@
 	return l.o.HandlePoll(in), nil
 }
 
-type remoteOwner struct{ c Peer }
+type remoteOwner struct{ c PeerClient }
 
 func (r remoteOwner) ApplyBatch(in peer.Batch) (out peer.BatchResponse, err error) {
 	err = r.c.Call("Round", in, &out, 1500*time.Millisecond)
@@ -35,7 +35,7 @@
 }
 
 // service is what peers may call.
-type service struct{ n *Node }
+type service struct{ n *Controller }
 
 var _ peer.Service = (*service)(nil)
 
@@ -72,7 +72,7 @@
 }
 
 func (s *service) Submit(in peer.SubmitRequest, out *peer.SubmitResponse) error {
-	r := s.n.front.Accept(context.Background(), in.Body)
+	r := s.n.front.AcceptJob(context.Background(), in.Body)
 	*out = peer.SubmitResponse{Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter}
 	return nil
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -32,12 +32,12 @@
 		delete(b.records, name)
 		return name, zone.Record{State: zone.Healthy}, true
 	}
-	b.records[name] = fleet.ZoneRecord{Record: r, Stamp: e.ModRevision}
+	b.records[name] = fleet.ZoneRecord{Record: r, ModRevision: e.ModRevision}
 	return name, r, true
 }
 
 // ZoneRecords gives the states on record.
-func (n *Node) ZoneRecords() map[string]fleet.ZoneRecord {
+func (n *Controller) ZoneRecords() map[string]fleet.ZoneRecord {
 	n.zones.mu.Lock()
 	defer n.zones.mu.Unlock()
 	out := make(map[string]fleet.ZoneRecord, len(n.zones.records))
@@ -48,12 +48,12 @@
 }
 
 // ZoneEvidence tells what is known of each zone's machines.
-func (n *Node) ZoneEvidence() map[string]zone.Evidence {
+func (n *Controller) ZoneEvidence() map[string]zone.Evidence {
 	return n.placer.ZoneEvidence(n.owner.MisdirectedMachines())
 }
 
 // applyZone takes a zone's state from the replica, where states are followed.
-func (n *Node) applyZone(e state.Event) {
+func (n *Controller) applyZone(e state.Event) {
 	name, r, changed := n.zones.apply(e)
 	if !changed || !n.followZones {
 		return
@@ -68,7 +68,7 @@
 }
 
 // zoneStatuses tells how each zone stands.
-func (n *Node) zoneStatuses() []peer.ZoneStatus {
+func (n *Controller) zoneStatuses() []peer.ZoneStatus {
 	evidence, records, gates := n.ZoneEvidence(), n.ZoneRecords(), n.owner.AdmittedStages()
 	waiting := peer.WaitingByStage(n.placer.Demands())
 	out := make([]peer.ZoneStatus, 0, len(n.set.Params.Zones))
@@ -96,7 +96,7 @@
 }
 
 // holdZone stops a return, or lets it go on, if this controller holds the fleet.
-func (n *Node) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
+func (n *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
 	if holder, ok := n.keeper.Leader(fleet.Duty); ok {
 		out.Holder = holder
 	}
@@ -104,7 +104,7 @@
 	switch {
 	case err == nil:
 		out.Done = true
-	case errors.Is(err, fleet.ErrNotHolder):
+	case errors.Is(err, fleet.ErrNotLeader):
 	default:
 		out.Refusal = err.Error()
 	}
