--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/merlinlatch/merlinlatch/internal/config"
-	"github.com/merlinlatch/merlinlatch/internal/node"
+	"github.com/merlinlatch/merlinlatch/internal/controller"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
 )
 
@@ -119,7 +119,7 @@
 	debug.SetMemoryLimit(int64(set.Params.Limits.MemoryMB * 0.6 * (1 << 20)))
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	err = node.New(ctx, set, knobs, log.With("host", set.Host)).Run(ctx)
+	err = controller.New(ctx, set, knobs, log.With("host", set.Host)).Run(ctx)
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/internal/front/front.go
+++ b/internal/api/front.go
@@ -1,6 +1,6 @@
 // Package front answers users. Any controller accepts a job by a create-if-absent
 // write; whatever is not final is asked of the team's placer.
-package front
+package api
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -46,7 +46,7 @@
 	placers Schedulers
 	others  Peers
 	book    *jobs.Cache
-	limits  map[string]res.Amounts
+	limits  map[string]resources.Amounts
 	hasty   map[string]clock.Micros // classes whose tasks should start within so long
 	most    int                     // bytes of a record
 	wall    func() time.Time
@@ -59,7 +59,7 @@
 
 // New makes a front; limits holds each team's limit, an amount of 0 meaning none;
 // most is how large a record may be; hasty names the classes whose tasks should start within a time.
-func New(store Store, placers Schedulers, others Peers, book *jobs.Cache, limits map[string]res.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Handler {
+func New(store Store, placers Schedulers, others Peers, book *jobs.Cache, limits map[string]resources.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Handler {
 	return &Handler{store: store, placers: placers, others: others, book: book, limits: limits, hasty: hasty, most: most, wall: wall, log: log}
 }
 
@@ -123,7 +123,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.types {
-		if !j.Need.Fits(res.Capacity(t.CPUs, t.GPUs, t.MemGB)) {
+		if !j.Need.Fits(resources.Capacity(t.CPUs, t.GPUs, t.MemGB)) {
 			continue
 		}
 		allowed := len(j.Types) == 0
@@ -193,15 +193,15 @@
 		return refuse(503, "the job can't be stored now")
 	}
 	_, err = f.store.Commit(ctx, wire.Txn{
-		Conditions: []wire.Condition{{Key: state.ActiveJobPrefix + spec.ID}, {Key: state.FinalJobPrefix + spec.ID}},
-		Operations: []wire.Operation{{Put: state.ActiveJobPrefix + spec.ID, Value: rec}}})
+		Conditions: []wire.Condition{{Key: kvstore.ActiveJobPrefix + spec.ID}, {Key: kvstore.FinalJobPrefix + spec.ID}},
+		Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + spec.ID, Value: rec}}})
 	switch {
 	case err == nil:
 		return httpx.JSON(201, map[string]string{"id": spec.ID, "phase": wire.Pending})
-	case errors.Is(err, state.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		return f.get(ctx, spec.ID) // known already
 	}
-	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrBudgetExhausted) {
+	if errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrBudgetExhausted) {
 		f.setOut()
 	}
 	f.log.Debug("accepting a job", "job", spec.ID, "err", err)
@@ -246,7 +246,7 @@
 // active record. The active one is read first: when it is gone because the job
 // became final, the final one is there.
 func (f *Handler) look(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
-	it, found, err := f.store.Get(ctx, state.ActiveJobPrefix+id)
+	it, found, err := f.store.Get(ctx, kvstore.ActiveJobPrefix+id)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -261,7 +261,7 @@
 		}
 		return nil, &rec, nil
 	}
-	it, found, err = f.store.Get(ctx, state.FinalJobPrefix+id)
+	it, found, err = f.store.Get(ctx, kvstore.FinalJobPrefix+id)
 	if err != nil || !found {
 		return nil, nil, err
 	}
--- a/internal/front/front_test.go
+++ b/internal/api/front_test.go
@@ -1,4 +1,4 @@
-package front
+package api
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -63,7 +63,7 @@
 
 func newScene(t *testing.T) *scene {
 	s := &scene{oth: &others{}, t: t, view: &fakes.KVClient{KVStore: fakes.NewKVStore()}, pl: &placers{err: errors.New("nobody")}, book: jobs.NewCache()}
-	s.Handler = New(s.view, s.pl, s.oth, s.book, map[string]res.Amounts{"red": res.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
+	s.Handler = New(s.view, s.pl, s.oth, s.book, map[string]resources.Amounts{"red": resources.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	return s
@@ -143,9 +143,9 @@
 func TestFinalStays(t *testing.T) {
 	s := newScene(t)
 	s.do("POST", "", good)
-	it, _, _ := s.view.Get(t.Context(), state.ActiveJobPrefix+"job-000412")
+	it, _, _ := s.view.Get(t.Context(), kvstore.ActiveJobPrefix+"job-000412")
 	_, err := s.view.Commit(t.Context(), wire.Txn{Conditions: []wire.Condition{{Key: it.Key, ModRevision: it.ModRevision}}, Operations: []wire.Operation{
-		{Put: state.FinalJobPrefix + "job-000412", Value: jobs.Final{Phase: wire.Cancelled, Team: "red", Tasks: 16}}, {Drop: it.Key}}})
+		{Put: kvstore.FinalJobPrefix + "job-000412", Value: jobs.Final{Phase: wire.Cancelled, Team: "red", Tasks: 16}}, {Drop: it.Key}}})
 	require.NoError(t, err)
 	for range 2 {
 		r := s.do("POST", "", good)
@@ -160,14 +160,14 @@
 func TestALateEndFailsWhenTheClaimHasMoved(t *testing.T) {
 	s := newScene(t)
 	s.do("POST", "", good)
-	it, _, _ := s.view.Get(t.Context(), state.ActiveJobPrefix+"job-000412")
-	rev, _ := s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.LeaderPrefix + "team-red", Value: 1}}})
+	it, _, _ := s.view.Get(t.Context(), kvstore.ActiveJobPrefix+"job-000412")
+	rev, _ := s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + "team-red", Value: 1}}})
 	s.view.SetCapture(true)
-	_, err := s.view.Commit(t.Context(), wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + "team-red", ModRevision: rev}, {Key: it.Key, ModRevision: it.ModRevision}},
+	_, err := s.view.Commit(t.Context(), wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + "team-red", ModRevision: rev}, {Key: it.Key, ModRevision: it.ModRevision}},
 		Operations: []wire.Operation{{Drop: it.Key}}})
-	require.ErrorIs(t, err, state.ErrOutcomeUnknown)
+	require.ErrorIs(t, err, kvstore.ErrOutcomeUnknown)
 	s.view.SetCapture(false)
-	_, err = s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.LeaderPrefix + "team-red", Value: 2}}})
+	_, err = s.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + "team-red", Value: 2}}})
 	require.NoError(t, err)
 	require.Zero(t, s.view.Release())
 	require.Equal(t, 200, s.do("GET", "/job-000412", "").Status)
@@ -177,8 +177,8 @@
 func TestNothingIsToldWhileTheEndIsWritten(t *testing.T) {
 	s := newScene(t)
 	s.do("POST", "", good)
-	it, _, _ := s.view.Get(t.Context(), state.ActiveJobPrefix+"job-000412")
-	s.book.Apply(state.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
+	it, _, _ := s.view.Get(t.Context(), kvstore.ActiveJobPrefix+"job-000412")
+	s.book.Apply(kvstore.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
 	s.pl.answer, s.pl.err = peer.JobResponse{Known: true, Found: true, Retry: true}, nil
 	r := s.do("GET", "/job-000412", "")
 	require.Equal(t, 503, r.Status)
@@ -236,7 +236,7 @@
 	for tasks, marked := range map[string]bool{"1": true, "16": false} {
 		body := strings.Replace(strings.Replace(good, "000412", "00041"+tasks, 1), `"shards":16`, `"shards":`+tasks, 1)
 		require.Equal(t, 201, s.do("POST", "", body).Status)
-		it, _, err := s.view.Get(t.Context(), state.ActiveJobPrefix+"job-00041"+tasks)
+		it, _, err := s.view.Get(t.Context(), kvstore.ActiveJobPrefix+"job-00041"+tasks)
 		require.NoError(t, err)
 		require.Equal(t, marked, strings.Contains(string(it.Value), `"marked":true`))
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -1,12 +1,12 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
@@ -27,7 +27,7 @@
 
 // Elections tells whether the fleet is held.
 type Elections interface {
-	Leading(duty string) (claim.Leadership, bool)
+	Leading(duty string) (leaderelection.Leadership, bool)
 }
 
 // Store takes transactions.
@@ -121,7 +121,7 @@
 	f.fetched, f.listed, f.unlisted, f.listAgain = 0, 0, 0, 0
 }
 
-func (f *Autoscaler) step(ctx context.Context, h claim.Leadership) {
+func (f *Autoscaler) step(ctx context.Context, h leaderelection.Leadership) {
 	now := f.clock.Now()
 	if f.fetched == 0 || now > f.fetched+30*clock.Second {
 		f.fetchCatalog(ctx, h, now)
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -90,8 +90,8 @@
 
 type held struct{ term uint64 }
 
-func (h *held) Leading(string) (claim.Leadership, bool) {
-	return claim.Leadership{Record: claim.Record{Term: h.term}}, h.term > 0
+func (h *held) Leading(string) (leaderelection.Leadership, bool) {
+	return leaderelection.Leadership{Record: leaderelection.Record{Term: h.term}}, h.term > 0
 }
 
 func newFleet(t *testing.T) (*Autoscaler, *cloud, *others, *held) {
@@ -132,7 +132,7 @@
 		f.begin(term)
 		for range 3 {
 			f.rented = map[string]Instance{} // as if none had come
-			f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: term}})
+			f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: term}})
 		}
 	}
 	c.with(func() {
@@ -159,9 +159,9 @@
 			return 200, wire.HostList{Hosts: []string{"m-1"}}
 		}
 	})
-	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
 	c.with(func() { require.Equal(t, []bool{true, false}, kinds) })
-	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
 	c.with(func() {
 		require.Equal(t, []bool{true, false}, kinds, "the machine is on its way, though the list lags")
 	})
@@ -175,10 +175,10 @@
 		c.listed = []wire.Instance{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
 	})
 	o.views = []peer.MachineView{{ID: "m-7", Type: "big", Zone: "a", Accounted: true, Usable: true, Idle: 90 * clock.Second}}
-	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
 	c.with(func() { require.Empty(t, c.returned, "its owner has not set it aside") })
 	o.ready = []string{"m-7"}
-	f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
+	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
 	c.with(func() { require.Equal(t, []string{"m-7"}, c.returned) })
 	require.Equal(t, []string{"m-7"}, o.gone)
 }
@@ -195,7 +195,7 @@
 	} {
 		c.with(func() { c.answer = a })
 		f.refused = map[InstanceKind]clock.Micros{}
-		f.step(t.Context(), claim.Leadership{Record: claim.Record{Term: 3}})
+		f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
 		require.Empty(t, f.rented)
 	}
 }
--- a/internal/fleet/list.go
+++ b/internal/autoscaler/list.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
@@ -6,24 +6,24 @@
 	"slices"
 	"strings"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // fetchCatalog reads the catalog, and keeps it in the state service so that a
 // controller that starts while the cloud is out can decide.
-func (f *Autoscaler) fetchCatalog(ctx context.Context, h claim.Leadership, now clock.Micros) {
+func (f *Autoscaler) fetchCatalog(ctx context.Context, h leaderelection.Leadership, now clock.Micros) {
 	var c wire.Catalog
 	if err := f.cloud.call(ctx, "GET", wire.PathCatalog, nil, &c); err != nil || len(c.Types) == 0 {
 		f.log.Info("reading the catalog", "err", err)
 		return
 	}
 	f.catalog, f.fetched = c, now
-	if _, err := f.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty, ModRevision: h.ModRevision}},
-		Operations: []wire.Operation{{Put: state.CatalogKey, Value: c}}}); err != nil {
+	if _, err := f.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty, ModRevision: h.ModRevision}},
+		Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: c}}}); err != nil {
 		f.log.Info("keeping the catalog", "err", err)
 		f.fetched = now - 27*clock.Second
 	}
--- a/internal/fleet/plan.go
+++ b/internal/autoscaler/plan.go
@@ -2,7 +2,7 @@
 // holds it, and decides from the demand that the placers report.
 //
 // Plan is the decision, plain code; Fleet does the I/O.
-package fleet
+package autoscaler
 
 import (
 	"math"
@@ -11,7 +11,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -83,7 +83,7 @@
 
 type bin struct {
 	kind  InstanceKind
-	free  res.Amounts
+	free  resources.Amounts
 	taken bool // something that waits is to go there
 }
 
@@ -143,9 +143,9 @@
 }
 
 // offer is what a new machine of a type has to offer.
-func (p *planner) offer(typeName string) res.Amounts {
+func (p *planner) offer(typeName string) resources.Amounts {
 	t := p.types[typeName]
-	return res.Capacity(t.CPUs, t.GPUs, t.MemGB)
+	return resources.Capacity(t.CPUs, t.GPUs, t.MemGB)
 }
 
 // countViewed takes the room of machines that may get tasks.
--- a/internal/fleet/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -21,7 +21,7 @@
 }
 
 func waiting(n int, change func(*peer.Demand)) []peer.Demand {
-	d := peer.Demand{Need: res.Request(16, 0, 32), Waiting: n, Spot: true, RunFor: 60 * sec, Rank: 1}
+	d := peer.Demand{Need: resources.Request(16, 0, 32), Waiting: n, Spot: true, RunFor: 60 * sec, Rank: 1}
 	if change != nil {
 		change(&d)
 	}
@@ -42,7 +42,7 @@
 func TestRentsWhatIsMissing(t *testing.T) {
 	in := input()
 	in.Demands = waiting(8, nil)
-	in.Views = []peer.MachineView{{ID: "m-1", Type: "big", Zone: "a", Usable: true, Cap: res.Capacity(32, 0, 128), Free: res.Capacity(32, 0, 128)}}
+	in.Views = []peer.MachineView{{ID: "m-1", Type: "big", Zone: "a", Usable: true, Cap: resources.Capacity(32, 0, 128), Free: resources.Capacity(32, 0, 128)}}
 	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, Since: in.Now}
 	rentals, returns := Plan(in)
 	spot, ordinary := total(rentals)
@@ -76,7 +76,7 @@
 	in.Parameters.Economy = true
 	in.Views = []peer.MachineView{}
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
-		in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Usable: true, Cap: res.Capacity(32, 0, 128)})
+		in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Usable: true, Cap: resources.Capacity(32, 0, 128)})
 	}
 	in.Demands = waiting(3, nil)
 	spot, _ := total(first(Plan(in)))
@@ -127,7 +127,7 @@
 	in.Demands = waiting(3, nil)
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Usable: true, Accounted: true,
-			Cap: res.Capacity(32, 0, 128), Free: res.Capacity(32, 0, 128), Idle: 90 * sec})
+			Cap: resources.Capacity(32, 0, 128), Free: resources.Capacity(32, 0, 128), Idle: 90 * sec})
 	}
 	_, returns := Plan(in)
 	require.Empty(t, returns, "without economy they are kept while anything waits")
--- a/internal/fleet/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
--- a/internal/fleet/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -20,11 +20,11 @@
 			for i := range machines {
 				id := fmt.Sprintf("m-%06d", i)
 				in.Instances[id] = Instance{InstanceKind: kind, ID: id, Phase: wire.MachineRunning, Since: clock.Second, Up: true}
-				in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Spot: true, Cap: res.Capacity(32, 0, 64),
-					Free: res.Capacity(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
+				in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Spot: true, Cap: resources.Capacity(32, 0, 64),
+					Free: resources.Capacity(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
 			}
 			for i := range 60 {
-				in.Demands = append(in.Demands, peer.Demand{Need: res.Request(float64(2+i%4), 0, 2), Spot: true, Rank: 1, Waiting: 100,
+				in.Demands = append(in.Demands, peer.Demand{Need: resources.Request(float64(2+i%4), 0, 2), Spot: true, Rank: 1, Waiting: 100,
 					RunFor: 30 * clock.Second})
 			}
 			b.ReportAllocs()
--- a/internal/fleet/zones.go
+++ b/internal/autoscaler/zones.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -111,7 +111,7 @@
 }
 
 // stepZones decides, and writes what has changed.
-func (f *Autoscaler) stepZones(ctx context.Context, h claim.Leadership, demands []peer.Demand, now clock.Micros) {
+func (f *Autoscaler) stepZones(ctx context.Context, h leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
 	z := &f.zones
 	evidence := z.watch.Source.ZoneEvidence()
 	z.mu.Lock()
@@ -129,18 +129,18 @@
 
 // saveZones writes what is not on record yet, each on the condition of the fleet's claim and of the
 // key's stamp as last known: a late copy, or a former holder's write, changes nothing.
-func (f *Autoscaler) saveZones(ctx context.Context, h claim.Leadership) error {
+func (f *Autoscaler) saveZones(ctx context.Context, h leaderelection.Leadership) error {
 	z := &f.zones
 	z.mu.Lock()
 	if z.decider == nil {
 		z.mu.Unlock()
 		return ErrNotLeader
 	}
-	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty, ModRevision: h.ModRevision}}}
+	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty, ModRevision: h.ModRevision}}}
 	records := z.decider.Records()
 	names := slices.Sorted(maps.Keys(z.unsaved))
 	for _, name := range names {
-		key := state.ZonePrefix + name
+		key := kvstore.ZonePrefix + name
 		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.stamps[name]})
 		m.Operations = append(m.Operations, wire.Operation{Put: key, Value: records[name]})
 	}
--- a/internal/fleet/zones_test.go
+++ b/internal/autoscaler/zones_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -29,8 +29,8 @@
 
 func (w *zoneWorld) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
 func (w *zoneWorld) ZoneRecords() map[string]ZoneRecord     { return w.records }
-func (w *zoneWorld) Leading(string) (claim.Leadership, bool) {
-	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 7}, true
+func (w *zoneWorld) Leading(string) (leaderelection.Leadership, bool) {
+	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 7}, true
 }
 
 var errNoAnswer = errors.New("no answer")
@@ -39,13 +39,13 @@
 	w.commits = append(w.commits, m)
 	for _, c := range m.Conditions {
 		if w.stamps[c.Key] != c.ModRevision {
-			return 0, state.ErrConflict
+			return 0, kvstore.ErrConflict
 		}
 	}
 	w.rev++
 	for _, op := range m.Operations {
 		w.stamps[op.Put] = w.rev
-		w.records[op.Put[len(state.ZonePrefix):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
+		w.records[op.Put[len(kvstore.ZonePrefix):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
 	}
 	if w.lose {
 		w.lose = false
@@ -56,7 +56,7 @@
 
 func newZoneWorld() (*zoneWorld, *Autoscaler) {
 	w := &zoneWorld{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
-		stamps: map[string]uint64{state.LeaderPrefix + Duty: 7}, rev: 10}
+		stamps: map[string]uint64{kvstore.LeaderPrefix + Duty: 7}, rev: 10}
 	f := &Autoscaler{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
 	f.WatchZones(ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
 		ReturnAfter: clock.Second, ReturnMost: clock.Second}})
@@ -81,14 +81,14 @@
 	require.Equal(t, zone.Lost, w.records["b"].State)
 	require.NotEmpty(t, w.commits)
 	for _, m := range w.commits {
-		require.Equal(t, wire.Condition{Key: state.LeaderPrefix + Duty, ModRevision: 7}, m.Conditions[0])
+		require.Equal(t, wire.Condition{Key: kvstore.LeaderPrefix + Duty, ModRevision: 7}, m.Conditions[0])
 		require.Len(t, m.Conditions, 1+len(m.Operations))
-		require.Equal(t, state.ZonePrefix+"b", m.Conditions[1].Key)
+		require.Equal(t, kvstore.ZonePrefix+"b", m.Conditions[1].Key)
 	}
 	before := w.records["b"]
 	for _, late := range w.commits {
 		_, err := w.Commit(t.Context(), late)
-		require.ErrorIs(t, err, state.ErrConflict, "a late copy")
+		require.ErrorIs(t, err, kvstore.ErrConflict, "a late copy")
 	}
 	require.Equal(t, before, w.records["b"])
 	require.Zero(t, w.records["a"], "what does not change is not written")
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -10,7 +10,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
@@ -122,7 +122,7 @@
 }
 
 // amount writes an amount of CPUs of which 0 means none.
-func amount(a res.Amounts) string {
+func amount(a resources.Amounts) string {
 	if a.CPU == 0 {
 		return "none"
 	}
--- a/internal/console/teams_test.go
+++ b/internal/console/teams_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
@@ -34,10 +34,10 @@
 // latest term, its shares are of all owners' machines. Who did not answer is named.
 func TestTeamsOfSeveralControllers(t *testing.T) {
 	wait := telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000}
-	a := &peer.TeamsResponse{Host: "a", Capacity: res.Capacity(100, 0, 0), Yielded: 4,
-		Teams:     []peer.TeamStatus{{Team: "red", Term: 7, Used: res.Capacity(12, 0, 0), Limit: res.Capacity(40, 0, 0), Jobs: 2, Running: 6, Waiting: 9, Waits: wait}},
+	a := &peer.TeamsResponse{Host: "a", Capacity: resources.Capacity(100, 0, 0), Yielded: 4,
+		Teams:     []peer.TeamStatus{{Team: "red", Term: 7, Used: resources.Capacity(12, 0, 0), Limit: resources.Capacity(40, 0, 0), Jobs: 2, Running: 6, Waiting: 9, Waits: wait}},
 		Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.1}, {Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}}
-	b := &peer.TeamsResponse{Host: "b", Capacity: res.Capacity(50, 0, 0),
+	b := &peer.TeamsResponse{Host: "b", Capacity: resources.Capacity(50, 0, 0),
 		Teams:     []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}},
 		Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.5, Taken: 0.04}}}
 	var out bytes.Buffer
--- a/internal/node/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -113,9 +113,9 @@
 					}
 				}
 				c.setBefore(func(_ string, m wire.Txn) lot {
-					for _, prefix := range []string{state.ActiveJobPrefix, state.FinalJobPrefix} {
+					for _, prefix := range []string{kvstore.ActiveJobPrefix, kvstore.FinalJobPrefix} {
 						if strings.Contains(puts(m), prefix) {
-							if prefix == state.FinalJobPrefix {
+							if prefix == kvstore.FinalJobPrefix {
 								ending <- strings.TrimPrefix(strings.Fields(puts(m))[0], prefix)
 							}
 							if c.note("a transaction")%2 == 0 {
@@ -188,8 +188,8 @@
 				require.GreaterOrEqual(t, ends[wire.Cancelled], many/3)
 				require.Equal(t, many, ends[wire.Done]+ends[wire.Cancelled])
 				if x.lot != served {
-					require.NotZero(t, c.count(state.ActiveJobPrefix+" in trouble"), "an acceptance had no answer")
-					require.NotZero(t, c.count(state.FinalJobPrefix+" in trouble"), "an end had no answer")
+					require.NotZero(t, c.count(kvstore.ActiveJobPrefix+" in trouble"), "an acceptance had no answer")
+					require.NotZero(t, c.count(kvstore.FinalJobPrefix+" in trouble"), "an end had no answer")
 				}
 			})
 		})
--- a/internal/node/assemble.go
+++ b/internal/controller/assemble.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,20 +8,20 @@
 
 	"github.com/google/uuid"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
+	"github.com/merlinlatch/merlinlatch/internal/api"
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
-	"github.com/merlinlatch/merlinlatch/internal/fleet"
-	"github.com/merlinlatch/merlinlatch/internal/front"
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/owner"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/placement"
-	"github.com/merlinlatch/merlinlatch/internal/placer"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
 	"github.com/merlinlatch/merlinlatch/internal/rebalance"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
+	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
@@ -40,26 +40,26 @@
 	hosts      []string // all controllers, in order
 	partDuties []string // duties of the partitions
 	partZones  []string // zone of each partition's preferred controller
-	teams      []placer.Team
-	limits     map[string]res.Amounts // by team
+	teams      []scheduler.Team
+	limits     map[string]resources.Amounts // by team
 }
 
 // newLayout reads the layout from the settings. All controllers come to the same one.
 func newLayout(set *config.Settings) layout {
 	p := &set.Params
-	l := layout{hosts: []string{set.Host}, limits: map[string]res.Amounts{}}
+	l := layout{hosts: []string{set.Host}, limits: map[string]resources.Amounts{}}
 	zoneOf := map[string]string{set.Host: set.Zone}
 	for _, other := range set.Peers {
 		l.hosts = append(l.hosts, other.Host)
 		zoneOf[other.Host] = other.Zone
 	}
 	slices.Sort(l.hosts)
-	for i := range min(partsPerController*p.Count, placer.MaxPartitions(p.State.TxnOps)) {
-		l.partDuties = append(l.partDuties, owner.Duty(i))
-		l.partZones = append(l.partZones, zoneOf[claim.PreferredLeader(l.hosts, i, 0)])
+	for i := range min(partsPerController*p.Count, scheduler.MaxPartitions(p.State.TxnOps)) {
+		l.partDuties = append(l.partDuties, partition.Duty(i))
+		l.partZones = append(l.partZones, zoneOf[leaderelection.PreferredLeader(l.hosts, i, 0)])
 	}
 	for _, t := range p.Teams {
-		team := placer.Team{Name: t.Name, Guarantee: res.Capacity(t.CPUs, t.GPUs, 0), Limit: res.Capacity(t.CPUsMax, t.GPUsMax, 0)}
+		team := scheduler.Team{Name: t.Name, Guarantee: resources.Capacity(t.CPUs, t.GPUs, 0), Limit: resources.Capacity(t.CPUsMax, t.GPUsMax, 0)}
 		l.teams = append(l.teams, team)
 		l.limits[t.Name] = team.Limit
 	}
@@ -70,15 +70,15 @@
 func (l *layout) duties() []string {
 	out := slices.Clone(l.partDuties)
 	for _, t := range l.teams {
-		out = append(out, placer.Duty(t.Name))
+		out = append(out, scheduler.Duty(t.Name))
 	}
-	return append(out, fleet.Duty)
+	return append(out, autoscaler.Duty)
 }
 
 // assemble wires a controller to a state service and to peers. What users or
 // other controllers wait for, accepted jobs and claims, goes the urgent way, and
 // what users ask a way of its own. The seed decides which machines placement draws.
-func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users front.Store, peers map[string]PeerClient, seed uint64, log *slog.Logger) *Controller {
+func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users api.Store, peers map[string]PeerClient, seed uint64, log *slog.Logger) *Controller {
 	p := &set.Params
 	steady, wall := clock.NewSteady(), time.Now
 	l := newLayout(set)
@@ -86,27 +86,27 @@
 	valueMost := int(p.State.ValueKB * 1024 * recordShare)
 	n := &Controller{
 		fresh: knobs.LeaderRenewInterval * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
-		zones: zoneBook{records: map[string]fleet.ZoneRecord{}}, followZones: knobs.ZoneReturn,
+		zones: zoneBook{records: map[string]autoscaler.ZoneRecord{}}, followZones: knobs.ZoneReturn,
 		contact: map[string]time.Time{}, told: map[string]told{}, loaded: make(chan struct{}),
 	}
-	n.keeper = claim.NewElector(claim.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
+	n.keeper = leaderelection.NewElector(leaderelection.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
 	_, lines := set.Sockets()
-	n.owner = owner.New(ctx, owner.Options{
-		Host: set.Host, Instance: instance, Partitioning: owner.NewPartitioning(l.partZones), TxnOps: p.State.TxnOps, MaxRecordBytes: valueMost,
+	n.owner = partition.New(ctx, partition.Options{
+		Host: set.Host, Instance: instance, Partitioning: partition.NewPartitioning(l.partZones), TxnOps: p.State.TxnOps, MaxRecordBytes: valueMost,
 		MaxWorkerConnections: lines, Timing: ownerTiming(set, knobs),
 	}, n.book, n.keeper, n.store, steady, wall, log)
 	if knobs.FairShares {
 		n.owner.SetArbiter(fairshare.NewArbiter(shareSettings(knobs)))
 	}
-	scheduler := placer.NewScheduler(schedulerTiming(set, knobs, log), instance, l.teams, l.hosts, seed,
+	core := scheduler.NewScheduler(schedulerTiming(set, knobs, log), instance, l.teams, l.hosts, seed,
 		func() int64 { return wall().UnixMilli() })
-	n.placer = placer.New(scheduler, placer.Options{
+	n.placer = scheduler.New(core, scheduler.Options{
 		Teams: l.teams, PartitionDuties: l.partDuties, Partitions: n.owners(), TxnOps: p.State.TxnOps,
 		MaxRecordBytes: valueMost, ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
 	}, n.keeper, n.store, urgent, n.book, steady, log)
-	n.front = front.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
-	cloud := fleet.NewCloudClient(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
-	n.fleet = fleet.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.ScaleOutBackoff,
+	n.front = api.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
+	cloud := autoscaler.NewCloudClient(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
+	n.fleet = autoscaler.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.ScaleOutBackoff,
 		clock.FromSeconds(p.Cloud.ListLagS), clock.FromSeconds(p.SkewMS/1000), wall, n.keptCatalog, log)
 	n.fleet.WatchZones(n.zoneWatch(knobs))
 	if knobs.History {
@@ -124,17 +124,17 @@
 
 // zoneWatch has the fleet's holder decide the states of zones, where that is on and there are
 // several.
-func (n *Controller) zoneWatch(knobs *policy.Parameters) fleet.ZoneWatch {
+func (n *Controller) zoneWatch(knobs *policy.Parameters) autoscaler.ZoneWatch {
 	names := n.set.Params.Zones
 	if !knobs.ZoneReturn {
-		return fleet.ZoneWatch{}
+		return autoscaler.ZoneWatch{}
 	}
 	if len(names) < 2 {
 		n.log.Info("zone_return is on, and there are fewer than two zones: it does nothing", "zones", names)
 		n.followZones = false
-		return fleet.ZoneWatch{}
+		return autoscaler.ZoneWatch{}
 	}
-	return fleet.ZoneWatch{Names: names, Source: n, Settings: zone.Settings{SuspectAfter: knobs.ZoneSuspectAfter, LostAfter: knobs.ZoneLostAfter,
+	return autoscaler.ZoneWatch{Names: names, Source: n, Settings: zone.Settings{SuspectAfter: knobs.ZoneSuspectAfter, LostAfter: knobs.ZoneLostAfter,
 		ReturnAfter: knobs.ZoneReturnAfter, ReturnMost: zoneBackMost}}
 }
 
@@ -142,22 +142,22 @@
 const zoneBackMost = 60 * clock.Second
 
 // owners gives the ways to the owner parts of all controllers, this one's included.
-func (n *Controller) owners() map[string]placer.PartitionClient {
-	out := map[string]placer.PartitionClient{n.set.Host: localOwner{n.owner}}
+func (n *Controller) owners() map[string]scheduler.PartitionClient {
+	out := map[string]scheduler.PartitionClient{n.set.Host: localOwner{n.owner}}
 	for host, p := range n.peers {
 		out[host] = remoteOwner{p}
 	}
 	return out
 }
 
-func holdTiming(knobs *policy.Parameters) claim.Timing {
-	return claim.Timing{TTL: knobs.LeaderLeaseTTL, RenewInterval: knobs.LeaderRenewInterval, TakeoverGrace: knobs.TakeoverGrace,
+func holdTiming(knobs *policy.Parameters) leaderelection.Timing {
+	return leaderelection.Timing{TTL: knobs.LeaderLeaseTTL, RenewInterval: knobs.LeaderRenewInterval, TakeoverGrace: knobs.TakeoverGrace,
 		ResignAfter: knobs.ResignAfter, TransferDelay: knobs.TransferDelay}
 }
 
-func ownerTiming(set *config.Settings, knobs *policy.Parameters) owner.Timing {
+func ownerTiming(set *config.Settings, knobs *policy.Parameters) partition.Timing {
 	quiet := min(clock.FromSeconds(quietReports*set.Params.Workers.ReportS+1), set.Lease()*2/3)
-	return owner.Timing{Lease: set.Lease(), HeartbeatOverdue: quiet, RoomLeaseTTL: knobs.RoomLeaseTTL, QuarantineErrors: knobs.QuarantineErrors}
+	return partition.Timing{Lease: set.Lease(), HeartbeatOverdue: quiet, RoomLeaseTTL: knobs.RoomLeaseTTL, QuarantineErrors: knobs.QuarantineErrors}
 }
 
 // openTimes is for how many times as long as free room is withheld a machine goes to whoever
@@ -170,22 +170,22 @@
 }
 
 // moveSettings gives the limits of moves; nil where they are off.
-func moveSettings(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *placer.Moves {
+func moveSettings(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *scheduler.Moves {
 	if !knobs.Moves {
 		return nil
 	}
-	return &placer.Moves{Veto: knobs.Veto(log), Limits: rebalance.Limits{Margin: knobs.MoveMargin, CoolDown: knobs.MoveCoolDown,
+	return &scheduler.Moves{Veto: knobs.Veto(log), Limits: rebalance.Limits{Margin: knobs.MoveMargin, CoolDown: knobs.MoveCoolDown,
 		PerTeam: knobs.TeamMoves, PerMachine: knobs.MachineMoves, Detect: set.Lease()}}
 }
 
-func schedulerTiming(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) placer.Timing {
+func schedulerTiming(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) scheduler.Timing {
 	objectives := set.Params.Objectives
-	var costs *placer.Costs
+	var costs *scheduler.Costs
 	if knobs.PlacementCosts {
-		costs = &placer.Costs{ImageWait: knobs.ImageWait,
+		costs = &scheduler.Costs{ImageWait: knobs.ImageWait,
 			Weights: placement.Weights{Data: knobs.DataWeight, Even: knobs.EvenWeight, Price: knobs.PriceWeight}}
 	}
-	return placer.Timing{
+	return scheduler.Timing{
 		Stages: knobs.Stages(log), Costs: costs, Moves: moveSettings(set, knobs, log),
 		Lease: set.Lease(), Sample: knobs.Sample, Batch: knobs.Batch, PreemptAfter: knobs.PreemptAfter, Economy: knobs.Economy,
 		Waits: spans(objectives, "wait"), Finishes: spans(objectives, "finished"), Times: times(objectives),
@@ -193,8 +193,8 @@
 	}
 }
 
-func fleetKnobs(knobs *policy.Parameters) fleet.Parameters {
-	return fleet.Parameters{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleScaleInDelay: knobs.IdleScaleInDelay,
+func fleetKnobs(knobs *policy.Parameters) autoscaler.Parameters {
+	return autoscaler.Parameters{Economy: knobs.Economy, SpareShare: knobs.SpareShare, IdleScaleInDelay: knobs.IdleScaleInDelay,
 		BootPatience: knobs.BootPatience, Catchup: knobs.Catchup, CatchupOrdinary: knobs.CatchupOrdinary}
 }
 
--- a/internal/node/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -153,7 +153,7 @@
 
 func newClusterWith(t *testing.T, workers int, given *cluster) *cluster {
 	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewKVStore(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
-	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.CatalogKey, Value: wire.Catalog{
+	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: wire.Catalog{
 		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
--- a/internal/node/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"strings"
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/owner"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -71,7 +71,7 @@
 		time.Sleep(50 * time.Millisecond)
 		held := 0
 		for part := range partsPerController * len(hosts) {
-			if _, mine := c.up[host].keeper.Leading(owner.Duty(part)); mine {
+			if _, mine := c.up[host].keeper.Leading(partition.Duty(part)); mine {
 				held++
 			}
 		}
@@ -127,7 +127,7 @@
 				case "in flight":
 					c.unreachable[leader] = true
 					c.setBefore(func(host string, m wire.Txn) lot {
-						if host == via && strings.Contains(puts(m), state.FinalJobPrefix+"job-1") && c.note("the end was on its way") == 1 {
+						if host == via && strings.Contains(puts(m), kvstore.FinalJobPrefix+"job-1") && c.note("the end was on its way") == 1 {
 							refuse()
 							c.unreachable[leader] = false
 						}
@@ -153,8 +153,8 @@
 					c.unreachable[leader] = false
 				}
 				time.Sleep(400 * time.Millisecond)
-				_, _, err := c.up[leader].view.Get(t.Context(), state.FinalJobPrefix+"job-1")
-				require.ErrorIs(t, err, state.ErrRefused)
+				_, _, err := c.up[leader].view.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
+				require.ErrorIs(t, err, kvstore.ErrRefused)
 				c.st.SetDown(true)
 				c.run(60*time.Second, 0)
 				require.Zero(t, c.running())
@@ -182,7 +182,7 @@
 				c := busyCluster(t)
 				leader := c.leader()
 				c.setBefore(func(host string, m wire.Txn) lot {
-					if host == leader && strings.Contains(puts(m), state.FinalJobPrefix) {
+					if host == leader && strings.Contains(puts(m), kvstore.FinalJobPrefix) {
 						c.note("the end is written")
 						return x.lot
 					}
@@ -208,7 +208,7 @@
 				}
 				require.Equal(t, 6, c.running(), "it goes on")
 				for _, write := range late {
-					require.ErrorIs(t, write(), state.ErrConflict)
+					require.ErrorIs(t, write(), kvstore.ErrConflict)
 				}
 				c.run(15*time.Second, 3*time.Second)
 				for _, h := range hosts {
--- a/internal/node/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -165,7 +165,7 @@
 		switch before(h.host, m) {
 		case answerLost:
 			h.KVClient.Commit(ctx, m) //nolint:errcheck // nobody hears of it
-			return 0, fmt.Errorf("%w: the answer is lost", state.ErrOutcomeUnknown)
+			return 0, fmt.Errorf("%w: the answer is lost", kvstore.ErrOutcomeUnknown)
 		case answerSlow:
 			defer time.Sleep(700 * time.Millisecond)
 		case heldBack:
@@ -175,7 +175,7 @@
 				_, err := h.c.direct().Commit(context.WithoutCancel(ctx), m)
 				return err
 			})
-			return 0, fmt.Errorf("%w: held back", state.ErrOutcomeUnknown)
+			return 0, fmt.Errorf("%w: held back", kvstore.ErrOutcomeUnknown)
 		}
 	}
 	h.c.mu.Lock()
@@ -186,7 +186,7 @@
 	h.c.mu.Unlock()
 	if late {
 		time.AfterFunc(after, func() { h.KVClient.Commit(context.WithoutCancel(ctx), m) }) //nolint:errcheck // nobody hears of it
-		return 0, fmt.Errorf("%w: held up", state.ErrOutcomeUnknown)
+		return 0, fmt.Errorf("%w: held up", kvstore.ErrOutcomeUnknown)
 	}
 	rev, err := h.KVClient.Commit(ctx, m)
 	h.c.wait(h.host)
@@ -195,7 +195,7 @@
 
 func (h held) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
-		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
 	return h.Commit(ctx, m)
 }
--- a/internal/node/node.go
+++ b/internal/controller/node.go
@@ -1,6 +1,6 @@
 // Package node wires a controller together: the replica feeds the book of jobs,
 // the owner, the placer and the claims; connections reach the front and the owner.
-package node
+package controller
 
 import (
 	"context"
@@ -13,29 +13,29 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
+	"github.com/merlinlatch/merlinlatch/internal/api"
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/config"
-	"github.com/merlinlatch/merlinlatch/internal/fleet"
-	"github.com/merlinlatch/merlinlatch/internal/front"
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/owner"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/placer"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
-	"github.com/merlinlatch/merlinlatch/internal/res"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
+	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // Store is the state service as all the duties together need it.
 type Store interface {
-	claim.Store
-	placer.Store
-	state.Source
+	leaderelection.Store
+	scheduler.Store
+	kvstore.Source
 }
 
 // Controller is one controller.
@@ -43,12 +43,12 @@
 	set    *config.Settings
 	log    *slog.Logger
 	store  Store
-	keeper *claim.Elector
+	keeper *leaderelection.Elector
 	book   *jobs.Cache
-	owner  *owner.Server
-	placer *placer.Server
-	front  *front.Handler
-	fleet  *fleet.Autoscaler
+	owner  *partition.Server
+	placer *scheduler.Server
+	front  *api.Handler
+	fleet  *autoscaler.Autoscaler
 	peers  map[string]PeerClient
 	loaded chan struct{}
 	report *telemetry.Reporter
@@ -77,10 +77,10 @@
 	for _, o := range set.Peers {
 		peers[o.Host] = peer.NewClient(o.Addr, report.Traffic(telemetry.Peers))
 	}
-	client := state.NewClient(set.Services.State, p.State.RPS, p.State.WriteRPS, p.Count, answerMost(p.Limits.MemoryMB))
+	client := kvstore.NewClient(set.Services.State, p.State.RPS, p.State.WriteRPS, p.Count, answerMost(p.Limits.MemoryMB))
 	client.CountTraffic(report.Traffic(telemetry.StateService))
-	urgent := state.PriorityClient{Client: client}
-	n := assemble(ctx, set, knobs, client, urgent, state.UserClient{PriorityClient: urgent}, peers, rand.Uint64(), log)
+	urgent := kvstore.PriorityClient{Client: client}
+	n := assemble(ctx, set, knobs, client, urgent, kvstore.UserClient{PriorityClient: urgent}, peers, rand.Uint64(), log)
 	n.measure(report)
 	return n
 }
@@ -126,7 +126,7 @@
 // duties runs all that needs the state service and the peers only.
 func (n *Controller) duties(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	replica := state.NewReplica(n.store, n.apply, n.log)
+	replica := kvstore.NewReplica(n.store, n.apply, n.log)
 	g.Go(func() error { return replica.Run(ctx, n.loaded) })
 	g.Go(func() error { return n.keeper.Run(ctx) })
 	g.Go(func() error { return n.owner.Run(ctx) })
@@ -141,12 +141,12 @@
 
 // apply takes events of the replica. Jobs, machines and progress are taken
 // before claims, so that a duty gained stands on all that came before it.
-func (n *Controller) apply(evs []state.Event, rev uint64) {
+func (n *Controller) apply(evs []kvstore.Event, rev uint64) {
 	began := time.Now()
 	defer func() { n.replayed.Round(time.Since(began)) }()
 	for _, e := range evs {
 		n.book.Apply(e)
-		if e.Key == state.CatalogKey && e.Value != nil {
+		if e.Key == kvstore.CatalogKey && e.Value != nil {
 			n.setCatalog(e.Value)
 		}
 	}
@@ -158,7 +158,7 @@
 	}
 	n.keeper.Apply(evs, rev)
 	for _, e := range evs {
-		if strings.HasPrefix(e.Key, state.LeaderPrefix) || strings.HasPrefix(e.Key, state.ControllerPrefix) {
+		if strings.HasPrefix(e.Key, kvstore.LeaderPrefix) || strings.HasPrefix(e.Key, kvstore.ControllerPrefix) {
 			n.owner.Reconcile()
 			n.placer.Reconcile()
 			break
@@ -175,11 +175,11 @@
 	n.mu.Lock()
 	n.catalog = c
 	n.mu.Unlock()
-	types, fetch, caches := map[string]res.Amounts{}, map[string]float64{}, map[string]float64{}
+	types, fetch, caches := map[string]resources.Amounts{}, map[string]float64{}, map[string]float64{}
 	for _, t := range c.Types {
 		caches[t.Name] = t.CacheGB
 		fetch[t.Name] = t.FetchGBPS
-		types[t.Name] = res.Capacity(t.CPUs, t.GPUs, t.MemGB)
+		types[t.Name] = resources.Capacity(t.CPUs, t.GPUs, t.MemGB)
 	}
 	n.owner.SetTypes(types, caches)
 	n.placer.SetFetchRates(fetch)
--- a/internal/node/peers.go
+++ b/internal/controller/peers.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/placer"
+	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 )
 
 // told is what a peer last said of machines: how many of this controller's it has
@@ -149,7 +149,7 @@
 }
 
 func (n *Controller) ask(method string, local func(peer.JobRequest) peer.JobResponse, q peer.JobRequest, timeout time.Duration) (peer.JobResponse, error) {
-	host, ok := n.keeper.Leader(placer.Duty(q.Team))
+	host, ok := n.keeper.Leader(scheduler.Duty(q.Team))
 	if !ok {
 		return peer.JobResponse{}, fmt.Errorf("team %s has no placer now", q.Team)
 	}
--- a/internal/node/records_test.go
+++ b/internal/controller/records_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -9,18 +9,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/machines"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // recorded lists the machines on record in the state service.
 func (c *cluster) recorded() map[string]bool {
 	out := map[string]bool{}
-	items, _, err := c.direct().List(c.t.Context(), state.MachinePrefix)
+	items, _, err := c.direct().List(c.t.Context(), kvstore.MachinePrefix)
 	require.NoError(c.t, err)
 	for _, it := range items {
-		var g machines.Group
+		var g inventory.Group
 		require.NoError(c.t, json.Unmarshal(it.Value, &g))
 		for id := range g {
 			out[id] = true
@@ -48,7 +48,7 @@
 				owner := c.at[lost.ID]
 				c.setBefore(func(_ string, m wire.Txn) lot {
 					for _, cond := range m.Conditions {
-						if strings.HasPrefix(cond.Key, state.MachinePrefix) && !strings.Contains(written(m), lost.ID) {
+						if strings.HasPrefix(cond.Key, kvstore.MachinePrefix) && !strings.Contains(written(m), lost.ID) {
 							return heldBack
 						}
 					}
@@ -68,7 +68,7 @@
 				c.run(6*time.Second, 0)
 				require.Equal(t, 6, c.running(), "it is used again")
 				for _, write := range late {
-					require.ErrorIs(t, write(), state.ErrConflict)
+					require.ErrorIs(t, write(), kvstore.ErrConflict)
 				}
 				c.crash(c.at[lost.ID])
 				require.True(t, c.recorded()[lost.ID], "it has a task")
--- a/internal/node/requests.go
+++ b/internal/controller/requests.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
--- a/internal/node/service.go
+++ b/internal/controller/service.go
@@ -1,16 +1,16 @@
-package node
+package controller
 
 import (
 	"context"
 	"time"
 
-	"github.com/merlinlatch/merlinlatch/internal/fleet"
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
 	"github.com/merlinlatch/merlinlatch/internal/history"
-	"github.com/merlinlatch/merlinlatch/internal/owner"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-type localOwner struct{ o *owner.Server }
+type localOwner struct{ o *partition.Server }
 
 func (l localOwner) ApplyBatch(in peer.Batch) (peer.BatchResponse, error) {
 	return l.o.HandleBatch(in), nil
@@ -89,7 +89,7 @@
 }
 
 func (s *service) Zones(_ peer.ZonesRequest, out *peer.ZonesResponse) error {
-	_, holds := s.n.keeper.Leading(fleet.Duty)
+	_, holds := s.n.keeper.Leading(autoscaler.Duty)
 	*out = peer.ZonesResponse{Host: s.n.set.Host, Zones: s.n.zoneStatuses(), On: s.n.followZones, Fleet: holds}
 	return nil
 }
--- a/internal/node/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -10,30 +10,30 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/placer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // claims lists all claims as the state service has them.
-func (c *cluster) claims() map[string]claim.Record {
-	out := map[string]claim.Record{}
-	items, _, err := c.direct().List(c.t.Context(), state.LeaderPrefix)
+func (c *cluster) claims() map[string]leaderelection.Record {
+	out := map[string]leaderelection.Record{}
+	items, _, err := c.direct().List(c.t.Context(), kvstore.LeaderPrefix)
 	if err != nil {
 		return out // in an outage
 	}
 	for _, it := range items {
-		var r claim.Record
+		var r leaderelection.Record
 		require.NoError(c.t, json.Unmarshal(it.Value, &r))
-		out[strings.TrimPrefix(it.Key, state.LeaderPrefix)] = r
+		out[strings.TrimPrefix(it.Key, kvstore.LeaderPrefix)] = r
 	}
 	return out
 }
 
 // moved counts the claims that have a new holder since.
-func (c *cluster) moved(before map[string]claim.Record) (n int) {
+func (c *cluster) moved(before map[string]leaderelection.Record) (n int) {
 	for duty, r := range c.claims() {
 		if r.Term > before[duty].Term {
 			n++
@@ -56,7 +56,7 @@
 func (c *cluster) leader() string { return c.placerOf("blue") }
 
 func (c *cluster) placerOf(team string) string {
-	h, ok := c.claims()[placer.Duty(team)]
+	h, ok := c.claims()[scheduler.Duty(team)]
 	require.True(c.t, ok)
 	return h.Leader
 }
@@ -287,7 +287,7 @@
 		c.run(2*time.Second, 0)
 		require.Equal(t, 2, c.running())
 		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), state.MachinePrefix) {
+			if strings.Contains(puts(m), kvstore.MachinePrefix) {
 				c.note("a record was held back")
 				return heldBack
 			}
@@ -386,7 +386,7 @@
 				c.start(leader)
 			}
 			c.runAnd(5*time.Second, 6*time.Second, users)
-			terms[c.claims()[placer.Duty("blue")].Term] = true
+			terms[c.claims()[scheduler.Duty("blue")].Term] = true
 			if i == 4 {
 				c.finish("job-000099/1")
 			}
@@ -418,7 +418,7 @@
 		c.run(4*time.Second, 0)
 		require.Equal(t, 3, c.running())
 		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), state.ProgressPrefix) {
+			if strings.Contains(puts(m), kvstore.ProgressPrefix) {
 				c.note("progress was held back")
 				return heldBack
 			}
@@ -428,14 +428,14 @@
 			c.finish(fmt.Sprintf("job-1/%d", n))
 			c.run(6*time.Second, 0)
 			require.Greater(t, c.count("progress was held back"), n, "what is done could not be written down")
-			before, leader := c.claims()[placer.Duty("blue")], c.leader()
+			before, leader := c.claims()[scheduler.Duty("blue")], c.leader()
 			late := c.takeKept()
 			c.crash(leader)
 			c.start(leader)
 			c.run(6*time.Second, 0)
-			require.Greater(t, c.claims()[placer.Duty("blue")].Term, before.Term)
+			require.Greater(t, c.claims()[scheduler.Duty("blue")].Term, before.Term)
 			for _, write := range late {
-				require.ErrorIs(t, write(), state.ErrConflict, "by a former leader")
+				require.ErrorIs(t, write(), kvstore.ErrConflict, "by a former leader")
 			}
 			require.Equal(t, wire.Running, c.ask("a", "job-1"))
 			require.Equal(t, 2-n, c.running())
--- a/internal/node/zones.go
+++ b/internal/controller/zones.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,22 +7,22 @@
 	"strings"
 	"sync"
 
-	"github.com/merlinlatch/merlinlatch/internal/fleet"
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
 	"github.com/merlinlatch/merlinlatch/internal/history"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
 // zoneBook holds the states of zones as the replica shows them.
 type zoneBook struct {
 	mu      sync.Mutex
-	records map[string]fleet.ZoneRecord
+	records map[string]autoscaler.ZoneRecord
 }
 
 // apply takes an event; changed gives the zone that it is about.
-func (b *zoneBook) apply(e state.Event) (name string, r zone.Record, changed bool) {
-	name, ok := strings.CutPrefix(e.Key, state.ZonePrefix)
+func (b *zoneBook) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
+	name, ok := strings.CutPrefix(e.Key, kvstore.ZonePrefix)
 	if !ok {
 		return "", r, false
 	}
@@ -32,15 +32,15 @@
 		delete(b.records, name)
 		return name, zone.Record{State: zone.Healthy}, true
 	}
-	b.records[name] = fleet.ZoneRecord{Record: r, ModRevision: e.ModRevision}
+	b.records[name] = autoscaler.ZoneRecord{Record: r, ModRevision: e.ModRevision}
 	return name, r, true
 }
 
 // ZoneRecords gives the states on record.
-func (n *Controller) ZoneRecords() map[string]fleet.ZoneRecord {
+func (n *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
 	n.zones.mu.Lock()
 	defer n.zones.mu.Unlock()
-	out := make(map[string]fleet.ZoneRecord, len(n.zones.records))
+	out := make(map[string]autoscaler.ZoneRecord, len(n.zones.records))
 	for name, r := range n.zones.records {
 		out[name] = r
 	}
@@ -53,7 +53,7 @@
 }
 
 // applyZone takes a zone's state from the replica, where states are followed.
-func (n *Controller) applyZone(e state.Event) {
+func (n *Controller) applyZone(e kvstore.Event) {
 	name, r, changed := n.zones.apply(e)
 	if !changed || !n.followZones {
 		return
@@ -97,14 +97,14 @@
 
 // holdZone stops a return, or lets it go on, if this controller holds the fleet.
 func (n *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
-	if holder, ok := n.keeper.Leader(fleet.Duty); ok {
+	if holder, ok := n.keeper.Leader(autoscaler.Duty); ok {
 		out.Holder = holder
 	}
 	err := n.fleet.HoldZone(context.Background(), in.Zone, in.Held)
 	switch {
 	case err == nil:
 		out.Done = true
-	case errors.Is(err, fleet.ErrNotLeader):
+	case errors.Is(err, autoscaler.ErrNotLeader):
 	default:
 		out.Refusal = err.Error()
 	}
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -5,12 +5,12 @@
 	"slices"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // Shape is work of a team that waits, of one shape: what each task takes and where it may go.
 type Shape struct {
-	Need  res.Amounts
+	Need  resources.Amounts
 	Types []string // allowed machine types; none: any
 	Zone  string   // the only allowed zone; none: any
 	Spot  bool     // may use spot machines
@@ -33,7 +33,7 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Free    res.Amounts
+	Free    resources.Amounts
 }
 
 // takes tells whether a task of the shape could start in the room now.
@@ -46,23 +46,23 @@
 type Ask struct {
 	Team string
 	Rank int
-	Need res.Amounts
+	Need resources.Amounts
 	Owed bool // within its team's guarantee
 }
 
 // Use is what a team's tasks take at an owner, and the part that its guarantee covers.
 type Use struct {
-	All  res.Amounts
-	Owed res.Amounts
+	All  resources.Amounts
+	Owed resources.Amounts
 }
 
 // Standing is a team's share, its use and its demand at one owner.
 type Standing struct {
 	Team    string
 	Weight  float64
-	Share   float64     // of the owner's capacity, by the team's dominant resource
-	Taken   float64     // the same of what its tasks take
-	Waiting res.Amounts // anywhere, as its placer last told
+	Share   float64           // of the owner's capacity, by the team's dominant resource
+	Taken   float64           // the same of what its tasks take
+	Waiting resources.Amounts // anywhere, as its placer last told
 }
 
 // Settings of an arbiter.
@@ -94,7 +94,7 @@
 type Arbiter struct {
 	settings Settings
 	demands  map[string]told
-	capacity res.Amounts
+	capacity resources.Amounts
 	used     map[string]Use
 	shares   map[string]float64
 	counted  clock.Micros
@@ -130,7 +130,7 @@
 
 // UpdateUsage takes what the teams' tasks take of the owner's capacity, drops words that are too
 // old, and divides the capacity.
-func (a *Arbiter) UpdateUsage(capacity res.Amounts, used map[string]Use, now clock.Micros) {
+func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.counted = capacity, used, now
 	maps.DeleteFunc(a.demands, func(_ string, d told) bool { return now > d.at+a.settings.Fresh })
 	maps.DeleteFunc(a.open, func(_ string, until clock.Micros) bool { return now >= until })
@@ -172,7 +172,7 @@
 // Room is kept for as many tasks as wait, one on a machine, and for a bounded time: what nobody
 // takes goes to whoever asks.
 func (a *Arbiter) Yields(ask *Ask, room *Room, now clock.Micros) bool {
-	if ask.Owed || a.capacity == (res.Amounts{}) || !a.above(ask) || now < a.open[room.Machine] {
+	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.above(ask) || now < a.open[room.Machine] {
 		return false
 	}
 	team, ok := a.wanted(ask, room, now)
@@ -252,7 +252,7 @@
 func (a *Arbiter) Yielded() uint64 { return a.yields }
 
 // Capacity is what the standings are fractions of.
-func (a *Arbiter) Capacity() res.Amounts { return a.capacity }
+func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
 
 // Standings lists the teams that use room here or wait for it, in order of their names.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -6,31 +6,33 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 const sec = clock.Second
 
 // room is enough for one task.
-var room = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: res.Capacity(3, 0, 8)}
+var room = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: resources.Capacity(3, 0, 8)}
 
-func ask(team string, rank int) *Ask { return &Ask{Team: team, Rank: rank, Need: res.Request(2, 0, 1)} }
+func ask(team string, rank int) *Ask {
+	return &Ask{Team: team, Rank: rank, Need: resources.Request(2, 0, 1)}
+}
 
 func shape(tasks int) Shape {
-	return Shape{Need: res.Request(2, 0, 1), Rank: 1, Spot: true, Tasks: tasks}
+	return Shape{Need: resources.Request(2, 0, 1), Rank: 1, Spot: true, Tasks: tasks}
 }
 
 // crowded is an arbiter of 100 CPUs that the hot team has nearly all of, while another waits.
 func crowded(waits Shape) *Arbiter {
 	a := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec, Open: 5 * sec})
 	a.UpdateDemand([]Demand{{Team: "hot", Term: 1, Shapes: []Shape{shape(500)}}, {Team: "other", Term: 1, Shapes: []Shape{waits}}}, 10*sec)
-	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(96, 0, 50)}}, 10*sec)
+	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(96, 0, 50)}}, 10*sec)
 	return a
 }
 
 func TestWhoYields(t *testing.T) {
 	zoned, large, low := shape(5), shape(5), shape(5)
-	zoned.Zone, large.Need, low.Rank = "b", res.Request(8, 0, 1), 0
+	zoned.Zone, large.Need, low.Rank = "b", resources.Request(8, 0, 1), 0
 	owed := ask("hot", 1)
 	owed.Owed = true
 	for _, x := range []struct {
@@ -70,10 +72,10 @@
 // machine's room.
 func TestNoMoreIsWithheldThanWaits(t *testing.T) {
 	both := *room
-	both.Free = res.Capacity(4, 0, 8)
+	both.Free = resources.Capacity(4, 0, 8)
 	require.False(t, crowded(shape(5)).Yields(ask("hot", 1), &both, 10*sec), "there is room for both")
 	a := crowded(shape(2))
-	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(98, 0, 50)}}, 10*sec)
+	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
 	for i, want := range []bool{true, true, false, false} {
 		next := *room
 		next.Machine = string(rune('a' + i))
@@ -89,7 +91,7 @@
 // is counted anew.
 func TestGrantsCountAtOnce(t *testing.T) {
 	a := crowded(shape(1))
-	a.UpdateUsage(res.Capacity(100, 0, 200), map[string]Use{"hot": {All: res.Capacity(98, 0, 50)}}, 10*sec)
+	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
 	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
 	a.Granted(ask("other", 1), room.Machine)
 	require.False(t, a.Yields(ask("hot", 1), room, 10*sec+1), "the other team has its share")
--- a/internal/fairshare/shares.go
+++ b/internal/fairshare/shares.go
@@ -10,24 +10,24 @@
 	"maps"
 	"slices"
 
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // Claimant is a team that uses room or waits for it.
 type Claimant struct {
-	Weight  float64     // its part of what is divided, relative to the others'
-	Used    res.Amounts // by its tasks
-	Waiting res.Amounts // what its tasks that wait would use
-	Owed    res.Amounts // the part of both that its guarantee covers
+	Weight  float64           // its part of what is divided, relative to the others'
+	Used    resources.Amounts // by its tasks
+	Waiting resources.Amounts // what its tasks that wait would use
+	Owed    resources.Amounts // the part of both that its guarantee covers
 }
 
-// resources is how many kinds of resources there are.
-const resources = 3
+// resourceCount is how many kinds of resources there are.
+const resourceCount = 3
 
 // fractions gives amounts as fractions of a capacity. What there is none of counts for
 // nothing: work that takes it can't be placed here.
-func fractions(a, capacity res.Amounts) (out [resources]float64) {
-	for i, pair := range [resources][2]int64{{a.CPU, capacity.CPU}, {a.GPU, capacity.GPU}, {a.Mem, capacity.Mem}} {
+func fractions(a, capacity resources.Amounts) (out [resourceCount]float64) {
+	for i, pair := range [resourceCount][2]int64{{a.CPU, capacity.CPU}, {a.GPU, capacity.GPU}, {a.Mem, capacity.Mem}} {
 		if pair[1] > 0 {
 			out[i] = float64(pair[0]) / float64(pair[1])
 		}
@@ -36,7 +36,7 @@
 }
 
 // Dominant is the largest fraction of a capacity's resources that amounts take.
-func Dominant(a, capacity res.Amounts) float64 {
+func Dominant(a, capacity resources.Amounts) float64 {
 	f := fractions(a, capacity)
 	return max(f[0], f[1], f[2])
 }
@@ -44,9 +44,9 @@
 // claim is a claimant in fractions of the capacity.
 type claim struct {
 	weight float64
-	demand [resources]float64 // used and waiting
-	most   float64            // its dominant fraction if all of its demand were met
-	floor  float64            // its dominant fraction by its guarantee
+	demand [resourceCount]float64 // used and waiting
+	most   float64                // its dominant fraction if all of its demand were met
+	floor  float64                // its dominant fraction by its guarantee
 	share  float64
 	fixed  bool
 }
@@ -62,7 +62,7 @@
 // Divide gives each team's share of a capacity as a fraction of its dominant resource:
 // weighted max-min, no more than the team demands and no less than its guarantee covers of
 // that. The filling stops for a team once a resource that it demands is used up.
-func Divide(capacity res.Amounts, teams map[string]Claimant) map[string]float64 {
+func Divide(capacity resources.Amounts, teams map[string]Claimant) map[string]float64 {
 	claims := make(map[string]*claim, len(teams))
 	for name, t := range teams {
 		c := &claim{weight: t.Weight, demand: fractions(t.Used.Plus(t.Waiting), capacity)}
@@ -79,7 +79,7 @@
 	for _, name := range order {
 		list = append(list, claims[name])
 	}
-	for range resources {
+	for range resourceCount {
 		level, full := fill(list)
 		for _, c := range list {
 			if c.fixed {
@@ -97,8 +97,8 @@
 }
 
 // demandsAny tells whether a claim demands one of the resources.
-func demandsAny(c *claim, full [resources]bool) bool {
-	for r := range resources {
+func demandsAny(c *claim, full [resourceCount]bool) bool {
+	for r := range resourceCount {
 		if full[r] && c.demand[r] > 0 {
 			return true
 		}
@@ -108,7 +108,7 @@
 
 // fill raises the level until a resource is used up or all demand is met, and tells which
 // resources are used up.
-func fill(list []*claim) (level float64, full [resources]bool) {
+func fill(list []*claim) (level float64, full [resourceCount]bool) {
 	high := 0.0
 	for _, c := range list {
 		if !c.fixed {
@@ -128,14 +128,14 @@
 		}
 	}
 	over := use(list, high)
-	for r := range resources {
+	for r := range resourceCount {
 		full[r] = over[r] > 1+tolerance
 	}
 	return low, full
 }
 
 // use sums what the claims take of each resource at a level.
-func use(list []*claim, level float64) (sum [resources]float64) {
+func use(list []*claim, level float64) (sum [resourceCount]float64) {
 	for _, c := range list {
 		if c.most == 0 {
 			continue
@@ -144,13 +144,13 @@
 		if !c.fixed {
 			share = c.at(level)
 		}
-		for r := range resources {
+		for r := range resourceCount {
 			sum[r] += share / c.most * c.demand[r]
 		}
 	}
 	return sum
 }
 
-func fits(sum [resources]float64) bool {
+func fits(sum [resourceCount]float64) bool {
 	return max(sum[0], sum[1], sum[2]) <= 1+tolerance
 }
--- a/internal/fairshare/shares_test.go
+++ b/internal/fairshare/shares_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-func cpus(n float64) res.Amounts { return res.Capacity(n, 0, 0) }
+func cpus(n float64) resources.Amounts { return resources.Capacity(n, 0, 0) }
 
 func TestShares(t *testing.T) {
 	for _, x := range []struct {
 		name     string
-		capacity res.Amounts
+		capacity resources.Amounts
 		teams    map[string]Claimant
 		want     map[string]float64
 	}{
@@ -33,13 +33,13 @@
 		{"a guarantee is no more than the demand", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(10), Owed: cpus(80)}},
 			map[string]float64{"a": 0.9, "b": 0.1}},
-		{"by the dominant resource", res.Capacity(90, 0, 180),
-			map[string]Claimant{"a": {Waiting: res.Capacity(100, 0, 400)}, "b": {Waiting: res.Capacity(300, 0, 100)}},
+		{"by the dominant resource", resources.Capacity(90, 0, 180),
+			map[string]Claimant{"a": {Waiting: resources.Capacity(100, 0, 400)}, "b": {Waiting: resources.Capacity(300, 0, 100)}},
 			map[string]float64{"a": 2.0 / 3, "b": 2.0 / 3}},
-		{"one resource is used up, who needs another goes on", res.Capacity(100, 10, 0),
-			map[string]Claimant{"a": {Waiting: res.Capacity(500, 0, 0)}, "b": {Waiting: res.Capacity(500, 0, 0)}, "g": {Waiting: res.Capacity(0, 50, 0)}},
+		{"one resource is used up, who needs another goes on", resources.Capacity(100, 10, 0),
+			map[string]Claimant{"a": {Waiting: resources.Capacity(500, 0, 0)}, "b": {Waiting: resources.Capacity(500, 0, 0)}, "g": {Waiting: resources.Capacity(0, 50, 0)}},
 			map[string]float64{"a": 0.5, "b": 0.5, "g": 1}},
-		{"without capacity there are no shares", res.Amounts{},
+		{"without capacity there are no shares", resources.Amounts{},
 			map[string]Claimant{"a": {Waiting: cpus(5)}}, map[string]float64{"a": 0}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -59,33 +59,33 @@
 func TestSharesWhateverTheDemand(t *testing.T) {
 	rng := fakes.Rand(7)
 	for range 2000 {
-		capacity := res.Capacity(float64(50+rng.IntN(200)), 0, float64(50+rng.IntN(400)))
+		capacity := resources.Capacity(float64(50+rng.IntN(200)), 0, float64(50+rng.IntN(400)))
 		teams := map[string]Claimant{}
 		for i := range 1 + rng.IntN(6) {
 			cpu, mem := float64(rng.IntN(200)), float64(rng.IntN(300))
 			if rng.IntN(4) == 0 {
 				mem = 0
 			}
-			c := Claimant{Weight: float64(1 + rng.IntN(3)), Used: res.Capacity(cpu/4, 0, mem/4), Waiting: res.Capacity(cpu, 0, mem)}
+			c := Claimant{Weight: float64(1 + rng.IntN(3)), Used: resources.Capacity(cpu/4, 0, mem/4), Waiting: resources.Capacity(cpu, 0, mem)}
 			if rng.IntN(4) == 0 {
-				c.Owed = res.Capacity(float64(rng.IntN(10)), 0, 0)
+				c.Owed = resources.Capacity(float64(rng.IntN(10)), 0, 0)
 			}
 			teams[fmt.Sprint(i)] = c
 		}
 		shares := Divide(capacity, teams)
-		var used [resources]float64
+		var used [resourceCount]float64
 		for name, c := range teams {
 			demand := fractions(c.Used.Plus(c.Waiting), capacity)
 			most := max(demand[0], demand[1], demand[2])
 			require.LessOrEqual(t, shares[name], most+1e-6)
 			require.GreaterOrEqual(t, shares[name], min(most, Dominant(c.Owed, capacity))-1e-6)
 			if most > 0 {
-				for r := range resources {
+				for r := range resourceCount {
 					used[r] += shares[name] / most * demand[r]
 				}
 			}
 		}
-		for r := range resources {
+		for r := range resourceCount {
 			require.LessOrEqual(t, used[r], 1+1e-6)
 		}
 		for name, c := range teams {
@@ -94,7 +94,7 @@
 				continue
 			}
 			full := false
-			for r := range resources {
+			for r := range resourceCount {
 				full = full || demand[r] > 0 && used[r] > 1-1e-6
 			}
 			require.True(t, full, "room is left, and %s wants more", name)
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -123,7 +123,7 @@
 
 func (v *KVClient) refused() error {
 	if v.cut || v.down {
-		return fmt.Errorf("%w: status 503", state.ErrRefused)
+		return fmt.Errorf("%w: status 503", kvstore.ErrRefused)
 	}
 	return nil
 }
@@ -197,11 +197,11 @@
 	}
 	if v.capture {
 		v.late = append(v.late, m)
-		return 0, state.ErrOutcomeUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	}
 	rev, err := v.apply(m)
 	if v.mute {
-		return 0, state.ErrOutcomeUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	}
 	return rev, err
 }
@@ -209,7 +209,7 @@
 // CommitAt is Commit, with a word right before.
 func (v *KVClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
-		return 0, fmt.Errorf("%w: %w", state.ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
 	return v.Commit(ctx, m)
 }
@@ -231,23 +231,23 @@
 	s.expire()
 	for _, c := range m.Conditions {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
-			return s.rev, fmt.Errorf("%w: %s", state.ErrConflict, c.Key)
+			return s.rev, fmt.Errorf("%w: %s", kvstore.ErrConflict, c.Key)
 		}
 	}
 	for _, op := range m.Operations {
 		if op.LeaseID != 0 && s.holds[op.LeaseID] == nil {
-			return s.rev, fmt.Errorf("%w: no such lease", state.ErrRefused)
+			return s.rev, fmt.Errorf("%w: no such lease", kvstore.ErrRefused)
 		}
 	}
 	if s.mostOps > 0 && len(m.Operations) > s.mostOps {
-		return s.rev, fmt.Errorf("%w: too many changes", state.ErrRefused)
+		return s.rev, fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
 	}
 	if s.mostOps > 0 && len(m.Conditions) > 4*s.mostOps {
-		return s.rev, fmt.Errorf("%w: too many conditions", state.ErrRefused)
+		return s.rev, fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
 	}
 	for _, op := range m.Operations {
 		if b, err := json.Marshal(op.Value); s.mostBytes > 0 && (err != nil || len(b) > s.mostBytes) {
-			return s.rev, fmt.Errorf("%w: a value of %d bytes", state.ErrRefused, len(b))
+			return s.rev, fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
 		}
 	}
 	s.rev++
@@ -292,7 +292,7 @@
 	v.expire()
 	h := v.holds[id]
 	if h == nil {
-		return state.ErrLeaseNotFound
+		return kvstore.ErrLeaseNotFound
 	}
 	h.until = time.Now().Add(h.ttl)
 	return nil
--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -17,7 +17,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
@@ -87,8 +87,8 @@
 
 func cannedPair() (a, b *cannedController) {
 	a = &cannedController{
-		teams: peer.TeamsResponse{Host: "a", Capacity: res.Capacity(100, 8, 0), Yielded: 4,
-			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: res.Capacity(10, 0, 0), Limit: res.Capacity(40, 0, 0), Used: res.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
+		teams: peer.TeamsResponse{Host: "a", Capacity: resources.Capacity(100, 8, 0), Yielded: 4,
+			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: resources.Capacity(10, 0, 0), Limit: resources.Capacity(40, 0, 0), Used: resources.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
 				Waits:    telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000},
 				Lateness: telemetry.Quantiles{Count: 1, P50: 100_000, P95: 200_000, P99: 300_000},
 				Moves:    []peer.MoveRecord{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made", Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
@@ -102,7 +102,7 @@
 		},
 	}
 	b = &cannedController{
-		teams: peer.TeamsResponse{Host: "b", Capacity: res.Capacity(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
+		teams: peer.TeamsResponse{Host: "b", Capacity: resources.Capacity(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
 		zones: peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
 			{Zone: "north", State: "returning", Stage: "urgent", Held: true, Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3, AtMS: 1_000, Why: "1 of 10 machines not heard"},
 			{Zone: "south", State: "healthy", Machines: 7}}},
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -10,13 +10,13 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
-	"github.com/merlinlatch/merlinlatch/internal/fleet"
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
-	"github.com/merlinlatch/merlinlatch/internal/owner"
-	"github.com/merlinlatch/merlinlatch/internal/placer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
+	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -42,16 +42,16 @@
 }
 
 var records = []record{
-	recordOf("claim", sample[claim.Record]()),
-	recordOf("claim_zero", claim.Record{}),
-	recordOf("registration", sample[claim.Registration]()),
-	recordOf("registration_zero", claim.Registration{}),
+	recordOf("claim", sample[leaderelection.Record]()),
+	recordOf("claim_zero", leaderelection.Record{}),
+	recordOf("registration", sample[leaderelection.Registration]()),
+	recordOf("registration_zero", leaderelection.Registration{}),
 	recordOf("job", sample[jobs.Record]()),
 	recordOf("job_zero", jobs.Record{}),
 	recordOf("final", sample[jobs.Final]()),
 	recordOf("final_zero", jobs.Final{}),
-	recordOf("machines", sample[machines.Group]()),
-	recordOf("machines_zero", machines.Group{"m-1": {}}),
+	recordOf("machines", sample[inventory.Group]()),
+	recordOf("machines_zero", inventory.Group{"m-1": {}}),
 	recordOf("zone", sample[zone.Record]()),
 	recordOf("zone_zero", zone.Record{}),
 	recordOf("catalog", sample[wire.Catalog]()),
@@ -69,40 +69,40 @@
 // The release before machines shared keys left records of one machine to a key, which are read
 // until their machines are gone.
 func TestMachineRecordOfItsOwnKeyIsRead(t *testing.T) {
-	b := machines.NewRecords()
+	b := inventory.NewRecords()
 	value := golden(t, "records/machine_of_own_key.json", func() []byte {
 		return []byte(`{"addr":"10.0.0.1:7000","type":"large","zone":"a","spot":true}` + "\n")
 	})
-	came, went := b.Apply(state.Event{Key: "ml/m/m-1", Value: value, ModRevision: 7})
+	came, went := b.Apply(kvstore.Event{Key: "ml/m/m-1", Value: value, ModRevision: 7})
 	require.Empty(t, went)
-	require.Equal(t, machines.Group{"m-1": {Addr: "10.0.0.1:7000", Type: "large", Zone: "a", Spot: true}}, came)
+	require.Equal(t, inventory.Group{"m-1": {Addr: "10.0.0.1:7000", Type: "large", Zone: "a", Spot: true}}, came)
 	require.True(t, b.HasLegacy())
 }
 
 // Keys are found by their prefixes and names: a key of another form would be a record lost.
 func TestKeysKeepTheirForm(t *testing.T) {
 	keys := map[string]string{
-		"root": state.RootPrefix, "claims": state.LeaderPrefix, "nodes": state.ControllerPrefix, "active": state.ActiveJobPrefix,
-		"final": state.FinalJobPrefix, "machines": state.MachinePrefix, "progress": state.ProgressPrefix,
-		"watermarks": state.WatermarkPrefix, "catalog": state.CatalogKey, "zones": state.ZonePrefix,
-		"claim of a team":            state.LeaderPrefix + placer.Duty("team/ü 1"),
-		"claim of a partition":       state.LeaderPrefix + owner.Duty(7),
-		"claim of the fleet":         state.LeaderPrefix + fleet.Duty,
-		"machines of group 0":        machines.NewRecords().PlanWrites(7, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
-		"machines of partition 1234": machines.NewRecords().PlanWrites(1234, machines.Group{"m-1": {}}, nil, 1<<16)[0].Key,
+		"root": kvstore.RootPrefix, "claims": kvstore.LeaderPrefix, "nodes": kvstore.ControllerPrefix, "active": kvstore.ActiveJobPrefix,
+		"final": kvstore.FinalJobPrefix, "machines": kvstore.MachinePrefix, "progress": kvstore.ProgressPrefix,
+		"watermarks": kvstore.WatermarkPrefix, "catalog": kvstore.CatalogKey, "zones": kvstore.ZonePrefix,
+		"claim of a team":            kvstore.LeaderPrefix + scheduler.Duty("team/ü 1"),
+		"claim of a partition":       kvstore.LeaderPrefix + partition.Duty(7),
+		"claim of the fleet":         kvstore.LeaderPrefix + autoscaler.Duty,
+		"machines of group 0":        inventory.NewRecords().PlanWrites(7, inventory.Group{"m-1": {}}, nil, 1<<16)[0].Key,
+		"machines of partition 1234": inventory.NewRecords().PlanWrites(1234, inventory.Group{"m-1": {}}, nil, 1<<16)[0].Key,
 	}
-	group := machines.Group{}
+	group := inventory.Group{}
 	for i := range 33 {
-		group[strings.Repeat("m", i+1)] = machines.Record{}
+		group[strings.Repeat("m", i+1)] = inventory.Record{}
 	}
-	plan := machines.NewRecords().PlanWrites(7, group, nil, 1<<16)
+	plan := inventory.NewRecords().PlanWrites(7, group, nil, 1<<16)
 	require.Len(t, plan, 2)
 	keys["machines of group 1"] = plan[1].Key
 
 	// The writes of a controller that registers itself as cut off, and takes a claim.
-	b := claim.NewElection("host-1", []string{"host-1"}, []string{"fleet"}, 0)
+	b := leaderelection.NewElection("host-1", []string{"host-1"}, []string{"fleet"}, 0)
 	b.StartIncarnation("host-1#1", 5, 1<<40)
-	b.Apply(state.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), ModRevision: 3})
+	b.Apply(kvstore.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), ModRevision: 3})
 	note, ok := b.ReachabilityUpdate(true)
 	require.True(t, ok)
 	keys["registration"] = note.Operations[0].Put
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -18,13 +18,13 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/api"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/front"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -241,7 +241,7 @@
 		`{"k":"job/1","v":1,"stamp":2,"hold":3}`,
 		`{"items":[{"k":"a b/1","v":1,"stamp":2}],"truncated":true,"ledger_rev":5}`, `{"items":[],"truncated":false,"ledger_rev":6}`,
 		`{"ledger_rev":7,"failed":[]}`, `{"hold":8}`, `{}`, `{"ledger_rev":9,"log":[{"put":"a","v":1,"stamp":9}]}`)
-	c := state.NewClient(addr, 1000, 1000, 1, 1<<20)
+	c := kvstore.NewClient(addr, 1000, 1000, 1, 1<<20)
 	item, found, err := c.Get(t.Context(), "job/1")
 	require.NoError(t, err)
 	require.True(t, found)
@@ -292,7 +292,7 @@
 	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	placer := &wirePlacer{err: errors.New("nobody")}
 	book := jobs.NewCache()
-	f := front.New(view, placer, wireAlone{}, book, map[string]res.Amounts{"t": res.Capacity(64, 0, 0)}, nil, 4096,
+	f := api.New(view, placer, wireAlone{}, book, map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)}, nil, 4096,
 		func() time.Time { return time.UnixMilli(0) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var out strings.Builder
 	ask := func(what, method, rest, body string) {
--- a/internal/machines/machines.go
+++ b/internal/inventory/machines.go
@@ -1,7 +1,7 @@
 // Package machines is the record of the machines that may hold tasks. Many
 // share one key of the state service, since each key's change costs a part of
 // the budget: a thousand machines are recorded while they boot.
-package machines
+package inventory
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -57,8 +57,8 @@
 
 // Apply takes one event of the replica and tells which machines came and went.
 // Older words than the newest known change nothing.
-func (b *Records) Apply(e state.Event) (came Group, went []string) {
-	if !strings.HasPrefix(e.Key, state.MachinePrefix) || e.ModRevision < b.groups[e.Key].stamp {
+func (b *Records) Apply(e kvstore.Event) (came Group, went []string) {
+	if !strings.HasPrefix(e.Key, kvstore.MachinePrefix) || e.ModRevision < b.groups[e.Key].stamp {
 		return nil, nil
 	}
 	g := Group{}
@@ -67,7 +67,7 @@
 		if !legacyKey(e.Key) || json.Unmarshal(e.Value, &r) != nil || r.Type == "" {
 			return nil, nil // not understood: what was known stays
 		}
-		g = Group{strings.TrimPrefix(e.Key, state.MachinePrefix): {Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
+		g = Group{strings.TrimPrefix(e.Key, kvstore.MachinePrefix): {Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
 	}
 	return b.Put(e.Key, g, e.ModRevision)
 }
@@ -83,7 +83,7 @@
 
 // legacyKey tells a key of that release from one of a partition's groups.
 func legacyKey(key string) bool {
-	return !strings.Contains(strings.TrimPrefix(key, state.MachinePrefix), "/")
+	return !strings.Contains(strings.TrimPrefix(key, kvstore.MachinePrefix), "/")
 }
 
 // HasLegacy tells that there are machines which an earlier release has recorded:
@@ -192,7 +192,7 @@
 		}
 		cost := r.cost(id)
 		for into == nil || len(into) >= perGroup || size+cost > most {
-			key := fmt.Sprintf("%s%03d/%d", state.MachinePrefix, part, n)
+			key := fmt.Sprintf("%s%03d/%d", kvstore.MachinePrefix, part, n)
 			n++
 			into, size = edit(key), 0
 			for id, r := range into {
--- a/internal/machines/machines_test.go
+++ b/internal/inventory/machines_test.go
@@ -1,4 +1,4 @@
-package machines
+package inventory
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -79,10 +79,10 @@
 			delete(there, id)
 		}
 		read := NewRecords()
-		items, _, err := w.view.List(t.Context(), state.MachinePrefix)
+		items, _, err := w.view.List(t.Context(), kvstore.MachinePrefix)
 		require.NoError(t, err)
 		for _, it := range items {
-			read.Apply(state.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
+			read.Apply(kvstore.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
 		}
 		got := Group{}
 		read.Each(func(id string, r Record) { got[id] = r })
@@ -106,11 +106,11 @@
 // Old news of a key, after its writer knows better, take nothing off the record.
 func TestOldNewsChangeNothing(t *testing.T) {
 	b := NewRecords()
-	b.Put(state.MachinePrefix+"000/0", Group{"m-1": {}, "m-2": {}}, 9)
-	came, went := b.Apply(state.Event{Key: state.MachinePrefix + "000/0", Value: json.RawMessage(`{"m-1":{}}`), ModRevision: 8})
+	b.Put(kvstore.MachinePrefix+"000/0", Group{"m-1": {}, "m-2": {}}, 9)
+	came, went := b.Apply(kvstore.Event{Key: kvstore.MachinePrefix + "000/0", Value: json.RawMessage(`{"m-1":{}}`), ModRevision: 8})
 	require.Empty(t, came)
 	require.Empty(t, went)
-	came, went = b.Apply(state.Event{Key: state.MachinePrefix + "000/0", ModRevision: 10})
+	came, went = b.Apply(kvstore.Event{Key: kvstore.MachinePrefix + "000/0", ModRevision: 10})
 	require.Empty(t, came)
 	require.Equal(t, []string{"m-1", "m-2"}, went)
 }
@@ -120,11 +120,11 @@
 func TestRecordsOfAnEarlierRelease(t *testing.T) {
 	w := &writer{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
 	old := map[string]any{"addr": "10.1.0.1:9000", "type": "big", "zone": "a", "spot": true}
-	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.MachinePrefix + "m-000007", Value: old}}})
+	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.MachinePrefix + "m-000007", Value: old}}})
 	require.NoError(t, err)
 	raw, err := json.Marshal(old)
 	require.NoError(t, err)
-	came, _ := w.book.Apply(state.Event{Key: state.MachinePrefix + "m-000007", Value: raw, ModRevision: rev})
+	came, _ := w.book.Apply(kvstore.Event{Key: kvstore.MachinePrefix + "m-000007", Value: raw, ModRevision: rev})
 	require.Equal(t, Group{"m-000007": {Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true}}, came)
 	require.True(t, w.book.HasLegacy())
 	require.NoError(t, w.commit(w.book.PlanWrites(3, Group{"m-000008": {Addr: "x", Type: "big", Zone: "a"}}, nil, 7000)))
@@ -133,7 +133,7 @@
 	require.False(t, w.book.HasLegacy())
 	_, there := w.book.Find("m-000007")
 	require.False(t, there)
-	_, found, err := w.view.Get(t.Context(), state.MachinePrefix+"m-000007")
+	_, found, err := w.view.Get(t.Context(), kvstore.MachinePrefix+"m-000007")
 	require.NoError(t, err)
 	require.False(t, found)
 }
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -8,8 +8,8 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"github.com/merlinlatch/merlinlatch/internal/res"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -34,13 +34,13 @@
 type Job struct {
 	Record
 	ModRevision   uint64 // of its record: grows with the order of acceptance
-	Need          res.Amounts
+	Need          resources.Amounts
 	PriorityLevel int
 }
 
 // New makes a job from its record.
 func New(spec Record, stamp uint64) *Job {
-	return &Job{Record: spec, ModRevision: stamp, Need: res.Request(spec.CPUs, spec.GPUs, spec.MemGB), PriorityLevel: wire.PriorityLevel(spec.Priority)}
+	return &Job{Record: spec, ModRevision: stamp, Need: resources.Request(spec.CPUs, spec.GPUs, spec.MemGB), PriorityLevel: wire.PriorityLevel(spec.Priority)}
 }
 
 // StopGraceS is how long a task of the job may save when it is stopped.
@@ -84,10 +84,10 @@
 func NewCache() *Cache { return &Cache{active: map[string]*Job{}, finals: map[string]Final{}} }
 
 // Apply takes one event of the replica.
-func (b *Cache) Apply(e state.Event) {
+func (b *Cache) Apply(e kvstore.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if id, ok := strings.CutPrefix(e.Key, state.ActiveJobPrefix); ok {
+	if id, ok := strings.CutPrefix(e.Key, kvstore.ActiveJobPrefix); ok {
 		if e.Value == nil {
 			delete(b.active, id)
 			return
@@ -102,7 +102,7 @@
 			return
 		}
 		b.active[id] = New(spec, e.ModRevision)
-	} else if id, ok := strings.CutPrefix(e.Key, state.FinalJobPrefix); ok && e.Value != nil {
+	} else if id, ok := strings.CutPrefix(e.Key, kvstore.FinalJobPrefix); ok && e.Value != nil {
 		var f Final
 		if json.Unmarshal(e.Value, &f) == nil && f.Phase != "" {
 			b.keep(id, f)
--- a/internal/state/change_test.go
+++ b/internal/kvstore/change_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"io"
--- a/internal/state/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
 // Package state speaks with the state service: a client that keeps to this
 // controller's part of the request budget, and a replica kept fresh by a watch.
-package state
+package kvstore
 
 import (
 	"context"
--- a/internal/state/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -1,4 +1,4 @@
-package state_test
+package kvstore_test
 
 import (
 	"bufio"
@@ -11,18 +11,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // answering serves each connection with one raw answer, on loopback; an empty
 // one closes without a word.
-func answering(t *testing.T, answers ...string) *state.Client {
+func answering(t *testing.T, answers ...string) *kvstore.Client {
 	return answeringAt(t, 1000, answers...)
 }
 
 // answeringAt does so for a client that may send so many requests a second.
-func answeringAt(t *testing.T, rps float64, answers ...string) *state.Client {
+func answeringAt(t *testing.T, rps float64, answers ...string) *kvstore.Client {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -40,7 +40,7 @@
 			c.Close()
 		}
 	}()
-	return state.NewClient(l.Addr().String(), rps, 1000, 1, 1<<20)
+	return kvstore.NewClient(l.Addr().String(), rps, 1000, 1, 1<<20)
 }
 
 func raw(status int, body string) string {
@@ -53,13 +53,13 @@
 		answer string
 		want   error
 	}{
-		{raw(503, `{}`), state.ErrRefused},
-		{raw(429, `{}`), state.ErrRefused},
-		{raw(409, `{"failed":["a"],"ledger_rev":3}`), state.ErrConflict},
-		{raw(500, `{}`), state.ErrOutcomeUnknown},
-		{raw(200, `not JSON`), state.ErrOutcomeUnknown},
-		{"HTTP/1.1 nonsense\r\n\r\n", state.ErrOutcomeUnknown},
-		{"", state.ErrOutcomeUnknown},
+		{raw(503, `{}`), kvstore.ErrRefused},
+		{raw(429, `{}`), kvstore.ErrRefused},
+		{raw(409, `{"failed":["a"],"ledger_rev":3}`), kvstore.ErrConflict},
+		{raw(500, `{}`), kvstore.ErrOutcomeUnknown},
+		{raw(200, `not JSON`), kvstore.ErrOutcomeUnknown},
+		{"HTTP/1.1 nonsense\r\n\r\n", kvstore.ErrOutcomeUnknown},
+		{"", kvstore.ErrOutcomeUnknown},
 	} {
 		_, err := answering(t, c.answer).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Drop: "k"}}})
 		require.ErrorIs(t, err, c.want, "%q", c.answer)
@@ -73,7 +73,7 @@
 // at once, not given up.
 func TestUrgentChangesOutlastABusyMoment(t *testing.T) {
 	c := answering(t, raw(429, `{}`), raw(429, `{}`), raw(200, `{"ledger_rev":7}`))
-	rev, err := state.PriorityClient{Client: c}.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Drop: "k"}}})
+	rev, err := kvstore.PriorityClient{Client: c}.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Drop: "k"}}})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
 }
@@ -98,9 +98,9 @@
 	require.Len(t, items, 1)
 	require.EqualValues(t, 3, rev)
 	_, _, err = answering(t, long[:len(long)-5]).List(t.Context(), "a")
-	require.ErrorIs(t, err, state.ErrOutcomeUnknown)
+	require.ErrorIs(t, err, kvstore.ErrOutcomeUnknown)
 	_, err = answering(t, raw(200, `{"ledger_rev":3,"log":[`+strings.Repeat(" ", 2<<20)+`]}`)).Watch(t.Context(), "a", 1, 0)
-	require.ErrorIs(t, err, state.ErrCompacted)
+	require.ErrorIs(t, err, kvstore.ErrCompacted)
 }
 
 // Users ask for jobs that nobody knows, again and again: their reads are refused
@@ -111,16 +111,16 @@
 		answers[i] = raw(404, `{"ledger_rev":7}`)
 	}
 	c := answeringAt(t, 5, answers...)
-	users := state.UserClient{PriorityClient: state.PriorityClient{Client: c}}
+	users := kvstore.UserClient{PriorityClient: kvstore.PriorityClient{Client: c}}
 	began, read := time.Now(), 0
 	for range 50 {
-		if _, _, err := users.Get(t.Context(), "k"); !errors.Is(err, state.ErrBudgetExhausted) {
+		if _, _, err := users.Get(t.Context(), "k"); !errors.Is(err, kvstore.ErrBudgetExhausted) {
 			read++
 		}
 	}
 	require.LessOrEqual(t, read, 3+int(2*time.Since(began).Seconds()))
 	// The stand-in's word is that there is no such hold: it was asked.
-	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 3*time.Second), state.ErrLeaseNotFound)
+	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 3*time.Second), kvstore.ErrLeaseNotFound)
 }
 
 // With the request budget spent for ten seconds to come, a hold's renewal is sent at once.
@@ -130,5 +130,5 @@
 	_, _, err := c.Get(t.Context(), "k")
 	require.NoError(t, err)
 	// The stand-in's word is that there is no such hold: it was asked.
-	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 5*time.Second), state.ErrLeaseNotFound)
+	require.ErrorIs(t, c.KeepAlive(t.Context(), 1, 5*time.Second), kvstore.ErrLeaseNotFound)
 }
--- a/internal/state/cost_test.go
+++ b/internal/kvstore/cost_test.go
@@ -1,4 +1,4 @@
-package state_test
+package kvstore_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -16,7 +16,7 @@
 func BenchmarkReplicaLoad(b *testing.B) {
 	v := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	for i := range 400 {
-		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", state.ActiveJobPrefix, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
+		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", kvstore.ActiveJobPrefix, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
 		if _, err := v.Commit(b.Context(), wire.Txn{Operations: []wire.Operation{op}}); err != nil {
 			b.Fatal(err)
 		}
@@ -26,7 +26,7 @@
 	for b.Loop() {
 		ctx, stop := context.WithCancel(b.Context())
 		loaded, over := make(chan struct{}), make(chan struct{})
-		r := state.NewReplica(v, func([]state.Event, uint64) {}, quiet)
+		r := kvstore.NewReplica(v, func([]kvstore.Event, uint64) {}, quiet)
 		go func() {
 			defer close(over)
 			r.Run(ctx, loaded) //nolint:errcheck // ends with the context
--- a/internal/state/replica_test.go
+++ b/internal/kvstore/replica_test.go
@@ -1,4 +1,4 @@
-package state_test
+package kvstore_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -25,7 +25,7 @@
 
 func (f *forgetful) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	if f.calls++; f.calls%f.every == 0 {
-		return wire.WatchResponse{}, state.ErrCompacted
+		return wire.WatchResponse{}, kvstore.ErrCompacted
 	}
 	return f.KVClient.Watch(ctx, prefix, rev, block)
 }
@@ -37,7 +37,7 @@
 		st := fakes.NewKVStore()
 		v := &fakes.KVClient{KVStore: st}
 		known, last := map[string]string{}, map[string]uint64{}
-		tell := func(evs []state.Event, _ uint64) {
+		tell := func(evs []kvstore.Event, _ uint64) {
 			for _, e := range evs {
 				require.GreaterOrEqual(t, e.ModRevision, last[e.Key], e.Key)
 				last[e.Key] = e.ModRevision
@@ -48,14 +48,14 @@
 				}
 			}
 		}
-		r := state.NewReplica(&forgetful{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		r := kvstore.NewReplica(&forgetful{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, stop := context.WithCancel(t.Context())
 		loaded := make(chan struct{})
 		go r.Run(ctx, loaded) //nolint:errcheck // ends with the context
 		<-loaded
 		rng := fakes.Rand(7)
 		for i := range 300 {
-			key := fmt.Sprintf("%s%d", state.ActiveJobPrefix, rng.IntN(8))
+			key := fmt.Sprintf("%s%d", kvstore.ActiveJobPrefix, rng.IntN(8))
 			op := wire.Operation{Put: key, Value: i}
 			if rng.IntN(3) == 0 {
 				op = wire.Operation{Drop: key}
@@ -70,7 +70,7 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		items, _, err := v.List(ctx, state.ActiveJobPrefix)
+		items, _, err := v.List(ctx, kvstore.ActiveJobPrefix)
 		require.NoError(t, err)
 		want := map[string]string{}
 		for _, it := range items {
--- a/internal/claim/claim.go
+++ b/internal/leaderelection/claim.go
@@ -3,7 +3,7 @@
 //
 // Book is the decision: plain code on what the replica told. Keeper does the
 // I/O: it keeps the incarnation registered under a hold and takes free claims.
-package claim
+package leaderelection
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -78,8 +78,8 @@
 func (b *Election) PeerCount() int { return len(b.hosts) - 1 }
 
 // Apply takes one event of the replica.
-func (b *Election) Apply(e state.Event) {
-	if name, ok := strings.CutPrefix(e.Key, state.ControllerPrefix); ok {
+func (b *Election) Apply(e kvstore.Event) {
+	if name, ok := strings.CutPrefix(e.Key, kvstore.ControllerPrefix); ok {
 		var r Registration
 		if e.Value == nil || json.Unmarshal(e.Value, &r) != nil {
 			if _, there := b.nodes[name]; there {
@@ -92,7 +92,7 @@
 		delete(b.left, name)
 		return
 	}
-	name, ok := strings.CutPrefix(e.Key, state.LeaderPrefix)
+	name, ok := strings.CutPrefix(e.Key, kvstore.LeaderPrefix)
 	if !ok {
 		return
 	}
@@ -187,8 +187,8 @@
 		}
 		calm = calm && urgent
 		b.giving[d] = h.ModRevision
-		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + d, ModRevision: h.ModRevision}},
-			Operations: []wire.Operation{{Put: state.LeaderPrefix + d, Value: Record{Term: h.Term}}}}})
+		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + d, ModRevision: h.ModRevision}},
+			Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + d, Value: Record{Term: h.Term}}}}})
 	}
 	return out
 }
@@ -200,8 +200,8 @@
 	if !b.registeredMe() || r.Unreachable == unreachable {
 		return m, false
 	}
-	return wire.Txn{Conditions: []wire.Condition{{Key: state.ControllerPrefix + b.host, ModRevision: r.stamp}},
-		Operations: []wire.Operation{{Put: state.ControllerPrefix + b.host, Value: Registration{b.incarnation, unreachable}, LeaseID: b.hold}}}, true
+	return wire.Txn{Conditions: []wire.Condition{{Key: kvstore.ControllerPrefix + b.host, ModRevision: r.stamp}},
+		Operations: []wire.Operation{{Put: kvstore.ControllerPrefix + b.host, Value: Registration{b.incarnation, unreachable}, LeaseID: b.hold}}}, true
 }
 
 // Holder names the controller whose registered incarnation holds a duty.
@@ -260,15 +260,15 @@
 			continue
 		}
 		h := b.claims[d]
-		when := []wire.Condition{{Key: state.LeaderPrefix + d, ModRevision: h.ModRevision}, {Key: state.ControllerPrefix + b.host, ModRevision: b.nodes[b.host].stamp}}
+		when := []wire.Condition{{Key: kvstore.LeaderPrefix + d, ModRevision: h.ModRevision}, {Key: kvstore.ControllerPrefix + b.host, ModRevision: b.nodes[b.host].stamp}}
 		if h.ModRevision == 0 {
 			when[0].ModRevision = 0
 		}
 		if h.Leader != "" && h.Leader != b.host {
-			when = append(when, wire.Condition{Key: state.ControllerPrefix + h.Leader, ModRevision: b.nodes[h.Leader].stamp})
+			when = append(when, wire.Condition{Key: kvstore.ControllerPrefix + h.Leader, ModRevision: b.nodes[h.Leader].stamp})
 		}
 		out = append(out, Write{d, wire.Txn{Conditions: when, Operations: []wire.Operation{
-			{Put: state.LeaderPrefix + d, Value: Record{b.host, b.incarnation, term + 1}}}}})
+			{Put: kvstore.LeaderPrefix + d, Value: Record{b.host, b.incarnation, term + 1}}}}})
 	}
 	return out
 }
--- a/internal/claim/claim_test.go
+++ b/internal/leaderelection/claim_test.go
@@ -1,4 +1,4 @@
-package claim
+package leaderelection
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	v := &fakes.KVClient{KVStore: st}
 	k := NewElector(NewElection(host, []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
-	r := state.NewReplica(v, k.Apply, quiet)
+	r := kvstore.NewReplica(v, k.Apply, quiet)
 	go k.Run(ctx)                      //nolint:errcheck // ends with the context
 	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 	return &process{k, v, cancel}
@@ -54,7 +54,7 @@
 func (s slow) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	time.Sleep(min(s.by, timeout))
 	if s.by > timeout {
-		return state.ErrOutcomeUnknown
+		return kvstore.ErrOutcomeUnknown
 	}
 	return s.KVClient.KeepAlive(ctx, hold, timeout)
 }
@@ -66,8 +66,8 @@
 		defer cancel()
 		v := slow{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
 		k := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
-		go k.Run(ctx)                                                        //nolint:errcheck // ends with the context
-		go state.NewReplica(v, k.Apply, quiet).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
+		go k.Run(ctx)                                                          //nolint:errcheck // ends with the context
+		go kvstore.NewReplica(v, k.Apply, quiet).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 		time.Sleep(5 * time.Second)
 		for range 60 {
 			_, ok := k.Leading(duties[0])
@@ -252,7 +252,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
 		_, err := (&fakes.KVClient{KVStore: st}).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{
-			{Put: state.LeaderPrefix + "part-of-old", Value: Record{"a", "gone", 41}}}})
+			{Put: kvstore.LeaderPrefix + "part-of-old", Value: Record{"a", "gone", 41}}}})
 		require.NoError(t, err)
 		a := start(t, st, "a")
 		time.Sleep(time.Second)
--- a/internal/claim/keeper.go
+++ b/internal/leaderelection/keeper.go
@@ -1,4 +1,4 @@
-package claim
+package leaderelection
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/google/uuid"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -50,7 +50,7 @@
 }
 
 // Apply takes events of the replica.
-func (k *Elector) Apply(evs []state.Event, _ uint64) {
+func (k *Elector) Apply(evs []kvstore.Event, _ uint64) {
 	k.mu.Lock()
 	for _, e := range evs {
 		k.book.Apply(e)
@@ -161,8 +161,8 @@
 	if incarnation == "" || inc != incarnation {
 		return
 	}
-	_, err := k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: state.ControllerPrefix + host, ModRevision: stamp}},
-		Operations: []wire.Operation{{Drop: state.ControllerPrefix + host}}})
+	_, err := k.store.Commit(ctx, wire.Txn{Conditions: []wire.Condition{{Key: kvstore.ControllerPrefix + host, ModRevision: stamp}},
+		Operations: []wire.Operation{{Drop: kvstore.ControllerPrefix + host}}})
 	k.log.Info("removed the registration of a resigned controller", "host", host, "err", err)
 }
 
@@ -205,7 +205,7 @@
 // write is conditional on the key as read, so that a late copy of an old
 // process's write can't undo it.
 func (k *Elector) register(ctx context.Context) error {
-	key := state.ControllerPrefix + k.book.host
+	key := kvstore.ControllerPrefix + k.book.host
 	it, _, err := k.store.Get(ctx, key)
 	if err != nil {
 		return err
@@ -273,7 +273,7 @@
 				k.lastOK = now
 			}
 			k.mu.Unlock()
-		case errors.Is(err, state.ErrLeaseNotFound):
+		case errors.Is(err, kvstore.ErrLeaseNotFound):
 			k.mu.Lock()
 			if cur, _ := k.book.Incarnation(); cur == inc {
 				k.resigned = k.book.Resign()
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -87,9 +87,9 @@
 		}
 		rev, err := view.Commit(r.Context(), m)
 		switch {
-		case errors.Is(err, state.ErrRefused) && !strings.Contains(err.Error(), "no such lease"):
+		case errors.Is(err, kvstore.ErrRefused) && !strings.Contains(err.Error(), "no such lease"):
 			answer(w, 503, nil)
-		case errors.Is(err, state.ErrConflict):
+		case errors.Is(err, kvstore.ErrConflict):
 			answer(w, 409, wire.TxnResponse{Revision: rev})
 		case err != nil:
 			answer(w, 400, wire.Error{Error: "no such lease"})
--- a/internal/owner/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"fmt"
@@ -10,20 +10,20 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // allHeld are claims of a process that holds every duty.
 type allHeld struct{}
 
-func (allHeld) Leading(string) (claim.Leadership, bool) {
-	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 1}, true
+func (allHeld) Leading(string) (leaderelection.Leadership, bool) {
+	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 1}, true
 }
 func (allHeld) Leader(string) (string, bool) { return "me", true }
 
@@ -44,7 +44,7 @@
 	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Partitioning: NewPartitioning([]string{"a"}), TxnOps: 12, MaxRecordBytes: 7000, MaxWorkerConnections: 100,
 		Timing: Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	o.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)}, nil)
+	o.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
 	o.Reconcile()
 	l := &loadedOwner{tb: tb, owner: o}
 	for i := range count {
@@ -54,7 +54,7 @@
 		}
 		l.reports = append(l.reports, r)
 		l.report(i)
-		o.table.HandleMachineRecord(r.Machine, 0, machines.Record{Type: "big", Zone: "a"}, true, o.clock.Now())
+		o.table.HandleMachineRecord(r.Machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, o.clock.Now())
 	}
 	return l
 }
--- a/internal/owner/holds_test.go
+++ b/internal/partition/holds_test.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // lapsing are claims that are held for so many looks more, and then over.
 type lapsing struct{ looks int }
 
-func (l *lapsing) Leading(string) (claim.Leadership, bool) {
+func (l *lapsing) Leading(string) (leaderelection.Leadership, bool) {
 	l.looks--
-	return claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: 1}, l.looks >= 0
+	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 1}, l.looks >= 0
 }
 
 func (l *lapsing) Leader(string) (string, bool) { return "me", true }
--- a/internal/owner/leases.go
+++ b/internal/partition/leases.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"github.com/merlinlatch/merlinlatch/internal/clock"
--- a/internal/owner/lines.go
+++ b/internal/partition/lines.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"container/list"
--- a/internal/owner/machine.go
+++ b/internal/partition/machine.go
@@ -1,12 +1,12 @@
-package owner
+package partition
 
 import (
 	"container/list"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -15,7 +15,7 @@
 	id       peer.TaskID
 	team     string
 	rank     int
-	need     res.Amounts
+	need     resources.Amounts
 	since    clock.Micros
 	sent     bool         // a run was sent, at least once
 	sentTick uint64       // report whose answer carried the last run
@@ -39,8 +39,8 @@
 type machine struct {
 	id   string
 	part int
-	machines.Record
-	cap            res.Amounts
+	inventory.Record
+	cap            resources.Amounts
 	token          uint64 // what orders are sent with
 	seenToken      uint64 // highest that the worker showed
 	session        uint64
@@ -90,7 +90,7 @@
 // inUse is what the machine's tasks take that are there, or may be, and what
 // is spoken for. A task that was told to stop is still there, but its room may
 // be leased already: the lease waits for its end.
-func (m *machine) inUse() (started, spoken res.Amounts) {
+func (m *machine) inUse() (started, spoken resources.Amounts) {
 	for _, k := range m.tasks {
 		if k.exited() {
 			continue
--- a/internal/owner/owner.go
+++ b/internal/partition/owner.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"context"
@@ -8,20 +8,20 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // Elections tells which duties this process holds.
 type Elections interface {
-	Leading(duty string) (claim.Leadership, bool)
+	Leading(duty string) (leaderelection.Leadership, bool)
 	Leader(duty string) (string, bool)
 }
 
@@ -50,7 +50,7 @@
 
 	mu      sync.Mutex
 	table   *State
-	records *machines.Records
+	records *inventory.Records
 	lines   *lines
 	feed    feed
 	wake    chan struct{}
@@ -73,7 +73,7 @@
 		ctx: ctx, host: opts.Host, instance: opts.Instance, split: opts.Partitioning, txnOps: opts.TxnOps, valueMost: opts.MaxRecordBytes,
 		claims: claims, store: store, clock: c, wall: wall, log: log,
 		table:       NewState(opts.Timing, jobs),
-		records:     machines.NewRecords(),
+		records:     inventory.NewRecords(),
 		lines:       newLines(opts.MaxWorkerConnections),
 		misdirected: misdirected{of: map[string]map[string]clock.Micros{}},
 		wake:        make(chan struct{}, 1),
@@ -98,7 +98,7 @@
 }
 
 // SetTypes tells what the machine types offer, and how many GB of images they keep.
-func (o *Server) SetTypes(types map[string]res.Amounts, caches map[string]float64) {
+func (o *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.SetCaches(caches)
@@ -131,8 +131,8 @@
 		term, have := o.table.PartitionTerm(p)
 		switch {
 		case mine && (!have || term != h.Term):
-			found := machines.Group{}
-			o.records.Each(func(id string, r machines.Record) {
+			found := inventory.Group{}
+			o.records.Each(func(id string, r inventory.Record) {
 				if o.split.PartitionOf(id, r.Zone) == p {
 					found[id] = r
 				}
--- a/internal/owner/reach.go
+++ b/internal/partition/reach.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -95,7 +95,7 @@
 func (o *Server) ReachesWorkers(ctx context.Context) bool {
 	var addrs []string
 	o.mu.Lock()
-	o.records.Each(func(_ string, r machines.Record) {
+	o.records.Each(func(_ string, r inventory.Record) {
 		if len(addrs) < probes && r.Addr != "" {
 			addrs = append(addrs, r.Addr)
 		}
--- a/internal/owner/records.go
+++ b/internal/partition/records.go
@@ -1,17 +1,17 @@
-package owner
+package partition
 
 import (
 	"context"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // Apply takes events of the replica: the records of machines.
-func (o *Server) Apply(evs []state.Event) {
+func (o *Server) Apply(evs []kvstore.Event) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, e := range evs {
@@ -21,10 +21,10 @@
 }
 
 // recorded tells the table which machines are on record. The lock is held.
-func (o *Server) recorded(came machines.Group, went []string) {
+func (o *Server) recorded(came inventory.Group, went []string) {
 	now := o.clock.Now()
 	for _, id := range went {
-		o.table.HandleMachineRecord(id, 0, machines.Record{}, false, now)
+		o.table.HandleMachineRecord(id, 0, inventory.Record{}, false, now)
 	}
 	for id, r := range came {
 		o.table.HandleMachineRecord(id, o.split.PartitionOf(id, r.Zone), r, true, now)
@@ -35,7 +35,7 @@
 func (o *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.records.Each(func(id string, r machines.Record) {
+	o.records.Each(func(id string, r inventory.Record) {
 		if r.AtMS > 0 && r.AtMS < atMS {
 			out = append(out, peer.MachineRef{ID: id, Zone: r.Zone})
 		}
@@ -45,14 +45,14 @@
 
 // record writes the records of new machines, and drops those of machines that
 // are gone, each on the condition that the partition is still held.
-func (o *Server) record(ctx context.Context, fresh machines.Group, drop []string) {
-	came, went := map[int]machines.Group{}, map[int][]string{}
+func (o *Server) record(ctx context.Context, fresh inventory.Group, drop []string) {
+	came, went := map[int]inventory.Group{}, map[int][]string{}
 	parts := map[int]bool{}
 	for id, r := range fresh {
 		r.AtMS = o.wall().UnixMilli()
 		p := o.split.PartitionOf(id, r.Zone)
 		if came[p] == nil {
-			came[p] = machines.Group{}
+			came[p] = inventory.Group{}
 		}
 		came[p][id], parts[p] = r, true
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-func (o *Server) write(ctx context.Context, part int, h claim.Leadership, list []machines.Write) error {
-	m := wire.Txn{Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
+func (o *Server) write(ctx context.Context, part int, h leaderelection.Leadership, list []inventory.Write) error {
+	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
 	for _, w := range list {
 		w.AppendTo(&m)
 	}
--- a/internal/owner/reports.go
+++ b/internal/partition/reports.go
@@ -1,8 +1,8 @@
-package owner
+package partition
 
 import (
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -12,7 +12,7 @@
 func (t *State) HandleHeartbeat(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
 	m := t.machines[r.Machine]
 	if m == nil {
-		m = t.add(r.Machine, part, machines.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
+		m = t.add(r.Machine, part, inventory.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
 	}
 	if m.part != part {
 		return ans, false // it says now that it is of another zone: that is not understood
--- a/internal/owner/shares.go
+++ b/internal/partition/shares.go
@@ -1,10 +1,10 @@
-package owner
+package partition
 
 import (
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // SetArbiter has contended room divided among teams by fair shares.
@@ -29,7 +29,7 @@
 	if !t.arbiter.UsageDue(now) {
 		return
 	}
-	var capacity res.Amounts
+	var capacity resources.Amounts
 	used := map[string]fairshare.Use{}
 	for _, m := range t.machines {
 		if m.silent || m.gone {
@@ -54,7 +54,7 @@
 }
 
 // yields tells that an ask must leave a machine's free room to another team.
-func (t *State) yields(m *machine, a *peer.Assignment, free res.Amounts, now clock.Micros) bool {
+func (t *State) yields(m *machine, a *peer.Assignment, free resources.Amounts, now clock.Micros) bool {
 	if t.arbiter == nil {
 		return false
 	}
@@ -69,20 +69,20 @@
 
 // Standings gives the teams' shares of the machines held, the capacity that they are of, and
 // how many asks had to leave room to other teams.
-func (o *Server) Standings() (capacity res.Amounts, list []fairshare.Standing, yielded uint64) {
+func (o *Server) Standings() (capacity resources.Amounts, list []fairshare.Standing, yielded uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.table.arbiter == nil {
-		return res.Amounts{}, nil, 0
+		return resources.Amounts{}, nil, 0
 	}
 	capacity, list = o.table.Standings(o.clock.Now())
 	return capacity, list, o.table.arbiter.Yielded()
 }
 
 // Standings gives the teams' shares of the machines held, and the capacity that they are of.
-func (t *State) Standings(now clock.Micros) (capacity res.Amounts, list []fairshare.Standing) {
+func (t *State) Standings(now clock.Micros) (capacity resources.Amounts, list []fairshare.Standing) {
 	if t.arbiter == nil {
-		return res.Amounts{}, nil
+		return resources.Amounts{}, nil
 	}
 	return t.arbiter.Capacity(), t.arbiter.Standings(now)
 }
--- a/internal/owner/table.go
+++ b/internal/partition/table.go
@@ -2,7 +2,7 @@
 // reports, the leases on their room, the starts and stops of tasks.
 //
 // Table is the decision, plain code that takes the time; Owner does the I/O.
-package owner
+package partition
 
 import (
 	"container/list"
@@ -12,10 +12,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/history"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // JobLookup tells which jobs are active.
@@ -36,7 +36,7 @@
 type State struct {
 	timing    Timing
 	jobs      JobLookup
-	types     map[string]res.Amounts
+	types     map[string]resources.Amounts
 	caches    map[string]float64 // GB by machine type
 	sizes     map[string]float64 // GB by image
 	parts     map[int]uint64     // partitions held, with terms
@@ -61,13 +61,13 @@
 
 // NewState makes an empty table.
 func NewState(t Timing, j JobLookup) *State {
-	return &State{caches: map[string]float64{}, sizes: map[string]float64{}, timing: t, jobs: j, types: map[string]res.Amounts{}, parts: map[int]uint64{},
+	return &State{caches: map[string]float64{}, sizes: map[string]float64{}, timing: t, jobs: j, types: map[string]resources.Amounts{}, parts: map[int]uint64{},
 		machines: map[string]*machine{}, changes: list.New(), due: map[string]*machine{}, teamTerms: map[string]uint64{}, rounds: map[string]lastRound{},
 		cancelled: map[string]cancel{}, failing: map[string]map[string]bool{}, gates: map[string]*gate{}}
 }
 
 // SetTypes tells what the machine types offer.
-func (t *State) SetTypes(types map[string]res.Amounts) {
+func (t *State) SetTypes(types map[string]resources.Amounts) {
 	t.types = types
 	for _, m := range t.machines {
 		m.cap = types[m.Type]
@@ -122,7 +122,7 @@
 // AcquirePartition takes a partition over. Every machine registered for it may hold tasks
 // of the former owner's until a report shows a token of this term, or it was
 // not answered by anybody for its lease, counted from now at the latest.
-func (t *State) AcquirePartition(part int, term uint64, recorded machines.Group, now clock.Micros) {
+func (t *State) AcquirePartition(part int, term uint64, recorded inventory.Group, now clock.Micros) {
 	t.ReleasePartition(part)
 	t.parts[part] = term
 	for id, r := range recorded {
@@ -146,7 +146,7 @@
 	t.version++
 }
 
-func (t *State) add(id string, part int, r machines.Record, now clock.Micros) *machine {
+func (t *State) add(id string, part int, r inventory.Record, now clock.Micros) *machine {
 	m := &machine{id: id, part: part, Record: r, cap: t.types[r.Type], token: baseToken(t.parts[part]) + 1,
 		answered: now, idleSince: now, tasks: map[peer.TaskID]*task{}, errJobs: map[string]bool{}, session: 1}
 	t.machines[id] = m
@@ -215,7 +215,7 @@
 			if _, ok := t.parts[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, machines.Record{Zone: x.Zone}, now)
+			m = t.add(x.ID, p, inventory.Record{Zone: x.Zone}, now)
 		}
 		m.gone, m.answered = true, now
 		clear(m.tasks)
@@ -232,7 +232,7 @@
 			if _, ok := t.parts[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, machines.Record{Zone: x.Zone}, now) // not up yet
+			m = t.add(x.ID, p, inventory.Record{Zone: x.Zone}, now) // not up yet
 			m.draining = true
 			ready = append(ready, x.ID)
 			continue
@@ -249,7 +249,7 @@
 // HandleMachineRecord notes that a machine's record is in the state service, or gone from
 // it. A record without a machine, which a late copy of an old write brings back,
 // counts as a machine that nothing is known of: it falls silent, and its record goes.
-func (t *State) HandleMachineRecord(id string, part int, r machines.Record, there bool, now clock.Micros) {
+func (t *State) HandleMachineRecord(id string, part int, r inventory.Record, there bool, now clock.Micros) {
 	m := t.machines[id]
 	if m == nil && there {
 		if _, ok := t.parts[part]; !ok {
@@ -264,12 +264,12 @@
 }
 
 // UnrecordedMachines lists machines that report and have no record yet.
-func (t *State) UnrecordedMachines() machines.Group {
-	var out machines.Group
+func (t *State) UnrecordedMachines() inventory.Group {
+	var out inventory.Group
 	for id, m := range t.machines {
 		if m.heard && !m.registered && !m.silent && !m.gone {
 			if out == nil {
-				out = machines.Group{}
+				out = inventory.Group{}
 			}
 			out[id] = m.Record
 		}
--- a/internal/owner/table_test.go
+++ b/internal/partition/table_test.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"testing"
@@ -7,10 +7,10 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -46,7 +46,7 @@
 
 func newTable(j *jobList) *State {
 	tb := NewState(Timing{Lease: lease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, j)
-	tb.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
+	tb.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 	return tb
 }
 
@@ -57,7 +57,7 @@
 	s.w = fakes.NewWorker("m-1", lease, s.now)
 	s.table.AcquirePartition(0, 1, nil, s.now)
 	s.report()
-	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
+	s.table.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
 	s.report()
 	return s
 }
@@ -79,7 +79,7 @@
 
 func ask(n int, attempt uint64) peer.Assignment {
 	return peer.Assignment{ID: peer.TaskID{Job: "job-1", N: n, Attempt: 1<<32 | attempt}, Made: made, Team: team, Rank: 1,
-		Need: res.Request(2, 0, 1), Machine: "m-1", Term: 1}
+		Need: resources.Request(2, 0, 1), Machine: "m-1", Term: 1}
 }
 
 func (s *scene) round(r peer.Batch) peer.BatchResponse {
@@ -105,7 +105,7 @@
 	require.Len(t, late.Orders, 1)
 
 	next := newTable(s.jobs)
-	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "10.0.0.9:9000", Type: "big", Zone: "a"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "10.0.0.9:9000", Type: "big", Zone: "a"}}, s.now)
 	s.now += sec
 	s.reportTo(next)
 	require.False(t, next.machines["m-1"].accounted, "the report was made before the new token was seen")
@@ -230,9 +230,9 @@
 // owner would not know of it.
 func TestNoTaskBeforeTheRecord(t *testing.T) {
 	s := newScene(t)
-	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, false, s.now)
+	s.table.HandleMachineRecord("m-1", 0, inventory.Record{}, false, s.now)
 	require.False(t, s.lease(0, 1))
-	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
+	s.table.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
 	require.True(t, s.lease(0, 2))
 }
 
@@ -259,7 +259,7 @@
 // An ask made to the former owner of a partition reaches the next one.
 func TestAnAskUnderAFormerTermIsRefused(t *testing.T) {
 	s := newScene(t)
-	s.table.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	s.table.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.report()
 	s.report()
 	require.True(t, s.table.machines["m-1"].usable(s.now))
@@ -324,7 +324,7 @@
 	s.report()
 	delete(s.jobs.active, "job-1")
 	next := newTable(s.jobs)
-	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	for range 4 {
 		s.now += sec
 		s.reportTo(next)
--- a/internal/owner/withdraw_test.go
+++ b/internal/partition/withdraw_test.go
@@ -1,4 +1,4 @@
-package owner
+package partition
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -75,7 +75,7 @@
 	s.table.HandleDeliveryResponse("m-1", late, &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Tick: 99, FencingToken: 99 << 32}, s.now)
 	delete(s.jobs.active, "job-1")
 	next := newTable(s.jobs)
-	next.AcquirePartition(0, 2, map[string]machines.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.now += sec
 	s.reportTo(next)
 	require.True(t, s.w.Running("job-1/0"), "its first answer brings the token, and no orders")
@@ -188,7 +188,7 @@
 	s.report()
 	s.report()
 	require.Contains(t, s.table.UnrecordedMachines(), "m-1", "its record was to be dropped: it is recorded anew")
-	s.table.HandleMachineRecord("m-1", 0, machines.Record{}, true, s.now)
+	s.table.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
 	s.report()
 	require.True(t, s.table.machines["m-1"].usable(s.now), "it reaches its owner again")
 }
--- a/internal/peer/cost_test.go
+++ b/internal/peer/cost_test.go
@@ -6,7 +6,7 @@
 	"net/rpc"
 	"testing"
 
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // answering is a peer that answers every poll alike.
@@ -21,10 +21,10 @@
 func changedMachines(n int) PollResponse {
 	out := PollResponse{Incarnation: "incarnation", Cursor: 7, Parts: map[int]uint64{0: 1, 1: 1}}
 	for i := range n {
-		v := MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a", Cap: res.Capacity(32, 0, 64), Free: res.Capacity(4, 0, 8),
+		v := MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a", Cap: resources.Capacity(32, 0, 64), Free: resources.Capacity(4, 0, 8),
 			Accounted: true, Usable: true, Count: 14}
 		for k := range 3 {
-			v.Tasks = append(v.Tasks, TaskView{ID: TaskID{"job-000001", k, 1 << 32}, Team: "red", Rank: 2, Need: res.Request(2, 0, 1), Phase: "running"})
+			v.Tasks = append(v.Tasks, TaskView{ID: TaskID{"job-000001", k, 1 << 32}, Team: "red", Rank: 2, Need: resources.Request(2, 0, 1), Phase: "running"})
 		}
 		out.Machines = append(out.Machines, v)
 	}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -7,7 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -27,7 +27,7 @@
 	ID       TaskID
 	Team     string
 	Rank     int
-	Need     res.Amounts
+	Need     resources.Amounts
 	Phase    string // "" while the start was not seen yet
 	Cause    string
 	Stopping bool
@@ -46,8 +46,8 @@
 	Type      string
 	Zone      string
 	Spot      bool
-	Cap       res.Amounts
-	Free      res.Amounts
+	Cap       resources.Amounts
+	Free      resources.Amounts
 	Accounted bool // the table is the truth: no order of a former owner can change it
 	Usable    bool // may get tasks
 	Draining  bool
@@ -71,7 +71,7 @@
 	Made    uint64 // revision of its job's record
 	Team    string
 	Rank    int
-	Need    res.Amounts
+	Need    resources.Amounts
 	Image   string
 	ImageGB float64
 	Machine string
@@ -158,7 +158,7 @@
 	Machines    []MachineView  // in order of their names
 	More        bool           // there are more machines than the asker wanted at a time
 	// Capacity and Standings are the teams' shares of the owner's machines, where fair shares are on.
-	Capacity  res.Amounts
+	Capacity  resources.Amounts
 	Standings []fairshare.Standing
 	Holds     bool // the owner holds room for tasks that are to move
 }
@@ -175,7 +175,7 @@
 
 // Demand is work that waits for room, or runs, as the fleet needs to know it.
 type Demand struct {
-	Need    res.Amounts
+	Need    resources.Amounts
 	Types   []string
 	Zone    string
 	Spot    bool
@@ -238,12 +238,12 @@
 type TeamStatus struct {
 	Team      string
 	Term      uint64
-	Guarantee res.Amounts
-	Limit     res.Amounts // an amount of 0 means none
-	Used      res.Amounts // by all that is or may be on a machine
-	Jobs      int         // that are not over
-	Waiting   int         // tasks
-	Running   int         // tasks that are on a machine, or on their way there
+	Guarantee resources.Amounts
+	Limit     resources.Amounts // an amount of 0 means none
+	Used      resources.Amounts // by all that is or may be on a machine
+	Jobs      int               // that are not over
+	Waiting   int               // tasks
+	Running   int               // tasks that are on a machine, or on their way there
 	Waits     telemetry.Quantiles
 	Lateness  telemetry.Quantiles
 	Moves     []MoveRecord    // the latest, the last one first
@@ -270,7 +270,7 @@
 type TeamsResponse struct {
 	Host      string
 	Teams     []TeamStatus
-	Capacity  res.Amounts
+	Capacity  resources.Amounts
 	Standings []fairshare.Standing // none where fair shares are off
 	Yielded   uint64               // asks that had to leave room to other teams
 }
--- a/internal/res/res.go
+++ b/internal/resources/res.go
@@ -1,6 +1,6 @@
 // Package res counts what tasks take and machines have, in whole millionths,
 // so that sums are exact.
-package res
+package resources
 
 import "math"
 
--- a/internal/placer/choose.go
+++ b/internal/scheduler/choose.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"hash/fnv"
@@ -7,12 +7,12 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // uncleared lists how much of a team's work machines could hold that are not accounted
 // for. Those that were not seen yet count as the largest machine there is.
-func (d *Scheduler) uncleared(tm *team, largest func() res.Amounts) (n int, room res.Amounts) {
+func (d *Scheduler) uncleared(tm *team, largest func() resources.Amounts) (n int, room resources.Amounts) {
 	for id := range tm.strange {
 		n++
 		if m := d.machines[id]; m != nil && m.Cap.CPU > 0 {
@@ -25,8 +25,8 @@
 }
 
 // largest is the most that any machine seen offers.
-func (d *Scheduler) largest() res.Amounts {
-	out := res.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9} // a thousand CPUs, before any was seen
+func (d *Scheduler) largest() resources.Amounts {
+	out := resources.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9} // a thousand CPUs, before any was seen
 	d.counts.Looked += len(d.machines)
 	seen := false
 	for _, m := range d.machines {
@@ -34,12 +34,12 @@
 			out, seen = m.Cap, true
 			continue
 		}
-		out = res.Amounts{CPU: max(out.CPU, m.Cap.CPU), GPU: max(out.GPU, m.Cap.GPU), Mem: max(out.Mem, m.Cap.Mem)}
+		out = resources.Amounts{CPU: max(out.CPU, m.Cap.CPU), GPU: max(out.GPU, m.Cap.GPU), Mem: max(out.Mem, m.Cap.Mem)}
 	}
 	return out
 }
 
-func within(a, limit res.Amounts) bool {
+func within(a, limit resources.Amounts) bool {
 	return (limit.CPU == 0 || a.CPU <= limit.CPU) && (limit.GPU == 0 || a.GPU <= limit.GPU)
 }
 
--- a/internal/placer/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 	"github.com/stretchr/testify/require"
 )
@@ -28,11 +28,11 @@
 	in := d.NextPoll("h0")
 	ans := &peer.PollResponse{Incarnation: "owner", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
 	for i := range machines {
-		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: res.Capacity(32, 0, 64),
-			Free: res.Capacity(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
+		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: resources.Capacity(32, 0, 64),
+			Free: resources.Capacity(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
 		for n := range 16 {
 			v.Tasks = append(v.Tasks, peer.TaskView{ID: peer.TaskID{Job: "job-999999", N: i*16 + n, Attempt: 1}, Team: "other",
-				Rank: 1, Need: res.Request(2, 0, 1), Phase: wire.TaskRunning})
+				Rank: 1, Need: resources.Request(2, 0, 1), Phase: wire.TaskRunning})
 		}
 		ans.Machines = append(ans.Machines, v)
 	}
--- a/internal/placer/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"encoding/base64"
@@ -12,7 +12,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
 // goldenLines gives the lines of a golden file.
@@ -35,7 +35,7 @@
 		(&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 1}, 1000)[0].Key,
 	})
 	for _, c := range []chunkID{{0, ChunkTasks}, {12, ChunkTasks}, {3, 4096}} {
-		_, text, _ := strings.Cut(strings.TrimPrefix(progressKey("job-1", c), state.ProgressPrefix), "/")
+		_, text, _ := strings.Cut(strings.TrimPrefix(progressKey("job-1", c), kvstore.ProgressPrefix), "/")
 		got, ok := parseChunk(text)
 		require.True(t, ok)
 		require.Equal(t, c, got)
@@ -65,7 +65,7 @@
 	// And a placer takes from them what they tell.
 	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: "red"}}, nil, 1, func() int64 { return 0 })
 	p := New(scheduler, Options{}, nil, nil, nil, jobs.NewCache(), clock.NewSteady(), slog.New(slog.DiscardHandler))
-	p.Apply([]state.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6}})
+	p.Apply([]kvstore.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6}})
 	require.Equal(t, map[chunkID]progress{{3, 64}: {bits, 5}}, scheduler.progress["job-1"])
 	require.Equal(t, watermarks{6, map[string]int{"job-1": 256, "job-2": 40}}, scheduler.watermarks["ml/w/red/0"])
 }
--- a/internal/placer/placer.go
+++ b/internal/scheduler/placer.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -12,20 +12,20 @@
 	"github.com/segmentio/encoding/json"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 // Elections tells which duties this process holds.
 type Elections interface {
-	Leading(duty string) (claim.Leadership, bool)
-	Current(duty string) (h claim.Leadership, live bool)
+	Leading(duty string) (leaderelection.Leadership, bool)
+	Current(duty string) (h leaderelection.Leadership, live bool)
 }
 
 // Store takes transactions.
@@ -65,7 +65,7 @@
 
 	mu        sync.Mutex
 	scheduler *Scheduler
-	records   *machines.Records
+	records   *inventory.Records
 	wake      chan struct{}
 	senders   map[string]chan struct{}
 	writes    chan struct{}
@@ -87,7 +87,7 @@
 // New makes a placer around a scheduler.
 func New(scheduler *Scheduler, o Options, claims Elections, store, urgent Store, book *jobs.Cache, c clock.Clock, log *slog.Logger) *Server {
 	p := &Server{teams: o.Teams, parts: o.PartitionDuties, owners: o.Partitions, claims: claims, store: store, book: book, clock: c,
-		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: machines.NewRecords(), wake: make(chan struct{}, 1),
+		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: inventory.NewRecords(), wake: make(chan struct{}, 1),
 		senders: map[string]chan struct{}{}, writes: make(chan struct{}, 1), news: make(chan struct{}), running: context.Background()}
 	scheduler.chunk = chunkTasks(o.MaxRecordBytes)
 	for h := range o.Partitions {
@@ -129,21 +129,21 @@
 }
 
 // Apply takes events of the replica: jobs, progress and machines' records.
-func (p *Server) Apply(evs []state.Event) {
+func (p *Server) Apply(evs []kvstore.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, recorded := p.clock.Now(), false
 	for _, e := range evs {
 		switch {
-		case strings.HasPrefix(e.Key, state.ActiveJobPrefix):
-			id := strings.TrimPrefix(e.Key, state.ActiveJobPrefix)
+		case strings.HasPrefix(e.Key, kvstore.ActiveJobPrefix):
+			id := strings.TrimPrefix(e.Key, kvstore.ActiveJobPrefix)
 			if j, ok := p.book.Active(id); ok && e.Value != nil {
 				p.scheduler.AddJob(j, now)
 			} else {
 				p.scheduler.DropJob(id)
 			}
-		case strings.HasPrefix(e.Key, state.ProgressPrefix):
-			id, c, _ := strings.Cut(strings.TrimPrefix(e.Key, state.ProgressPrefix), "/")
+		case strings.HasPrefix(e.Key, kvstore.ProgressPrefix):
+			id, c, _ := strings.Cut(strings.TrimPrefix(e.Key, kvstore.ProgressPrefix), "/")
 			n, ok := parseChunk(c)
 			var text string
 			switch {
@@ -155,13 +155,13 @@
 					p.scheduler.HandleProgressRecord(id, n, bits, e.ModRevision)
 				}
 			}
-		case strings.HasPrefix(e.Key, state.WatermarkPrefix):
+		case strings.HasPrefix(e.Key, kvstore.WatermarkPrefix):
 			var jobs map[string]int
 			if e.Value != nil && json.Unmarshal(e.Value, &jobs) != nil {
 				continue
 			}
 			p.scheduler.HandleWatermarkRecord(e.Key, jobs, e.ModRevision)
-		case strings.HasPrefix(e.Key, state.MachinePrefix):
+		case strings.HasPrefix(e.Key, kvstore.MachinePrefix):
 			came, went := p.records.Apply(e)
 			recorded = true
 			for _, id := range went {
--- a/internal/placer/rooms.go
+++ b/internal/scheduler/rooms.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"math/bits"
@@ -6,7 +6,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -186,7 +186,7 @@
 // full remembers in a round of decisions what found no room: what asks for as
 // much or more, and is as choosy or choosier, need not search again.
 type full struct {
-	needs   []res.Amounts // of jobs that go anywhere
+	needs   []resources.Amounts // of jobs that go anywhere
 	jobs    map[*job]bool
 	staged  bool               // work returns to a zone: what one job may not have another may
 	victims map[victimsOf]bool // whose room was looked for in vain: of lower ranks, of other teams
@@ -194,7 +194,7 @@
 
 // victimsOf is what decides, beside the room that a task needs, whose room it may take.
 type victimsOf struct {
-	need    res.Amounts
+	need    resources.Amounts
 	team    string
 	level   int
 	covered bool
--- a/internal/placer/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
--- a/internal/placer/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -2,7 +2,7 @@
 // jobs, keeps their limits, and alone writes their jobs' records after acceptance.
 //
 // Scheduler is the decision, plain code that takes the time; Placer does the I/O.
-package placer
+package scheduler
 
 import (
 	"maps"
@@ -13,7 +13,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // Timing and sizes of placing.
@@ -35,8 +35,8 @@
 // Team is a team's guarantee and limit.
 type Team struct {
 	Name      string
-	Guarantee res.Amounts
-	Limit     res.Amounts // an amount of 0 means none
+	Guarantee resources.Amounts
+	Limit     resources.Amounts // an amount of 0 means none
 }
 
 type team struct {
@@ -45,13 +45,13 @@
 	stamp   uint64
 	counter uint64
 	salt    uint64 // makes its order of machines its own
-	used    res.Amounts
+	used    resources.Amounts
 	jobs    map[string]*job
-	cleared map[string]bool // machines known to hold no task unknown here
-	strange map[string]bool // recorded machines that are not cleared
-	unknown int             // how many they are, as of this round
-	held    res.Amounts     // and what they could hold
-	ending  int             // transactions under way that write ends of its jobs
+	cleared map[string]bool   // machines known to hold no task unknown here
+	strange map[string]bool   // recorded machines that are not cleared
+	unknown int               // how many they are, as of this round
+	held    resources.Amounts // and what they could hold
+	ending  int               // transactions under way that write ends of its jobs
 
 	yielding map[string]yielding // owners that keep room for other teams
 	above    bool                // it takes more than its share of the fleet
@@ -78,8 +78,8 @@
 	peer.MachineView
 	host       string
 	instance   string
-	free       res.Amounts // what it shows, less what was asked for since
-	hash       uint64      // of its name
+	free       resources.Amounts // what it shows, less what was asked for since
+	hash       uint64            // of its name
 	bound      map[peer.TaskID]*binding
 	seenAt     clock.Micros
 	tasks      map[peer.TaskID]*seen
--- a/internal/placer/shares.go
+++ b/internal/scheduler/shares.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"maps"
@@ -6,7 +6,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 // yielding is an owner that keeps room for other teams than the one that was refused.
@@ -45,7 +45,7 @@
 
 // ownerShares is what an owner last told of the teams' shares of its machines.
 type ownerShares struct {
-	capacity  res.Amounts
+	capacity  resources.Amounts
 	standings []fairshare.Standing
 	at        clock.Micros
 }
@@ -130,7 +130,7 @@
 // shapeKey is what makes work of a team alike for the owners.
 type shapeKey struct {
 	team    string
-	need    res.Amounts
+	need    resources.Amounts
 	types   string
 	zone    string
 	spot    bool
--- a/internal/placer/talk.go
+++ b/internal/scheduler/talk.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -178,7 +178,7 @@
 func (d *Scheduler) eachWaiting(now clock.Micros, visit func(j *job, tasks int)) {
 	list := d.order(now)
 	for _, tm := range d.teams {
-		room := res.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
+		room := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
 		if tm.Limit.CPU > 0 {
 			room.CPU = tm.Limit.CPU - tm.used.CPU
 		}
--- a/internal/placer/turns.go
+++ b/internal/scheduler/turns.go
@@ -1,11 +1,11 @@
-package placer
+package scheduler
 
 import (
 	"math"
 	"sort"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
 func (j *job) due() clock.Micros {
@@ -26,7 +26,7 @@
 		list = append(list, j)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].ModRevision < list[b].ModRevision })
-	var sum res.Amounts
+	var sum resources.Amounts
 	for _, j := range list {
 		sum = sum.Plus(j.Need.Times(int64(j.Tasks)))
 		j.covered = sum.CPU <= tm.Guarantee.CPU && sum.GPU <= tm.Guarantee.GPU
--- a/internal/placer/turns_test.go
+++ b/internal/scheduler/turns_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -82,7 +82,7 @@
 	for _, trickle := range []bool{true, false} {
 		w := newWorldOf(t, 1, 2, 0)
 		w.scheduler.timing.Guarantee = 5 * sec
-		blue := &team{Team: Team{Name: "blue", Guarantee: res.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
+		blue := &team{Team: Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
 			cleared: map[string]bool{}, strange: map[string]bool{}}
 		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
 			team: blue, covered: true, watermark: 50, since: w.now, bound: map[int]*binding{}, zones: map[string]int{}, done: make([]uint64, 1)}
--- a/internal/placer/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
 // A job's watermark is the number of its tasks that may ever have been asked for: a
@@ -35,7 +35,7 @@
 	Watermarks  map[string]int
 }
 
-func watermarkPrefix(team string) string { return state.WatermarkPrefix + url.PathEscape(team) + "/" }
+func watermarkPrefix(team string) string { return kvstore.WatermarkPrefix + url.PathEscape(team) + "/" }
 
 // HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written.
 // Older words than the newest known change nothing; nil means that it is gone.
--- a/internal/placer/withdraw.go
+++ b/internal/scheduler/withdraw.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -232,7 +232,7 @@
 	out := make([]PartitionLeadership, 0, len(p.parts))
 	for i, duty := range p.parts {
 		h, live := p.claims.Current(duty)
-		c := PartitionLeadership{Partition: i, Key: state.LeaderPrefix + duty, ModRevision: h.ModRevision, Term: h.Term}
+		c := PartitionLeadership{Partition: i, Key: kvstore.LeaderPrefix + duty, ModRevision: h.ModRevision, Term: h.Term}
 		if live {
 			c.Host = h.Leader
 		}
--- a/internal/placer/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/machines"
-	"github.com/merlinlatch/merlinlatch/internal/owner"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/res"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -28,7 +28,7 @@
 type host struct {
 	name     string
 	instance string
-	table    *owner.State
+	table    *partition.State
 }
 
 type lateOrders struct {
@@ -38,7 +38,7 @@
 
 type lateRound struct {
 	h     *host
-	table *owner.State // the process it was sent to
+	table *partition.State // the process it was sent to
 	round peer.Batch
 }
 
@@ -54,7 +54,7 @@
 	hosts         []*host
 	partHost      []int
 	partTerm      []uint64
-	registry      map[string]machines.Record
+	registry      map[string]inventory.Record
 	workers       map[string]*fakes.Worker
 	names         []string
 	scheduler     *Scheduler
@@ -84,7 +84,7 @@
 
 func newWorldOf(t *testing.T, seed uint64, count int, limit float64) *world {
 	w := &world{t: t, limit: limit, now: 100 * sec, rng: fakes.Rand(seed), book: jobs.NewCache(), stamp: 10, active: map[string]*jobs.Job{},
-		registry: map[string]machines.Record{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
+		registry: map[string]inventory.Record{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
 	for i := range 2 {
 		w.hosts = append(w.hosts, &host{name: fmt.Sprintf("h%d", i)})
 		w.boot(w.hosts[i])
@@ -106,8 +106,8 @@
 func (w *world) boot(h *host) {
 	w.crashes++
 	h.instance = fmt.Sprintf("%s-%d", h.name, w.crashes)
-	h.table = owner.NewState(owner.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, w)
-	h.table.SetTypes(map[string]res.Amounts{"big": res.Capacity(8, 0, 32)})
+	h.table = partition.NewState(partition.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, w)
+	h.table.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
 func (w *world) part(id string) int { return int(id[2]-'0') % len(w.partHost) }
@@ -118,7 +118,7 @@
 	w.partHost[p] = to
 	w.partTerm[p]++
 	w.stamp++
-	found := map[string]machines.Record{}
+	found := map[string]inventory.Record{}
 	for id, r := range w.registry {
 		if w.part(id) == p {
 			found[id] = r
@@ -142,7 +142,7 @@
 	w.term++
 	w.stamp++
 	w.scheduler = NewScheduler(Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: w.moves}, fmt.Sprintf("scheduler-%d", w.term),
-		[]Team{{Name: red, Limit: res.Capacity(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
+		[]Team{{Name: red, Limit: resources.Capacity(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
 	w.scheduler.legacyRecords = w.legacyRecords
 	for id := range w.registry {
 		w.scheduler.HandleMachineRecord(id, true)
--- a/internal/placer/write_progress.go
+++ b/internal/scheduler/write_progress.go
@@ -1,17 +1,17 @@
-package placer
+package scheduler
 
 import (
 	"context"
 	"encoding/base64"
 	"fmt"
 
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
 func progressKey(id string, chunk chunkID) string {
-	return fmt.Sprintf("%s%s/%s", state.ProgressPrefix, id, chunk)
+	return fmt.Sprintf("%s%s/%s", kvstore.ProgressPrefix, id, chunk)
 }
 
 // progressWrite is a record of a job's progress that is to be written.
@@ -70,7 +70,7 @@
 				w.bits = w.j.chunk(w.chunk)
 				// Without the record's own stamp a late copy of an earlier write would take
 				// back what is written down and forgotten by the workers since.
-				m.Conditions = append(m.Conditions, wire.Condition{Key: state.ActiveJobPrefix + w.j.ID, ModRevision: w.j.ModRevision},
+				m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + w.j.ID, ModRevision: w.j.ModRevision},
 					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: p.scheduler.progress[w.j.ID][at].stamp})
 				m.Operations = append(m.Operations, wire.Operation{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
 				delete(w.j.dirty, w.chunk)
--- a/internal/placer/writes.go
+++ b/internal/scheduler/writes.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
-	"github.com/merlinlatch/merlinlatch/internal/state"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -28,7 +28,7 @@
 				continue
 			}
 			rev, err := p.urgent.Commit(ctx, wire.Txn{
-				Conditions: []wire.Condition{{Key: state.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
+				Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
 				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
 				p.log.Debug("writing watermarks", "team", w.Team, "err", err)
@@ -72,7 +72,7 @@
 	if !ok || h.Term != t.term {
 		return wire.Condition{}, errLost
 	}
-	return wire.Condition{Key: state.LeaderPrefix + Duty(t.Name), ModRevision: h.ModRevision}, nil
+	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: h.ModRevision}, nil
 }
 
 // endsAtOnce is how many transactions with ends of one team's jobs are under way
@@ -181,7 +181,7 @@
 			p.log.Info("writing the ends of jobs", "job", batch[0].ID, "jobs", len(batch), "tries", try+1, "err", err)
 		}
 		// A condition that does not hold is a definite answer to this try, not to earlier ones.
-		refused := errors.Is(err, state.ErrRefused) || errors.Is(err, state.ErrConflict)
+		refused := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
 		p.mu.Lock()
 		for _, j := range batch {
 			j.unanswered = j.unanswered || !refused
@@ -192,7 +192,7 @@
 		if phase == wire.Cancelled && (!unknown || try >= 2) {
 			return err // its user asks again
 		}
-		if errors.Is(err, state.ErrConflict) && len(batch) > 1 {
+		if errors.Is(err, kvstore.ErrConflict) && len(batch) > 1 {
 			// One of them is over already, by an earlier try that had no answer:
 			// it must not keep the others from their end.
 			for _, j := range batch {
@@ -219,16 +219,16 @@
 		return m, nil
 	}
 	tm := batch[0].team
-	m.Conditions = []wire.Condition{{Key: state.LeaderPrefix + Duty(tm.Name), ModRevision: tm.stamp}}
+	m.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.stamp}}
 	for _, j := range batch {
-		m.Conditions = append(m.Conditions, wire.Condition{Key: state.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
+		m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
 		if brief || p.txnOps < 2 {
 			over := jobs.Record{EndPhase: phase}
 			over.ID, over.Team, over.Tasks = j.ID, j.Team, j.Tasks
-			m.Operations = append(m.Operations, wire.Operation{Put: state.ActiveJobPrefix + j.ID, Value: over})
+			m.Operations = append(m.Operations, wire.Operation{Put: kvstore.ActiveJobPrefix + j.ID, Value: over})
 		} else {
-			m.Operations = append(m.Operations, wire.Operation{Put: state.FinalJobPrefix + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
-				wire.Operation{Drop: state.ActiveJobPrefix + j.ID})
+			m.Operations = append(m.Operations, wire.Operation{Put: kvstore.FinalJobPrefix + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
+				wire.Operation{Drop: kvstore.ActiveJobPrefix + j.ID})
 		}
 	}
 	for _, j := range batch {
--- a/internal/placer/writes_test.go
+++ b/internal/scheduler/writes_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/time/rate"
 
-	"github.com/merlinlatch/merlinlatch/internal/claim"
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/internal/state"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -32,17 +32,17 @@
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if err := n.budget.WaitN(ctx, len(m.Operations)); err != nil {
-		return 0, fmt.Errorf("%w: %w", state.ErrRefused, state.ErrBudgetExhausted)
+		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrBudgetExhausted)
 	}
 	n.changes += len(m.Operations)
 	return n.KVClient.CommitWithCheck(ctx, m, sending)
 }
 
 // always holds every duty.
-type always struct{ claim.Leadership }
+type always struct{ leaderelection.Leadership }
 
-func (a always) Leading(string) (claim.Leadership, bool) { return a.Leadership, true }
-func (a always) Current(string) (claim.Leadership, bool) { return a.Leadership, true }
+func (a always) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
+func (a always) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 
 // writer is a placer that holds the team red; what it writes goes to a state service.
 type writer struct {
@@ -52,11 +52,11 @@
 }
 
 func newWriter(t *testing.T, view *fakes.KVClient, store Store) *writer {
-	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.LeaderPrefix + Duty(red), Value: claim.Record{}}}})
+	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}}})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: red}}, nil, 1, func() int64 { return 0 })
 	scheduler.AcquireTeam(red, 1, stamp, nil, 0)
-	claims := always{claim.Leadership{Record: claim.Record{Term: 1}, ModRevision: stamp}}
+	claims := always{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: stamp}}
 	return &writer{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000}, claims, store, store, jobs.NewCache(),
 		clock.NewSteady(), slog.New(slog.NewTextHandler(io.Discard, nil))), t, view}
 }
@@ -64,7 +64,7 @@
 // accept has a job on record and at the scheduler.
 func (w *writer) accept(id string, tasks int) *job {
 	rec := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
-	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: state.ActiveJobPrefix + id, Value: rec}}})
+	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + id, Value: rec}}})
 	require.NoError(w.t, err)
 	w.scheduler.AddJob(jobs.New(rec, stamp), 0)
 	return w.scheduler.teams[red].jobs[id]
