--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -119,7 +119,7 @@
 	debug.SetMemoryLimit(int64(set.Params.Limits.MemoryMB * 0.6 * (1 << 20)))
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	err = controller.New(ctx, set, knobs, log.With("host", set.Host)).Run(ctx)
+	err = controller.New(set, knobs, log.With("host", set.Host)).Run(ctx)
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/internal/api/front.go
+++ b/internal/api/front.go
@@ -57,10 +57,23 @@
 	out   time.Time // until then the state service is taken to be out
 }
 
-// New makes a front; limits holds each team's limit, an amount of 0 meaning none;
-// most is how large a record may be; hasty names the classes whose tasks should start within a time.
-func New(store Store, placers Schedulers, others Peers, book *jobs.Cache, limits map[string]resources.Amounts, hasty map[string]clock.Micros, most int, wall func() time.Time, log *slog.Logger) *Handler {
-	return &Handler{store: store, placers: placers, others: others, book: book, limits: limits, hasty: hasty, most: most, wall: wall, log: log}
+// Options of a handler.
+type Options struct {
+	Store          Store
+	Schedulers     Schedulers
+	Peers          Peers
+	Jobs           *jobs.Cache
+	Limits         map[string]resources.Amounts // by team, an amount of 0 meaning none
+	StartWithin    map[string]clock.Micros      // classes whose tasks should start within a time
+	MaxRecordBytes int
+	WallClock      func() time.Time
+	Log            *slog.Logger
+}
+
+// New makes a handler, which accepts no job before it knows the machine types.
+func New(o Options) *Handler {
+	return &Handler{store: o.Store, placers: o.Schedulers, others: o.Peers, book: o.Jobs, limits: o.Limits,
+		hasty: o.StartWithin, most: o.MaxRecordBytes, wall: o.WallClock, log: o.Log}
 }
 
 // SetTypes tells the machine types.
--- a/internal/api/front_test.go
+++ b/internal/api/front_test.go
@@ -63,8 +63,9 @@
 
 func newScene(t *testing.T) *scene {
 	s := &scene{oth: &others{}, t: t, view: &fakes.KVClient{KVStore: fakes.NewKVStore()}, pl: &placers{err: errors.New("nobody")}, book: jobs.NewCache()}
-	s.Handler = New(s.view, s.pl, s.oth, s.book, map[string]resources.Amounts{"red": resources.Capacity(64, 0, 0)}, map[string]clock.Micros{"refit": clock.Second}, 4096, func() time.Time { return time.UnixMilli(s.now) },
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s.Handler = New(Options{Store: s.view, Schedulers: s.pl, Peers: s.oth, Jobs: s.book, Limits: map[string]resources.Amounts{"red": resources.Capacity(64, 0, 0)},
+		StartWithin: map[string]clock.Micros{"refit": clock.Second}, MaxRecordBytes: 4096, WallClock: func() time.Time { return time.UnixMilli(s.now) },
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	s.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	return s
 }
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -19,9 +19,9 @@
 type ControllerClient interface {
 	Demands(ctx context.Context) []peer.Demand
 	// Views appends the views of all machines.
-	Views(to []peer.MachineView) []peer.MachineView
+	MachineViews(to []peer.MachineView) []peer.MachineView
 	Drain(ctx context.Context, list []peer.MachineRef) (ready []string)
-	Gone(ctx context.Context, list []peer.MachineRef)
+	MarkMachinesGone(ctx context.Context, list []peer.MachineRef)
 	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
@@ -75,16 +75,35 @@
 	viewAt map[string]int
 }
 
-// New makes a fleet.
-func New(cloud *CloudClient, claims Elections, store Store, others ControllerClient, c clock.Clock, k Parameters, backoff, lag, skew clock.Micros, wall func() time.Time, kept func() wire.Catalog, log *slog.Logger) *Autoscaler {
-	atOnce := max(1, int(cloud.rps*1.6))
-	return &Autoscaler{atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: cloud, claims: claims, store: store, others: others, clock: c, knobs: k, backoff: backoff, lag: lag, skew: skew, wall: wall, kept: kept, log: log}
+// Options of an autoscaler.
+type Options struct {
+	Cloud         *CloudClient
+	Elections     Elections
+	Store         Store
+	Controllers   ControllerClient
+	Clock         clock.Clock
+	WallClock     func() time.Time
+	Parameters    Parameters
+	Backoff       clock.Micros        // how long a kind of instance that was refused is not asked for
+	ListLag       clock.Micros        // how old the cloud's list may be
+	ClockSkew     clock.Micros        // the most that times of day are off
+	StoredCatalog func() wire.Catalog // as the key-value store has it
+	Zones         ZoneWatch           // zero: states of zones are not decided
+	Log           *slog.Logger
+	Telemetry     *telemetry.Reporter // nil: nothing is counted
 }
 
-// Measure has the fleet count its rounds and its traffic. It is called before Run.
-func (f *Autoscaler) Measure(r *telemetry.Reporter) {
-	f.steps = r.Duty("fleet")
-	f.cloud.CountTraffic(r.Traffic(telemetry.Cloud))
+// New makes an autoscaler that does nothing until it leads the fleet.
+func New(o Options) *Autoscaler {
+	atOnce := max(1, int(o.Cloud.rps*1.6))
+	f := &Autoscaler{
+		atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: o.Cloud, claims: o.Elections, store: o.Store, others: o.Controllers,
+		clock: o.Clock, knobs: o.Parameters, backoff: o.Backoff, lag: o.ListLag, skew: o.ClockSkew, wall: o.WallClock,
+		kept: o.StoredCatalog, log: o.Log, steps: o.Telemetry.Duty("fleet"),
+	}
+	f.zones.watch = o.Zones
+	f.cloud.CountTraffic(o.Telemetry.Traffic(telemetry.Cloud))
+	return f
 }
 
 // Run does the duty while it is held, until ctx ends.
@@ -145,7 +164,7 @@
 	if f.listed == 0 {
 		return // nothing is known of what is rented
 	}
-	f.views = f.others.Views(f.views[:0])
+	f.views = f.others.MachineViews(f.views[:0])
 	f.viewAt = indexViews(f.viewAt, f.views)
 	in := Input{Now: f.clock.Now(), Types: f.catalog.Types, Instances: f.rented, Views: f.views, Demands: f.others.Demands(ctx),
 		Refused: f.refused, Parameters: f.knobs, MaxCount: f.most, viewAt: f.viewAt}
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -80,9 +80,9 @@
 }
 
 func (o *others) Demands(context.Context) []peer.Demand                 { return o.demands }
-func (o *others) Views(to []peer.MachineView) []peer.MachineView        { return append(to, o.views...) }
+func (o *others) MachineViews(to []peer.MachineView) []peer.MachineView        { return append(to, o.views...) }
 func (o *others) Drain(_ context.Context, _ []peer.MachineRef) []string { return o.ready }
-func (o *others) Gone(_ context.Context, list []peer.MachineRef) {
+func (o *others) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	for _, m := range list {
 		o.gone = append(o.gone, m.ID)
 	}
@@ -117,8 +117,10 @@
 		return err == nil
 	}, time.Minute, 5*time.Millisecond)
 	o, h := &others{}, &held{term: 3}
-	f := New(NewCloudClient(addr, 10_000, 1<<20), h, &fakes.KVClient{KVStore: fakes.NewKVStore()}, o, clock.NewSteady(),
-		Parameters{IdleScaleInDelay: 60 * clock.Second, BootPatience: 3}, 12*clock.Second, 8*clock.Second, clock.Second, time.Now, func() wire.Catalog { return wire.Catalog{} }, quiet)
+	f := New(Options{Cloud: NewCloudClient(addr, 10_000, 1<<20), Elections: h, Store: &fakes.KVClient{KVStore: fakes.NewKVStore()}, Controllers: o,
+		Clock: clock.NewSteady(), WallClock: time.Now, Parameters: Parameters{IdleScaleInDelay: 60 * clock.Second, BootPatience: 3},
+		Backoff: 12 * clock.Second, ListLag: 8 * clock.Second, ClockSkew: clock.Second,
+		StoredCatalog: func() wire.Catalog { return wire.Catalog{} }, Log: quiet})
 	f.begin(3)
 	return f, c, o, h
 }
--- a/internal/autoscaler/list.go
+++ b/internal/autoscaler/list.go
@@ -92,7 +92,7 @@
 	if len(gone) > 0 {
 		slices.SortFunc(gone, func(a, b peer.MachineRef) int { return strings.Compare(a.ID, b.ID) })
 		f.log.Info("machines are on the cloud's list no more", "machines", gone)
-		f.others.Gone(ctx, gone)
+		f.others.MarkMachinesGone(ctx, gone)
 	}
 	return nil
 }
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		f.others.Gone(ctx, failed) // the cloud's own word that they have stopped
+		f.others.MarkMachinesGone(ctx, failed) // the cloud's own word that they have stopped
 	}
 	ready := f.others.Drain(ctx, some)
 	if len(ready) == 0 {
@@ -101,5 +101,5 @@
 		f.gone[id] = now
 		f.drop(id)
 	}
-	f.others.Gone(ctx, gone)
+	f.others.MarkMachinesGone(ctx, gone)
 }
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -54,9 +54,6 @@
 	unsaved map[string]bool // zones whose state is not on record as it was decided
 }
 
-// WatchZones has the duty decide the states of zones. It is called before Run.
-func (f *Autoscaler) WatchZones(w ZoneWatch) { f.zones.watch = w }
-
 // zonesEvery is how often the states of zones are looked at.
 const zonesEvery = 500 * time.Millisecond
 
--- a/internal/autoscaler/zones_test.go
+++ b/internal/autoscaler/zones_test.go
@@ -58,8 +58,8 @@
 	w := &zoneWorld{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
 		stamps: map[string]uint64{kvstore.LeaderPrefix + Duty: 7}, rev: 10}
 	f := &Autoscaler{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
-	f.WatchZones(ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
-		ReturnAfter: clock.Second, ReturnMost: clock.Second}})
+	f.zones.watch = ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
+		ReturnAfter: clock.Second, ReturnMost: clock.Second}}
 	f.zones.begin(clock.Second)
 	return w, f
 }
--- a/internal/controller/assemble.go
+++ b/internal/controller/assemble.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"log/slog"
 	"slices"
 	"time"
@@ -22,6 +21,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/rebalance"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/scheduler"
+	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
@@ -37,6 +37,7 @@
 
 // layout is what the settings say of the controllers, the duties and the teams.
 type layout struct {
+	instance   string   // names this process
 	hosts      []string // all controllers, in order
 	partDuties []string // duties of the partitions
 	partZones  []string // zone of each partition's preferred controller
@@ -47,7 +48,7 @@
 // newLayout reads the layout from the settings. All controllers come to the same one.
 func newLayout(set *config.Settings) layout {
 	p := &set.Params
-	l := layout{hosts: []string{set.Host}, limits: map[string]resources.Amounts{}}
+	l := layout{instance: uuid.NewString(), hosts: []string{set.Host}, limits: map[string]resources.Amounts{}}
 	zoneOf := map[string]string{set.Host: set.Zone}
 	for _, other := range set.Peers {
 		l.hosts = append(l.hosts, other.Host)
@@ -75,50 +76,87 @@
 	return append(out, autoscaler.Duty)
 }
 
-// assemble wires a controller to a state service and to peers. What users or
-// other controllers wait for, accepted jobs and claims, goes the urgent way, and
-// what users ask a way of its own. The seed decides which machines placement draws.
-func assemble(ctx context.Context, set *config.Settings, knobs *policy.Parameters, store, urgent Store, users api.Store, peers map[string]PeerClient, seed uint64, log *slog.Logger) *Controller {
-	p := &set.Params
-	steady, wall := clock.NewSteady(), time.Now
-	l := newLayout(set)
-	instance := uuid.NewString()
-	valueMost := int(p.State.ValueKB * 1024 * recordShare)
+// wiring is what a controller is assembled from.
+type wiring struct {
+	settings   *config.Settings
+	parameters *policy.Parameters
+	store      Store
+	// priorityStore takes what users or other controllers wait for: accepted jobs, leaderships.
+	priorityStore Store
+	userStore     api.Store // for reads on users' behalf
+	peers         map[string]PeerClient
+	seed          uint64              // decides which machines are sampled
+	telemetry     *telemetry.Reporter // nil: nothing is counted
+	log           *slog.Logger
+}
+
+// assemble connects the parts of a controller with each other, with the store and with the peers.
+func assemble(w *wiring) *Controller {
+	set, knobs, p := w.settings, w.parameters, &w.settings.Params
+	steady, l := clock.NewSteady(), newLayout(set)
+	wallMS := func() int64 { return time.Now().UnixMilli() }
 	n := &Controller{
-		fresh: knobs.LeaderRenewInterval * 8 / 5, set: set, log: log, store: store, book: jobs.NewCache(), peers: peers,
+		fresh: knobs.LeaderRenewInterval * 8 / 5, set: set, log: w.log, store: w.store, peers: w.peers,
 		zones: zoneBook{records: map[string]autoscaler.ZoneRecord{}}, followZones: knobs.ZoneReturn,
 		contact: map[string]time.Time{}, told: map[string]told{}, loaded: make(chan struct{}),
+		report: w.telemetry, replayed: w.telemetry.Duty("replica_apply"),
 	}
-	n.keeper = leaderelection.NewElector(leaderelection.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties)), urgent, steady, holdTiming(knobs), log)
-	_, lines := set.Sockets()
-	n.owner = partition.New(ctx, partition.Options{
-		Host: set.Host, Instance: instance, Partitioning: partition.NewPartitioning(l.partZones), TxnOps: p.State.TxnOps, MaxRecordBytes: valueMost,
-		MaxWorkerConnections: lines, Timing: ownerTiming(set, knobs),
-	}, n.book, n.keeper, n.store, steady, wall, log)
-	if knobs.FairShares {
-		n.owner.SetArbiter(fairshare.NewArbiter(shareSettings(knobs)))
+	if knobs.History {
+		n.history = history.NewRing(set.Host, history.Entries(int(p.Limits.MemoryMB*historyShare*(1<<20))), wallMS)
 	}
-	core := scheduler.NewScheduler(schedulerTiming(set, knobs, log), instance, l.teams, l.hosts, seed,
-		func() int64 { return wall().UnixMilli() })
+	n.book = newJobCache(n.history)
+	election := leaderelection.NewElection(set.Host, l.hosts, l.duties(), len(l.partDuties))
+	n.keeper = leaderelection.NewElector(election, w.priorityStore, steady, holdTiming(knobs), w.log)
+	n.owner = partition.New(n.partitionOptions(w, &l, steady))
+	core := scheduler.NewScheduler(scheduler.Config{Timing: schedulerTiming(set, knobs, w.log), Instance: l.instance, Teams: l.teams,
+		Hosts: l.hosts, Seed: w.seed, WallMS: wallMS})
 	n.placer = scheduler.New(core, scheduler.Options{
 		Teams: l.teams, PartitionDuties: l.partDuties, Partitions: n.owners(), TxnOps: p.State.TxnOps,
-		MaxRecordBytes: valueMost, ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
-	}, n.keeper, n.store, urgent, n.book, steady, log)
-	n.front = api.New(users, n, n, n.book, l.limits, spans(p.Objectives, "wait"), int(p.State.ValueKB*1024), wall, log)
-	cloud := autoscaler.NewCloudClient(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB))
-	n.fleet = autoscaler.New(cloud, n.keeper, n.store, n, steady, fleetKnobs(knobs), knobs.ScaleOutBackoff,
-		clock.FromSeconds(p.Cloud.ListLagS), clock.FromSeconds(p.SkewMS/1000), wall, n.keptCatalog, log)
-	n.fleet.WatchZones(n.zoneWatch(knobs))
-	if knobs.History {
-		n.history = history.NewRing(set.Host, history.Entries(int(p.Limits.MemoryMB*historyShare*(1<<20))), func() int64 { return wall().UnixMilli() })
-		n.owner.SetHistory(n.history)
-		n.book.OnEnd(func(id string, f jobs.Final) {
-			n.history.Add(history.Event{Kind: history.JobOver, Job: id, Note: f.Phase})
-		})
-	}
+		MaxRecordBytes: maxRecordBytes(set), ProgressEvery: knobs.ProgressEvery, FairShares: knobs.FairShares,
+		Elections: n.keeper, Store: w.store, PriorityStore: w.priorityStore, Jobs: n.book, Clock: steady, Log: w.log, Telemetry: w.telemetry,
+	})
+	n.front = api.New(api.Options{Store: w.userStore, Schedulers: n, Peers: n, Jobs: n.book, Limits: l.limits,
+		StartWithin: spans(p.Objectives, "wait"), MaxRecordBytes: int(p.State.ValueKB * 1024), WallClock: time.Now, Log: w.log})
+	n.fleet = autoscaler.New(autoscaler.Options{
+		Cloud:     autoscaler.NewCloudClient(set.Services.Cloud, p.Cloud.RPS, answerMost(p.Limits.MemoryMB)),
+		Elections: n.keeper, Store: w.store, Controllers: n, Clock: steady, WallClock: time.Now,
+		Parameters: fleetKnobs(knobs), Backoff: knobs.ScaleOutBackoff,
+		ListLag: clock.FromSeconds(p.Cloud.ListLagS), ClockSkew: clock.FromSeconds(p.SkewMS / 1000),
+		StoredCatalog: n.keptCatalog, Zones: n.zoneWatch(knobs), Log: w.log, Telemetry: w.telemetry,
+	})
 	return n
 }
 
+// maxRecordBytes is how large a record may be for what is wrapped around it to find room too.
+func maxRecordBytes(set *config.Settings) int {
+	return int(set.Params.State.ValueKB * 1024 * recordShare)
+}
+
+// newJobCache makes the cache of jobs, which notes the end of each in a history, if one is kept.
+func newJobCache(ring *history.Ring) *jobs.Cache {
+	if ring == nil {
+		return jobs.NewCache()
+	}
+	return jobs.NewCache(jobs.OnFinal(func(id string, f jobs.Final) {
+		ring.Add(history.Event{Kind: history.JobOver, Job: id, Note: f.Phase})
+	}))
+}
+
+func (n *Controller) partitionOptions(w *wiring, l *layout, steady clock.Clock) partition.Options {
+	set, knobs := w.settings, w.parameters
+	_, workerConnections := set.Sockets()
+	o := partition.Options{
+		Host: set.Host, Instance: l.instance, Partitioning: partition.NewPartitioning(l.partZones), TxnOps: set.Params.State.TxnOps,
+		MaxRecordBytes: maxRecordBytes(set), MaxWorkerConnections: workerConnections, Timing: ownerTiming(set, knobs),
+		Jobs: n.book, Elections: n.keeper, Store: w.store, Clock: steady, WallClock: time.Now, Log: w.log,
+		History: n.history, Telemetry: w.telemetry,
+	}
+	if knobs.FairShares {
+		o.Arbiter = fairshare.NewArbiter(shareSettings(knobs))
+	}
+	return o
+}
+
 // historyShare is the part of its memory that a controller's history may take.
 const historyShare = 0.02
 
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -208,7 +208,8 @@
 	ctx, kill := context.WithCancel(c.t.Context())
 	p := &process{view: &fakes.KVClient{KVStore: c.st}, kill: kill}
 	way := held{p.view, c, host}
-	p.Controller = assemble(ctx, set, knobs, way, way, way, peers, fakes.Seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p.Controller = assemble(&wiring{settings: set, parameters: knobs, store: way, priorityStore: way, userStore: way, peers: peers, seed: fakes.Seed,
+		log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	c.mu.Lock()
 	c.up[host] = p
 	c.mu.Unlock()
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -70,7 +70,7 @@
 
 // New makes a controller from its settings, with clients for the services and
 // peers that they name.
-func New(ctx context.Context, set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *Controller {
+func New(set *config.Settings, knobs *policy.Parameters, log *slog.Logger) *Controller {
 	p := &set.Params
 	report := telemetry.NewReporter(log)
 	peers := map[string]PeerClient{}
@@ -80,18 +80,8 @@
 	client := kvstore.NewClient(set.Services.State, p.State.RPS, p.State.WriteRPS, p.Count, answerMost(p.Limits.MemoryMB))
 	client.CountTraffic(report.Traffic(telemetry.StateService))
 	urgent := kvstore.PriorityClient{Client: client}
-	n := assemble(ctx, set, knobs, client, urgent, kvstore.UserClient{PriorityClient: urgent}, peers, rand.Uint64(), log)
-	n.measure(report)
-	return n
-}
-
-// measure has all parts count what they do.
-func (n *Controller) measure(r *telemetry.Reporter) {
-	n.report = r
-	n.owner.Measure(r)
-	n.placer.Measure(r)
-	n.fleet.Measure(r)
-	n.replayed = r.Duty("replica_apply")
+	return assemble(&wiring{settings: set, parameters: knobs, store: client, priorityStore: urgent,
+		userStore: kvstore.UserClient{PriorityClient: urgent}, peers: peers, seed: rand.Uint64(), telemetry: report, log: log})
 }
 
 // answerMost is the longest answer of a service that is taken, by the memory there is.
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -188,7 +188,7 @@
 }
 
 // Views appends the mirror of all machines.
-func (n *Controller) Views(to []peer.MachineView) []peer.MachineView {
+func (n *Controller) MachineViews(to []peer.MachineView) []peer.MachineView {
 	return n.placer.MachineViews(to)
 }
 
@@ -205,7 +205,7 @@
 }
 
 // Gone tells all owners of machines that are gone for certain.
-func (n *Controller) Gone(_ context.Context, list []peer.MachineRef) {
+func (n *Controller) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	n.owner.HandleMachinesGone(list)
 	each(n, "Gone", peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
 }
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -292,8 +292,8 @@
 	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	placer := &wirePlacer{err: errors.New("nobody")}
 	book := jobs.NewCache()
-	f := api.New(view, placer, wireAlone{}, book, map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)}, nil, 4096,
-		func() time.Time { return time.UnixMilli(0) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f := api.New(api.Options{Store: view, Schedulers: placer, Peers: wireAlone{}, Jobs: book, Limits: map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)},
+		MaxRecordBytes: 4096, WallClock: func() time.Time { return time.UnixMilli(0) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	var out strings.Builder
 	ask := func(what, method, rest, body string) {
 		r := f.Handle(t.Context(), &httpx.Request{Method: method, Body: []byte(body)}, rest)
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -81,7 +81,13 @@
 }
 
 // NewCache makes an empty view.
-func NewCache() *Cache { return &Cache{active: map[string]*Job{}, finals: map[string]Final{}} }
+func NewCache(options ...Option) *Cache {
+	b := &Cache{active: map[string]*Job{}, finals: map[string]Final{}}
+	for _, set := range options {
+		set(b)
+	}
+	return b
+}
 
 // Apply takes one event of the replica.
 func (b *Cache) Apply(e kvstore.Event) {
@@ -110,9 +116,14 @@
 	}
 }
 
-// OnEnd has a listener told of each final state when it is first known here. It is called before
-// the book is used, and the listener must not use the book.
-func (b *Cache) OnEnd(ended func(id string, f Final)) { b.ended = ended }
+// Option sets up a cache.
+type Option func(*Cache)
+
+// OnFinal has a listener called with each final state when it is first known here. The cache's lock
+// is held then: the listener must not use the cache.
+func OnFinal(listener func(id string, f Final)) Option {
+	return func(b *Cache) { b.ended = listener }
+}
 
 func (b *Cache) keep(id string, f Final) {
 	if _, ok := b.finals[id]; !ok {
--- a/internal/partition/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -41,9 +41,9 @@
 	tb.Helper()
 	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: count * tasksEach, CPUs: 1, MemGB: 1}
 	list := &jobList{map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, made)}, map[string]jobs.Final{}, made}
-	o := New(tb.Context(), Options{Host: "me", Instance: "incarnation", Partitioning: NewPartitioning([]string{"a"}), TxnOps: 12, MaxRecordBytes: 7000, MaxWorkerConnections: 100,
-		Timing: Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}}, list, allHeld{}, nil, clock.NewSteady(), time.Now,
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	o := New(Options{Host: "me", Instance: "incarnation", Partitioning: NewPartitioning([]string{"a"}), TxnOps: 12, MaxRecordBytes: 7000, MaxWorkerConnections: 100,
+		Timing: Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, Jobs: list, Elections: allHeld{}, Clock: clock.NewSteady(), WallClock: time.Now,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	o.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
 	o.Reconcile()
 	l := &loadedOwner{tb: tb, owner: o}
--- a/internal/partition/lines.go
+++ b/internal/partition/lines.go
@@ -25,8 +25,8 @@
 	idle   *list.Element // nil while a delivery has it
 }
 
-func newLines(most int) *lines {
-	return &lines{most: most, of: map[string]*workerLine{}, idle: list.New()}
+func newLines(most int, traffic *telemetry.Traffic) *lines {
+	return &lines{most: most, traffic: traffic, of: map[string]*workerLine{}, idle: list.New()}
 }
 
 // room tells whether a delivery may start for a machine now.
--- a/internal/partition/lines_test.go
+++ b/internal/partition/lines_test.go
@@ -13,7 +13,7 @@
 // and never has more lines to them than its sockets allow; deliveries that find
 // none wait for those that are out.
 func TestAFleetOfLinesStaysWithinItsSockets(t *testing.T) {
-	l := newLines(40)
+	l := newLines(40, nil)
 	out := map[string]*httpx.Client{}
 	sent, waits := 0, 0
 	for i := 0; sent < 1800; i++ {
--- a/internal/partition/owner.go
+++ b/internal/partition/owner.go
@@ -10,6 +10,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fairshare"
+	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
@@ -41,7 +42,7 @@
 	store       Store
 	clock       clock.Clock
 	log         *slog.Logger
-	ctx         context.Context
+	stopped     chan struct{} // closed when Run returns: polls that wait are answered
 	wall        func() time.Time
 	misdirected misdirected
 	reports     *telemetry.Duty // reports answered
@@ -56,47 +57,47 @@
 	wake    chan struct{}
 }
 
-// Options of an owner.
+// Options of a server.
 type Options struct {
 	Host                 string
 	Instance             string // names this process
 	Partitioning         Partitioning
-	TxnOps               int // changes in a transaction
-	MaxRecordBytes       int // bytes of a record
+	TxnOps               int // operations in a transaction
+	MaxRecordBytes       int
 	MaxWorkerConnections int // connections to workers' own addresses
 	Timing               Timing
+
+	Jobs      JobLookup
+	Elections Elections
+	Store     Store
+	Clock     clock.Clock
+	WallClock func() time.Time
+	Log       *slog.Logger
+	Arbiter   *fairshare.Arbiter  // divides contended room among teams; nil: whoever asks first has it
+	History   *history.Ring       // nil: none is kept
+	Telemetry *telemetry.Reporter // nil: nothing is counted
 }
 
-// New makes an owner.
-func New(ctx context.Context, opts Options, jobs JobLookup, claims Elections, store Store, c clock.Clock, wall func() time.Time, log *slog.Logger) *Server {
+// New makes a server that leads no partition yet.
+func New(opts Options) *Server {
 	o := &Server{
-		ctx: ctx, host: opts.Host, instance: opts.Instance, split: opts.Partitioning, txnOps: opts.TxnOps, valueMost: opts.MaxRecordBytes,
-		claims: claims, store: store, clock: c, wall: wall, log: log,
-		table:       NewState(opts.Timing, jobs),
+		stopped: make(chan struct{}), host: opts.Host, instance: opts.Instance, split: opts.Partitioning,
+		txnOps: opts.TxnOps, valueMost: opts.MaxRecordBytes,
+		claims: opts.Elections, store: opts.Store, clock: opts.Clock, wall: opts.WallClock, log: opts.Log,
+		reports:     opts.Telemetry.Duty("owner_report"),
+		polls:       opts.Telemetry.Duty("owner_poll"),
+		ticks:       opts.Telemetry.Duty("owner_tick"),
+		table:       NewState(opts.Timing, opts.Jobs),
 		records:     inventory.NewRecords(),
-		lines:       newLines(opts.MaxWorkerConnections),
+		lines:       newLines(opts.MaxWorkerConnections, opts.Telemetry.Traffic(telemetry.WorkerOrders)),
 		misdirected: misdirected{of: map[string]map[string]clock.Micros{}},
 		wake:        make(chan struct{}, 1),
 	}
-	o.feed = newFeed(&o.mu, o.table.Version, c)
+	o.table.arbiter, o.table.history = opts.Arbiter, opts.History
+	o.feed = newFeed(&o.mu, o.table.Version, opts.Clock)
 	return o
 }
 
-// SetArbiter has contended room divided among teams by fair shares. It is called before Run.
-func (o *Server) SetArbiter(a *fairshare.Arbiter) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.table.SetArbiter(a)
-}
-
-// Measure has the owner count its rounds and its traffic. It is called before Run.
-func (o *Server) Measure(r *telemetry.Reporter) {
-	o.reports, o.polls, o.ticks = r.Duty("owner_report"), r.Duty("owner_poll"), r.Duty("owner_tick")
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.lines.traffic = r.Traffic(telemetry.WorkerOrders)
-}
-
 // SetTypes tells what the machine types offer, and how many GB of images they keep.
 func (o *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
 	o.mu.Lock()
@@ -247,6 +248,7 @@
 
 // Run does what is due until ctx ends: lapses, records of machines, orders.
 func (o *Server) Run(ctx context.Context) error {
+	defer close(o.stopped)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	var recording sync.Mutex
--- a/internal/partition/polls.go
+++ b/internal/partition/polls.go
@@ -88,7 +88,7 @@
 		case <-next:
 		case <-deadline.C:
 			over = true
-		case <-o.ctx.Done():
+		case <-o.stopped:
 			over = true
 		}
 		o.mu.Lock()
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -105,13 +105,6 @@
 	return o.table.AdmittedStages(o.clock.Now())
 }
 
-// SetHistory has what tasks do noted.
-func (o *Server) SetHistory(r *history.Ring) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.table.history = r
-}
-
 // noteEvent notes that a task runs or has ended.
 func (t *State) noteEvent(m *machine, id peer.TaskID, phase, cause string) {
 	if t.history == nil {
--- a/internal/scheduler/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -18,7 +18,8 @@
 // loadedScheduler is a scheduler of a fleet without room for more, with many jobs that wait.
 func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollResponse) {
 	teams := []Team{{Name: red}}
-	d := NewScheduler(Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec}, "scheduler", teams, []string{"h0"}, 1, func() int64 { return 0 })
+	d := NewScheduler(Config{Timing: Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec}, Instance: "scheduler", Teams: teams,
+		Hosts: []string{"h0"}, Seed: 1, WallMS: func() int64 { return 0 }})
 	var active []*jobs.Job
 	for i := range waiting {
 		spec := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: red, Priority: "normal", Tasks: 100, CPUs: 2, MemGB: 1, Spot: true, RuntimeEstimateS: 30}
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -63,8 +63,8 @@
 	require.Equal(t, lines[1], string(marks))
 
 	// And a placer takes from them what they tell.
-	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: "red"}}, nil, 1, func() int64 { return 0 })
-	p := New(scheduler, Options{}, nil, nil, nil, jobs.NewCache(), clock.NewSteady(), slog.New(slog.DiscardHandler))
+	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: "red"}}, Seed: 1, WallMS: func() int64 { return 0 }})
+	p := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewSteady(), Log: slog.New(slog.DiscardHandler)})
 	p.Apply([]kvstore.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6}})
 	require.Equal(t, map[chunkID]progress{{3, 64}: {bits, 5}}, scheduler.progress["job-1"])
 	require.Equal(t, watermarks{6, map[string]int{"job-1": 256, "job-2": 40}}, scheduler.watermarks["ml/w/red/0"])
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -73,22 +73,41 @@
 	running   context.Context
 }
 
-// Options of a placer.
+// Options of a server.
 type Options struct {
 	Teams           []Team
 	PartitionDuties []string
-	Partitions      map[string]PartitionClient
-	TxnOps          int
-	MaxRecordBytes  int // bytes of a record
+	Partitions      map[string]PartitionClient // by controller
+	TxnOps          int                        // operations in a transaction
+	MaxRecordBytes  int
 	ProgressEvery   clock.Micros
-	FairShares      bool // owners are told what waits of each team
+	FairShares      bool // partition leaders are told what waits of each team
+
+	Elections     Elections
+	Store         Store
+	PriorityStore Store // for what starts wait for
+	Jobs          *jobs.Cache
+	Clock         clock.Clock
+	Log           *slog.Logger
+	Telemetry     *telemetry.Reporter // nil: nothing is counted
 }
 
-// New makes a placer around a scheduler.
-func New(scheduler *Scheduler, o Options, claims Elections, store, urgent Store, book *jobs.Cache, c clock.Clock, log *slog.Logger) *Server {
-	p := &Server{teams: o.Teams, parts: o.PartitionDuties, owners: o.Partitions, claims: claims, store: store, book: book, clock: c,
-		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, urgent: urgent, progress: o.ProgressEvery, fairShares: o.FairShares, log: log, scheduler: scheduler, records: inventory.NewRecords(), wake: make(chan struct{}, 1),
-		senders: map[string]chan struct{}{}, writes: make(chan struct{}, 1), news: make(chan struct{}), running: context.Background()}
+// New makes a server around a scheduler.
+func New(scheduler *Scheduler, o Options) *Server {
+	p := &Server{
+		teams: o.Teams, parts: o.PartitionDuties, owners: o.Partitions, claims: o.Elections, store: o.Store, urgent: o.PriorityStore,
+		book: o.Jobs, clock: o.Clock, log: o.Log,
+		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, progress: o.ProgressEvery, fairShares: o.FairShares,
+		rounds:    o.Telemetry.Duty("placer_round"),
+		views:     o.Telemetry.Duty("placer_view"),
+		scheduler: scheduler,
+		records:   inventory.NewRecords(),
+		wake:      make(chan struct{}, 1),
+		senders:   map[string]chan struct{}{},
+		writes:    make(chan struct{}, 1),
+		news:      make(chan struct{}),
+		running:   context.Background(),
+	}
 	scheduler.chunk = chunkTasks(o.MaxRecordBytes)
 	for h := range o.Partitions {
 		p.senders[h] = make(chan struct{}, 1)
@@ -96,11 +115,6 @@
 	return p
 }
 
-// Measure has the placer count its rounds. It is called before Run.
-func (p *Server) Measure(r *telemetry.Reporter) {
-	p.rounds, p.views = r.Duty("placer_round"), r.Duty("placer_view")
-}
-
 // heard has withdrawals that wait look again. The lock is held.
 func (p *Server) heard() {
 	close(p.news)
@@ -312,10 +326,11 @@
 	for ctx.Err() == nil {
 		pause(ctx, 10*time.Second)
 		p.mu.Lock()
-		c, waiting, bound, withdrawn := p.scheduler.Summary()
+		s := p.scheduler.Summary()
 		p.mu.Unlock()
+		c := s.Counters
 		if c != last {
-			p.log.Info("placing", "waiting", waiting, "bound", bound, "withdrawn", withdrawn, "placed", c.Placed-last.Placed, "refused", c.Refused-last.Refused, "yielded", c.Yielded-last.Yielded,
+			p.log.Info("placing", "waiting", s.Waiting, "bound", s.Bound, "withdrawn", s.CancellingJobs, "placed", c.Placed-last.Placed, "refused", c.Refused-last.Refused, "yielded", c.Yielded-last.Yielded,
 				"preempted", c.Preempted-last.Preempted, "moves", c.Moves-last.Moves, "moved", c.Moved-last.Moved, "done", c.Done-last.Done, "stopped", c.Stopped-last.Stopped,
 				"failed", c.Failed-last.Failed, "lost", c.Lost-last.Lost, "fetch_cpu_s", int((c.FetchCPUs - last.FetchCPUs).Seconds()))
 		}
@@ -351,7 +366,7 @@
 				poke(c)
 			}
 		}
-		_, _, bound, _ := p.scheduler.Summary()
+		bound := p.scheduler.Summary().Bound
 		took := (p.clock.Now() - began).Duration()
 		p.rounds.Round(took)
 		gap := roundGap(bound, took)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -175,16 +175,26 @@
 	movesAt       clock.Micros
 }
 
-// NewScheduler makes an empty scheduler.
-func NewScheduler(t Timing, instance string, teams []Team, hosts []string, seed uint64, wall func() int64) *Scheduler {
-	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, imaged: map[string]*rooms{}, sizes: map[int64]int{}, timing: t, instance: instance, known: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*mirror{},
+// Config of a scheduler.
+type Config struct {
+	Timing   Timing
+	Instance string       // names this process
+	Teams    []Team       // all teams, led here or not
+	Hosts    []string     // all controllers
+	Seed     uint64       // of the draws of machines
+	WallMS   func() int64 // time of day in ms, good to the settings' bound
+}
+
+// NewScheduler makes a scheduler that leads no team yet.
+func NewScheduler(c Config) *Scheduler {
+	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, imaged: map[string]*rooms{}, sizes: map[int64]int{}, timing: c.Timing, instance: c.Instance, known: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*mirror{},
 		owners: map[string]*ownerState{}, registry: map[string]bool{}, progress: map[string]map[chunkID]progress{}, chunk: ChunkTasks,
-		rng: rand.New(rand.NewPCG(seed, 1)), wall: wall}
-	d.moves = newMoves(t.Moves)
-	for _, tm := range teams {
+		rng: rand.New(rand.NewPCG(c.Seed, 1)), wall: c.WallMS}
+	d.moves = newMoves(c.Timing.Moves)
+	for _, tm := range c.Teams {
 		d.known[tm.Name] = tm
 	}
-	for _, h := range hosts {
+	for _, h := range c.Hosts {
 		d.owners[h] = &ownerState{parts: map[int]uint64{}, fenced: map[string]uint64{}}
 	}
 	return d
@@ -225,19 +235,26 @@
 	}
 }
 
-// Summary gives the counts, how many tasks wait and are bound, and how many
-// withdrawn jobs are not over yet.
-func (d *Scheduler) Summary() (c Counters, waiting, bound, withdrawn int) {
+// Summary is how scheduling stands.
+type Summary struct {
+	Counters           // since the start
+	Waiting, Bound int // tasks
+	CancellingJobs int // whose final state is not written yet
+}
+
+// Summary gives how scheduling stands.
+func (d *Scheduler) Summary() Summary {
+	s := Summary{Counters: d.counts}
 	for _, tm := range d.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
-				withdrawn++
+				s.CancellingJobs++
 			}
-			waiting += j.waiting()
-			bound += len(j.bound)
+			s.Waiting += j.waiting()
+			s.Bound += len(j.bound)
 		}
 	}
-	return d.counts, waiting, bound, withdrawn
+	return s
 }
 
 // TeamTerms gives the teams held and their terms.
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -141,8 +141,9 @@
 func (w *world) newScheduler() {
 	w.term++
 	w.stamp++
-	w.scheduler = NewScheduler(Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: w.moves}, fmt.Sprintf("scheduler-%d", w.term),
-		[]Team{{Name: red, Limit: resources.Capacity(w.limit, 0, 0)}}, []string{"h0", "h1"}, w.term, func() int64 { return 0 })
+	w.scheduler = NewScheduler(Config{Timing: Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: w.moves}, Instance: fmt.Sprintf("scheduler-%d", w.term),
+		Teams: []Team{{Name: red, Limit: resources.Capacity(w.limit, 0, 0)}}, Hosts: []string{"h0", "h1"}, Seed: w.term,
+		WallMS: func() int64 { return 0 }})
 	w.scheduler.legacyRecords = w.legacyRecords
 	for id := range w.registry {
 		w.scheduler.HandleMachineRecord(id, true)
--- a/internal/scheduler/writes_test.go
+++ b/internal/scheduler/writes_test.go
@@ -54,11 +54,11 @@
 func newWriter(t *testing.T, view *fakes.KVClient, store Store) *writer {
 	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}}})
 	require.NoError(t, err)
-	scheduler := NewScheduler(Timing{}, "i", []Team{{Name: red}}, nil, 1, func() int64 { return 0 })
+	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: red}}, Seed: 1, WallMS: func() int64 { return 0 }})
 	scheduler.AcquireTeam(red, 1, stamp, nil, 0)
 	claims := always{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: stamp}}
-	return &writer{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000}, claims, store, store, jobs.NewCache(),
-		clock.NewSteady(), slog.New(slog.NewTextHandler(io.Discard, nil))), t, view}
+	return &writer{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000, Elections: claims, Store: store, PriorityStore: store, Jobs: jobs.NewCache(),
+		Clock: clock.NewSteady(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), t, view}
 }
 
 // accept has a job on record and at the scheduler.
