--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -79,8 +79,10 @@
 	return out
 }
 
-func (o *others) Demands(context.Context) []peer.Demand                 { return o.demands }
-func (o *others) MachineViews(to []peer.MachineView) []peer.MachineView        { return append(to, o.views...) }
+func (o *others) Demands(context.Context) []peer.Demand { return o.demands }
+func (o *others) MachineViews(to []peer.MachineView) []peer.MachineView {
+	return append(to, o.views...)
+}
 func (o *others) Drain(_ context.Context, _ []peer.MachineRef) []string { return o.ready }
 func (o *others) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	for _, m := range list {
--- a/internal/scheduler/answers.go
+++ b/internal/scheduler/answers.go
@@ -6,12 +6,12 @@
 
 // Status tells what a job's user may be told; only while the team is held.
 func (p *Server) Status(q peer.JobRequest) peer.JobResponse {
-	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
+	if _, ok := p.elections.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if f, ok := p.book.Final(q.ID); ok {
+	if f, ok := p.jobs.Final(q.ID); ok {
 		return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 	}
 	return p.scheduler.Status(q.Team, q.ID)
--- a/internal/scheduler/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -121,9 +121,9 @@
 // waited for three times as long.
 func TestARoundAfterARestartLooksAtEachMachineAFewTimesAtMost(t *testing.T) {
 	d := schedulerAfterRestart(leanFleet)
-	before := d.counts.Looked
+	before := d.counters.Looked
 	d.Schedule(2 * sec)
-	require.Equal(t, leanFleet/2, d.teams[red].unknown)
-	require.Equal(t, d.largest().Times(leanFleet/2), d.teams[red].held)
-	require.Less(t, d.counts.Looked-before, 4*leanFleet)
+	require.Equal(t, leanFleet/2, d.teams[red].unaccountedCount)
+	require.Equal(t, d.largestMachine().Times(leanFleet/2), d.teams[red].unaccountedCapacity)
+	require.Less(t, d.counters.Looked-before, 4*leanFleet)
 }
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -14,20 +14,20 @@
 	ImageWait clock.Micros // the longest that room is left for a machine that has the image
 }
 
-// kindOf is what decides a machine's price.
-type kindOf struct {
+// priceKey is what decides a machine's price.
+type priceKey struct {
 	machineType string
 	spot        bool
 }
 
 // SetPrices tells what machines cost, by the cloud's catalog.
 func (d *Scheduler) SetPrices(types []wire.MachineType) {
-	d.prices = map[kindOf]float64{}
+	d.prices = map[priceKey]float64{}
 	dearest := 0.0
 	for _, t := range types {
 		each := max(t.CPUs, 1)
-		d.prices[kindOf{t.Name, false}] = t.Price / each
-		d.prices[kindOf{t.Name, true}] = t.SpotPrice / each
+		d.prices[priceKey{t.Name, false}] = t.Price / each
+		d.prices[priceKey{t.Name, true}] = t.SpotPrice / each
 		dearest = max(dearest, t.Price/each, t.SpotPrice/each)
 	}
 	for kind := range d.prices {
@@ -37,55 +37,55 @@
 	}
 }
 
-// facts is what is known of a machine for a task of a job.
-func (d *Scheduler) facts(j *job, m *mirror, now clock.Micros) placement.Machine {
-	f := placement.Machine{HasImage: slices.Contains(m.Images, j.Image), Fetching: m.fetching[j.ID] > 0, Others: len(m.fetching),
-		PricePart: d.prices[kindOf{m.Type, m.Spot}]}
+// costInputs is what is known of a machine for a task of a job.
+func (d *Scheduler) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
+	f := placement.Machine{HasImage: slices.Contains(m.Images, j.Image), Fetching: m.fetchingJobs[j.ID] > 0, Others: len(m.fetchingJobs),
+		PricePart: d.prices[priceKey{m.Type, m.Spot}]}
 	if f.Fetching {
 		f.Others--
 	}
-	if now < m.fetchUntil && m.fetchImage != j.Image && f.Others == 0 {
+	if now < m.imageFetchUntil && m.imageFetched != j.Image && f.Others == 0 {
 		f.Others = 1 // that our own ask makes it fetch is not in its view yet
 	}
 	f.Pace = m.knownPace()
 	if m.Cap.CPU > 0 {
-		f.InUse = 1 - float64(m.free.Minus(j.Need).CPU)/float64(m.Cap.CPU)
+		f.InUse = 1 - float64(m.available.Minus(j.Need).CPU)/float64(m.Cap.CPU)
 	}
 	// An image that is listed since a task was sent for it may still be on its way.
 	f.HasImage = f.HasImage && !f.Fetching
 	return f
 }
 
-// weigh takes the machine that costs a task least, of those that showed room. decided is
-// false where too little is known to weigh them, or none has room: then who places goes on as
+// selectByCost takes the machine that costs a task least, of those that showed room. decided is
+// false where too little is known to selectByCost them, or none has room: then who places goes on as
 // without costs. No machine although decided means that the room is left for a moment: one that
 // has the image may have some.
-func (d *Scheduler) weigh(j *job, now clock.Micros) (best *mirror, decided bool) {
+func (d *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
 	fetch, _ := d.fetchTimeAnywhere(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
 	}
-	list := d.findAll(j, now)
+	list := d.findCapacityAnyImage(j, now)
 	if len(list) == 0 {
 		return nil, false
 	}
 	cheapest := d.cheapest(j, &task, list, now)
 	if slices.Contains(cheapest[0].Images, j.Image) {
-		j.bareSince = 0
-	} else if d.hurried(j, cheapest[0], now) {
+		j.noImageSince = 0
+	} else if d.imageFetchTooSlow(j, cheapest[0], now) {
 		return nil, false // room that others hold may be worth taking
-	} else if d.leaves(j, &task, now) {
+	} else if d.leavesCapacity(j, &task, now) {
 		return nil, true
 	}
-	if some := d.harmless(j, cheapest); len(some) > 0 {
+	if some := d.keepsLargeSlots(j, cheapest); len(some) > 0 {
 		cheapest = some
 	}
-	if !d.small(j) {
-		cheapest = d.draw(cheapest, d.timing.Sample)
+	if !d.isSmall(j) {
+		cheapest = d.sample(cheapest, d.timing.Sample)
 	}
 	for _, m := range cheapest {
-		if best == nil || d.better(j, m, best) {
+		if best == nil || d.prefers(j, m, best) {
 			best = m
 		}
 	}
@@ -93,11 +93,11 @@
 }
 
 // cheapest picks the machines that cost a task least, within a tie of each other.
-func (d *Scheduler) cheapest(j *job, task *placement.Task, list []*mirror, now clock.Micros) (out []*mirror) {
+func (d *Scheduler) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
 	least := 0.0
 	costs := make([]float64, len(list))
 	for i, m := range list {
-		f := d.facts(j, m, now)
+		f := d.costInputs(j, m, now)
 		costs[i] = placement.Cost(task, &f, &d.timing.Costs.Weights)
 		if i == 0 || costs[i] < least {
 			least = costs[i]
@@ -111,26 +111,26 @@
 	return out
 }
 
-// leaves tells that a job leaves room to others for a moment: its image is on machines that are
+// leavesCapacity tells that a job leavesCapacity room to others for a moment: its image is on machines that are
 // in use now, and none of its tasks would start too late for it.
-func (d *Scheduler) leaves(j *job, task *placement.Task, now clock.Micros) bool {
+func (d *Scheduler) leavesCapacity(j *job, task *placement.Task, now clock.Micros) bool {
 	wait := placement.WaitFor(task, &d.timing.Costs.Weights, d.timing.Costs.ImageWait)
-	if wait == 0 || !d.imaged[j.Image].any() {
+	if wait == 0 || !d.capacityByImage[j.Image].any() {
 		return false
 	}
-	if within, ok := d.timing.Waits[j.Class]; ok && now+task.Fetch > j.since+within-task.Fetch/2 {
+	if within, ok := d.timing.Waits[j.Class]; ok && now+task.Fetch > j.acceptedAt+within-task.Fetch/2 {
 		return false
 	}
-	if j.bareSince == 0 {
-		j.bareSince = now
+	if j.noImageSince == 0 {
+		j.noImageSince = now
 	}
-	return now < j.bareSince+wait
+	return now < j.noImageSince+wait
 }
 
 // fetchTimeAnywhere is how long the image of a job is fetched by the slowest machine type
 // that it may go to; ok is false while that is not known.
 func (d *Scheduler) fetchTimeAnywhere(j *job) (fetch clock.Micros, ok bool) {
-	for name, rate := range d.fetch {
+	for name, rate := range d.fetchRates {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
 			continue
 		}
--- a/internal/scheduler/costs_test.go
+++ b/internal/scheduler/costs_test.go
@@ -43,7 +43,7 @@
 	w.settle(4)
 	require.True(t, w.workers[home].Running("job-2/0"), "the image is there")
 	m := w.scheduler.machines[home]
-	m.pace, m.paced = 1.5*slowTasks, slowTasks // 15 s more, a fetch is 4 s
+	m.paceSum, m.paceSamples = 1.5*slowTasks, slowTasks // 15 s more, a fetch is 4 s
 	w.addJob("job-3", 1, image)
 	w.settle(4)
 	require.False(t, w.workers[home].Running("job-3/0"), "the fetch costs less than the slow machine")
--- a/internal/scheduler/distributions.go
+++ b/internal/scheduler/distributions.go
@@ -25,18 +25,18 @@
 	return out
 }
 
-// began takes note of the wait of a task that is seen running. The tasks of a job that had
-// to place some once more are left out: their waits began later than the job's.
-func (d *Scheduler) began(j *job, now clock.Micros) {
-	if j.again == 0 {
-		d.distributionsOf(j.team.Name).waits.Record(now - j.since)
+// recordWait takes note of the wait of a task that is seen running. The tasks of a job that had
+// to place some once more are left out: their waits recordWait later than the job's.
+func (d *Scheduler) recordWait(j *job, now clock.Micros) {
+	if j.retries == 0 {
+		d.distributionsOf(j.team.Name).waits.Record(now - j.acceptedAt)
 	}
 }
 
-// ended takes note of how late a job's last task was done.
-func (d *Scheduler) ended(j *job, now clock.Micros) {
+// recordLateness takes note of how late a job's last task was done.
+func (d *Scheduler) recordLateness(j *job, now clock.Micros) {
 	if j.DeadlineS != nil {
-		d.distributionsOf(j.team.Name).lateness.Record(now - j.due())
+		d.distributionsOf(j.team.Name).lateness.Record(now - j.deadline())
 	}
 }
 
@@ -47,21 +47,21 @@
 		s := peer.TeamStatus{Team: name, Term: tm.term, Guarantee: tm.Guarantee, Limit: tm.Limit, Used: tm.used, Jobs: len(tm.jobs)}
 		for _, j := range tm.jobs {
 			s.Waiting += j.waiting()
-			s.Running += len(j.bound)
+			s.Running += len(j.assignments)
 		}
 		if seen, ok := d.distributions[name]; ok {
 			s.Waits, s.Lateness = seen.waits.Quantiles(), seen.lateness.Quantiles()
 		}
 		if d.moves.book != nil {
-			d.tellMoves(&s, now)
+			d.addMoves(&s, now)
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// tellMoves adds a team's moves to what is told of it.
-func (d *Scheduler) tellMoves(s *peer.TeamStatus, now clock.Micros) {
+// addMoves adds a team's moves to what is told of it.
+func (d *Scheduler) addMoves(s *peer.TeamStatus, now clock.Micros) {
 	for _, r := range d.moves.book.Recent(s.Team) {
 		s.Moves = append(s.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
 			Reason: string(r.Reason), Outcome: string(r.Outcome), Gain: r.Gain, Cost: r.Cost, Ago: now - r.Began})
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -50,7 +50,7 @@
 func TestPlacerRecordsKeepEncodedForm(t *testing.T) {
 	lines := goldenLines(t, "golden_records.txt")
 	require.Len(t, lines, 2)
-	j := &job{Job: &jobs.Job{}, per: 64, done: []uint64{0x1000000000ff8001}}
+	j := &job{Job: &jobs.Job{}, chunkTasks: 64, done: []uint64{0x1000000000ff8001}}
 	j.Tasks = 64
 	bits := j.chunk(0)
 	done, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
--- a/internal/scheduler/meetings_test.go
+++ b/internal/scheduler/meetings_test.go
@@ -90,7 +90,7 @@
 				w.check("the withdrawn job's machines are out of reach")
 			}
 			require.Len(t, w.busy(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
-			require.Empty(t, w.scheduler.teams[red].jobs["job-2"].bound, "the limit leaves nothing for the other job")
+			require.Empty(t, w.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
 			w.now += 2 * lease
 			w.settle(30)
 			require.Equal(t, 6, w.running(), "the other job runs once their leases are over")
@@ -144,7 +144,7 @@
 			}
 			at := ""
 			for id, m := range w.scheduler.machines {
-				if len(m.bound) > 0 {
+				if len(m.assignments) > 0 {
 					at = id
 				}
 			}
@@ -165,7 +165,7 @@
 				require.False(t, w.scheduler.CancellationConfirmed(j, w.parts()), "it may start yet")
 			}
 			for _, h := range w.hosts {
-				require.True(t, j.taken[h.instance], "its owners know")
+				require.True(t, j.cancelAcknowledged[h.instance], "its owners know")
 			}
 			x.free(w, at)
 			require.True(t, w.ended["job-1"])
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -19,15 +19,15 @@
 // move is a move under way: the task's binding at the source, and the lease at the destination.
 type move struct {
 	*rebalance.Move
-	source, destination *binding
+	source, destination *assignment
 }
 
-// movesGap is how often moves are looked for.
-const movesGap = clock.Second
+// moveInterval is how often moves are looked for.
+const moveInterval = clock.Second
 
 // moveTasks gives up moves that take too long and begins new ones, at times.
 func (d *Scheduler) moveTasks(now clock.Micros) {
-	if d.timing.Moves == nil || now < d.movesAt+movesGap {
+	if d.timing.Moves == nil || now < d.movesAt+moveInterval {
 		return
 	}
 	d.movesAt = now
@@ -36,16 +36,16 @@
 	}
 	d.moves.book.Forget(now)
 	for _, m := range d.machines {
-		if reason, ok := d.drains(m); ok {
-			d.moveOff(m, reason, now)
+		if reason, ok := d.drainReason(m); ok {
+			d.moveTasksOff(m, reason, now)
 		}
 	}
 }
 
-// drains tells that a machine is to be drained, and why.
-func (d *Scheduler) drains(m *mirror) (rebalance.Reason, bool) {
+// drainReason tells that a machine is to be drained, and why.
+func (d *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
 	switch {
-	case !m.Accounted || m.Silent || !d.owned(m):
+	case !m.Accounted || m.Silent || !d.isCurrent(m):
 		return "", false // what is known of it may be old
 	case m.Noticed:
 		return rebalance.SpotNotice, true
@@ -55,12 +55,12 @@
 	return "", false
 }
 
-// moveOff begins moves of a machine's tasks.
-func (d *Scheduler) moveOff(m *mirror, reason rebalance.Reason, now clock.Micros) {
+// moveTasksOff begins moves of a machine's tasks.
+func (d *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
 	for _, b := range m.inOrder() {
 		j := b.job
-		if b.orphan || b.held || b.stopping || b.asked || b.phase != wire.TaskRunning || j.cancelling || j.finishing ||
-			j.bound[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.ofSource[b] != nil {
+		if b.orphaned || b.reserved || b.stopping || b.unanswered || b.phase != wire.TaskRunning || j.cancelling || j.finalWriteInFlight ||
+			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.ofSource[b] != nil {
 			continue
 		}
 		c := d.candidate(b, m, reason, now)
@@ -71,36 +71,36 @@
 }
 
 // candidate is what is known of a task that is to be moved.
-func (d *Scheduler) candidate(b *binding, m *mirror, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
-	j, age := b.job, now-m.seenAt
+func (d *Scheduler) candidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
+	j, age := b.job, now-m.updatedAt
 	c := &rebalance.Candidate{Key: rebalance.Key{Job: j.ID, N: b.id.N}, Team: j.team.Name, Machine: m.ID, Reason: reason,
 		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
-	if b.running != 0 {
-		c.Ran = now - b.running
+	if b.runningSince != 0 {
+		c.Ran = now - b.runningSince
 	}
 	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Pace, 1))-c.Ran)
 	c.Unsaved = min(clock.FromSeconds(j.CheckpointIntervalS), c.Ran) / 2
-	c.Heat = m.heat(m.free.CPU)
+	c.Heat = m.heat(m.available.CPU)
 	return c
 }
 
 // viewAge is how old what is known of a machine may be. A machine of which there is no news
 // is as it was for as long as its owner answers polls, which it does at least once a second.
-func (d *Scheduler) viewAge(m *mirror, now clock.Micros) clock.Micros {
-	return now - max(m.seenAt, d.owners[m.host].heardAt)
+func (d *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
+	return now - max(m.updatedAt, d.sessions[m.host].polledAt)
 }
 
 // knownPace is how long tasks take on a machine against elsewhere, 0 while too few have ended there.
-func (m *mirror) knownPace() float64 {
-	if m.paced < slowTasks {
+func (m *machineState) knownPace() float64 {
+	if m.paceSamples < slowTasks {
 		return 0
 	}
-	return m.pace / float64(m.paced)
+	return m.paceSum / float64(m.paceSamples)
 }
 
 // heat is the share of a machine that is in use when so much is free, times its pace. One
 // that is to be taken away is hotter than any other.
-func (m *mirror) heat(free int64) float64 {
+func (m *machineState) heat(free int64) float64 {
 	const takenAway = 1000
 	if m.Cap.CPU == 0 || m.Noticed {
 		return takenAway
@@ -113,13 +113,13 @@
 }
 
 // tryMove begins a move of a task, or tells why it is not moved.
-func (d *Scheduler) tryMove(b *binding, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
+func (d *Scheduler) tryMove(b *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
 	book, j := d.moves.book, b.job
 	if why := book.Evaluate(c, now); why != rebalance.NotDeclined {
 		return why
 	}
 	// The task counts twice until it is gone from the source.
-	if !within(j.team.used.Plus(j.team.held).Plus(j.Need), j.team.Limit) {
+	if !withinQuota(j.team.used.Plus(j.team.unaccountedCapacity).Plus(j.Need), j.team.Limit) {
 		return rebalance.TeamAtLimit
 	}
 	why := rebalance.NoRoom
@@ -140,18 +140,18 @@
 }
 
 // destinations lists machines with room for a task of a job, those with its image first.
-func (d *Scheduler) destinations(j *job, from string, now clock.Micros) (out []*mirror) {
-	for _, m := range d.findAll(j, now) {
+func (d *Scheduler) destinations(j *job, from string, now clock.Micros) (out []*machineState) {
+	for _, m := range d.findCapacityAnyImage(j, now) {
 		// An owner of an earlier version would start the task at once.
-		if m.ID != from && d.owners[m.host].holds && !d.moves.to(m.ID) {
+		if m.ID != from && d.sessions[m.host].supportsReservations && !d.moves.to(m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (d *Scheduler) destination(j *job, m *mirror, now clock.Micros) *rebalance.Destination {
-	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.free.Minus(j.Need).CPU), ViewAge: d.viewAge(m, now)}
+func (d *Scheduler) destination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
+	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.available.Minus(j.Need).CPU), ViewAge: d.viewAge(m, now)}
 	if !slices.Contains(m.Images, j.Image) {
 		to.Fetch, _ = d.fetchTime(j, m)
 	}
@@ -159,20 +159,20 @@
 }
 
 // begin asks for a lease at the destination, which holds room and starts nothing.
-func (d *Scheduler) begin(source *binding, to *mirror, m *rebalance.Move, now clock.Micros) {
+func (d *Scheduler) begin(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
 	j := source.job
-	j.team.counter++
-	b := &binding{id: peer.TaskID{Job: j.ID, N: source.id.N, Attempt: j.team.term<<32 | j.team.counter}, job: j, machine: to.ID,
-		zone: to.Zone, term: to.Term, asked: true, held: true, instance: to.instance, since: now}
-	d.bind(b, to)
-	to.free = to.free.Minus(j.Need)
-	d.index(to)
+	j.team.attemptCounter++
+	b := &assignment{id: peer.TaskID{Job: j.ID, N: source.id.N, Attempt: j.team.term<<32 | j.team.attemptCounter}, job: j, machine: to.ID,
+		zone: to.Zone, term: to.Term, unanswered: true, reserved: true, instance: to.instance, assignedAt: now}
+	d.addAssignment(b, to)
+	to.available = to.available.Minus(j.Need)
+	d.reindex(to)
 	mv := &move{m, source, b}
 	d.moves.ofSource[source], d.moves.ofDestination[b] = mv, mv
-	d.counts.Moves++
-	o := d.owners[to.host]
-	o.next.Asks = append(o.next.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
-		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.covered, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
+	d.counters.Moves++
+	o := d.sessions[to.host]
+	o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
+		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.withinGuarantee, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
 }
 
 // act carries out what a move asks for.
@@ -183,45 +183,45 @@
 	}
 	switch a {
 	case rebalance.StopSource:
-		d.stop(mv.source, mv.source.job.StopGraceS())
+		d.requestStop(mv.source, mv.source.job.StopGraceS())
 	case rebalance.StartDestination:
 		b := mv.destination
-		b.held = false
-		b.job.bound[b.id.N] = b
+		b.reserved = false
+		b.job.assignments[b.id.N] = b
 		if m := d.machines[b.machine]; m != nil {
-			o := d.owners[m.host]
-			o.next.Starts = append(o.next.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
+			o := d.sessions[m.host]
+			o.pending.Starts = append(o.pending.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
 		}
-		d.counts.Moved++
+		d.counters.Moved++
 	case rebalance.ReleaseDestination:
-		mv.destination.orphan = true
+		mv.destination.orphaned = true
 		if !d.unask(mv.destination) {
-			d.stop(mv.destination, 0)
+			d.requestStop(mv.destination, 0)
 		}
 	}
 }
 
 // unask takes back an ask that was not sent yet.
-func (d *Scheduler) unask(b *binding) (done bool) {
+func (d *Scheduler) unask(b *assignment) (done bool) {
 	m := d.machines[b.machine]
-	if m == nil || !b.asked {
+	if m == nil || !b.unanswered {
 		return false
 	}
-	o := d.owners[m.host]
-	before := len(o.next.Asks)
-	o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
-	if len(o.next.Asks) == before {
+	o := d.sessions[m.host]
+	before := len(o.pending.Asks)
+	o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
+	if len(o.pending.Asks) == before {
 		return false
 	}
-	d.release(b)
-	d.refree(m)
+	d.releaseAssignment(b)
+	d.recomputeAvailable(m)
 	return true
 }
 
 // moveStep tells a move, if there is one, that a binding is gone. started tells that the task
 // goes on at the destination and need not be placed. It can only if the binding was the task's
 // current one.
-func (d *Scheduler) moveStep(b *binding, current bool) (started bool) {
+func (d *Scheduler) moveStep(b *assignment, current bool) (started bool) {
 	if mv := d.moves.ofDestination[b]; mv != nil {
 		d.act(mv, mv.DestinationLost())
 		return false
@@ -231,7 +231,7 @@
 		return false
 	}
 	j := b.job
-	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finishing && j.team.jobs[j.ID] == j && d.teams[j.team.Name] == j.team)
+	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finalWriteInFlight && j.team.jobs[j.ID] == j && d.teams[j.team.Name] == j.team)
 	d.act(mv, a)
 	return a == rebalance.StartDestination
 }
@@ -248,12 +248,12 @@
 // moves are those under way, by both of their bindings.
 type moves struct {
 	book          *rebalance.Planner
-	ofSource      map[*binding]*move
-	ofDestination map[*binding]*move
+	ofSource      map[*assignment]*move
+	ofDestination map[*assignment]*move
 }
 
 func newMoves(m *Moves) moves {
-	out := moves{ofSource: map[*binding]*move{}, ofDestination: map[*binding]*move{}}
+	out := moves{ofSource: map[*assignment]*move{}, ofDestination: map[*assignment]*move{}}
 	if m != nil {
 		out.book = rebalance.NewPlanner(m.Limits)
 	}
--- a/internal/scheduler/moves_test.go
+++ b/internal/scheduler/moves_test.go
@@ -86,7 +86,7 @@
 	at, _ := w.home("job-1/0")
 	require.NotEqual(t, from, at)
 	require.Equal(t, rebalance.Moved, w.outcome())
-	require.Equal(t, 1, w.scheduler.counts.Moved)
+	require.Equal(t, 1, w.scheduler.counters.Moved)
 	require.Zero(t, w.underWay())
 	require.Empty(t, w.scheduler.moves.ofDestination)
 	require.Equal(t, 1, w.workers[at].Starts["job-1/0"])
@@ -98,7 +98,7 @@
 func TestAMoveMeetsTroubleAtEachStep(t *testing.T) {
 	steps := map[string]func(w *world) bool{
 		"asked":   func(w *world) bool { return w.underWay() == 1 },
-		"granted": func(w *world) bool { return w.underWay() == 1 && !w.anyMove().destination.asked },
+		"granted": func(w *world) bool { return w.underWay() == 1 && !w.anyMove().destination.unanswered },
 		"source gone": func(w *world) bool {
 			return w.underWay() == 0 && w.outcome() == rebalance.Moved
 		},
@@ -246,7 +246,7 @@
 			w.settle(12)
 			require.True(t, w.workers[from].Running("job-1/0"))
 			require.Positive(t, w.scheduler.moves.book.DeclinedOf(red)[x.why], "%v", w.scheduler.moves.book.DeclinedOf(red))
-			require.Zero(t, w.scheduler.counts.Moves)
+			require.Zero(t, w.scheduler.counters.Moves)
 		})
 	}
 }
@@ -300,7 +300,7 @@
 				case 1:
 					w.gain(w.rng.IntN(2), w.rng.IntN(2))
 				case 2:
-					begun, carriedOut = begun+w.scheduler.counts.Moves, carriedOut+w.scheduler.counts.Moved
+					begun, carriedOut = begun+w.scheduler.counters.Moves, carriedOut+w.scheduler.counters.Moved
 					w.newScheduler()
 				case 3:
 					w.scheduler.CancelJob(red, "job-3")
@@ -308,7 +308,7 @@
 			}
 			w.check(fmt.Sprintf("seed %d step %d", seed, step))
 		}
-		begun, carriedOut = begun+w.scheduler.counts.Moves, carriedOut+w.scheduler.counts.Moved
+		begun, carriedOut = begun+w.scheduler.counters.Moves, carriedOut+w.scheduler.counters.Moved
 		w.checkMoves()
 		for _, id := range w.names {
 			w.workers[id].NoticeS = nil
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -46,22 +46,22 @@
 
 // Server places the jobs of the teams that this process holds.
 type Server struct {
-	teams     []Team
-	parts     []string // duties of the partitions
-	owners    map[string]PartitionClient
-	claims    Elections
-	store     Store
-	book      *jobs.Cache
-	clock     clock.Clock
-	txnOps    int
-	valueMost int
-	urgent    Store // for what starts wait for
-	progress  clock.Micros
+	teams            []Team
+	partitionDuties  []string // duties of the partitions
+	partitions       map[string]PartitionClient
+	elections        Elections
+	store            Store
+	jobs             *jobs.Cache
+	clock            clock.Clock
+	txnOps           int
+	maxRecordBytes   int
+	priorityStore    Store // for what starts wait for
+	progressInterval clock.Micros
 	// fairShares has owners told what waits of each team.
-	fairShares bool
-	log        *slog.Logger
-	rounds     *telemetry.Duty // rounds of decisions
-	views      *telemetry.Duty // answers of owners taken
+	fairShares      bool
+	log             *slog.Logger
+	scheduleMetrics *telemetry.Duty // rounds of decisions
+	pollMetrics     *telemetry.Duty // answers of owners taken
 
 	mu        sync.Mutex
 	scheduler *Scheduler
@@ -69,7 +69,7 @@
 	wake      chan struct{}
 	senders   map[string]chan struct{}
 	writes    chan struct{}
-	news      chan struct{} // closed and made anew with every word of an owner
+	updated   chan struct{} // closed and made anew with every word of an owner
 	running   context.Context
 }
 
@@ -95,33 +95,33 @@
 // New makes a server around a scheduler.
 func New(scheduler *Scheduler, o Options) *Server {
 	p := &Server{
-		teams: o.Teams, parts: o.PartitionDuties, owners: o.Partitions, claims: o.Elections, store: o.Store, urgent: o.PriorityStore,
-		book: o.Jobs, clock: o.Clock, log: o.Log,
-		txnOps: o.TxnOps, valueMost: o.MaxRecordBytes, progress: o.ProgressEvery, fairShares: o.FairShares,
-		rounds:    o.Telemetry.Duty("placer_round"),
-		views:     o.Telemetry.Duty("placer_view"),
-		scheduler: scheduler,
-		records:   inventory.NewRecords(),
-		wake:      make(chan struct{}, 1),
-		senders:   map[string]chan struct{}{},
-		writes:    make(chan struct{}, 1),
-		news:      make(chan struct{}),
-		running:   context.Background(),
+		teams: o.Teams, partitionDuties: o.PartitionDuties, partitions: o.Partitions, elections: o.Elections, store: o.Store, priorityStore: o.PriorityStore,
+		jobs: o.Jobs, clock: o.Clock, log: o.Log,
+		txnOps: o.TxnOps, maxRecordBytes: o.MaxRecordBytes, progressInterval: o.ProgressEvery, fairShares: o.FairShares,
+		scheduleMetrics: o.Telemetry.Duty("placer_round"),
+		pollMetrics:     o.Telemetry.Duty("placer_view"),
+		scheduler:       scheduler,
+		records:         inventory.NewRecords(),
+		wake:            make(chan struct{}, 1),
+		senders:         map[string]chan struct{}{},
+		writes:          make(chan struct{}, 1),
+		updated:         make(chan struct{}),
+		running:         context.Background(),
 	}
-	scheduler.chunk = chunkTasks(o.MaxRecordBytes)
+	scheduler.chunkTasks = chunkTasks(o.MaxRecordBytes)
 	for h := range o.Partitions {
 		p.senders[h] = make(chan struct{}, 1)
 	}
 	return p
 }
 
-// heard has withdrawals that wait look again. The lock is held.
-func (p *Server) heard() {
-	close(p.news)
-	p.news = make(chan struct{})
+// notifyUpdated has withdrawals that wait look again. The lock is held.
+func (p *Server) notifyUpdated() {
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
-func poke(c chan struct{}) {
+func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -151,7 +151,7 @@
 		switch {
 		case strings.HasPrefix(e.Key, kvstore.ActiveJobPrefix):
 			id := strings.TrimPrefix(e.Key, kvstore.ActiveJobPrefix)
-			if j, ok := p.book.Active(id); ok && e.Value != nil {
+			if j, ok := p.jobs.Active(id); ok && e.Value != nil {
 				p.scheduler.AddJob(j, now)
 			} else {
 				p.scheduler.DropJob(id)
@@ -189,7 +189,7 @@
 	if recorded {
 		p.scheduler.legacyRecords = p.records.HasLegacy()
 	}
-	poke(p.wake)
+	wake(p.wake)
 }
 
 // Reconcile takes over and gives up teams as the claims now say.
@@ -199,11 +199,11 @@
 	terms := p.scheduler.TeamTerms()
 	gained := false
 	for _, t := range p.teams {
-		h, mine := p.claims.Leading(Duty(t.Name))
+		h, mine := p.elections.Leading(Duty(t.Name))
 		term, have := terms[t.Name]
 		switch {
 		case mine && (!have || term != h.Term):
-			active := p.book.ActiveOfTeam(t.Name)
+			active := p.jobs.ActiveOfTeam(t.Name)
 			p.scheduler.AcquireTeam(t.Name, h.Term, h.ModRevision, active, p.clock.Now())
 			p.log.Info("team taken over", "team", t.Name, "term", h.Term, "jobs", len(active))
 			gained = true
@@ -213,10 +213,10 @@
 		}
 	}
 	if gained {
-		for h := range p.owners {
+		for h := range p.partitions {
 			go p.poll(h, 0) //nolint:errcheck // the loop polls again
 		}
-		poke(p.wake)
+		wake(p.wake)
 	}
 }
 
@@ -226,14 +226,14 @@
 	p.running = ctx
 	p.mu.Unlock()
 	g, ctx := errgroup.WithContext(ctx)
-	for h := range p.owners {
+	for h := range p.partitions {
 		g.Go(func() error { return p.pollLoop(ctx, h) })
 		g.Go(func() error { return p.sendLoop(ctx, h) })
 	}
-	g.Go(func() error { return p.placeLoop(ctx) })
+	g.Go(func() error { return p.scheduleLoop(ctx) })
 	g.Go(func() error { return p.writeLoop(ctx) })
 	g.Go(func() error { return p.watermarkLoop(ctx) })
-	g.Go(func() error { return p.tellLoop(ctx) })
+	g.Go(func() error { return p.summaryLoop(ctx) })
 	return g.Wait()
 }
 
@@ -268,7 +268,7 @@
 		in.Demands = p.scheduler.DemandsFor(host, p.clock.Now())
 	}
 	p.mu.Unlock()
-	ans, err := p.owners[host].Poll(in)
+	ans, err := p.partitions[host].Poll(in)
 	if err != nil {
 		return err
 	}
@@ -276,10 +276,10 @@
 	defer p.mu.Unlock()
 	began := p.clock.Now()
 	p.scheduler.HandlePollResponse(host, in, &ans, began)
-	p.views.Round((p.clock.Now() - began).Duration())
-	p.heard()
-	poke(p.wake)
-	poke(p.writes)
+	p.pollMetrics.Round((p.clock.Now() - began).Duration())
+	p.notifyUpdated()
+	wake(p.wake)
+	wake(p.writes)
 	return nil
 }
 
@@ -297,7 +297,7 @@
 			if r == nil {
 				break
 			}
-			ans, err := p.owners[host].ApplyBatch(*r)
+			ans, err := p.partitions[host].ApplyBatch(*r)
 			p.mu.Lock()
 			if err != nil {
 				p.scheduler.MarkUnreachable(host)
@@ -307,9 +307,9 @@
 				continue
 			}
 			met := p.scheduler.HandleBatchResponse(host, r, &ans, p.clock.Now())
-			p.heard()
-			poke(p.wake)
-			poke(p.writes)
+			p.notifyUpdated()
+			wake(p.wake)
+			wake(p.writes)
 			p.mu.Unlock()
 			if !met {
 				// What bears repeating goes to the new process, once a poll has met it:
@@ -320,8 +320,8 @@
 	}
 }
 
-// tellLoop logs now and then how placing stands.
-func (p *Server) tellLoop(ctx context.Context) error {
+// summaryLoop logs now and then how placing stands.
+func (p *Server) summaryLoop(ctx context.Context) error {
 	var last Counters
 	for ctx.Err() == nil {
 		pause(ctx, 10*time.Second)
@@ -339,14 +339,14 @@
 	return nil
 }
 
-// roundGap gathers what comes close together into one round of decisions. It
+// scheduleInterval gathers what comes close together into one round of decisions. It
 // widens with the tasks about and with what the last round took, so that a
 // controller that is short of time decides on more at once.
-func roundGap(bound int, took time.Duration) time.Duration {
+func scheduleInterval(bound int, took time.Duration) time.Duration {
 	return max(min(8*time.Millisecond+time.Duration(bound)*20*time.Microsecond, 50*time.Millisecond), 3*took)
 }
 
-func (p *Server) placeLoop(ctx context.Context) error {
+func (p *Server) scheduleLoop(ctx context.Context) error {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -354,7 +354,7 @@
 		case <-ctx.Done():
 			return nil
 		case due := <-tick.C:
-			p.rounds.Late(time.Since(due))
+			p.scheduleMetrics.Late(time.Since(due))
 			p.Reconcile()
 		case <-p.wake:
 		}
@@ -363,13 +363,13 @@
 		p.scheduler.Schedule(began)
 		for h, c := range p.senders {
 			if p.scheduler.HasBatch(h, began) {
-				poke(c)
+				wake(c)
 			}
 		}
 		bound := p.scheduler.Summary().Bound
 		took := (p.clock.Now() - began).Duration()
-		p.rounds.Round(took)
-		gap := roundGap(bound, took)
+		p.scheduleMetrics.Round(took)
+		gap := scheduleInterval(bound, took)
 		p.mu.Unlock()
 		pause(ctx, gap)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -12,44 +12,44 @@
 // preemptOwn stops tasks of lower rank of the job's own team, where the team's
 // limit leaves no room for it. It is placed once they are gone for certain.
 func (d *Scheduler) preemptOwn(j *job, now clock.Micros) {
-	if j.stalled == 0 {
-		j.stalled = now
+	if j.stalledSince == 0 {
+		j.stalledSince = now
 	}
-	if j.late(now) || !d.waitedOut(j, now) {
+	if j.missesDeadline(now) || !d.mayPreempt(j, now) {
 		return
 	}
-	used := j.team.used.Plus(j.team.held)
-	var cand []*binding
+	used := j.team.used.Plus(j.team.unaccountedCapacity)
+	var cand []*assignment
 	for _, o := range j.team.jobs {
-		for _, b := range o.bound {
+		for _, b := range o.assignments {
 			switch {
 			case b.stopping:
 				used = used.Minus(o.Need)
-			case o.PriorityLevel < j.PriorityLevel && !b.asked:
+			case o.PriorityLevel < j.PriorityLevel && !b.unanswered:
 				cand = append(cand, b)
 			}
 		}
 	}
 	sort.Slice(cand, func(a, b int) bool {
-		if cand[a].since != cand[b].since {
-			return cand[a].since > cand[b].since
+		if cand[a].assignedAt != cand[b].assignedAt {
+			return cand[a].assignedAt > cand[b].assignedAt
 		}
 		return cand[a].id.String() < cand[b].id.String()
 	})
 	wanted := j.Need.Times(int64(j.waiting()))
 	for _, b := range cand {
-		if within(used.Plus(wanted), j.team.Limit) {
+		if withinQuota(used.Plus(wanted), j.team.Limit) {
 			return
 		}
 		used = used.Minus(b.job.Need)
-		d.counts.Preempted++
-		d.stop(b, b.job.StopGraceS())
+		d.counters.Preempted++
+		d.requestStop(b, b.job.StopGraceS())
 	}
 }
 
-// waitedOut tells that a job has waited long enough to take room from others.
-func (d *Scheduler) waitedOut(j *job, now clock.Micros) bool {
-	return j.stalled != 0 && now >= j.stalled+d.timing.PreemptAfter
+// mayPreempt tells that a job has waited long enough to take room from others.
+func (d *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
+	return j.stalledSince != 0 && now >= j.stalledSince+d.timing.PreemptAfter
 }
 
 // preemptStep is how much lost work makes a difference: below it, small tasks
@@ -61,40 +61,40 @@
 // work is lost. Work that is late already takes no room from others: it would
 // be as late, and what it stops would be late too. Like any search, it looks at
 // some of the machines in question, not at the fleet.
-func (d *Scheduler) preempt(j *job, in *rooms, now clock.Micros) (best *mirror, victims []peer.TaskID, over bool) {
-	if in == nil || j.late(now) {
+func (d *Scheduler) preempt(j *job, in *capacityIndex, now clock.Micros) (best *machineState, victims []peer.TaskID, over bool) {
+	if in == nil || j.missesDeadline(now) {
 		return nil, nil, false
 	}
 	// Work of higher rank goes first, but a guarantee is not put off for long:
 	// while nothing at all of it finds room.
-	owed := d.timing.Guarantee > 0 && j.dry != 0 && now >= j.dry+d.timing.Guarantee*3/5
+	owed := d.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+d.timing.Guarantee*3/5
 	most := j.PriorityLevel - 1 // the highest rank that may be stopped
-	if j.covered && owed {
-		most = len(d.ranks) - 1
-	} else if j.covered {
+	if j.withinGuarantee && owed {
+		most = len(d.tasksByPriority) - 1
+	} else if j.withinGuarantee {
 		most = j.PriorityLevel
 	}
-	if !someRank(&d.ranks, most) || d.full.knowsVictims(j, owed) {
+	if !someRank(&d.tasksByPriority, most) || d.exhausted.hasNoVictims(j, owed) {
 		return nil, nil, false
 	}
 	var bestCost clock.Micros
 	looked := 0
-	in.walk(0, d.rng.Uint64(), func(m *mirror) bool {
-		d.counts.Looked++
-		if !someRank(&m.ranks, most) || !d.mayAsk(j, m, now) {
+	in.walk(0, d.rng.Uint64(), func(m *machineState) bool {
+		d.counters.Looked++
+		if !someRank(&m.tasksByPriority, most) || !d.mayOffer(j, m, now) {
 			return false
 		}
 		looked++
 		v, cost, o := d.victims(j, m, owed, now)
 		if len(v) > 0 && (best == nil || cost/preemptStep < bestCost/preemptStep ||
-			cost/preemptStep == bestCost/preemptStep && d.better(j, m, best)) {
+			cost/preemptStep == bestCost/preemptStep && d.prefers(j, m, best)) {
 			best, victims, bestCost, over = m, v, cost, o
 		}
 		// What has hardly begun is as good a choice as any.
 		return looked >= 8*d.timing.Sample || best != nil && bestCost < preemptStep
 	})
-	if best == nil && in == &d.rooms {
-		d.full.noteVictims(j, owed)
+	if best == nil && in == &d.capacity {
+		d.exhausted.markNoVictims(j, owed)
 	}
 	return best, victims, over
 }
@@ -111,33 +111,33 @@
 
 // victims picks the tasks to stop on a machine to make room for one of a job;
 // none when that makes no room.
-func (d *Scheduler) victims(j *job, m *mirror, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
-	var cand []*seen
+func (d *Scheduler) victims(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
+	var cand []*observedTask
 	for _, t := range m.tasks {
-		if !t.there || t.Stopping || now < t.markedUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
+		if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
 			continue
 		}
-		if t.Rank < j.PriorityLevel || j.covered && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || owed) {
+		if t.Rank < j.PriorityLevel || j.withinGuarantee && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || owed) {
 			cand = append(cand, t)
 		}
 	}
-	slices.SortFunc(cand, func(a, b *seen) int {
+	slices.SortFunc(cand, func(a, b *observedTask) int {
 		if a.Covered != b.Covered && a.Rank == b.Rank {
 			if b.Covered {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(b.began, a.began), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
+		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(b.startedAt, a.startedAt), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
 	})
-	free := m.free
+	free := m.available
 	for _, t := range cand {
 		if j.Need.Fits(free) {
 			break
 		}
 		free = free.Plus(t.Need)
 		out = append(out, t.ID)
-		cost += now - t.began + clock.Second
+		cost += now - t.startedAt + clock.Second
 		over = over || t.Rank >= j.PriorityLevel
 		if t.Covered {
 			cost += 100 * clock.Second // what is guaranteed goes last
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -115,7 +115,7 @@
 	h.table.Tick(w.now) // the lease lapses unused
 	w.poll(h, false)
 	w.scheduler.HandleBatchResponse(h.name, r, &ans, w.now)
-	require.Empty(t, w.scheduler.teams[red].jobs["job-1"].bound)
+	require.Empty(t, w.scheduler.teams[red].jobs["job-1"].assignments)
 	w.settle(8)
 	require.Equal(t, 1, w.running())
 }
@@ -132,7 +132,7 @@
 	w.tick()
 	w.poll(w.hosts[0], false)
 	require.Empty(t, w.registry)
-	require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 1)
+	require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 1)
 	w.settle(12)
 	require.Equal(t, 1, w.running())
 }
@@ -200,7 +200,7 @@
 		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
 		w.scheduler.HandleBatchResponse(h.name, r, &ans, w.now)
 	}
-	require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 1)
+	require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 1)
 	require.NotZero(t, w.scheduler.teams[red].used.CPU, "it counts against the limit")
 }
 
@@ -212,14 +212,14 @@
 	w.addJob("job-2", 2, func(j *wire.Job) { j.OneZone = true })
 	w.place() // nothing is sent yet: all are only asked for
 	zones := map[string]int{}
-	for n, b := range w.scheduler.teams[red].jobs["job-1"].bound {
+	for n, b := range w.scheduler.teams[red].jobs["job-1"].assignments {
 		require.NotNil(t, b, n)
 		zones[b.zone]++
 	}
 	require.LessOrEqual(t, zones["a"], 2)
 	require.LessOrEqual(t, zones["b"], 2)
 	zones = map[string]int{}
-	for _, b := range w.scheduler.teams[red].jobs["job-2"].bound {
+	for _, b := range w.scheduler.teams[red].jobs["job-2"].assignments {
 		zones[b.zone]++
 	}
 	require.Len(t, zones, 1)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,95 +41,95 @@
 
 type team struct {
 	Team
-	term    uint64
-	stamp   uint64
-	counter uint64
-	salt    uint64 // makes its order of machines its own
-	used    resources.Amounts
-	jobs    map[string]*job
-	cleared map[string]bool   // machines known to hold no task unknown here
-	strange map[string]bool   // recorded machines that are not cleared
-	unknown int               // how many they are, as of this round
-	held    resources.Amounts // and what they could hold
-	ending  int               // transactions under way that write ends of its jobs
+	term                uint64
+	modRevision         uint64
+	attemptCounter      uint64
+	orderSalt           uint64 // makes its order of machines its own
+	used                resources.Amounts
+	jobs                map[string]*job
+	accounted           map[string]bool   // machines known to hold no task unknown here
+	unaccounted         map[string]bool   // recorded machines that are not cleared
+	unaccountedCount    int               // how many they are, as of this round
+	unaccountedCapacity resources.Amounts // and what they could hold
+	finalWritesInFlight int               // transactions under way that write ends of its jobs
 
-	yielding map[string]yielding // owners that keep room for other teams
-	above    bool                // it takes more than its share of the fleet
+	yielding   map[string]yielding // owners that keep room for other teams
+	aboveShare bool                // it takes more than its share of the fleet
 }
 
-type binding struct {
-	id       peer.TaskID
-	job      *job
-	machine  string
-	zone     string
-	term     uint64 // of the machine's partition when asked
-	asked    bool   // no answer yet
-	version  uint64 // of the machine's view when granted
-	instance string
-	phase    string
-	held     bool // room for a task that is to move here and runs elsewhere
-	orphan   bool // ran although not wanted here: only counted, and stopped
-	stopping bool
-	since    clock.Micros
-	running  clock.Micros // when it was first seen running
+type assignment struct {
+	id           peer.TaskID
+	job          *job
+	machine      string
+	zone         string
+	term         uint64 // of the machine's partition when asked
+	unanswered   bool   // no answer yet
+	viewVersion  uint64 // of the machine's view when granted
+	instance     string
+	phase        string
+	reserved     bool // room for a task that is to move here and runs elsewhere
+	orphaned     bool // ran although not wanted here: only counted, and stopped
+	stopping     bool
+	assignedAt   clock.Micros
+	runningSince clock.Micros // when it was first seen running
 }
 
-type mirror struct {
+type machineState struct {
 	peer.MachineView
-	host       string
-	instance   string
-	free       resources.Amounts // what it shows, less what was asked for since
-	hash       uint64            // of its name
-	bound      map[peer.TaskID]*binding
-	seenAt     clock.Micros
-	tasks      map[peer.TaskID]*seen
-	ranks      [4]int         // tasks that are there, by rank
-	fetching   map[string]int // jobs with tasks that wait for their image there
-	fetchUntil clock.Micros   // an ask of ours makes it fetch
-	fetchImage string
-	pace       float64 // sum of run times against those of the same jobs elsewhere
-	paced      int
-	slow       bool
+	host            string
+	instance        string
+	available       resources.Amounts // what it shows, less what was asked for since
+	nameHash        uint64            // of its name
+	assignments     map[peer.TaskID]*assignment
+	updatedAt       clock.Micros
+	tasks           map[peer.TaskID]*observedTask
+	tasksByPriority [4]int         // tasks that are there, by rank
+	fetchingJobs    map[string]int // jobs with tasks that wait for their image there
+	imageFetchUntil clock.Micros   // an ask of ours makes it fetch
+	imageFetched    string
+	paceSum         float64 // sum of run times against those of the same jobs elsewhere
+	paceSamples     int
+	slow            bool
 
-	refused   bool // an ask was refused, and no newer view has come
-	refusedAt clock.Micros
+	rejected   bool // an ask was refused, and no newer view has come
+	rejectedAt clock.Micros
 
 	indexed       bool // where index has put it
-	level         int
+	indexedLevel  int
 	indexedImages []string
 	indexedCPU    int64
 }
 
-// seen is a task as its machine's owner last showed it.
-type seen struct {
+// observedTask is a task as its machine's owner last showed it.
+type observedTask struct {
 	peer.TaskView
-	there       bool // it counts among the machine's ranks
-	began       clock.Micros
-	markedUntil clock.Micros // an ask has named it as to be stopped: not to be named again at once
+	counted         bool // it counts among the machine's ranks
+	startedAt       clock.Micros
+	preemptingUntil clock.Micros // an ask has named it as to be stopped: not to be named again at once
 }
 
-type ownerState struct {
-	instance string
-	cursor   uint64
-	gen      uint64 // grows with every process met
-	parts    map[int]uint64
-	fenced   map[string]uint64
-	seq      uint64
-	sending  *peer.Batch
-	sentTo   string // instance that the round was made for
-	next     peer.Batch
-	settling clock.Micros // since when settlements wait to be sent
-	up       bool
-	swept    clock.Micros
-	heardAt  clock.Micros
-	holds    bool // it holds room for tasks that are to move
-	resync   bool // a view did not fit what was known: ask for everything
-	shares   ownerShares
-	toldAt   clock.Micros // when it was last told what waits
+type leaderSession struct {
+	instance              string
+	cursor                uint64
+	generation            uint64 // grows with every process met
+	partitionTerms        map[int]uint64
+	fencedTerms           map[string]uint64
+	sequence              uint64
+	inFlight              *peer.Batch
+	inFlightInstance      string // instance that the round was made for
+	pending               peer.Batch
+	acknowledgementsSince clock.Micros // since when settlements wait to be sent
+	reachable             bool
+	sweptAt               clock.Micros
+	polledAt              clock.Micros
+	supportsReservations  bool // it holds room for tasks that are to move
+	resync                bool // a view did not fit what was known: ask for everything
+	shares                leaderShares
+	demandsSentAt         clock.Micros // when it was last told what waits
 }
 
 // SetFetchRates tells how fast machine types fetch images, in GB a second.
-func (d *Scheduler) SetFetchRates(rates map[string]float64) { d.fetch = rates }
+func (d *Scheduler) SetFetchRates(rates map[string]float64) { d.fetchRates = rates }
 
 // Counters is what happened since the start, for the logs.
 type Counters struct {
@@ -142,32 +142,32 @@
 
 // Scheduler holds the teams that this controller places, and mirrors all owners' machines.
 type Scheduler struct {
-	timing        Timing
-	instance      string
-	known         map[string]Team
-	teams         map[string]*team
-	machines      map[string]*mirror
-	owners        map[string]*ownerState
-	registry      map[string]bool
-	progress      map[string]map[chunkID]progress
-	chunk         int  // tasks that a record of progress covers
-	legacyRecords bool // machines recorded by an earlier release are there: it left no watermarks
-	watermarks    map[string]watermarks
-	rng           *rand.Rand
-	wall          func() int64       // time of day in ms, good to the settings' bound
-	fetch         map[string]float64 // GB a second by machine type
-	prices        map[kindOf]float64 // of a CPU, against the dearest
-	big           int64              // CPUs of the largest task about
-	rooms         rooms              // machines that may get tasks
-	imaged        map[string]*rooms  // and those of them that have an image
-	usable        int64              // CPUs of all of them
-	indexed       int                // how many they are
-	ranks         [4]int             // tasks seen on machines, by rank
-	sizes         map[int64]int      // and by the CPUs they take
-	full          full               // what found no room in this round
-	counts        Counters
-	demands       []fairshare.Demand // what waits, as last counted for the owners
-	demandsAt     clock.Micros
+	timing           Timing
+	instance         string
+	teamConfigs      map[string]Team
+	teams            map[string]*team
+	machines         map[string]*machineState
+	sessions         map[string]*leaderSession
+	recordedMachines map[string]bool
+	progress         map[string]map[chunkID]progress
+	chunkTasks       int  // tasks that a record of progress covers
+	legacyRecords    bool // machines recorded by an earlier release are there: it left no watermarks
+	watermarks       map[string]watermarks
+	rng              *rand.Rand
+	wall             func() int64              // time of day in ms, good to the settings' bound
+	fetchRates       map[string]float64        // GB a second by machine type
+	prices           map[priceKey]float64      // of a CPU, against the dearest
+	largestTaskCPU   int64                     // CPUs of the largest task about
+	capacity         capacityIndex             // machines that may get tasks
+	capacityByImage  map[string]*capacityIndex // and those of them that have an image
+	usableCPU        int64                     // CPUs of all of them
+	indexedMachines  int                       // how many they are
+	tasksByPriority  [4]int                    // tasks seen on machines, by rank
+	tasksByCPU       map[int64]int             // and by the CPUs they take
+	exhausted        exhaustedDemand           // what found no room in this round
+	counters         Counters
+	demands          []fairshare.Demand // what waits, as last counted for the owners
+	demandsAt        clock.Micros
 
 	distributions map[string]distributions  // by team
 	zones         map[string]*recovery.Gate // of zones to which work returns, by the clock here
@@ -187,15 +187,15 @@
 
 // NewScheduler makes a scheduler that leads no team yet.
 func NewScheduler(c Config) *Scheduler {
-	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, imaged: map[string]*rooms{}, sizes: map[int64]int{}, timing: c.Timing, instance: c.Instance, known: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*mirror{},
-		owners: map[string]*ownerState{}, registry: map[string]bool{}, progress: map[string]map[chunkID]progress{}, chunk: ChunkTasks,
+	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, capacityByImage: map[string]*capacityIndex{}, tasksByCPU: map[int64]int{}, timing: c.Timing, instance: c.Instance, teamConfigs: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*machineState{},
+		sessions: map[string]*leaderSession{}, recordedMachines: map[string]bool{}, progress: map[string]map[chunkID]progress{}, chunkTasks: ChunkTasks,
 		rng: rand.New(rand.NewPCG(c.Seed, 1)), wall: c.WallMS}
 	d.moves = newMoves(c.Timing.Moves)
 	for _, tm := range c.Teams {
-		d.known[tm.Name] = tm
+		d.teamConfigs[tm.Name] = tm
 	}
 	for _, h := range c.Hosts {
-		d.owners[h] = &ownerState{parts: map[int]uint64{}, fenced: map[string]uint64{}}
+		d.sessions[h] = &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
 	}
 	return d
 }
@@ -203,14 +203,14 @@
 // AcquireTeam takes a team over, with its active jobs.
 func (d *Scheduler) AcquireTeam(name string, term, stamp uint64, active []*jobs.Job, now clock.Micros) {
 	d.ReleaseTeam(name)
-	tm := &team{Team: d.known[name], salt: hashOf(name), term: term, stamp: stamp, jobs: map[string]*job{}, cleared: map[string]bool{},
-		strange: maps.Clone(d.registry), yielding: map[string]yielding{}}
+	tm := &team{Team: d.teamConfigs[name], orderSalt: nameHash(name), term: term, modRevision: stamp, jobs: map[string]*job{}, accounted: map[string]bool{},
+		unaccounted: maps.Clone(d.recordedMachines), yielding: map[string]yielding{}}
 	d.teams[name] = tm
 	for _, j := range active {
 		d.addJob(tm, j, now)
 	}
-	for _, o := range d.owners {
-		delete(o.fenced, name)
+	for _, o := range d.sessions {
+		delete(o.fencedTerms, name)
 	}
 }
 
@@ -223,15 +223,15 @@
 	delete(d.teams, name)
 	d.abandonMoves(tm, "")
 	for _, m := range d.machines {
-		for id, b := range m.bound {
+		for id, b := range m.assignments {
 			if b.job.team == tm {
-				delete(m.bound, id)
+				delete(m.assignments, id)
 			}
 		}
-		d.refree(m)
+		d.recomputeAvailable(m)
 	}
-	for _, o := range d.owners {
-		strip(&o.next, tm)
+	for _, o := range d.sessions {
+		removeTeam(&o.pending, tm)
 	}
 }
 
@@ -244,14 +244,14 @@
 
 // Summary gives how scheduling stands.
 func (d *Scheduler) Summary() Summary {
-	s := Summary{Counters: d.counts}
+	s := Summary{Counters: d.counters}
 	for _, tm := range d.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
 				s.CancellingJobs++
 			}
 			s.Waiting += j.waiting()
-			s.Bound += len(j.bound)
+			s.Bound += len(j.assignments)
 		}
 	}
 	return s
@@ -274,22 +274,22 @@
 }
 
 func (d *Scheduler) addJob(tm *team, spec *jobs.Job, now clock.Micros) {
-	j := &job{Job: spec, per: d.chunk, team: tm, watermark: d.watermarkOf(tm.Name, spec), done: make([]uint64, (spec.Tasks+63)/64), bound: map[int]*binding{},
-		zones: map[string]int{}, dirty: map[int]bool{}, failedOn: map[string]clock.Micros{},
-		unsettled: map[peer.TaskID]string{}, acked: map[peer.TaskID]uint64{}, since: now}
+	j := &job{Job: spec, chunkTasks: d.chunkTasks, team: tm, watermark: d.watermarkOf(tm.Name, spec), done: make([]uint64, (spec.Tasks+63)/64), assignments: map[int]*assignment{},
+		tasksByZone: map[string]int{}, dirtyChunks: map[int]bool{}, avoidUntil: map[string]clock.Micros{},
+		unacknowledged: map[peer.TaskID]string{}, acknowledgedTerms: map[peer.TaskID]uint64{}, acceptedAt: now}
 	j.stage = d.stageOf(spec)
-	if spec.ModRevision < tm.stamp {
-		j.former = min(j.watermark, j.Tasks)
-		if j.former > 0 && (j.OneZone || j.Spread) || d.legacyRecords {
+	if spec.ModRevision < tm.modRevision {
+		j.offeredByFormer = min(j.watermark, j.Tasks)
+		if j.offeredByFormer > 0 && (j.OneZone || j.Spread) || d.legacyRecords {
 			// Where its other tasks are decides where these may go. And while
 			// machines of an earlier release are there, which left no watermarks,
 			// any task may have been asked for.
-			j.former = j.Tasks
+			j.offeredByFormer = j.Tasks
 		}
-		j.next, j.parked = j.former, j.former > 0
+		j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 	}
 	if spec.AcceptedMS > 0 {
-		j.since = now - clock.Micros(max(0, d.wall()-spec.AcceptedMS))*clock.Millisecond
+		j.acceptedAt = now - clock.Micros(max(0, d.wall()-spec.AcceptedMS))*clock.Millisecond
 	}
 	for chunk, r := range d.progress[spec.ID] {
 		for i, b := range r.bits {
@@ -300,7 +300,7 @@
 			}
 		}
 	}
-	clear(j.dirty)
+	clear(j.dirtyChunks)
 	tm.jobs[spec.ID] = j
 }
 
@@ -311,9 +311,9 @@
 		if j := tm.jobs[id]; j != nil {
 			delete(tm.jobs, id)
 			d.abandonMoves(tm, id)
-			d.judge(j)
-			for _, b := range j.bound {
-				b.orphan = true
+			d.detectSlowMachines(j)
+			for _, b := range j.assignments {
+				b.orphaned = true
 			}
 		}
 	}
@@ -322,17 +322,17 @@
 // HandleMachineRecord takes note of a machine's record.
 func (d *Scheduler) HandleMachineRecord(id string, there bool) {
 	if there {
-		d.registry[id] = true
+		d.recordedMachines[id] = true
 		for _, tm := range d.teams {
-			if !tm.cleared[id] {
-				tm.strange[id] = true
+			if !tm.accounted[id] {
+				tm.unaccounted[id] = true
 			}
 		}
 		return
 	}
-	delete(d.registry, id)
+	delete(d.recordedMachines, id)
 	for _, tm := range d.teams {
-		delete(tm.strange, id)
+		delete(tm.unaccounted, id)
 	}
 	if m := d.machines[id]; m != nil {
 		d.forgetSilent(m)
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -12,84 +12,84 @@
 // forgetSilent drops a machine that fell silent and has no record any more.
 // An ask that has no answer yet stays bound: the machine may come back with a
 // new session, and the ask be granted then.
-func (d *Scheduler) forgetSilent(m *mirror) {
-	if m.Silent && !d.registry[m.ID] && len(m.bound) == 0 {
-		d.drop(m)
+func (d *Scheduler) forgetSilent(m *machineState) {
+	if m.Silent && !d.recordedMachines[m.ID] && len(m.assignments) == 0 {
+		d.removeMachine(m)
 	}
 }
 
 // forgetMachine drops a machine that is gone for certain, with all asks for it.
-func (d *Scheduler) forgetMachine(m *mirror) {
+func (d *Scheduler) forgetMachine(m *machineState) {
 	for _, b := range m.inOrder() {
-		d.release(b)
+		d.releaseAssignment(b)
 	}
-	d.drop(m)
+	d.removeMachine(m)
 }
 
-// drop takes a machine out of the mirror.
-func (d *Scheduler) drop(m *mirror) {
+// removeMachine takes a machine out of the mirror.
+func (d *Scheduler) removeMachine(m *machineState) {
 	for id := range m.tasks {
-		d.unsetTask(m, id)
+		d.removeObservedTask(m, id)
 	}
 	delete(d.machines, m.ID)
-	d.index(m)
+	d.reindex(m)
 }
 
 // inOrder lists a machine's bindings in a fixed order.
-func (m *mirror) inOrder() []*binding {
-	out := make([]*binding, 0, len(m.bound))
-	for _, b := range m.bound {
+func (m *machineState) inOrder() []*assignment {
+	out := make([]*assignment, 0, len(m.assignments))
+	for _, b := range m.assignments {
 		out = append(out, b)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].id.Attempt < out[b].id.Attempt })
 	return out
 }
 
-func (d *Scheduler) refree(m *mirror) {
-	m.free = m.Free
-	for _, b := range m.bound {
-		if b.asked || b.instance == m.instance && b.term == m.Term && b.version > m.Version {
-			m.free = m.free.Minus(b.job.Need) // the view does not show it yet
+func (d *Scheduler) recomputeAvailable(m *machineState) {
+	m.available = m.Free
+	for _, b := range m.assignments {
+		if b.unanswered || b.instance == m.instance && b.term == m.Term && b.viewVersion > m.Version {
+			m.available = m.available.Minus(b.job.Need) // the view does not show it yet
 		}
 	}
-	d.index(m)
+	d.reindex(m)
 }
 
-// bind counts a task as being, or possibly being, on a machine.
-func (d *Scheduler) bind(b *binding, m *mirror) {
-	m.bound[b.id] = b
+// addAssignment counts a task as being, or possibly being, on a machine.
+func (d *Scheduler) addAssignment(b *assignment, m *machineState) {
+	m.assignments[b.id] = b
 	b.job.team.used = b.job.team.used.Plus(b.job.Need)
-	b.job.zones[b.zone]++
-	if !b.orphan && !b.held {
-		b.job.bound[b.id.N] = b
+	b.job.tasksByZone[b.zone]++
+	if !b.orphaned && !b.reserved {
+		b.job.assignments[b.id.N] = b
 	}
 }
 
-// release takes note that a task is gone from its machine for certain.
-func (d *Scheduler) release(b *binding) {
+// releaseAssignment takes note that a task is gone from its machine for certain.
+func (d *Scheduler) releaseAssignment(b *assignment) {
 	if m := d.machines[b.machine]; m != nil {
-		if m.bound[b.id] != b {
+		if m.assignments[b.id] != b {
 			return
 		}
-		delete(m.bound, b.id)
+		delete(m.assignments, b.id)
 	}
 	j := b.job
 	j.team.used = j.team.used.Minus(j.Need)
-	j.zones[b.zone]--
-	current := j.bound[b.id.N] == b
+	j.tasksByZone[b.zone]--
+	current := j.assignments[b.id.N] == b
 	if current {
-		delete(j.bound, b.id.N)
+		delete(j.assignments, b.id.N)
 	}
 	if started := d.moveStep(b, current); current && !started {
-		if !j.isDone(b.id.N) && !(j.parked && b.id.N < j.former) {
+		if !j.isDone(b.id.N) && !(j.awaitsAccounting && b.id.N < j.offeredByFormer) {
 			j.queue = append(j.queue, b.id.N)
 		}
 	}
 }
 
-// compare takes a task that an accounted machine shows.
-func (d *Scheduler) compare(o *ownerState, m *mirror, tv *peer.TaskView, now clock.Micros) {
-	b := m.bound[tv.ID]
+// reconcileTask takes a task that an accounted machine shows.
+func (d *Scheduler) reconcileTask(o *leaderSession, m *machineState, tv *peer.TaskView, now clock.Micros) {
+	b := m.assignments[tv.ID]
 	tm := d.teams[tv.Team]
 	if b != nil {
 		tm = b.job.team // its owner may not know: the job is over
@@ -102,116 +102,116 @@
 		j = nil
 	}
 	if b == nil {
-		if o.fenced[tm.Name] != tm.term {
+		if o.fencedTerms[tm.Name] != tm.term {
 			return
 		}
 		if tv.Phase != wire.TaskExited {
-			b = &binding{id: tv.ID, job: j, machine: m.ID, zone: m.Zone, term: m.Term, version: m.Version,
-				instance: m.instance, since: now - tv.Since}
+			b = &assignment{id: tv.ID, job: j, machine: m.ID, zone: m.Zone, term: m.Term, viewVersion: m.Version,
+				instance: m.instance, assignedAt: now - tv.Since}
 			if j == nil {
 				// Its owner ends what belongs to no active job, but may not reach it: until
 				// it is gone it counts against the limit.
-				b.job, b.orphan = &job{Job: &jobs.Job{Need: tv.Need}, team: tm, zones: map[string]int{}}, true
+				b.job, b.orphaned = &job{Job: &jobs.Job{Need: tv.Need}, team: tm, tasksByZone: map[string]int{}}, true
 			} else {
-				b.orphan = j.isDone(tv.ID.N) || j.bound[tv.ID.N] != nil || j.cancelling || tv.Held // a former placer's move
+				b.orphaned = j.isDone(tv.ID.N) || j.assignments[tv.ID.N] != nil || j.cancelling || tv.Held // a former placer's move
 			}
-			d.bind(b, m)
-			if b.orphan {
-				d.stop(b, 0)
+			d.addAssignment(b, m)
+			if b.orphaned {
+				d.requestStop(b, 0)
 			}
 		}
 	}
 	if tv.Phase == wire.TaskExited {
-		d.exited(j, b, m, tv, now)
+		d.handleExit(j, b, m, tv, now)
 		return
 	}
 	if b != nil {
 		if tv.Phase == wire.TaskRunning && b.phase != wire.TaskRunning {
-			if b.running == 0 {
-				d.began(b.job, now)
+			if b.runningSince == 0 {
+				d.recordWait(b.job, now)
 			}
-			b.job.lastStart, b.running = now, now
+			b.job.lastStartAt, b.runningSince = now, now
 			// Its job may be over already: cancelled while the start was on its way.
-			d.counts.FetchCPUs += (now - b.since) * clock.Micros(b.job.Need.CPU/1e6)
+			d.counters.FetchCPUs += (now - b.assignedAt) * clock.Micros(b.job.Need.CPU/1e6)
 		}
 		b.phase, b.stopping = tv.Phase, tv.Stopping
 	}
 }
 
-// exited takes the end of a task.
-func (d *Scheduler) exited(j *job, b *binding, m *mirror, tv *peer.TaskView, now clock.Micros) {
+// handleExit takes the end of a task.
+func (d *Scheduler) handleExit(j *job, b *assignment, m *machineState, tv *peer.TaskView, now clock.Micros) {
 	if j == nil {
 		if b != nil {
-			d.release(b)
+			d.releaseAssignment(b)
 		}
 		return
 	}
 	n := tv.ID.N
 	if tv.Cause == wire.CauseDone {
 		if !j.isDone(n) {
-			d.counts.Done++
-			if b != nil && b.running != 0 && len(j.runs) < 500 {
-				j.runs = append(j.runs, runTime{m.ID, now - b.running})
+			d.counters.Done++
+			if b != nil && b.runningSince != 0 && len(j.runs) < 500 {
+				j.runs = append(j.runs, runTime{m.ID, now - b.runningSince})
 			}
 		}
 		if j.markDone(n); j.doneCount == j.Tasks && b != nil {
-			d.ended(j, now)
+			d.recordLateness(j, now)
 		}
-		j.errors = 0
-		if j.acked[tv.ID] != m.Term {
-			j.unsettled[tv.ID] = m.ID
+		j.consecutiveErrors = 0
+		if j.acknowledgedTerms[tv.ID] != m.Term {
+			j.unacknowledged[tv.ID] = m.ID
 		}
-		if other := j.bound[n]; other != nil && other != b {
-			other.orphan = true
-			delete(j.bound, n)
-			d.stop(other, 0)
+		if other := j.assignments[n]; other != nil && other != b {
+			other.orphaned = true
+			delete(j.assignments, n)
+			d.requestStop(other, 0)
 		}
 	} else {
 		if b != nil {
-			j.again++
+			j.retries++
 		}
 		switch {
 		case b == nil:
 		case tv.Cause == wire.CauseStopped:
-			d.counts.Stopped++
+			d.counters.Stopped++
 		default:
-			d.counts.Failed++
-			j.fail(m.ID, now)
+			d.counters.Failed++
+			j.recordFailure(m.ID, now)
 		}
-		if j.acked[tv.ID] != m.Term {
-			d.settle(j, tv.ID, m.ID)
+		if j.acknowledgedTerms[tv.ID] != m.Term {
+			d.acknowledge(j, tv.ID, m.ID)
 		}
 	}
 	if b != nil {
-		d.release(b)
+		d.releaseAssignment(b)
 	}
 }
 
-// fail lets a job that fails keep off the machine, and back off by itself when
+// recordFailure lets a job that fails keep off the machine, and back off by itself when
 // it fails on many: it must not keep drawing the room that it frees.
-func (j *job) fail(machine string, now clock.Micros) {
-	j.errors++
-	j.failedOn[machine] = now + 20*clock.Second
-	if len(j.failedOn) >= 3 || j.errors > 3*max(1, len(j.bound)) {
-		j.backoff = now + min(clock.Second<<min(j.errors/2, 6), 30*clock.Second)
+func (j *job) recordFailure(machine string, now clock.Micros) {
+	j.consecutiveErrors++
+	j.avoidUntil[machine] = now + 20*clock.Second
+	if len(j.avoidUntil) >= 3 || j.consecutiveErrors > 3*max(1, len(j.assignments)) {
+		j.backoffUntil = now + min(clock.Second<<min(j.consecutiveErrors/2, 6), 30*clock.Second)
 	}
 }
 
-// settle tells a machine's owner that the end of a task is taken note of.
-func (d *Scheduler) settle(j *job, id peer.TaskID, machine string) {
+// acknowledge tells a machine's owner that the end of a task is taken note of.
+func (d *Scheduler) acknowledge(j *job, id peer.TaskID, machine string) {
 	m := d.machines[machine]
 	if m == nil {
 		return
 	}
-	o := d.owners[m.host]
-	o.next.Settles = append(o.next.Settles, peer.Acknowledgement{ID: id, Machine: machine})
-	j.acked[id] = m.Term
+	o := d.sessions[m.host]
+	o.pending.Settles = append(o.pending.Settles, peer.Acknowledgement{ID: id, Machine: machine})
+	j.acknowledgedTerms[id] = m.Term
 }
 
-func (d *Scheduler) stop(b *binding, grace float64) {
+func (d *Scheduler) requestStop(b *assignment, grace float64) {
 	if m := d.machines[b.machine]; m != nil {
-		o := d.owners[m.host]
-		o.next.Stops = append(o.next.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
+		o := d.sessions[m.host]
+		o.pending.Stops = append(o.pending.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
 	}
 	b.stopping = true
 }
--- a/internal/scheduler/shares.go
+++ b/internal/scheduler/shares.go
@@ -19,8 +19,8 @@
 // How long a team keeps off an owner that keeps its room for others. It grows with every
 // refusal in a row, so that a team above its share does not ask over and over.
 const (
-	yieldLeast = 100 * clock.Millisecond
-	yieldMost  = 800 * clock.Millisecond
+	minYieldPause = 100 * clock.Millisecond
+	maxYieldPause = 800 * clock.Millisecond
 )
 
 // yield takes note that an owner keeps its room from the team's work of a rank.
@@ -31,37 +31,37 @@
 		tm.yielding[host] = y
 		return
 	}
-	y.pause = min(max(2*y.pause, yieldLeast), yieldMost)
+	y.pause = min(max(2*y.pause, minYieldPause), maxYieldPause)
 	y.until, y.rank = now+y.pause, rank
 	tm.yielding[host] = y
 }
 
-// yields tells that a job should not ask an owner now: it keeps its room for other teams.
+// yieldsTo tells that a job should not ask an owner now: it keeps its room for other teams.
 // Work within a guarantee asks all the same, and so does work of higher rank.
-func (j *job) yields(host string, now clock.Micros) bool {
+func (j *job) yieldsTo(host string, now clock.Micros) bool {
 	y, ok := j.team.yielding[host]
-	return ok && now < y.until && j.PriorityLevel <= y.rank && !j.covered
+	return ok && now < y.until && j.PriorityLevel <= y.rank && !j.withinGuarantee
 }
 
-// ownerShares is what an owner last told of the teams' shares of its machines.
-type ownerShares struct {
+// leaderShares is what an owner last told of the teams' shares of its machines.
+type leaderShares struct {
 	capacity  resources.Amounts
 	standings []fairshare.Standing
 	at        clock.Micros
 }
 
-// sharesFresh is how old an owner's word of the shares may be.
-const sharesFresh = 3 * clock.Second
+// shareMaxAge is how old an owner's word of the shares may be.
+const shareMaxAge = 3 * clock.Second
 
-// weighShares finds out which teams take more than their shares of the fleet. Those that
+// updateShares finds out which teams take more than their shares of the fleet. Those that
 // are not told of by any owner are not above.
-func (d *Scheduler) weighShares(now clock.Micros) {
+func (d *Scheduler) updateShares(now clock.Micros) {
 	if len(d.teams) == 0 {
 		return
 	}
 	taken, share := map[string]float64{}, map[string]float64{}
-	for _, o := range d.owners {
-		if !o.up || now > o.shares.at+sharesFresh {
+	for _, o := range d.sessions {
+		if !o.reachable || now > o.shares.at+shareMaxAge {
 			continue
 		}
 		for i := range o.shares.standings {
@@ -71,27 +71,27 @@
 		}
 	}
 	for name, tm := range d.teams {
-		tm.above = taken[name] > share[name]
-		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+yieldMost })
+		tm.aboveShare = taken[name] > share[name]
+		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+maxYieldPause })
 	}
 }
 
-// mostShapes bounds how many shapes of work are told of for a team: those whose turn it is
+// maxDemandShapes bounds how many shapes of work are told of for a team: those whose turn it is
 // first. The others are told of once those are placed.
-const mostShapes = 24
+const maxDemandShapes = 24
 
-// demandGap is how often what waits is told to an owner, and counted anew for that. Polls follow
+// demandInterval is how often what waits is told to an owner, and counted anew for that. Polls follow
 // one another much faster under load, and most of a small controller's time goes into them.
-const demandGap = 250 * clock.Millisecond
+const demandInterval = 250 * clock.Millisecond
 
 // DemandsFor gives what to tell an owner with a poll, nothing where it was told a moment ago.
 func (d *Scheduler) DemandsFor(host string, now clock.Micros) []fairshare.Demand {
-	o := d.owners[host]
-	if o.toldAt != 0 && now < o.toldAt+demandGap {
+	o := d.sessions[host]
+	if o.demandsSentAt != 0 && now < o.demandsSentAt+demandInterval {
 		return nil
 	}
-	o.toldAt = now
-	if d.demandsAt == 0 || now >= d.demandsAt+demandGap/2 {
+	o.demandsSentAt = now
+	if d.demandsAt == 0 || now >= d.demandsAt+demandInterval/2 {
 		d.demandsAt, d.demands = now, d.teamDemands(now)
 	}
 	return d.demands
@@ -104,7 +104,7 @@
 	shapes := map[string][]fairshare.Shape{}
 	places := map[shapeKey]int{}
 	d.eachWaiting(now, func(j *job, tasks int) {
-		if j.parked {
+		if j.awaitsAccounting {
 			return
 		}
 		team := j.team.Name
@@ -113,12 +113,12 @@
 			shapes[team][at].Tasks += tasks
 			return
 		}
-		if len(shapes[team]) == mostShapes {
+		if len(shapes[team]) == maxDemandShapes {
 			return
 		}
 		places[key] = len(shapes[team])
 		shapes[team] = append(shapes[team], fairshare.Shape{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot,
-			Rank: j.PriorityLevel, Owed: j.covered, Tasks: tasks})
+			Rank: j.PriorityLevel, Owed: j.withinGuarantee, Tasks: tasks})
 	})
 	out := make([]fairshare.Demand, 0, len(d.teams))
 	for name, tm := range d.teams {
@@ -139,5 +139,5 @@
 }
 
 func keyOf(j *job) shapeKey {
-	return shapeKey{j.team.Name, j.Need, strings.Join(j.Types, " "), j.Zone, j.Spot, j.PriorityLevel, j.covered}
+	return shapeKey{j.team.Name, j.Need, strings.Join(j.Types, " "), j.Zone, j.Spot, j.PriorityLevel, j.withinGuarantee}
 }
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -17,11 +17,11 @@
 	slowTasks = 5
 )
 
-// judge compares how long a finished job's tasks ran on each machine with how
+// detectSlowMachines compares how long a finished job's tasks ran on each machine with how
 // long they ran on the others, and has a machine set aside on which tasks take much
 // longer. A job is judged only as a whole: those of its tasks that are done
 // first are the short ones.
-func (d *Scheduler) judge(j *job) {
+func (d *Scheduler) detectSlowMachines(j *job) {
 	if len(j.runs) < 4 || j.doneCount < j.Tasks {
 		return
 	}
@@ -39,15 +39,15 @@
 			continue
 		}
 		mean := max(((all - sum[r.machine]) / clock.Micros(others)).Seconds(), 0.1)
-		if m.paced == 20 { // old news fade
-			m.pace, m.paced = m.pace/2, 10
+		if m.paceSamples == 20 { // old news fade
+			m.paceSum, m.paceSamples = m.paceSum/2, 10
 		}
-		m.pace += min(r.took.Seconds()/mean, 4)
-		m.paced++
-		if m.paced >= slowTasks && m.pace > slowPace*float64(m.paced) {
+		m.paceSum += min(r.took.Seconds()/mean, 4)
+		m.paceSamples++
+		if m.paceSamples >= slowTasks && m.paceSum > slowPace*float64(m.paceSamples) {
 			m.slow = true
-			o := d.owners[m.host]
-			o.next.Slow = append(o.next.Slow, m.ID)
+			o := d.sessions[m.host]
+			o.pending.Slow = append(o.pending.Slow, m.ID)
 		}
 	}
 }
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -39,7 +39,7 @@
 		}
 		w.check("unaccounted")
 	}
-	n, held := w.scheduler.uncleared(w.scheduler.teams[red], w.scheduler.largest)
+	n, held := w.scheduler.unaccountedCapacity(w.scheduler.teams[red], w.scheduler.largestMachine)
 	require.Equal(t, 2, n)
 	require.GreaterOrEqual(t, held.CPUs(), 16.0)
 	require.Equal(t, 2, w.running(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
@@ -127,7 +127,7 @@
 	w.settle(8)
 	w.addJob("job-1", 16, nil)
 	w.settle(4)
-	in := peer.PollRequest{Gen: w.scheduler.owners["h0"].gen, Terms: w.scheduler.TeamTerms()}
+	in := peer.PollRequest{Gen: w.scheduler.sessions["h0"].generation, Terms: w.scheduler.TeamTerms()}
 	late := w.hosts[0].table.HandlePoll(in, w.hosts[0].instance, w.now)
 	delete(w.registry, "m-0")
 	w.gain(0, 1)
@@ -141,7 +141,7 @@
 		w.poll(w.hosts[1], false)
 	}
 	require.NotContains(t, w.scheduler.machines, "m-0")
-	require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 12)
+	require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 12)
 }
 
 // Attempt numbers of two placers never meet.
@@ -153,7 +153,7 @@
 		w.addJob(fmt.Sprintf("job-%d", w.term), 2, nil)
 		w.place()
 		for _, h := range w.hosts {
-			for _, a := range w.scheduler.owners[h.name].next.Asks {
+			for _, a := range w.scheduler.sessions[h.name].pending.Asks {
 				require.False(t, seen[a.ID.Attempt])
 				seen[a.ID.Attempt] = true
 			}
--- a/internal/scheduler/talk.go
+++ b/internal/scheduler/talk.go
@@ -11,8 +11,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// strip takes a lost team's words out of a round that was not sent yet.
-func strip(r *peer.Batch, tm *team) {
+// removeTeam takes a lost team's words out of a round that was not sent yet.
+func removeTeam(r *peer.Batch, tm *team) {
 	r.Asks = slices.DeleteFunc(r.Asks, func(a peer.Assignment) bool { return a.Team == tm.Name })
 	r.Stops = slices.DeleteFunc(r.Stops, func(s peer.StopTask) bool { return tm.jobs[s.ID.Job] != nil })
 	r.Settles = slices.DeleteFunc(r.Settles, func(s peer.Acknowledgement) bool { return tm.jobs[s.ID.Job] != nil })
@@ -23,73 +23,73 @@
 // NextBatch gives the round to send to an owner now, nil for nothing. A round
 // without an answer is given again as it was.
 func (d *Scheduler) NextBatch(host string) *peer.Batch {
-	o := d.owners[host]
-	if o.sending != nil && o.sentTo == o.instance {
-		return o.sending
+	o := d.sessions[host]
+	if o.inFlight != nil && o.inFlightInstance == o.instance {
+		return o.inFlight
 	}
-	d.abandon(o)
-	r := o.next
+	d.abandonBatch(o)
+	r := o.pending
 	if o.instance == "" || r.Empty() {
 		return nil
 	}
-	o.seq++
-	r.From, r.Seq, r.Terms = d.instance, o.seq, d.TeamTerms()
-	o.sending, o.sentTo, o.next, o.settling = &r, o.instance, peer.Batch{}, 0
-	return o.sending
+	o.sequence++
+	r.From, r.Seq, r.Terms = d.instance, o.sequence, d.TeamTerms()
+	o.inFlight, o.inFlightInstance, o.pending, o.acknowledgementsSince = &r, o.instance, peer.Batch{}, 0
+	return o.inFlight
 }
 
-// abandon gives up a round whose process is gone. Its asks stay bound: that
+// abandonBatch gives up a round whose process is gone. Its asks stay bound: that
 // process may have granted and started them, and only the next owner of their
 // machines can tell. What bears repeating goes to the next process; it is told of
 // withdrawals when their ends are looked at.
-func (d *Scheduler) abandon(o *ownerState) {
-	if o.sending == nil {
+func (d *Scheduler) abandonBatch(o *leaderSession) {
+	if o.inFlight == nil {
 		return
 	}
-	o.next.Stops = append(o.next.Stops, o.sending.Stops...)
-	o.sending = nil
+	o.pending.Stops = append(o.pending.Stops, o.inFlight.Stops...)
+	o.inFlight = nil
 }
 
-// settleGap gathers settlements, for which nobody waits.
-const settleGap = 300 * clock.Millisecond
+// acknowledgementInterval gathers settlements, for which nobody waits.
+const acknowledgementInterval = 300 * clock.Millisecond
 
 // HasBatch tells whether there is something to send to an owner now.
 func (d *Scheduler) HasBatch(host string, now clock.Micros) bool {
-	o := d.owners[host]
-	if o.sending != nil {
+	o := d.sessions[host]
+	if o.inFlight != nil {
 		return true
 	}
-	if len(o.next.Settles) == 0 {
-		return !o.next.Empty()
+	if len(o.pending.Settles) == 0 {
+		return !o.pending.Empty()
 	}
-	if o.settling == 0 {
-		o.settling = now
+	if o.acknowledgementsSince == 0 {
+		o.acknowledgementsSince = now
 	}
-	rest := o.next
+	rest := o.pending
 	rest.Settles = nil
-	return !rest.Empty() || now >= o.settling+settleGap
+	return !rest.Empty() || now >= o.acknowledgementsSince+acknowledgementInterval
 }
 
 // HandleBatchResponse takes the answer to a round; ok is false when another process has
 // given it than the one that the round was for.
 func (d *Scheduler) HandleBatchResponse(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
-	o := d.owners[host]
-	if o.sending != r {
+	o := d.sessions[host]
+	if o.inFlight != r {
 		return true
 	}
-	if ans.Incarnation != o.sentTo || ans.Incarnation != o.instance {
+	if ans.Incarnation != o.inFlightInstance || ans.Incarnation != o.instance {
 		// Another process has answered than the one that may have granted.
-		d.abandon(o)
+		d.abandonBatch(o)
 		return false
 	}
-	o.sending = nil
-	d.up(host, true)
+	o.inFlight = nil
+	d.setReachable(host, true)
 	for i, a := range r.Asks {
 		m := d.machines[a.Machine]
 		if m == nil {
 			continue
 		}
-		b := m.bound[a.ID]
+		b := m.assignments[a.ID]
 		if b == nil {
 			continue
 		}
@@ -98,21 +98,21 @@
 			d.act(mv, mv.Refused())
 		}
 		if i < len(ans.Yielded) && ans.Yielded[i] {
-			d.counts.Yielded++
-			d.release(b)
-			d.refree(m)
+			d.counters.Yielded++
+			d.releaseAssignment(b)
+			d.recomputeAvailable(m)
 			b.job.team.yield(host, b.job.PriorityLevel, now)
 			continue
 		}
 		if no {
-			d.counts.Refused++
-			d.release(b)
+			d.counters.Refused++
+			d.releaseAssignment(b)
 			// What made the owner refuse is news on its way; until it is here the machine is kept from.
-			m.refusedAt, m.refused = now, true
-			d.refree(m)
+			m.rejectedAt, m.rejected = now, true
+			d.recomputeAvailable(m)
 			continue
 		}
-		b.asked, b.instance, b.version = false, ans.Incarnation, ans.Versions[i]
+		b.unanswered, b.instance, b.viewVersion = false, ans.Incarnation, ans.Versions[i]
 		delete(b.job.team.yielding, host)
 		if mv := d.moves.ofDestination[b]; mv != nil {
 			d.act(mv, mv.Granted())
@@ -120,9 +120,9 @@
 		if m.Accounted && m.instance == ans.Incarnation {
 			// A poll may have shown the machine already as it was after the
 			// grant, with the task gone again: nothing newer would come to release it.
-			d.checkGone(b, m)
+			d.releaseIfGone(b, m)
 		}
-		d.refree(m)
+		d.recomputeAvailable(m)
 	}
 	for _, c := range r.Cancels {
 		tm := d.teams[c.Team]
@@ -130,7 +130,7 @@
 			continue // taken for a former term, which counts for nothing in this one
 		}
 		if j := tm.jobs[c.Job]; j != nil && j.cancelling {
-			j.taken[ans.Incarnation] = true
+			j.cancelAcknowledged[ans.Incarnation] = true
 		}
 	}
 	return true
@@ -146,11 +146,11 @@
 	if j == nil {
 		return peer.JobResponse{Known: true}
 	}
-	if j.uncertain {
+	if j.finalStateUncertain {
 		return peer.JobResponse{Known: true, Found: true, Retry: true}
 	}
 	s := wire.JobState{ID: id, Phase: wire.Pending, Done: j.doneCount}
-	for _, b := range j.bound {
+	for _, b := range j.assignments {
 		if b.phase == wire.TaskRunning || b.phase == wire.TaskCheckpointing {
 			s.Running++
 		}
@@ -165,7 +165,7 @@
 // written, those that were accepted first in front.
 func (d *Scheduler) CompletedJobs(tm *team) (out []*job) {
 	for _, j := range tm.jobs {
-		if j.doneCount == j.Tasks && !j.finishing && !j.cancelling {
+		if j.doneCount == j.Tasks && !j.finalWriteInFlight && !j.cancelling {
 			out = append(out, j)
 		}
 	}
@@ -176,7 +176,7 @@
 // eachWaiting visits the jobs that have tasks to place, those whose turn it is first, each
 // with how many tasks its team's limit leaves room for.
 func (d *Scheduler) eachWaiting(now clock.Micros, visit func(j *job, tasks int)) {
-	list := d.order(now)
+	list := d.schedulingOrder(now)
 	for _, tm := range d.teams {
 		room := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
 		if tm.Limit.CPU > 0 {
@@ -186,7 +186,7 @@
 			room.GPU = tm.Limit.GPU - tm.used.GPU
 		}
 		for _, j := range list {
-			if j.team != tm || j.errors > 6 {
+			if j.team != tm || j.consecutiveErrors > 6 {
 				continue
 			}
 			n := j.waiting()
@@ -210,8 +210,8 @@
 	d.eachWaiting(now, func(j *job, tasks int) {
 		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.PriorityLevel, Waiting: tasks,
 			RunFor: clock.FromSeconds(j.RuntimeEstimateS), Stage: int(j.stage) + 1}
-		if start := d.finish(j); j.DeadlineS != nil && !j.late(now) {
-			dm.Slack = max(clock.Second, j.due()-now-dm.RunFor)
+		if start := d.latestStart(j); j.DeadlineS != nil && !j.missesDeadline(now) {
+			dm.Slack = max(clock.Second, j.deadline()-now-dm.RunFor)
 		} else if j.DeadlineS == nil && start != math.MaxInt64 && now < start {
 			dm.Slack = start - now // to be finished within a time is as good as a deadline
 		}
@@ -225,11 +225,11 @@
 func (d *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
 	to = slices.Grow(to, len(d.machines))
 	for _, m := range d.machines {
-		if o := d.owners[m.host]; o.parts[m.Part] == m.Term {
+		if o := d.sessions[m.host]; o.partitionTerms[m.Part] == m.Term {
 			v := m.MachineView
-			v.Free = m.free
-			if v.Count == 0 && len(m.bound) == 0 {
-				v.Idle += now - m.seenAt
+			v.Free = m.available
+			if v.Count == 0 && len(m.assignments) == 0 {
+				v.Idle += now - m.updatedAt
 			} else {
 				v.Idle = 0
 			}
--- a/internal/scheduler/turns.go
+++ b/internal/scheduler/turns.go
@@ -8,16 +8,16 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-func (j *job) due() clock.Micros {
+func (j *job) deadline() clock.Micros {
 	if j.DeadlineS == nil {
 		return math.MaxInt64
 	}
-	return j.since + clock.FromSeconds(*j.DeadlineS)
+	return j.acceptedAt + clock.FromSeconds(*j.DeadlineS)
 }
 
-// cover marks the jobs that are within the team's guarantee: each fits there
+// markWithinGuarantee marks the jobs that are within the team's guarantee: each fits there
 // together with the team's earlier unfinished jobs.
-func (tm *team) cover() {
+func (tm *team) markWithinGuarantee() {
 	if tm.Guarantee.CPU == 0 && tm.Guarantee.GPU == 0 {
 		return
 	}
@@ -29,20 +29,20 @@
 	var sum resources.Amounts
 	for _, j := range list {
 		sum = sum.Plus(j.Need.Times(int64(j.Tasks)))
-		j.covered = sum.CPU <= tm.Guarantee.CPU && sum.GPU <= tm.Guarantee.GPU
+		j.withinGuarantee = sum.CPU <= tm.Guarantee.CPU && sum.GPU <= tm.Guarantee.GPU
 	}
 }
 
-// order sorts the jobs that have tasks to place: what can still meet its
+// schedulingOrder sorts the jobs that have tasks to place: what can still meet its
 // deadline first, by rank, guarantee, deadline and age; then what can still be
-// in time by the longer measure that an objective sets, in the same order; then
+// in time by the longer measure that an objective sets, in the same schedulingOrder; then
 // what is late, the longest tasks first.
-func (d *Scheduler) order(now clock.Micros) []*job {
+func (d *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
 	for _, tm := range d.teams {
-		tm.cover()
+		tm.markWithinGuarantee()
 		for _, j := range tm.jobs {
-			if !j.cancelling && !j.finishing && j.waiting() > 0 && now >= j.backoff {
+			if !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil {
 				out = append(out, j)
 			}
 		}
@@ -59,21 +59,21 @@
 		if x.PriorityLevel != y.PriorityLevel {
 			return x.PriorityLevel > y.PriorityLevel
 		}
-		if x.covered != y.covered {
-			return x.covered
+		if x.withinGuarantee != y.withinGuarantee {
+			return x.withinGuarantee
 		}
-		if !x.covered && x.team.above != y.team.above {
-			return y.team.above
+		if !x.withinGuarantee && x.team.aboveShare != y.team.aboveShare {
+			return y.team.aboveShare
 		}
 		// Of work with deadlines the smallest rests go first, so that most jobs are in
 		// time: what waits longer than by plan waits for machines that can't be had.
 		if u, v := x.remaining(), y.remaining(); x.DeadlineS != nil && y.DeadlineS != nil && u != v {
 			return u < v
 		}
-		if x.due() != y.due() {
-			return x.due() < y.due()
+		if x.deadline() != y.deadline() {
+			return x.deadline() < y.deadline()
 		}
-		if fx, fy := d.finish(x), d.finish(y); fx != fy {
+		if fx, fy := d.latestStart(x), d.latestStart(y); fx != fy {
 			return fx < fy
 		}
 		return x.ModRevision < y.ModRevision
@@ -81,14 +81,14 @@
 	return out
 }
 
-// finish is when a job's tasks should start so that it is finished within its
+// latestStart is when a job's tasks should start so that it is finished within its
 // class's time: of jobs without a deadline, those with long tasks can wait least.
-func (d *Scheduler) finish(j *job) clock.Micros {
+func (d *Scheduler) latestStart(j *job) clock.Micros {
 	within, ok := d.timing.Finishes[j.Class]
 	if !ok {
 		return math.MaxInt64
 	}
-	return j.since + within - clock.FromSeconds(j.RuntimeEstimateS)
+	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
 // remaining is the work of a job that waits, in CPU seconds.
@@ -96,13 +96,13 @@
 	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
 
-// late tells that a job can't meet its deadline any more.
-func (j *job) late(now clock.Micros) bool {
-	return j.DeadlineS != nil && j.ends(now) > j.due()
+// missesDeadline tells that a job can't meet its deadline any more.
+func (j *job) missesDeadline(now clock.Micros) bool {
+	return j.DeadlineS != nil && j.earliestFinish(now) > j.deadline()
 }
 
-// ends is when a job's last task may be over at best.
-func (j *job) ends(now clock.Micros) clock.Micros {
+// earliestFinish is when a job's last task may be over at best.
+func (j *job) earliestFinish(now clock.Micros) clock.Micros {
 	return now + clock.FromSeconds(j.RuntimeEstimateS*0.7)
 }
 
@@ -114,10 +114,10 @@
 )
 
 func (d *Scheduler) lateness(j *job, now clock.Micros) int {
-	if !j.late(now) {
+	if !j.missesDeadline(now) {
 		return inTime
 	}
-	if j.ends(now) <= j.since+clock.FromSeconds(*j.DeadlineS*d.timing.Times[j.Class]) {
+	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*d.timing.Times[j.Class]) {
 		return overdue
 	}
 	return hopeless
--- a/internal/scheduler/turns_test.go
+++ b/internal/scheduler/turns_test.go
@@ -25,7 +25,7 @@
 	}
 	require.Positive(t, starts)
 	require.Less(t, starts, 40, "ten seconds of failures")
-	require.NotZero(t, w.scheduler.teams[red].jobs["job-1"].backoff)
+	require.NotZero(t, w.scheduler.teams[red].jobs["job-1"].backoffUntil)
 }
 
 // High rank takes the least work from lower rank; late work takes nothing.
@@ -55,7 +55,7 @@
 	}
 	w.now += 80 * sec
 	var ids []string
-	for _, j := range w.scheduler.order(w.now) {
+	for _, j := range w.scheduler.schedulingOrder(w.now) {
 		ids = append(ids, j.ID)
 	}
 	require.Equal(t, []string{"job-2", "job-1", "job-0"}, ids)
@@ -69,7 +69,7 @@
 		w.addJob(fmt.Sprintf("job-%d", i), []int{20, 2, 20}[i], func(j *wire.Job) { j.DeadlineS, j.RuntimeEstimateS = &due, 10 })
 	}
 	var ids []string
-	for _, j := range w.scheduler.order(w.now) {
+	for _, j := range w.scheduler.schedulingOrder(w.now) {
 		ids = append(ids, j.ID)
 	}
 	require.Equal(t, []string{"job-1", "job-2", "job-0"}, ids)
@@ -83,9 +83,9 @@
 		w := newWorldOf(t, 1, 2, 0)
 		w.scheduler.timing.Guarantee = 5 * sec
 		blue := &team{Team: Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
-			cleared: map[string]bool{}, strange: map[string]bool{}}
+			accounted: map[string]bool{}, unaccounted: map[string]bool{}}
 		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
-			team: blue, covered: true, watermark: 50, since: w.now, bound: map[int]*binding{}, zones: map[string]int{}, done: make([]uint64, 1)}
+			team: blue, withinGuarantee: true, watermark: 50, acceptedAt: w.now, assignments: map[int]*assignment{}, tasksByZone: map[string]int{}, done: make([]uint64, 1)}
 		w.settle(8)
 		w.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
 		w.settle(4)
@@ -93,18 +93,18 @@
 		taken := false
 		for step := range 40 {
 			w.now += 250 * clock.Millisecond
-			w.scheduler.full = full{}
+			w.scheduler.exhausted = exhaustedDemand{}
 			if trickle && step%4 == 0 {
 				m := w.scheduler.machines["m-0"]
-				m.free = j.Need // a task of others has ended
-				w.scheduler.index(m)
+				m.available = j.Need // a task of others has ended
+				w.scheduler.reindex(m)
 			}
-			w.scheduler.placeJob(j, 1, w.now)
-			for _, o := range w.scheduler.owners {
-				for _, a := range o.next.Asks {
+			w.scheduler.scheduleJob(j, 1, w.now)
+			for _, o := range w.scheduler.sessions {
+				for _, a := range o.pending.Asks {
 					taken = taken || a.Over
 				}
-				o.next = peer.Batch{}
+				o.pending = peer.Batch{}
 			}
 		}
 		require.Equal(t, !trickle, taken)
@@ -125,7 +125,7 @@
 	w.place()
 	images := map[string]map[string]bool{}
 	for id, m := range w.scheduler.machines {
-		for _, b := range m.bound {
+		for _, b := range m.assignments {
 			if images[id] == nil {
 				images[id] = map[string]bool{}
 			}
@@ -153,7 +153,7 @@
 	require.Equal(t, 36, w.running())
 	w.addJob("job-3", 1, image)
 	began := w.now
-	for len(w.scheduler.teams[red].jobs["job-3"].bound) == 0 && w.now < began+20*sec {
+	for len(w.scheduler.teams[red].jobs["job-3"].assignments) == 0 && w.now < began+20*sec {
 		w.settle(1)
 	}
 	require.InDelta(t, 4, (w.now - began).Seconds(), 0.6)
@@ -190,7 +190,7 @@
 	w.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
 	w.settle(4)
 	w.addJob("job-2", 100, nil)
-	begun := func() bool { return w.scheduler.teams[red].jobs["job-2"].begun() }
+	begun := func() bool { return w.scheduler.teams[red].jobs["job-2"].hasStarted() }
 	for range 4 * 160 {
 		if begun() {
 			break
@@ -205,7 +205,7 @@
 		}
 	}
 	require.True(t, begun())
-	require.Less(t, w.now-w.scheduler.teams[red].jobs["job-2"].since, 240*sec)
+	require.Less(t, w.now-w.scheduler.teams[red].jobs["job-2"].acceptedAt, 240*sec)
 }
 
 // Room for a large job of high rank comes up bit by bit. It does not wait for
@@ -276,10 +276,10 @@
 		w := newWorldOf(t, 9, machines, 0)
 		w.settle(8)
 		w.addJob("job-1", 6, nil)
-		before := w.scheduler.counts.Looked
+		before := w.scheduler.counters.Looked
 		w.place()
-		looked = w.scheduler.counts.Looked - before
-		require.Len(t, w.scheduler.teams[red].jobs["job-1"].bound, 6)
+		looked = w.scheduler.counters.Looked - before
+		require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 6)
 		for _, h := range w.hosts {
 			w.send(h, true, true)
 			in := w.scheduler.NextPoll(h.name)
@@ -289,9 +289,9 @@
 		}
 		// A job for which no machine is large enough searches none of them.
 		w.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
-		before = w.scheduler.counts.Looked
+		before = w.scheduler.counters.Looked
 		w.place()
-		require.Equal(t, before, w.scheduler.counts.Looked)
+		require.Equal(t, before, w.scheduler.counters.Looked)
 		return looked, told
 	}
 	smallLooked, smallTold := work(60)
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -79,14 +79,14 @@
 func (d *Scheduler) PlanWatermarks(now clock.Micros, most int) (out []WatermarkWrite) {
 	raise := map[*team]map[string]int{}
 	ahead := map[*team]int64{}
-	for _, j := range d.order(now) {
+	for _, j := range d.schedulingOrder(now) {
 		tm := j.team
-		due := !j.begun() && now >= j.since+beginWithin-10*clock.Second
-		if ahead[tm] > d.usable/int64(4*len(d.known))+64e6 && !due {
+		due := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-10*clock.Second
+		if ahead[tm] > d.usableCPU/int64(4*len(d.teamConfigs))+64e6 && !due {
 			continue
 		}
-		ahead[tm] += int64(len(j.queue)+max(0, j.watermark-j.next)) * j.Need.CPU
-		if j.next < j.watermark || j.watermark >= j.Tasks {
+		ahead[tm] += int64(len(j.queue)+max(0, j.watermark-j.nextTask)) * j.Need.CPU
+		if j.nextTask < j.watermark || j.watermark >= j.Tasks {
 			continue
 		}
 		to := j.Tasks
@@ -140,13 +140,13 @@
 	return out
 }
 
-// unpark lets the tasks that a former placer may have asked for be placed: all
+// releaseFormerlyOffered lets the tasks that a former placer may have asked for be placed: all
 // machines are accounted for, and those that are on none are known.
-func (j *job) unpark() {
-	j.parked = false
+func (j *job) releaseFormerlyOffered() {
+	j.awaitsAccounting = false
 	var again []int
-	for n := range j.former {
-		if !j.isDone(n) && j.bound[n] == nil {
+	for n := range j.offeredByFormer {
+		if !j.isDone(n) && j.assignments[n] == nil {
 			again = append(again, n)
 		}
 	}
--- a/internal/scheduler/withdraw.go
+++ b/internal/scheduler/withdraw.go
@@ -42,106 +42,106 @@
 	if j.cancelling {
 		return true
 	}
-	j.cancelling, j.taken = true, map[string]bool{}
+	j.cancelling, j.cancelAcknowledged = true, map[string]bool{}
 	d.abandonMoves(tm, id)
-	for _, o := range d.owners {
-		o.next.Starts = slices.DeleteFunc(o.next.Starts, func(s peer.StartTask) bool { return s.ID.Job == id })
-		o.next.Asks = slices.DeleteFunc(o.next.Asks, func(a peer.Assignment) bool {
+	for _, o := range d.sessions {
+		o.pending.Starts = slices.DeleteFunc(o.pending.Starts, func(s peer.StartTask) bool { return s.ID.Job == id })
+		o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool {
 			if a.ID.Job != id {
 				return false
 			}
-			if m := d.machines[a.Machine]; m != nil && m.bound[a.ID] != nil {
-				d.release(m.bound[a.ID])
-				d.refree(m)
+			if m := d.machines[a.Machine]; m != nil && m.assignments[a.ID] != nil {
+				d.releaseAssignment(m.assignments[a.ID])
+				d.recomputeAvailable(m)
 			}
 			return true
 		})
-		d.tellCancel(o, j)
+		d.requestCancel(o, j)
 	}
 	return true
 }
 
-// tellCancel has the present process of an owner told of a job's withdrawal, once.
-func (d *Scheduler) tellCancel(o *ownerState, j *job) {
+// requestCancel has the present process of an owner told of a job's withdrawal, once.
+func (d *Scheduler) requestCancel(o *leaderSession, j *job) {
 	c := peer.CancelJob{Job: j.ID, Team: j.Team}
-	if slices.Contains(o.next.Cancels, c) || o.sending != nil && o.sentTo == o.instance && slices.Contains(o.sending.Cancels, c) {
+	if slices.Contains(o.pending.Cancels, c) || o.inFlight != nil && o.inFlightInstance == o.instance && slices.Contains(o.inFlight.Cancels, c) {
 		return
 	}
-	o.next.Cancels = append(o.next.Cancels, c)
+	o.pending.Cancels = append(o.pending.Cancels, c)
 }
 
-// offered tells that a task of a job may ever have been asked for, of any owner. Where
+// mayHaveBeenOffered tells that a task of a job may ever have been asked for, of any owner. Where
 // none was, only this placer could start one, and the end needs nobody else.
-func (j *job) offered() bool { return j.asked || j.former > 0 }
+func (j *job) mayHaveBeenOffered() bool { return j.offeredHere || j.offeredByFormer > 0 }
 
 // CancellationConfirmed tells whether the end of a withdrawn job may be written on the condition of
 // these claims: the present process of each holder has the withdrawal in memory, and
 // nothing of the job can start any more. Processes that have not been told are told.
 func (d *Scheduler) CancellationConfirmed(j *job, parts []PartitionLeadership) bool {
-	if !j.offered() {
+	if !j.mayHaveBeenOffered() {
 		return j.cancelling
 	}
-	ready := j.cancelling && !j.mayStart()
+	ready := j.cancelling && !j.mayStillStart()
 	for _, c := range parts {
 		if c.Host == "" {
 			// Its last holder never acts on it again, and whoever takes it, by a change of
 			// this claim, finds the end in its replica.
 			continue
 		}
-		o := d.owners[c.Host]
+		o := d.sessions[c.Host]
 		if o == nil {
 			return false
 		}
-		if !j.taken[o.instance] {
+		if !j.cancelAcknowledged[o.instance] {
 			// Perhaps a new process of the same host: it knows nothing of what an
 			// earlier one has taken.
-			d.tellCancel(o, j)
+			d.requestCancel(o, j)
 			ready = false
-		} else if o.parts[c.Partition] != c.Term {
+		} else if o.partitionTerms[c.Partition] != c.Term {
 			ready = false // that process has not said that it holds the partition under this claim
 		}
 	}
 	return ready
 }
 
-// mayStart tells that some task of a job may be about to start: its start is on
+// mayStillStart tells that some task of a job may be about to start: its start is on
 // the way, its image is not there yet, or nothing is known of a machine on which a former
 // placer may have put one.
-func (j *job) mayStart() bool {
+func (j *job) mayStillStart() bool {
 	n := 0
-	for _, k := range j.zones {
+	for _, k := range j.tasksByZone {
 		n += k
 	}
-	for _, b := range j.bound {
+	for _, b := range j.assignments {
 		if b.phase == wire.TaskRunning || b.phase == wire.TaskCheckpointing {
 			n--
 		}
 	}
-	return n > 0 || j.former > 0 && len(j.team.strange) > 0
+	return n > 0 || j.offeredByFormer > 0 && len(j.team.unaccounted) > 0
 }
 
-// withdrawWait bounds how long a withdrawal is tried before its user is told to come back.
-const withdrawWait = 1500 * time.Millisecond
+// cancelWait bounds how long a withdrawal is tried before its user is told to come back.
+const cancelWait = 1500 * time.Millisecond
 
-// cancelGap is how long the end of a withdrawn job that was refused waits: most often a
+// cancelRetryInterval is how long the end of a withdrawn job that was refused waits: most often a
 // claim has moved, and the replica is about to show it.
-const cancelGap = 200 * clock.Millisecond
+const cancelRetryInterval = 200 * clock.Millisecond
 
 // CancelJob ends a job: no task of it starts from now on; once that is certain of
 // every machine, the end is written, and only then told.
 func (p *Server) CancelJob(q peer.JobRequest) peer.JobResponse {
 	retry := peer.JobResponse{Known: true, Found: true, Retry: true}
-	if _, ok := p.claims.Leading(Duty(q.Team)); !ok {
+	if _, ok := p.elections.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
 	}
-	deadline := time.NewTimer(withdrawWait)
+	deadline := time.NewTimer(cancelWait)
 	defer deadline.Stop()
 	for {
-		parts := p.partClaims()
+		parts := p.partitionLeaderships()
 		p.mu.Lock()
 		// Under the lock: between two looks the end could be written and the job dropped,
 		// and its user be told to come back although it is cancelled.
-		if f, over := p.book.Final(q.ID); over {
+		if f, over := p.jobs.Final(q.ID); over {
 			p.mu.Unlock()
 			return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 		}
@@ -152,16 +152,16 @@
 			return peer.JobResponse{Known: tm != nil}
 		}
 		j := tm.jobs[q.ID]
-		if j.finishing && !j.cancelling {
+		if j.finalWriteInFlight && !j.cancelling {
 			p.mu.Unlock()
 			return retry // its end as done is being written
 		}
 		p.scheduler.CancelJob(q.Team, q.ID)
-		ready := p.beginCancelled(j, parts)
-		news := p.news
+		ready := p.claimFinalCancel(j, parts)
+		news := p.updated
 		p.mu.Unlock()
-		poke(p.wake)
-		if ready && p.finishCancelled(ctx, j, parts) == nil {
+		wake(p.wake)
+		if ready && p.writeCancelled(ctx, j, parts) == nil {
 			continue
 		}
 		select {
@@ -174,9 +174,9 @@
 	}
 }
 
-// startCancels goes on with withdrawals whose users were told to come back: they
+// resumeCancellations goes on with withdrawals whose users were told to come back: they
 // find the end written, and a job of which nothing may start is not left for ever.
-func (p *Server) startCancels(ctx context.Context) {
+func (p *Server) resumeCancellations(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var parts []PartitionLeadership
@@ -186,52 +186,52 @@
 				continue
 			}
 			if parts == nil {
-				parts = p.partClaims()
+				parts = p.partitionLeaderships()
 			}
-			if p.beginCancelled(j, parts) {
-				go p.finishCancelled(ctx, j, parts) //nolint:errcheck // tried again
+			if p.claimFinalCancel(j, parts) {
+				go p.writeCancelled(ctx, j, parts) //nolint:errcheck // tried again
 			}
 		}
 	}
 }
 
-// beginCancelled tells whether the end of a withdrawn job is to be written now, by the
+// claimFinalCancel tells whether the end of a withdrawn job is to be written now, by the
 // caller. The lock is held.
-func (p *Server) beginCancelled(j *job, parts []PartitionLeadership) bool {
-	if j.finishing || p.clock.Now() < j.endAfter || !p.scheduler.CancellationConfirmed(j, parts) {
+func (p *Server) claimFinalCancel(j *job, parts []PartitionLeadership) bool {
+	if j.finalWriteInFlight || p.clock.Now() < j.finalWriteAfter || !p.scheduler.CancellationConfirmed(j, parts) {
 		return false
 	}
-	j.finishing = true
+	j.finalWriteInFlight = true
 	return true
 }
 
-// finishCancelled writes the end of a withdrawn job that is marked as finishing, on the
+// writeCancelled writes the end of a withdrawn job that is marked as finishing, on the
 // condition that no partition has changed hands.
-func (p *Server) finishCancelled(ctx context.Context, j *job, parts []PartitionLeadership) error {
+func (p *Server) writeCancelled(ctx context.Context, j *job, parts []PartitionLeadership) error {
 	var when []wire.Condition
 	p.mu.Lock()
-	if j.offered() {
+	if j.mayHaveBeenOffered() {
 		for _, c := range parts {
 			when = append(when, wire.Condition{Key: c.Key, ModRevision: c.ModRevision})
 		}
 	}
 	p.mu.Unlock()
-	err := p.finish(ctx, p.urgent, []*job{j}, wire.Cancelled, false, when)
+	err := p.writeFinalStates(ctx, p.priorityStore, []*job{j}, wire.Cancelled, false, when)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	j.finishing = false
+	j.finalWriteInFlight = false
 	if err != nil {
-		j.endAfter = p.clock.Now() + cancelGap
+		j.finalWriteAfter = p.clock.Now() + cancelRetryInterval
 	}
-	p.heard()
+	p.notifyUpdated()
 	return err
 }
 
-// partClaims gives the claims of all partitions as the replica shows them.
-func (p *Server) partClaims() []PartitionLeadership {
-	out := make([]PartitionLeadership, 0, len(p.parts))
-	for i, duty := range p.parts {
-		h, live := p.claims.Current(duty)
+// partitionLeaderships gives the claims of all partitions as the replica shows them.
+func (p *Server) partitionLeaderships() []PartitionLeadership {
+	out := make([]PartitionLeadership, 0, len(p.partitionDuties))
+	for i, duty := range p.partitionDuties {
+		h, live := p.elections.Current(duty)
 		c := PartitionLeadership{Partition: i, Key: kvstore.LeaderPrefix + duty, ModRevision: h.ModRevision, Term: h.Term}
 		if live {
 			c.Host = h.Leader
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -318,7 +318,7 @@
 // check holds the rules against what the workers really run.
 func (w *world) check(when string) {
 	for _, h := range w.hosts {
-		require.False(w.t, w.scheduler.owners[h.name].resync, "%s: what changed did not fit what was known", when)
+		require.False(w.t, w.scheduler.sessions[h.name].resync, "%s: what changed did not fit what was known", when)
 	}
 	on := map[string]string{}
 	cpus := 0.0
--- a/internal/scheduler/write_progress.go
+++ b/internal/scheduler/write_progress.go
@@ -23,7 +23,7 @@
 }
 
 // size is about how many bytes it takes of a transaction.
-func (w *progressWrite) size() int { return min(w.j.per, w.j.Tasks)/6 + 300 }
+func (w *progressWrite) size() int { return min(w.j.chunkTasks, w.j.Tasks)/6 + 300 }
 
 // writeProgress writes down which tasks are done, and then lets their machines forget them.
 func (p *Server) writeProgress(ctx context.Context) {
@@ -31,17 +31,17 @@
 	byTeam := map[*team][]progressWrite{}
 	for _, tm := range p.scheduler.teams {
 		for _, j := range tm.jobs {
-			if j.finishing || j.doneCount == j.Tasks {
+			if j.finalWriteInFlight || j.doneCount == j.Tasks {
 				continue // its end costs no more, and says all of it
 			}
-			for c := range j.dirty {
+			for c := range j.dirtyChunks {
 				byTeam[tm] = append(byTeam[tm], progressWrite{j: j, chunk: c})
 			}
-			if len(j.dirty) == 0 {
-				for id, e := range j.unsettled {
-					p.scheduler.settle(j, id, e)
+			if len(j.dirtyChunks) == 0 {
+				for id, e := range j.unacknowledged {
+					p.scheduler.acknowledge(j, id, e)
 				}
-				clear(j.unsettled)
+				clear(j.unacknowledged)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 					return
 				}
 			}
-			cond, err := p.mine(tm)
+			cond, err := p.teamCondition(tm)
 			if err != nil {
 				break
 			}
@@ -66,17 +66,17 @@
 			p.mu.Lock()
 			for i := range list[:n] {
 				w := &list[i]
-				at := chunkID{w.chunk, w.j.per}
+				at := chunkID{w.chunk, w.j.chunkTasks}
 				w.bits = w.j.chunk(w.chunk)
 				// Without the record's own stamp a late copy of an earlier write would take
 				// back what is written down and forgotten by the workers since.
 				m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + w.j.ID, ModRevision: w.j.ModRevision},
 					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: p.scheduler.progress[w.j.ID][at].stamp})
 				m.Operations = append(m.Operations, wire.Operation{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
-				delete(w.j.dirty, w.chunk)
+				delete(w.j.dirtyChunks, w.chunk)
 				w.ends = map[peer.TaskID]string{}
-				for id, e := range w.j.unsettled {
-					if id.N/w.j.per == w.chunk {
+				for id, e := range w.j.unacknowledged {
+					if id.N/w.j.chunkTasks == w.chunk {
 						w.ends[id] = e
 					}
 				}
@@ -86,15 +86,15 @@
 			p.mu.Lock()
 			for _, w := range list[:n] {
 				if err != nil {
-					w.j.dirty[w.chunk] = true
+					w.j.dirtyChunks[w.chunk] = true
 					continue
 				}
-				if p.active(w.j) {
-					p.scheduler.HandleProgressRecord(w.j.ID, chunkID{w.chunk, w.j.per}, w.bits, rev)
+				if p.isActive(w.j) {
+					p.scheduler.HandleProgressRecord(w.j.ID, chunkID{w.chunk, w.j.chunkTasks}, w.bits, rev)
 				}
 				for id, e := range w.ends {
-					delete(w.j.unsettled, id)
-					p.scheduler.settle(w.j, id, e)
+					delete(w.j.unacknowledged, id)
+					p.scheduler.acknowledge(w.j, id, e)
 				}
 			}
 			p.mu.Unlock()
@@ -105,5 +105,5 @@
 			list = list[n:]
 		}
 	}
-	poke(p.wake)
+	wake(p.wake)
 }
--- a/internal/scheduler/writes.go
+++ b/internal/scheduler/writes.go
@@ -20,14 +20,14 @@
 	for ctx.Err() == nil {
 		pause(ctx, watermarkGap)
 		p.mu.Lock()
-		list := p.scheduler.PlanWatermarks(p.clock.Now(), p.valueMost)
+		list := p.scheduler.PlanWatermarks(p.clock.Now(), p.maxRecordBytes)
 		p.mu.Unlock()
 		for _, w := range list {
-			h, ok := p.claims.Leading(Duty(w.Team))
+			h, ok := p.elections.Leading(Duty(w.Team))
 			if !ok {
 				continue
 			}
-			rev, err := p.urgent.Commit(ctx, wire.Txn{
+			rev, err := p.priorityStore.Commit(ctx, wire.Txn{
 				Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
 				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
@@ -37,7 +37,7 @@
 			p.mu.Lock()
 			p.scheduler.HandleWatermarkRecord(w.Key, w.Watermarks, rev)
 			p.mu.Unlock()
-			poke(p.wake)
+			wake(p.wake)
 		}
 	}
 	return nil
@@ -55,48 +55,48 @@
 		case <-tick.C:
 		case <-p.writes:
 		}
-		p.startEnds(ctx)
-		p.startCancels(ctx)
-		if now := p.clock.Now(); now >= last+p.progress {
+		p.startFinalWrites(ctx)
+		p.resumeCancellations(ctx)
+		if now := p.clock.Now(); now >= last+p.progressInterval {
 			last = now
 			p.writeProgress(ctx)
 		}
 	}
 }
 
-var errLost = errors.New("the team is held no more")
+var errTeamLost = errors.New("the team is held no more")
 
-// mine gives the condition that a team is still held under a term.
-func (p *Server) mine(t *team) (wire.Condition, error) {
-	h, ok := p.claims.Leading(Duty(t.Name))
+// teamCondition gives the condition that a team is still held under a term.
+func (p *Server) teamCondition(t *team) (wire.Condition, error) {
+	h, ok := p.elections.Leading(Duty(t.Name))
 	if !ok || h.Term != t.term {
-		return wire.Condition{}, errLost
+		return wire.Condition{}, errTeamLost
 	}
 	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: h.ModRevision}, nil
 }
 
-// endsAtOnce is how many transactions with ends of one team's jobs are under way
+// maxFinalWritesInFlight is how many transactions with ends of one team's jobs are under way
 // at a time: the budget goes round among the teams, whatever one of them has.
-const endsAtOnce = 3
+const maxFinalWritesInFlight = 3
 
-// mostEnds bounds the changes of a transaction with ends: those who wait for the
+// maxFinalWriteOperations bounds the changes of a transaction with ends: those who wait for the
 // budget wait for one another.
-const mostEnds = 12
+const maxFinalWriteOperations = 12
 
-// startEnds has the ends of jobs written that are due, as many to a transaction
+// startFinalWrites has the ends of jobs written that are due, as many to a transaction
 // as it takes. A job keeps being answered for until its end is about to be sent.
-func (p *Server) startEnds(ctx context.Context) {
+func (p *Server) startFinalWrites(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	most := min(p.txnOps, mostEnds)
+	most := min(p.txnOps, maxFinalWriteOperations)
 	for _, tm := range p.scheduler.teams {
 		ready := p.scheduler.CompletedJobs(tm)
 		// Where many wait for the budget, each end costs one change instead of two.
 		brief := most < 2 || len(ready) > most/2
-		for len(ready) > 0 && tm.ending < endsAtOnce {
+		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
 			n, ops := 0, 0
 			for n < len(ready) {
-				if ops += p.changes(ready[n], brief); n > 0 && ops > most {
+				if ops += p.finalStateOperations(ready[n], brief); n > 0 && ops > most {
 					break
 				}
 				n++
@@ -104,24 +104,24 @@
 			batch := ready[:n]
 			ready = ready[n:]
 			for _, j := range batch {
-				j.finishing = true
+				j.finalWriteInFlight = true
 			}
-			tm.ending++
+			tm.finalWritesInFlight++
 			go func() {
-				defer poke(p.writes)
-				if err := p.finish(ctx, p.store, batch, wire.Done, brief, nil); err != nil {
+				defer wake(p.writes)
+				if err := p.writeFinalStates(ctx, p.store, batch, wire.Done, brief, nil); err != nil {
 					p.log.Debug("ends of jobs", "team", tm.Name, "err", err)
 				}
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				tm.ending--
+				tm.finalWritesInFlight--
 			}()
 		}
 	}
 }
 
-// changes is how many changes the end of a job takes. The lock is held.
-func (p *Server) changes(j *job, brief bool) int {
+// finalStateOperations is how many finalStateOperations the end of a job takes. The lock is held.
+func (p *Server) finalStateOperations(j *job, brief bool) int {
 	n := 2 + len(p.scheduler.progress[j.ID])
 	if brief {
 		n--
@@ -129,44 +129,44 @@
 	return n
 }
 
-var errChanged = errors.New("some of the jobs are over already")
+var errJobsChanged = errors.New("some of the jobs are over already")
 
-// finish writes the final states of jobs of one team, on the condition that the
+// writeFinalStates writes the final states of jobs of one team, on the condition that the
 // team is held, that each job's record is as it was accepted, and of what else is
 // given. While one may have
 // been written without this process knowing, that job's user is told nothing
 // from here. That begins only when the transaction is about to be sent: with
 // hundreds of ends a minute most of the time is spent waiting for the budget,
 // and jobs of which nothing is told for so long count as forgotten.
-func (p *Server) finish(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
+func (p *Server) writeFinalStates(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
 	tm := batch[0].team
 	for try := 0; ctx.Err() == nil; try++ {
 		p.mu.Lock()
-		batch = slices.DeleteFunc(batch, func(j *job) bool { return !p.active(j) })
-		m, rest := p.endsOf(batch, phase, brief)
+		batch = slices.DeleteFunc(batch, func(j *job) bool { return !p.isActive(j) })
+		m, rest := p.finalStateTxn(batch, phase, brief)
 		m.Conditions = append(m.Conditions, when...)
 		p.mu.Unlock()
 		if len(batch) == 0 {
 			return nil
 		}
 		_, err := store.CommitWithCheck(ctx, m, func() error {
-			if _, err := p.mine(tm); err != nil {
+			if _, err := p.teamCondition(tm); err != nil {
 				return err
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			for _, j := range batch {
-				if !p.active(j) {
-					return errChanged
+				if !p.isActive(j) {
+					return errJobsChanged
 				}
 			}
 			for _, j := range batch {
-				j.uncertain = true
+				j.finalStateUncertain = true
 			}
 			return nil
 		})
 		if err == nil {
-			p.over(batch, phase)
+			p.markFinished(batch, phase)
 			for some := range slices.Chunk(rest, p.txnOps) {
 				if _, err := p.store.Commit(ctx, wire.Txn{Conditions: m.Conditions[:1], Operations: some}); err != nil {
 					p.log.Info("dropping progress", "team", tm.Name, "err", err)
@@ -174,7 +174,7 @@
 			}
 			return nil
 		}
-		if errors.Is(err, errLost) {
+		if errors.Is(err, errTeamLost) {
 			return err
 		}
 		if try%32 == 0 { // once in a while: an outage lasts many tries
@@ -184,10 +184,10 @@
 		refused := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
 		p.mu.Lock()
 		for _, j := range batch {
-			j.unanswered = j.unanswered || !refused
-			j.uncertain = j.unanswered
+			j.finalWriteUnanswered = j.finalWriteUnanswered || !refused
+			j.finalStateUncertain = j.finalWriteUnanswered
 		}
-		unknown := batch[0].unanswered
+		unknown := batch[0].finalWriteUnanswered
 		p.mu.Unlock()
 		if phase == wire.Cancelled && (!unknown || try >= 2) {
 			return err // its user asks again
@@ -196,7 +196,7 @@
 			// One of them is over already, by an earlier try that had no answer:
 			// it must not keep the others from their end.
 			for _, j := range batch {
-				if err := p.finish(ctx, store, []*job{j}, phase, brief, when); err != nil {
+				if err := p.writeFinalStates(ctx, store, []*job{j}, phase, brief, when); err != nil {
 					return err
 				}
 			}
@@ -207,19 +207,19 @@
 	return ctx.Err()
 }
 
-// active tells that a job is still this placer's to end. The lock is held.
-func (p *Server) active(j *job) bool {
+// isActive tells that a job is still this placer's to end. The lock is held.
+func (p *Server) isActive(j *job) bool {
 	return j.team.jobs[j.ID] == j && p.scheduler.teams[j.team.Name] == j.team
 }
 
-// endsOf makes the transaction that ends jobs of one team, its first condition
+// finalStateTxn makes the transaction that ends jobs of one team, its first condition
 // being the team's claim; rest are drops of progress that it has no room for. The lock is held.
-func (p *Server) endsOf(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
+func (p *Server) finalStateTxn(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
 	if len(batch) == 0 {
 		return m, nil
 	}
 	tm := batch[0].team
-	m.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.stamp}}
+	m.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.modRevision}}
 	for _, j := range batch {
 		m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
 		if brief || p.txnOps < 2 {
@@ -243,14 +243,14 @@
 	return m, rest
 }
 
-// over takes note that jobs' ends are written.
-func (p *Server) over(batch []*job, phase string) {
+// markFinished takes note that jobs' ends are written.
+func (p *Server) markFinished(batch []*job, phase string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range batch {
-		p.book.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
+		p.jobs.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
 		p.scheduler.DropJob(j.ID)
 		p.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
-			"after_s", (p.clock.Now() - j.since).Seconds(), "last_start_s", (j.lastStart - j.since).Seconds(), "again", j.again)
+			"after_s", (p.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(), "again", j.retries)
 	}
 }
--- a/internal/scheduler/writes_test.go
+++ b/internal/scheduler/writes_test.go
@@ -104,7 +104,7 @@
 			require.Zero(t, retries, "nothing is being sent at this moment")
 			require.Less(t, time.Since(began), 60*time.Second)
 		}
-		require.LessOrEqual(t, st.changes, many+mostEnds, "one change for each")
+		require.LessOrEqual(t, st.changes, many+maxFinalWriteOperations, "one change for each")
 	})
 }
 
@@ -125,7 +125,7 @@
 			p.writeProgress(ctx)
 		}
 		require.Zero(t, st.Release(), "the late copy must change nothing")
-		it, ok, err := st.Get(ctx, progressKey(j.ID, chunkID{0, j.per}))
+		it, ok, err := st.Get(ctx, progressKey(j.ID, chunkID{0, j.chunkTasks}))
 		require.NoError(t, err)
 		require.True(t, ok)
 		require.JSONEq(t, `"Bw=="`, string(it.Value), "three tasks are done")
@@ -141,7 +141,7 @@
 		j := w.accept("job-000001", 8)
 		for _, most := range []int{1, 2, 3, 12, 100} {
 			w.txnOps = most
-			m, _ := w.endsOf([]*job{j}, wire.Cancelled, false)
+			m, _ := w.finalStateTxn([]*job{j}, wire.Cancelled, false)
 			require.LessOrEqual(t, len(m.Conditions)+MaxPartitions(most), 4*most)
 			require.LessOrEqual(t, len(m.Operations), max(most, 1))
 			require.Positive(t, MaxPartitions(most))
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -29,8 +29,8 @@
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
-// returns tells that work returns to a machine's zone and has not come to a job's stage yet.
-func (j *job) returns(m *mirror, zones map[string]*recovery.Gate, now clock.Micros) bool {
+// awaitsZoneStage tells that work awaitsZoneStage to a machine's zone and has not come to a job's stage yet.
+func (j *job) awaitsZoneStage(m *machineState, zones map[string]*recovery.Gate, now clock.Micros) bool {
 	g := zones[m.Zone]
 	return g != nil && j.stage > g.Stage(now)
 }
@@ -44,7 +44,7 @@
 		e := out[m.Zone]
 		e.Machines++
 		switch {
-		case m.Silent || m.Overdue || !d.owned(m):
+		case m.Silent || m.Overdue || !d.isCurrent(m):
 			if !strangers[m.ID] {
 				e.Unheard++
 			}
@@ -61,7 +61,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.SetZoneState(name, r, p.clock.Now())
-	poke(p.wake)
+	wake(p.wake)
 }
 
 // ZoneEvidence counts for each zone what is known of its machines.
