--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -43,18 +43,18 @@
 // Handler answers users.
 type Handler struct {
 	store   Store
-	placers Schedulers
-	others  Peers
-	book    *jobs.Cache
+	schedulers Schedulers
+	peers  Peers
+	jobs    *jobs.Cache
 	limits  map[string]resources.Amounts
-	hasty   map[string]clock.Micros // classes whose tasks should start within so long
-	most    int                     // bytes of a record
-	wall    func() time.Time
+	startWithin   map[string]clock.Micros // classes whose tasks should start within so long
+	maxRecordBytes    int                     // bytes of a record
+	wallClock    func() time.Time
 	log     *slog.Logger
 
 	mu    sync.Mutex
-	types []wire.MachineType
-	out   time.Time // until then the state service is taken to be out
+	machineTypes []wire.MachineType
+	storeRetryAt   time.Time // until then the state service is taken to be out
 }
 
 // Options of a handler.
@@ -72,25 +72,25 @@
 
 // New makes a handler, which accepts no job before it knows the machine types.
 func New(o Options) *Handler {
-	return &Handler{store: o.Store, placers: o.Schedulers, others: o.Peers, book: o.Jobs, limits: o.Limits,
-		hasty: o.StartWithin, most: o.MaxRecordBytes, wall: o.WallClock, log: o.Log}
+	return &Handler{store: o.Store, schedulers: o.Schedulers, peers: o.Peers, jobs: o.Jobs, limits: o.Limits,
+		startWithin: o.StartWithin, maxRecordBytes: o.MaxRecordBytes, wallClock: o.WallClock, log: o.Log}
 }
 
 // SetTypes tells the machine types.
 func (f *Handler) SetTypes(types []wire.MachineType) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.types = types
+	f.machineTypes = types
 }
 
 // KnowsMachineTypes tells whether the machine types are known.
 func (f *Handler) KnowsMachineTypes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.types) > 0
+	return len(f.machineTypes) > 0
 }
 
-func refuse(status int, text string) httpx.Response {
+func reject(status int, text string) httpx.Response {
 	r := httpx.JSON(status, wire.Error{Error: text})
 	if status == 503 {
 		r.RetryAfter = 1
@@ -102,7 +102,7 @@
 func (f *Handler) Handle(ctx context.Context, r *httpx.Request, rest string) httpx.Response {
 	if rest == "" {
 		if r.Method != "POST" {
-			return refuse(405, "method not allowed")
+			return reject(405, "method not allowed")
 		}
 		return f.submit(ctx, r.Body)
 	}
@@ -110,22 +110,22 @@
 	switch {
 	case !sub && r.Method == "GET":
 		if !wire.ValidJobID(id) {
-			return refuse(404, "no such job")
+			return reject(404, "no such job")
 		}
-		return f.get(ctx, id)
+		return f.jobState(ctx, id)
 	case sub && verb == "withdraw" && r.Method == "POST":
 		if !wire.ValidJobID(id) {
-			return refuse(404, "no such job")
+			return reject(404, "no such job")
 		}
-		return f.withdraw(ctx, id)
+		return f.cancelJob(ctx, id)
 	case !sub || verb == "withdraw":
-		return refuse(405, "method not allowed")
+		return reject(405, "method not allowed")
 	}
-	return refuse(404, "no such path")
+	return reject(404, "no such path")
 }
 
-// canRun tells why a job can never run; "" when it can.
-func (f *Handler) canRun(j *jobs.Job) string {
+// neverRunnable tells why a job can never run; "" when it can.
+func (f *Handler) neverRunnable(j *jobs.Job) string {
 	limit, ok := f.limits[j.Team]
 	if !ok {
 		return "unknown team"
@@ -135,7 +135,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.types {
+	for _, t := range f.machineTypes {
 		if !j.Need.Fits(resources.Capacity(t.CPUs, t.GPUs, t.MemGB)) {
 			continue
 		}
@@ -154,22 +154,22 @@
 	return "a task fits no allowed machine type"
 }
 
-// fewTasks is up to how many tasks a job is marked as a whole with its acceptance.
-const fewTasks = 4
+// maxWatermarkedTasks is up to how many tasks a job is marked as a whole with its acceptance.
+const maxWatermarkedTasks = 4
 
 // submit accepts a job, or has another controller do so when this one alone
 // can't reach the state service: its users need not be sent away.
 func (f *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
-	began := f.wall()
-	defer func() { f.log.Debug("answered a submission", "status", r.Status, "after", f.wall().Sub(began)) }()
-	if f.others.StoreUnreachable() {
-		if o, ok := f.others.Submit(body); ok && o.Status != 503 {
+	began := f.wallClock()
+	defer func() { f.log.Debug("answered a submission", "status", r.Status, "after", f.wallClock().Sub(began)) }()
+	if f.peers.StoreUnreachable() {
+		if o, ok := f.peers.Submit(body); ok && o.Status != 503 {
 			return o
 		}
 		return f.AcceptJob(ctx, body)
 	}
 	if r = f.AcceptJob(ctx, body); r.Status == 503 {
-		if o, ok := f.others.Submit(body); ok {
+		if o, ok := f.peers.Submit(body); ok {
 			return o
 		}
 	}
@@ -180,30 +180,30 @@
 func (f *Handler) AcceptJob(ctx context.Context, body []byte) httpx.Response {
 	spec, err := wire.ParseJob(body)
 	if err != nil {
-		return refuse(400, err.Error())
+		return reject(400, err.Error())
 	}
-	if s, ok := f.book.Final(spec.ID); ok {
+	if s, ok := f.jobs.Final(spec.ID); ok {
 		return httpx.JSON(200, s.State(spec.ID))
 	}
-	if _, ok := f.book.Active(spec.ID); ok {
-		return f.get(ctx, spec.ID)
+	if _, ok := f.jobs.Active(spec.ID); ok {
+		return f.jobState(ctx, spec.ID)
 	}
 	if !f.KnowsMachineTypes() {
-		return refuse(503, "the machine types are not known yet")
+		return reject(503, "the machine types are not known yet")
 	}
-	rec := jobs.Record{Job: spec, AcceptedMS: f.wall().UnixMilli()}
+	rec := jobs.Record{Job: spec, AcceptedMS: f.wallClock().UnixMilli()}
 	// Some begin at once: a watermark would only be one more write to wait for. And of a
 	// swarm of small jobs each would cost as much as a large one.
-	_, hasty := f.hasty[spec.Class]
-	rec.Watermarked = hasty || spec.Tasks <= fewTasks
-	if b, err := json.Marshal(rec); err != nil || len(b) > f.most {
-		return refuse(400, "the job takes more than a record can hold")
+	_, hasty := f.startWithin[spec.Class]
+	rec.Watermarked = hasty || spec.Tasks <= maxWatermarkedTasks
+	if b, err := json.Marshal(rec); err != nil || len(b) > f.maxRecordBytes {
+		return reject(400, "the job takes more than a record can hold")
 	}
-	if why := f.canRun(jobs.New(rec, 0)); why != "" {
-		return refuse(422, why)
+	if why := f.neverRunnable(jobs.New(rec, 0)); why != "" {
+		return reject(422, why)
 	}
-	if f.isOut() {
-		return refuse(503, "the job can't be stored now")
+	if f.storeRefusing() {
+		return reject(503, "the job can't be stored now")
 	}
 	_, err = f.store.Commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: kvstore.ActiveJobPrefix + spec.ID}, {Key: kvstore.FinalJobPrefix + spec.ID}},
@@ -212,53 +212,53 @@
 	case err == nil:
 		return httpx.JSON(201, map[string]string{"id": spec.ID, "phase": wire.Pending})
 	case errors.Is(err, kvstore.ErrConflict):
-		return f.get(ctx, spec.ID) // known already
+		return f.jobState(ctx, spec.ID) // known already
 	}
 	if errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrBudgetExhausted) {
-		f.setOut()
+		f.noteStoreRefusal()
 	}
 	f.log.Debug("accepting a job", "job", spec.ID, "err", err)
-	return refuse(503, "the job can't be stored now")
+	return reject(503, "the job can't be stored now")
 }
 
-// outFor is how long nothing is tried after the state service has refused a job:
+// storeRefusalBackoff is how long nothing is tried after the state service has refused a job:
 // in an outage users come again and again, and each try costs a part of the
 // budget that those who come when it is over need.
-const outFor = 250 * time.Millisecond
+const storeRefusalBackoff = 250 * time.Millisecond
 
-func (f *Handler) isOut() bool {
+func (f *Handler) storeRefusing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wall().Before(f.out)
+	return f.wallClock().Before(f.storeRetryAt)
 }
 
-func (f *Handler) setOut() {
+func (f *Handler) noteStoreRefusal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.out = f.wall().Add(outFor)
+	f.storeRetryAt = f.wallClock().Add(storeRefusalBackoff)
 }
 
-// get tells a job's state.
-func (f *Handler) get(ctx context.Context, id string) httpx.Response {
-	if s, ok := f.book.Final(id); ok {
+// jobState tells a job's state.
+func (f *Handler) jobState(ctx context.Context, id string) httpx.Response {
+	if s, ok := f.jobs.Final(id); ok {
 		return httpx.JSON(200, s.State(id))
 	}
-	if j, ok := f.book.Active(id); ok {
-		a, err := f.placers.Status(ctx, peer.JobRequest{Team: j.Team, ID: id})
+	if j, ok := f.jobs.Active(id); ok {
+		a, err := f.schedulers.Status(ctx, peer.JobRequest{Team: j.Team, ID: id})
 		if err == nil && a.Known && a.Found {
 			if a.Retry {
-				return refuse(503, "the job's end is being written")
+				return reject(503, "the job's end is being written")
 			}
 			return httpx.JSON(200, a.State)
 		}
 	}
-	return f.read(ctx, id)
+	return f.storedState(ctx, id)
 }
 
-// look reads a job's record from the state service: its final state, or its
+// lookUpStored reads a job's record from the state service: its final state, or its
 // active record. The active one is read first: when it is gone because the job
 // became final, the final one is there.
-func (f *Handler) look(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
+func (f *Handler) lookUpStored(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
 	it, found, err := f.store.Get(ctx, kvstore.ActiveJobPrefix+id)
 	if err != nil {
 		return nil, nil, err
@@ -269,7 +269,7 @@
 			return nil, nil, err
 		}
 		if end, over := rec.End(); over {
-			f.book.AddFinal(id, end)
+			f.jobs.AddFinal(id, end)
 			return &end, nil, nil
 		}
 		return nil, &rec, nil
@@ -282,48 +282,48 @@
 	if err := json.Unmarshal(it.Value, &s); err != nil {
 		return nil, nil, err
 	}
-	f.book.AddFinal(id, s)
+	f.jobs.AddFinal(id, s)
 	return &s, nil, nil
 }
 
-// read answers from the state service: a job whose active record was there at
-// the time of the read was not final then, so nobody had been told its end.
-func (f *Handler) read(ctx context.Context, id string) httpx.Response {
-	final, active, err := f.look(ctx, id)
+// storedState answers from the state service: a job whose active record was there at
+// the time of the storedState was not final then, so nobody had been told its end.
+func (f *Handler) storedState(ctx context.Context, id string) httpx.Response {
+	final, active, err := f.lookUpStored(ctx, id)
 	switch {
 	case err != nil:
-		return refuse(503, "the job's state can't be read now")
+		return reject(503, "the job's state can't be read now")
 	case final != nil:
 		return httpx.JSON(200, final.State(id))
 	case active != nil:
 		return httpx.JSON(200, wire.JobState{ID: id, Phase: wire.Pending})
 	}
-	return refuse(404, "no such job")
+	return reject(404, "no such job")
 }
 
-// withdraw ends a job.
-func (f *Handler) withdraw(ctx context.Context, id string) httpx.Response {
-	if s, ok := f.book.Final(id); ok {
+// cancelJob ends a job.
+func (f *Handler) cancelJob(ctx context.Context, id string) httpx.Response {
+	if s, ok := f.jobs.Final(id); ok {
 		return httpx.JSON(200, map[string]string{"id": id, "phase": s.Phase})
 	}
 	team := ""
-	if j, ok := f.book.Active(id); ok {
+	if j, ok := f.jobs.Active(id); ok {
 		team = j.Team
 	} else {
-		final, active, err := f.look(ctx, id)
+		final, active, err := f.lookUpStored(ctx, id)
 		switch {
 		case err != nil:
-			return refuse(503, "the job's state can't be read now")
+			return reject(503, "the job's state can't be read now")
 		case final != nil:
 			return httpx.JSON(200, map[string]string{"id": id, "phase": final.Phase})
 		case active == nil:
-			return refuse(404, "no such job")
+			return reject(404, "no such job")
 		}
 		team = active.Team
 	}
-	a, err := f.placers.Cancel(ctx, peer.JobRequest{Team: team, ID: id})
+	a, err := f.schedulers.Cancel(ctx, peer.JobRequest{Team: team, ID: id})
 	if err != nil || !a.Known || !a.Found || a.Retry {
-		return refuse(503, "the job is not cancelled yet, ask again")
+		return reject(503, "the job is not cancelled yet, ask again")
 	}
 	return httpx.JSON(200, map[string]string{"id": id, "phase": a.State.Phase})
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -38,9 +38,9 @@
 	return out
 }
 
-// ask calls a method of all controllers, side by side, and gives the answers in the
+// callAll calls a method of all controllers, side by side, and gives the answers in the
 // controllers' order with the names of those that gave none.
-func ask[Out any](controllers []Controller, method string, in any) (answers []Out, missing []string, err error) {
+func callAll[Out any](controllers []Controller, method string, in any) (answers []Out, missing []string, err error) {
 	type reply struct {
 		out Out
 		err error
--- a/internal/console/history.go
+++ b/internal/console/history.go
@@ -20,7 +20,7 @@
 	var missing []string
 	reached := 0
 	for _, c := range controllers {
-		own, lost, err := historyOf(c)
+		own, lost, err := fetchHistory(c)
 		if err != nil {
 			missing = append(missing, c.Host)
 			continue
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// historyOf reads a controller's history, page by page.
-func historyOf(c Controller) (events []history.Event, lost uint64, err error) {
+// fetchHistory reads a controller's history, page by page.
+func fetchHistory(c Controller) (events []history.Event, lost uint64, err error) {
 	for in := (peer.HistoryRequest{Most: historyPage}); ; {
 		var p history.Page
 		if err := c.Call("History", in, &p, callTimeout); err != nil {
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -17,7 +17,7 @@
 // teamRow is what is told of one team.
 type teamRow struct {
 	status peer.TeamStatus
-	placer string  // empty where no controller that was reached places the team
+	scheduler string  // empty where no controller that was reached places the team
 	share  float64 // CPUs of the machines whose owners were reached
 	taken  float64
 	weight float64
@@ -32,11 +32,11 @@
 	if team != "" && rows[team] == nil {
 		return UnknownError{"team", team}
 	}
-	answers, missing, err := ask[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
+	answers, missing, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return err
 	}
-	capacity, shared, yielded := gather(rows, answers)
+	capacity, shared, yielded := mergeTeams(rows, answers)
 	var list []*teamRow
 	for name, r := range rows {
 		if team == "" || team == name {
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// gather joins the controllers' answers: a team's numbers are its placer's of the latest term,
+// mergeTeams joins the controllers' answers: a team's numbers are its placer's of the latest term,
 // its shares are summed over the owners.
-func gather(rows map[string]*teamRow, answers []peer.TeamsResponse) (capacity float64, shared bool, yielded uint64) {
+func mergeTeams(rows map[string]*teamRow, answers []peer.TeamsResponse) (capacity float64, shared bool, yielded uint64) {
 	for i := range answers {
 		a := &answers[i]
 		for _, s := range a.Teams {
-			if r := rows[s.Team]; r != nil && (r.placer == "" || s.Term > r.status.Term) {
-				r.status, r.placer = s, a.Host
+			if r := rows[s.Team]; r != nil && (r.scheduler == "" || s.Term > r.status.Term) {
+				r.status, r.scheduler = s, a.Host
 			}
 		}
 		own := a.Capacity.CPUs()
@@ -93,12 +93,12 @@
 	fmt.Fprintln(w)
 	for _, r := range list {
 		s := &r.status
-		placer := r.placer
+		placer := r.scheduler
 		if placer == "" {
 			placer = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d\t%s\t%s", s.Team, placer, s.Used.CPUs(), amount(s.Guarantee), amount(s.Limit),
-			s.Jobs, s.Running, s.Waiting, quantiles(s.Waits), quantiles(s.Lateness))
+		fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d\t%s\t%s", s.Team, placer, s.Used.CPUs(), formatCPUs(s.Guarantee), formatCPUs(s.Limit),
+			s.Jobs, s.Running, s.Waiting, formatQuantiles(s.Waits), formatQuantiles(s.Lateness))
 		if shared {
 			fmt.Fprintf(w, "\t%g\t%.1f\t%.1f", r.weight, r.share, r.taken)
 		}
@@ -121,15 +121,15 @@
 	w.Flush()
 }
 
-// amount writes an amount of CPUs of which 0 means none.
-func amount(a resources.Amounts) string {
+// formatCPUs writes an formatCPUs of CPUs of which 0 means none.
+func formatCPUs(a resources.Amounts) string {
 	if a.CPU == 0 {
 		return "none"
 	}
 	return fmt.Sprintf("%.1f", a.CPUs())
 }
 
-func quantiles(q telemetry.Quantiles) string {
+func formatQuantiles(q telemetry.Quantiles) string {
 	if q.Count == 0 {
 		return "-"
 	}
@@ -139,7 +139,7 @@
 // SchedulerOf names the controller that places a team under the latest term, empty where none
 // that is reached does.
 func SchedulerOf(controllers []Controller, team string) (host string) {
-	answers, _, err := ask[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
+	answers, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return ""
 	}
--- a/internal/console/teams_test.go
+++ b/internal/console/teams_test.go
@@ -14,7 +14,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-func controller(host string, a *peer.TeamsResponse) Controller {
+func teamsStub(host string, a *peer.TeamsResponse) Controller {
 	return Controller{host, func(method string, _, out any, _ time.Duration) error {
 		if a == nil || method != "Teams" {
 			return peer.ErrUnavailable
@@ -41,7 +41,7 @@
 		Teams:     []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}},
 		Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.5, Taken: 0.04}}}
 	var out bytes.Buffer
-	require.NoError(t, Teams(&out, twoTeams(), []Controller{controller("a", a), controller("b", b), controller("c", nil)}, ""))
+	require.NoError(t, Teams(&out, twoTeams(), []Controller{teamsStub("a", a), teamsStub("b", b), teamsStub("c", nil)}, ""))
 	require.Equal(t, `TEAM  PLACER  CPUS  GUARANTEE  LIMIT  JOBS  RUNNING  WAITING  WAIT p50/p95/p99  LATE p50/p95/p99  WEIGHT  SHARE  TAKEN
 blue  -       0.0   none       none   0     0        0        -                 -                 1       75.0   50.0
 red   a       12.0  none       40.0   2     6        9        1.5/2.0/2.1 s     -                 2       50.0   12.0
@@ -52,10 +52,10 @@
 
 func TestTeamsPlainly(t *testing.T) {
 	var out bytes.Buffer
-	require.ErrorIs(t, Teams(&out, twoTeams(), []Controller{controller("a", nil)}, ""), ErrUnreachable)
+	require.ErrorIs(t, Teams(&out, twoTeams(), []Controller{teamsStub("a", nil)}, ""), ErrUnreachable)
 	require.ErrorContains(t, Teams(&out, twoTeams(), nil, "green"), `there is no team "green"`)
 	require.Empty(t, out.String())
-	require.NoError(t, Teams(&out, twoTeams(), []Controller{controller("a", &peer.TeamsResponse{Host: "a"})}, "red"))
+	require.NoError(t, Teams(&out, twoTeams(), []Controller{teamsStub("a", &peer.TeamsResponse{Host: "a"})}, "red"))
 	require.Contains(t, out.String(), "fair shares are off")
 	require.NotContains(t, out.String(), "blue")
 }
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -19,7 +19,7 @@
 // Zones writes how the zones stand, as the fleet's holder sees them, or the first controller
 // that answers where the holder doesn't.
 func Zones(out io.Writer, controllers []Controller) error {
-	answers, missing, err := ask[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
+	answers, missing, err := callAll[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 		if z.AtMS > 0 {
 			since = time.UnixMilli(z.AtMS).UTC().Format(time.RFC3339)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", z.Zone, z.State, stage, z.Machines, z.Unheard, z.Unsettled, waitingOf(answers, z.Zone), since, z.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", z.Zone, z.State, stage, z.Machines, z.Unheard, z.Unsettled, waitingTasks(answers, z.Zone), since, z.Why)
 	}
 	w.Flush()
 	switch {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// waitingOf sums what waits for a later stage over the placers.
-func waitingOf(answers []peer.ZonesResponse, zone string) (n int) {
+// waitingTasks sums what waits for a later stage over the placers.
+func waitingTasks(answers []peer.ZonesResponse, zone string) (n int) {
 	for _, a := range answers {
 		for _, z := range a.Zones {
 			if z.Zone == zone {
@@ -75,7 +75,7 @@
 	if !slices.Contains(set.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
 	}
-	answers, _, err := ask[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
+	answers, _, err := callAll[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
 	if err != nil {
 		return err
 	}
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -26,45 +26,45 @@
 	AtMS int64 `json:"w,omitempty"`
 }
 
-// cost is at most how many bytes a machine's record takes of its group's value.
-func (r Record) cost(id string) int { return len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + 66 }
+// maxBytes is at most how many bytes a machine's record takes of its group's value.
+func (r Record) maxBytes(id string) int { return len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + 66 }
 
 // Group is the value of one key.
 type Group map[string]Record
 
-type group struct {
+type storedGroup struct {
 	machines Group
-	stamp    uint64 // of its last change
+	modRevision    uint64 // of its last change
 }
 
-// condition is the stamp that the key has: a key without machines is not there.
-func (g group) condition() uint64 {
+// conditionRevision is the stamp that the key has: a key without machines is not there.
+func (g storedGroup) conditionRevision() uint64 {
 	if len(g.machines) == 0 {
 		return 0
 	}
-	return g.stamp
+	return g.modRevision
 }
 
 // Records knows the groups as the state service last showed them, or as their
 // writer knows them to be.
 type Records struct {
-	groups map[string]group
-	at     map[string]string // the key that a machine is recorded under
+	groups map[string]storedGroup
+	keyOf     map[string]string // the key that a machine is recorded under
 }
 
 // NewRecords makes an empty book.
-func NewRecords() *Records { return &Records{groups: map[string]group{}, at: map[string]string{}} }
+func NewRecords() *Records { return &Records{groups: map[string]storedGroup{}, keyOf: map[string]string{}} }
 
 // Apply takes one event of the replica and tells which machines came and went.
 // Older words than the newest known change nothing.
 func (b *Records) Apply(e kvstore.Event) (came Group, went []string) {
-	if !strings.HasPrefix(e.Key, kvstore.MachinePrefix) || e.ModRevision < b.groups[e.Key].stamp {
+	if !strings.HasPrefix(e.Key, kvstore.MachinePrefix) || e.ModRevision < b.groups[e.Key].modRevision {
 		return nil, nil
 	}
 	g := Group{}
 	if e.Value != nil && json.Unmarshal(e.Value, &g) != nil {
-		var r earlier
-		if !legacyKey(e.Key) || json.Unmarshal(e.Value, &r) != nil || r.Type == "" {
+		var r legacyRecord
+		if !isLegacyKey(e.Key) || json.Unmarshal(e.Value, &r) != nil || r.Type == "" {
 			return nil, nil // not understood: what was known stays
 		}
 		g = Group{strings.TrimPrefix(e.Key, kvstore.MachinePrefix): {Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
@@ -72,17 +72,17 @@
 	return b.Put(e.Key, g, e.ModRevision)
 }
 
-// earlier is the record of the release before machines shared keys: one to a
+// legacyRecord is the record of the release before machines shared keys: one to a
 // key, under the machine's own name. It stays there until its machine is gone.
-type earlier struct {
+type legacyRecord struct {
 	Addr string `json:"addr"`
 	Type string `json:"type"`
 	Zone string `json:"zone"`
 	Spot bool   `json:"spot"`
 }
 
-// legacyKey tells a key of that release from one of a partition's groups.
-func legacyKey(key string) bool {
+// isLegacyKey tells a key of that release from one of a partition's groups.
+func isLegacyKey(key string) bool {
 	return !strings.Contains(strings.TrimPrefix(key, kvstore.MachinePrefix), "/")
 }
 
@@ -90,7 +90,7 @@
 // tasks may be on them of which its placers left no watermark.
 func (b *Records) HasLegacy() bool {
 	for key, g := range b.groups {
-		if legacyKey(key) && len(g.machines) > 0 {
+		if isLegacyKey(key) && len(g.machines) > 0 {
 			return true
 		}
 	}
@@ -102,28 +102,28 @@
 	old := b.groups[key].machines
 	for id := range old {
 		// A machine may have moved to another key in the same transaction.
-		if _, still := g[id]; !still && b.at[id] == key {
-			delete(b.at, id)
+		if _, still := g[id]; !still && b.keyOf[id] == key {
+			delete(b.keyOf, id)
 			went = append(went, id)
 		}
 	}
 	for id, r := range g {
-		if had, ok := old[id]; !ok || had != r || b.at[id] != key {
+		if had, ok := old[id]; !ok || had != r || b.keyOf[id] != key {
 			if came == nil {
 				came = Group{}
 			}
 			came[id] = r
 		}
-		b.at[id] = key
+		b.keyOf[id] = key
 	}
-	b.groups[key] = group{g, stamp}
+	b.groups[key] = storedGroup{g, stamp}
 	slices.Sort(went)
 	return came, went
 }
 
 // Find gives a machine's record.
 func (b *Records) Find(id string) (Record, bool) {
-	key, ok := b.at[id]
+	key, ok := b.keyOf[id]
 	if !ok {
 		return Record{}, false
 	}
@@ -132,7 +132,7 @@
 
 // Each visits all machines that are recorded.
 func (b *Records) Each(visit func(id string, r Record)) {
-	for id, key := range b.at {
+	for id, key := range b.keyOf {
 		visit(id, b.groups[key].machines[id])
 	}
 }
@@ -158,13 +158,13 @@
 // Size is about how many bytes the write takes of a transaction.
 func (w Write) Size() (n int) {
 	for id, r := range w.Group {
-		n += r.cost(id)
+		n += r.maxBytes(id)
 	}
 	return n
 }
 
-// perGroup bounds how many machines share a key, and what a change of one costs.
-const perGroup = 32
+// maxMachinesPerGroup bounds how many machines share a key, and what a change of one costs.
+const maxMachinesPerGroup = 32
 
 // PlanWrites gives the writes that record some machines of a partition and drop the
 // records of others; a value takes at most so many bytes.
@@ -178,7 +178,7 @@
 		return next[key]
 	}
 	for _, id := range drop {
-		if key, ok := b.at[id]; ok {
+		if key, ok := b.keyOf[id]; ok {
 			delete(edit(key), id)
 		}
 	}
@@ -186,17 +186,17 @@
 	var into Group
 	for _, id := range slices.Sorted(maps.Keys(fresh)) {
 		r := fresh[id]
-		if key, ok := b.at[id]; ok {
+		if key, ok := b.keyOf[id]; ok {
 			edit(key)[id] = r
 			continue
 		}
-		cost := r.cost(id)
-		for into == nil || len(into) >= perGroup || size+cost > most {
+		cost := r.maxBytes(id)
+		for into == nil || len(into) >= maxMachinesPerGroup || size+cost > most {
 			key := fmt.Sprintf("%s%03d/%d", kvstore.MachinePrefix, part, n)
 			n++
 			into, size = edit(key), 0
 			for id, r := range into {
-				size += r.cost(id)
+				size += r.maxBytes(id)
 			}
 			if len(into) == 0 {
 				break
@@ -208,7 +208,7 @@
 	var out []Write
 	for _, key := range slices.Sorted(maps.Keys(next)) {
 		if !maps.Equal(next[key], b.groups[key].machines) {
-			out = append(out, Write{key, b.groups[key].condition(), next[key]})
+			out = append(out, Write{key, b.groups[key].conditionRevision(), next[key]})
 		}
 	}
 	return out
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -12,22 +12,22 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// writer is an owner that records machines and hears of it through the replica.
-type writer struct {
+// recordWriter is an owner that records machines and hears of it through the replica.
+type recordWriter struct {
 	t    *testing.T
-	view *fakes.KVClient
-	book *Records
+	store *fakes.KVClient
+	records *Records
 }
 
-func (w *writer) commit(list []Write) error {
+func (w *recordWriter) commit(list []Write) error {
 	var m wire.Txn
 	for _, x := range list {
 		x.AppendTo(&m)
 	}
-	rev, err := w.view.Commit(w.t.Context(), m)
+	rev, err := w.store.Commit(w.t.Context(), m)
 	if err == nil {
 		for _, x := range list {
-			w.book.Put(x.Key, x.Group, rev)
+			w.records.Put(x.Key, x.Group, rev)
 		}
 	}
 	return err
@@ -35,14 +35,14 @@
 
 // A thousand machines that come fifty at a time take a few dozen changes.
 func TestManyMachinesShareKeys(t *testing.T) {
-	w := &writer{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
+	w := &recordWriter{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
 	writes := 0
 	for round := range 20 {
 		fresh := Group{}
 		for i := range 50 {
 			fresh[fmt.Sprintf("m-%03d%03d", round, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a"}
 		}
-		list := w.book.PlanWrites(0, fresh, nil, 7000)
+		list := w.records.PlanWrites(0, fresh, nil, 7000)
 		writes += len(list)
 		require.NoError(t, w.commit(list))
 	}
@@ -52,7 +52,7 @@
 // What a follower reads is what was recorded, whatever comes and goes.
 func TestRecordsAreWhatIsThere(t *testing.T) {
 	st := fakes.NewKVStore()
-	w := &writer{t, &fakes.KVClient{KVStore: st}, NewRecords()}
+	w := &recordWriter{t, &fakes.KVClient{KVStore: st}, NewRecords()}
 	rng := fakes.Rand(7)
 	there := Group{}
 	for round := range 60 {
@@ -65,7 +65,7 @@
 				drop = append(drop, id)
 			}
 		}
-		list := w.book.PlanWrites(3, fresh, drop, 7000)
+		list := w.records.PlanWrites(3, fresh, drop, 7000)
 		for _, x := range list {
 			b, err := json.Marshal(x.Group)
 			require.NoError(t, err)
@@ -79,7 +79,7 @@
 			delete(there, id)
 		}
 		read := NewRecords()
-		items, _, err := w.view.List(t.Context(), kvstore.MachinePrefix)
+		items, _, err := w.store.List(t.Context(), kvstore.MachinePrefix)
 		require.NoError(t, err)
 		for _, it := range items {
 			read.Apply(kvstore.Event{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision})
@@ -94,12 +94,12 @@
 // the record that were put there since: they may hold tasks.
 func TestLateWriteBringsNoOldListBack(t *testing.T) {
 	st := fakes.NewKVStore()
-	w := &writer{t, &fakes.KVClient{KVStore: st}, NewRecords()}
-	require.NoError(t, w.commit(w.book.PlanWrites(0, Group{"m-1": {Type: "big"}}, nil, 7000)))
-	late := w.book.PlanWrites(0, Group{"m-2": {Type: "big"}}, nil, 7000) // sent, and no answer
-	require.NoError(t, w.commit(w.book.PlanWrites(0, Group{"m-3": {Type: "big"}}, nil, 7000)))
+	w := &recordWriter{t, &fakes.KVClient{KVStore: st}, NewRecords()}
+	require.NoError(t, w.commit(w.records.PlanWrites(0, Group{"m-1": {Type: "big"}}, nil, 7000)))
+	late := w.records.PlanWrites(0, Group{"m-2": {Type: "big"}}, nil, 7000) // sent, and no answer
+	require.NoError(t, w.commit(w.records.PlanWrites(0, Group{"m-3": {Type: "big"}}, nil, 7000)))
 	require.Error(t, w.commit(late))
-	_, found := w.book.Find("m-3")
+	_, found := w.records.Find("m-3")
 	require.True(t, found)
 }
 
@@ -118,22 +118,22 @@
 // Records of the release before machines shared keys are read as they are, until
 // their machines are gone.
 func TestRecordsOfAnEarlierRelease(t *testing.T) {
-	w := &writer{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
+	w := &recordWriter{t, &fakes.KVClient{KVStore: fakes.NewKVStore()}, NewRecords()}
 	old := map[string]any{"addr": "10.1.0.1:9000", "type": "big", "zone": "a", "spot": true}
-	rev, err := w.view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.MachinePrefix + "m-000007", Value: old}}})
+	rev, err := w.store.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.MachinePrefix + "m-000007", Value: old}}})
 	require.NoError(t, err)
 	raw, err := json.Marshal(old)
 	require.NoError(t, err)
-	came, _ := w.book.Apply(kvstore.Event{Key: kvstore.MachinePrefix + "m-000007", Value: raw, ModRevision: rev})
+	came, _ := w.records.Apply(kvstore.Event{Key: kvstore.MachinePrefix + "m-000007", Value: raw, ModRevision: rev})
 	require.Equal(t, Group{"m-000007": {Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true}}, came)
-	require.True(t, w.book.HasLegacy())
-	require.NoError(t, w.commit(w.book.PlanWrites(3, Group{"m-000008": {Addr: "x", Type: "big", Zone: "a"}}, nil, 7000)))
-	require.True(t, w.book.HasLegacy())
-	require.NoError(t, w.commit(w.book.PlanWrites(3, nil, []string{"m-000007"}, 7000)))
-	require.False(t, w.book.HasLegacy())
-	_, there := w.book.Find("m-000007")
+	require.True(t, w.records.HasLegacy())
+	require.NoError(t, w.commit(w.records.PlanWrites(3, Group{"m-000008": {Addr: "x", Type: "big", Zone: "a"}}, nil, 7000)))
+	require.True(t, w.records.HasLegacy())
+	require.NoError(t, w.commit(w.records.PlanWrites(3, nil, []string{"m-000007"}, 7000)))
+	require.False(t, w.records.HasLegacy())
+	_, there := w.records.Find("m-000007")
 	require.False(t, there)
-	_, found, err := w.view.Get(t.Context(), kvstore.MachinePrefix+"m-000007")
+	_, found, err := w.store.Get(t.Context(), kvstore.MachinePrefix+"m-000007")
 	require.NoError(t, err)
 	require.False(t, found)
 }
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -75,9 +75,9 @@
 	mu     sync.RWMutex
 	active map[string]*Job
 	finals map[string]Final
-	order  []string
-	rev    uint64 // all changes up to this revision are known
-	ended  func(id string, f Final)
+	finalOrder  []string
+	revision    uint64 // all changes up to this revision are known
+	onFinal  func(id string, f Final)
 }
 
 // NewCache makes an empty view.
@@ -104,14 +104,14 @@
 		}
 		if f, over := spec.End(); over {
 			delete(b.active, id)
-			b.keep(id, f)
+			b.addFinal(id, f)
 			return
 		}
 		b.active[id] = New(spec, e.ModRevision)
 	} else if id, ok := strings.CutPrefix(e.Key, kvstore.FinalJobPrefix); ok && e.Value != nil {
 		var f Final
 		if json.Unmarshal(e.Value, &f) == nil && f.Phase != "" {
-			b.keep(id, f)
+			b.addFinal(id, f)
 		}
 	}
 }
@@ -122,18 +122,18 @@
 // OnFinal has a listener called with each final state when it is first known here. The cache's lock
 // is held then: the listener must not use the cache.
 func OnFinal(listener func(id string, f Final)) Option {
-	return func(b *Cache) { b.ended = listener }
+	return func(b *Cache) { b.onFinal = listener }
 }
 
-func (b *Cache) keep(id string, f Final) {
+func (b *Cache) addFinal(id string, f Final) {
 	if _, ok := b.finals[id]; !ok {
-		if b.ended != nil {
-			b.ended(id, f)
+		if b.onFinal != nil {
+			b.onFinal(id, f)
 		}
-		b.order = append(b.order, id)
-		if len(b.order) > maxFinals {
-			delete(b.finals, b.order[0])
-			b.order = b.order[1:]
+		b.finalOrder = append(b.finalOrder, id)
+		if len(b.finalOrder) > maxFinals {
+			delete(b.finals, b.finalOrder[0])
+			b.finalOrder = b.finalOrder[1:]
 		}
 	}
 	b.finals[id] = f
@@ -143,7 +143,7 @@
 func (b *Cache) AddFinal(id string, f Final) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.keep(id, f)
+	b.addFinal(id, f)
 }
 
 // Find gives an active job.
@@ -158,7 +158,7 @@
 func (b *Cache) AdvanceRevision(rev uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rev = max(b.rev, rev)
+	b.revision = max(b.revision, rev)
 }
 
 // Over tells that a job whose record was made at a revision is over: its final state
@@ -170,7 +170,7 @@
 		return true
 	}
 	_, active := b.active[id]
-	return !active && b.rev >= made
+	return !active && b.revision >= made
 }
 
 // Final gives the final state of a job, if it is known here.
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -50,7 +50,7 @@
 
 	mu     sync.Mutex
 	conn   *rpc.Client
-	downAt time.Time
+	lastDialFailure time.Time
 }
 
 // NewClient makes a client for a peer's address that counts its traffic.
@@ -58,21 +58,21 @@
 	return &Client{addr: addr, traffic: traffic}
 }
 
-func (c *Client) get() (*rpc.Client, error) {
+func (c *Client) connection() (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
 		return c.conn, nil
 	}
-	if !c.downAt.IsZero() && time.Since(c.downAt) < 200*time.Millisecond {
+	if !c.lastDialFailure.IsZero() && time.Since(c.lastDialFailure) < 200*time.Millisecond {
 		return nil, ErrUnavailable
 	}
 	nc, err := net.DialTimeout("tcp4", c.addr, 500*time.Millisecond)
 	if err != nil {
-		c.downAt = time.Now()
+		c.lastDialFailure = time.Now()
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	c.downAt = time.Time{}
+	c.lastDialFailure = time.Time{}
 	c.conn = rpc.NewClient(c.traffic.Conn(nc))
 	return c.conn, nil
 }
@@ -80,7 +80,7 @@
 // Call calls a method. After an error other than one of the peer's own the
 // call may have been executed, or may yet be.
 func (c *Client) Call(method string, in, out any, timeout time.Duration) error {
-	conn, err := c.get()
+	conn, err := c.connection()
 	if err != nil {
 		return err
 	}
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pagedOwner answers polls with machines of its own, page by page.
-type pagedOwner struct {
-	instance string
+// pagedLeader answers polls with machines of its own, page by page.
+type pagedLeader struct {
+	incarnation string
 	parts    map[int]uint64
 	version  uint64
 	machines int
 	calls    []PollRequest
-	between  func(call int)
+	onCall  func(call int)
 	stuck    bool // it answers with the first page always
 }
 
-func (o *pagedOwner) poll(in PollRequest) (PollResponse, error) {
+func (o *pagedLeader) poll(in PollRequest) (PollResponse, error) {
 	o.calls = append(o.calls, in)
-	if o.between != nil {
-		o.between(len(o.calls))
+	if o.onCall != nil {
+		o.onCall(len(o.calls))
 	}
-	out := PollResponse{Incarnation: o.instance, Cursor: o.version, Full: true, Parts: o.parts}
+	out := PollResponse{Incarnation: o.incarnation, Cursor: o.version, Full: true, Parts: o.parts}
 	for i := range o.machines {
 		id := fmt.Sprintf("m-%06d", i)
 		if id <= in.AfterID && !o.stuck {
@@ -41,8 +41,8 @@
 // The answer of an owner of thousands of machines is read in pages, none of which waits
 // for a change, and what changes meanwhile is listed by the next poll.
 func TestPagesAreJoined(t *testing.T) {
-	o := &pagedOwner{instance: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
-	o.between = func(call int) { o.version = uint64(10 * call) }
+	o := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
+	o.onCall = func(call int) { o.version = uint64(10 * call) }
 	all, err := CollectPages(PollRequest{Wait: 1000}, o.poll)
 	require.NoError(t, err)
 	require.Len(t, all.Machines, o.machines)
@@ -60,17 +60,17 @@
 // count as gone, and their tasks would start once more elsewhere. So nothing is joined across
 // a change of the owner's process or of the partitions that it holds.
 func TestPagesOfDifferentOwnersAreNotJoined(t *testing.T) {
-	for name, change := range map[string]func(*pagedOwner){
-		"another process":                func(o *pagedOwner) { o.instance = "two" },
-		"a partition was lost":           func(o *pagedOwner) { o.parts = map[int]uint64{} },
-		"pages don't follow one another": func(o *pagedOwner) { o.stuck = true },
-		"a partition has another term": func(o *pagedOwner) {
+	for name, change := range map[string]func(*pagedLeader){
+		"another process":                func(o *pagedLeader) { o.incarnation = "two" },
+		"a partition was lost":           func(o *pagedLeader) { o.parts = map[int]uint64{} },
+		"pages don't follow one another": func(o *pagedLeader) { o.stuck = true },
+		"a partition has another term": func(o *pagedLeader) {
 			o.parts = map[int]uint64{0: 8}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := &pagedOwner{instance: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
-			o.between = func(call int) {
+			o := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
+			o.onCall = func(call int) {
 				if call == 2 {
 					change(o)
 				}
--- a/internal/peer/poll_benchmark_test.go
+++ b/internal/peer/poll_benchmark_test.go
@@ -9,11 +9,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// answering is a peer that answers every poll alike.
-type answering struct{ answer PollResponse }
+// pollStub is a peer that answers every poll alike.
+type pollStub struct{ response PollResponse }
 
-func (a *answering) Poll(_ PollRequest, out *PollResponse) error {
-	*out = a.answer
+func (a *pollStub) Poll(_ PollRequest, out *PollResponse) error {
+	*out = a.response
 	return nil
 }
 
@@ -36,7 +36,7 @@
 	for _, machines := range []int{0, 5, 410} {
 		b.Run(fmt.Sprintf("%d machines changed", machines), func(b *testing.B) {
 			srv := rpc.NewServer()
-			if err := srv.RegisterName(serviceName, &answering{changedMachines(machines)}); err != nil {
+			if err := srv.RegisterName(serviceName, &pollStub{changedMachines(machines)}); err != nil {
 				b.Fatal(err)
 			}
 			near, far := net.Pipe()
