--- /dev/null
+++ b/internal/api/cancellation.go
@@ -0,0 +1,48 @@
+package api
+
+import (
+	"context"
+
+	"github.com/merlinlatch/merlinlatch/internal/httpx"
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+)
+
+// cancelJob has the team's scheduler cancel a job. A job that is final already stays as it is, and its phase
+// is the answer. Until the cancellation is durable the answer is 503; the scheduler goes on with it
+// whether the user asks again or not.
+func (h *Handler) cancelJob(ctx context.Context, id string) httpx.Response {
+	if final, ok := h.jobs.Final(id); ok {
+		return httpx.JSON(200, jobPhase{ID: id, Phase: final.Phase})
+	}
+	final, team, err := h.cancellationTarget(ctx, id)
+	if err != nil {
+		return reject(err)
+	}
+	if final != nil {
+		return httpx.JSON(200, jobPhase{ID: id, Phase: final.Phase})
+	}
+	cancelled, err := h.schedulers.Cancel(ctx, peer.JobRequest{Team: team, ID: id})
+	if err != nil || !cancelled.Known || !cancelled.Found || cancelled.Retry {
+		return reject(errNotCancelledYet)
+	}
+	return httpx.JSON(200, jobPhase{ID: id, Phase: cancelled.State.Phase})
+}
+
+// cancellationTarget gives the team of an active job, or the final state of one that is final in the
+// key-value store. The error is a rejection.
+func (h *Handler) cancellationTarget(ctx context.Context, id string) (final *jobs.Final, team string, err error) {
+	if j, ok := h.jobs.Active(id); ok {
+		return nil, j.Team, nil
+	}
+	final, active, err := h.lookUpStored(ctx, id)
+	switch {
+	case err != nil:
+		return nil, "", err
+	case final != nil:
+		return final, "", nil
+	case active != nil:
+		return nil, active.Team, nil
+	}
+	return nil, "", errUnknownJob
+}
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -36,9 +36,9 @@
 
 // peersStub stands for the other controllers: cut tells that this one alone is.
 type peersStub struct {
-	storeUnreachable    bool
-	answer httpx.Response
-	calls  int
+	storeUnreachable bool
+	answer           httpx.Response
+	calls            int
 }
 
 func (o *peersStub) StoreUnreachable() bool { return o.storeUnreachable }
@@ -53,12 +53,12 @@
 
 type apiFixture struct {
 	*Handler
-	t    *testing.T
-	store *fakes.KVClient
-	schedulers   *schedulerStub
-	peers  *peersStub
-	nowMS  int64 // ms
-	jobs *jobs.Cache
+	t          *testing.T
+	store      *fakes.KVClient
+	schedulers *schedulerStub
+	peers      *peersStub
+	nowMS      int64 // ms
+	jobs       *jobs.Cache
 }
 
 func newAPIFixture(t *testing.T) *apiFixture {
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -16,11 +16,11 @@
 
 // teamRow is what is told of one team.
 type teamRow struct {
-	status peer.TeamStatus
+	status    peer.TeamStatus
 	scheduler string  // empty where no controller that was reached places the team
-	share  float64 // CPUs of the machines whose owners were reached
-	taken  float64
-	weight float64
+	share     float64 // CPUs of the machines whose owners were reached
+	taken     float64
+	weight    float64
 }
 
 // Teams writes how the teams stand; of one team only where it is named.
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -27,14 +27,16 @@
 }
 
 // maxBytes is at most how many bytes a machine's record takes of its group's value.
-func (r Record) maxBytes(id string) int { return len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + 66 }
+func (r Record) maxBytes(id string) int {
+	return len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + 66
+}
 
 // Group is the value of one key.
 type Group map[string]Record
 
 type storedGroup struct {
-	machines Group
-	modRevision    uint64 // of its last change
+	machines    Group
+	modRevision uint64 // of its last change
 }
 
 // conditionRevision is the stamp that the key has: a key without machines is not there.
@@ -49,11 +51,13 @@
 // writer knows them to be.
 type Records struct {
 	groups map[string]storedGroup
-	keyOf     map[string]string // the key that a machine is recorded under
+	keyOf  map[string]string // the key that a machine is recorded under
 }
 
 // NewRecords makes an empty book.
-func NewRecords() *Records { return &Records{groups: map[string]storedGroup{}, keyOf: map[string]string{}} }
+func NewRecords() *Records {
+	return &Records{groups: map[string]storedGroup{}, keyOf: map[string]string{}}
+}
 
 // Apply takes one event of the replica and tells which machines came and went.
 // Older words than the newest known change nothing.
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -14,8 +14,8 @@
 
 // recordWriter is an owner that records machines and hears of it through the replica.
 type recordWriter struct {
-	t    *testing.T
-	store *fakes.KVClient
+	t       *testing.T
+	store   *fakes.KVClient
 	records *Records
 }
 
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -72,12 +72,12 @@
 
 // Cache holds the view.
 type Cache struct {
-	mu     sync.RWMutex
-	active map[string]*Job
-	finals map[string]Final
-	finalOrder  []string
-	revision    uint64 // all changes up to this revision are known
-	onFinal  func(id string, f Final)
+	mu         sync.RWMutex
+	active     map[string]*Job
+	finals     map[string]Final
+	finalOrder []string
+	revision   uint64 // all changes up to this revision are known
+	onFinal    func(id string, f Final)
 }
 
 // NewCache makes an empty view.
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -48,8 +48,8 @@
 	addr    string
 	traffic *telemetry.Traffic
 
-	mu     sync.Mutex
-	conn   *rpc.Client
+	mu              sync.Mutex
+	conn            *rpc.Client
 	lastDialFailure time.Time
 }
 
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -10,12 +10,12 @@
 // pagedLeader answers polls with machines of its own, page by page.
 type pagedLeader struct {
 	incarnation string
-	parts    map[int]uint64
-	version  uint64
-	machines int
-	calls    []PollRequest
-	onCall  func(call int)
-	stuck    bool // it answers with the first page always
+	parts       map[int]uint64
+	version     uint64
+	machines    int
+	calls       []PollRequest
+	onCall      func(call int)
+	stuck       bool // it answers with the first page always
 }
 
 func (o *pagedLeader) poll(in PollRequest) (PollResponse, error) {
