--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -33,7 +33,7 @@
 // store: its users need not go elsewhere.
 func (h *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := h.wallClock()
-	defer func() { h.log.Debug("answered a submission", "status", r.Status, "after", h.wallClock().Sub(began)) }()
+	defer func() { h.log.Debug("submission answered", "status", r.Status, "duration_ms", h.wallClock().Sub(began).Milliseconds()) }()
 	if h.peers.StoreUnreachable() {
 		if forwarded, ok := h.peers.Submit(body); ok && forwarded.Status != statusUnavailable {
 			return forwarded
@@ -147,7 +147,7 @@
 	case errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrBudgetExhausted):
 		h.noteStoreRefusal()
 	}
-	h.log.Debug("accepting a job", "job", record.ID, "err", err)
+	h.log.Debug("submission store failed", "job", record.ID, "error", err)
 	return reject(errNotStored)
 }
 
