--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -33,7 +33,9 @@
 // store: its users need not go elsewhere.
 func (h *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := h.wallClock()
-	defer func() { h.log.Debug("submission answered", "status", r.Status, "duration_ms", h.wallClock().Sub(began).Milliseconds()) }()
+	defer func() {
+		h.log.Debug("submission answered", "status", r.Status, "duration_ms", h.wallClock().Sub(began).Milliseconds())
+	}()
 	if h.peers.StoreUnreachable() {
 		if forwarded, ok := h.peers.Submit(body); ok && forwarded.Status != statusUnavailable {
 			return forwarded
