--- a/internal/peer/encoded_names_test.go
+++ b/internal/peer/encoded_names_test.go
@@ -9,7 +9,7 @@
 
 // Controllers of the version before and of this one work together while they are
 // restarted one by one: net/rpc carries fields and methods by these names.
-func TestNamesBetweenControllersStay(t *testing.T) {
+func TestEncodedNamesOfMessagesAndMethodsStay(t *testing.T) {
 	for _, c := range []struct {
 		message any
 		fields  []string
@@ -29,7 +29,9 @@
 		require.Equal(t, c.fields, names, "%T", c.message)
 	}
 	service := reflect.TypeFor[Service]()
-	for _, method := range []string{"Round", "Poll", "Hello", "Demand", "Status", "Withdraw", "Submit", "Drain", "Gone", "Teams", "Zones", "HoldZone", "History"} {
+	for _, method := range []string{
+		"Round", "Poll", "Hello", "Demand", "Status", "Withdraw", "Submit", "Drain", "Gone", "Teams", "Zones", "HoldZone", "History",
+	} {
 		_, ok := service.MethodByName(method)
 		require.True(t, ok, method)
 	}
--- a/internal/peer/poll_benchmark_test.go
+++ b/internal/peer/poll_benchmark_test.go
@@ -9,39 +9,44 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// pollStub is a peer that answers every poll alike.
+// pollStub answers every poll alike.
 type pollStub struct{ response PollResponse }
 
-func (a *pollStub) Poll(_ PollRequest, out *PollResponse) error {
-	*out = a.response
+func (s *pollStub) Poll(_ PollRequest, out *PollResponse) error {
+	*out = s.response
 	return nil
 }
 
-// changedMachines is a poll's answer with so many machines, a few tasks changed on each.
-func changedMachines(n int) PollResponse {
+// responseWithMachines is a poll's response with so many machines, a few tasks changed on each.
+func responseWithMachines(machines int) PollResponse {
 	out := PollResponse{Incarnation: "incarnation", Cursor: 7, Parts: map[int]uint64{0: 1, 1: 1}}
-	for i := range n {
-		v := MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a", Cap: resources.Capacity(32, 0, 64), Free: resources.Capacity(4, 0, 8),
-			Accounted: true, Usable: true, Count: 14}
-		for k := range 3 {
-			v.Tasks = append(v.Tasks, TaskView{ID: TaskID{"job-000001", k, 1 << 32}, Team: "red", Rank: 2, Need: resources.Request(2, 0, 1), Phase: "running"})
+	for i := range machines {
+		v := MachineView{
+			ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 7, Type: "big", Zone: "a",
+			Cap: resources.Capacity(32, 0, 64), Free: resources.Capacity(4, 0, 8),
+			Accounted: true, Usable: true, Count: 14,
+		}
+		for n := range 3 {
+			v.Tasks = append(v.Tasks, TaskView{
+				ID: TaskID{"job-000001", n, 1 << 32}, Team: "red", Rank: 2, Need: resources.Request(2, 0, 1), Phase: "running",
+			})
 		}
 		out.Machines = append(out.Machines, v)
 	}
 	return out
 }
 
-// A poll between two controllers, with net/rpc's coding on both sides.
+// BenchmarkPoll measures a poll between two controllers, with net/rpc's encoding on both sides.
 func BenchmarkPoll(b *testing.B) {
 	for _, machines := range []int{0, 5, 410} {
 		b.Run(fmt.Sprintf("%d machines changed", machines), func(b *testing.B) {
 			srv := rpc.NewServer()
-			if err := srv.RegisterName(serviceName, &pollStub{changedMachines(machines)}); err != nil {
+			if err := srv.RegisterName(serviceName, &pollStub{responseWithMachines(machines)}); err != nil {
 				b.Fatal(err)
 			}
-			near, far := net.Pipe()
-			go srv.ServeConn(far)
-			client := rpc.NewClient(near)
+			clientEnd, serverEnd := net.Pipe()
+			go srv.ServeConn(serverEnd)
+			client := rpc.NewClient(clientEnd)
 			defer client.Close()
 			in := PollRequest{Incarnation: "incarnation", Cursor: 6, Terms: map[string]uint64{"red": 1}}
 			b.ReportAllocs()
