--- a/internal/console/history.go
+++ b/internal/console/history.go
@@ -5,16 +5,17 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// historyPage is how many events are asked for at a time.
+// historyPage is how many events are read at a time, so that a page is sent and read well within the time of
+// a call.
 const historyPage = 2000
 
-// ExportHistory gathers the history of all controllers that are reached into one file.
+// ExportHistory gathers the history of all controllers that answer into one Parquet file, in the order of
+// the times of day that they noted.
 func ExportHistory(out io.Writer, controllers []Controller, path string) error {
 	var events []history.Event
 	var missing []string
@@ -39,45 +40,47 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d events of %d controllers are in %s\n", len(events), reached, path)
-	if len(missing) > 0 {
-		fmt.Fprintf(out, "not reached: %s; what they have seen is left out\n", strings.Join(missing, ", "))
-	}
+	writeMissing(out, missing, "; what they have seen is left out")
 	return nil
 }
 
-// fetchHistory reads a controller's history, page by page.
+// fetchHistory reads a controller's history page by page; lost is how many events it had to forget.
 func fetchHistory(c Controller) (events []history.Event, lost uint64, err error) {
-	for in := (peer.HistoryRequest{Most: historyPage}); ; {
-		var p history.Page
-		if err := c.Call("History", in, &p, callTimeout); err != nil {
+	in := peer.HistoryRequest{Most: historyPage}
+	for {
+		var page history.Page
+		if err := c.Call("History", in, &page, callTimeout); err != nil {
 			return nil, 0, err
 		}
-		events, lost = append(events, p.Events...), lost+p.Lost
-		if !p.More || p.Next <= in.From {
+		events = append(events, page.Events...)
+		lost += page.Lost
+		if !page.More || page.Next <= in.From {
 			return events, lost, nil
 		}
-		in.From = p.Next
+		in.From = page.Next
 	}
 }
 
-// ViolationsError tells how many rules a history breaks.
+// ViolationsError is how many violations of the rules a history shows.
 type ViolationsError int
 
-// Error tells the number.
+// Error says how many there are.
 func (e ViolationsError) Error() string { return fmt.Sprintf("%d rules are broken", int(e)) }
 
-// CheckHistory holds the rules against a file that was exported.
+// CheckHistory checks the rules against an exported file: no task on two machines, no job with two final
+// states. skewMS is by how many milliseconds the controllers' clocks may differ. It writes the violations and fails
+// with ViolationsError where there are any.
 func CheckHistory(out io.Writer, path string, skewMS int64) error {
 	events, err := history.Read(path)
 	if err != nil {
 		return err
 	}
-	broken := history.Check(events, skewMS)
-	for _, v := range broken {
+	violations := history.Check(events, skewMS)
+	for _, v := range violations {
 		fmt.Fprintln(out, v)
 	}
-	if len(broken) > 0 {
-		return ViolationsError(len(broken))
+	if len(violations) > 0 {
+		return ViolationsError(len(violations))
 	}
 	fmt.Fprintf(out, "%d events: no task on two machines, no job with two ends\n", len(events))
 	return nil
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
-	"strings"
 	"text/tabwriter"
 
 	"github.com/merlinlatch/merlinlatch/internal/config"
@@ -14,16 +14,23 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// teamRow is what is told of one team.
+// teamRow is what the controllers know of one team, joined.
 type teamRow struct {
 	status    peer.TeamStatus
-	scheduler string  // empty where no controller that was reached places the team
-	share     float64 // CPUs of the machines whose owners were reached
-	taken     float64
+	scheduler string  // host of the team's leader; empty where none of the controllers that answered is
+	share     float64 // CPUs, summed over the controllers that answered
+	taken     float64 // CPUs, likewise
 	weight    float64
 }
 
-// Teams writes how the teams stand; of one team only where it is named.
+// fleetShares is what the controllers know of the shares of all teams.
+type fleetShares struct {
+	enabled  bool    // fair shares are on
+	capacity float64 // CPUs of the machines of all partitions whose leader answered
+	yielded  uint64  // assignments that were rejected in favour of other teams
+}
+
+// Teams writes the state of the teams; of one team only, with its moves, where it is named.
 func Teams(out io.Writer, set *config.Settings, controllers []Controller, team string) error {
 	rows := map[string]*teamRow{}
 	for _, t := range set.Params.Teams {
@@ -32,74 +39,71 @@
 	if team != "" && rows[team] == nil {
 		return UnknownError{"team", team}
 	}
-	answers, missing, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
+	responses, missing, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return err
 	}
-	capacity, shared, yielded := mergeTeams(rows, answers)
-	var list []*teamRow
-	for name, r := range rows {
-		if team == "" || team == name {
-			list = append(list, r)
-		}
-	}
-	slices.SortFunc(list, func(a, b *teamRow) int { return cmp.Compare(a.status.Team, b.status.Team) })
-	writeTeams(out, list, shared)
+	shares := mergeTeams(rows, responses)
+	writeTeams(out, sortedRows(rows, team), shares.enabled)
 	if team != "" {
-		writeMoves(out, &list[0].status)
+		writeMoves(out, &rows[team].status)
 	}
-	if shared {
-		fmt.Fprintf(out, "shares are of %.0f CPUs; %d asks were refused in favour of other teams\n", capacity, yielded)
+	if shares.enabled {
+		fmt.Fprintf(out, "shares are of %.0f CPUs; %d asks were refused in favour of other teams\n", shares.capacity, shares.yielded)
 	} else {
 		fmt.Fprintln(out, "fair shares are off")
 	}
-	if len(missing) > 0 {
-		fmt.Fprintf(out, "not reached: %s; what they place and own is left out\n", strings.Join(missing, ", "))
-	}
+	writeMissing(out, missing, "; what they place and own is left out")
 	return nil
 }
 
-// mergeTeams joins the controllers' answers: a team's numbers are its placer's of the latest term,
-// its shares are summed over the owners.
-func mergeTeams(rows map[string]*teamRow, answers []peer.TeamsResponse) (capacity float64, shared bool, yielded uint64) {
-	for i := range answers {
-		a := &answers[i]
-		for _, s := range a.Teams {
-			if r := rows[s.Team]; r != nil && (r.scheduler == "" || s.Term > r.status.Term) {
-				r.status, r.scheduler = s, a.Host
+// sortedRows lists the rows by team; only that of one team where it is named.
+func sortedRows(rows map[string]*teamRow, team string) []*teamRow {
+	if team != "" {
+		return []*teamRow{rows[team]}
+	}
+	return slices.SortedFunc(maps.Values(rows), func(a, b *teamRow) int { return cmp.Compare(a.status.Team, b.status.Team) })
+}
+
+// mergeTeams joins the controllers' responses into the rows: a team's numbers are those of its leader of the
+// latest term, its shares are summed over the partition leaders.
+func mergeTeams(rows map[string]*teamRow, responses []peer.TeamsResponse) (shares fleetShares) {
+	for i := range responses {
+		response := &responses[i]
+		for _, status := range response.Teams {
+			if r := rows[status.Team]; r != nil && (r.scheduler == "" || status.Term > r.status.Term) {
+				r.status, r.scheduler = status, response.Host
 			}
 		}
-		own := a.Capacity.CPUs()
-		for _, s := range a.Standings {
-			if r := rows[s.Team]; r != nil {
-				shared = true
-				r.share += s.Share * own
-				r.taken += s.Taken * own
-				r.weight = s.Weight
+		capacity := response.Capacity.CPUs()
+		for _, standing := range response.Standings {
+			if r := rows[standing.Team]; r != nil {
+				shares.enabled = true
+				r.share += standing.Share * capacity
+				r.taken += standing.Taken * capacity
+				r.weight = standing.Weight
 			}
 		}
-		capacity += own
-		yielded += a.Yielded
+		shares.capacity += capacity
+		shares.yielded += response.Yielded
 	}
-	return capacity, shared, yielded
+	return shares
 }
 
-func writeTeams(out io.Writer, list []*teamRow, shared bool) {
+// writeTeams writes the table of teams, with the columns of the shares where they are on.
+func writeTeams(out io.Writer, rows []*teamRow, withShares bool) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "TEAM\tPLACER\tCPUS\tGUARANTEE\tLIMIT\tJOBS\tRUNNING\tWAITING\tWAIT p50/p95/p99\tLATE p50/p95/p99")
-	if shared {
+	if withShares {
 		fmt.Fprint(w, "\tWEIGHT\tSHARE\tTAKEN")
 	}
 	fmt.Fprintln(w)
-	for _, r := range list {
+	for _, r := range rows {
 		s := &r.status
-		placer := r.scheduler
-		if placer == "" {
-			placer = "-"
-		}
-		fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d\t%s\t%s", s.Team, placer, s.Used.CPUs(), formatCPUs(s.Guarantee), formatCPUs(s.Limit),
-			s.Jobs, s.Running, s.Waiting, formatQuantiles(s.Waits), formatQuantiles(s.Lateness))
-		if shared {
+		fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d\t%s\t%s", s.Team, orDash(r.scheduler), s.Used.CPUs(),
+			formatCPUs(s.Guarantee), formatCPUs(s.Limit), s.Jobs, s.Running, s.Waiting,
+			formatQuantiles(s.Waits), formatQuantiles(s.Lateness))
+		if withShares {
 			fmt.Fprintf(w, "\t%g\t%.1f\t%.1f", r.weight, r.share, r.taken)
 		}
 		fmt.Fprintln(w)
@@ -129,6 +133,7 @@
 	return fmt.Sprintf("%.1f", a.CPUs())
 }
 
+// formatQuantiles writes the median, the 95th and the 99th percentile in seconds.
 func formatQuantiles(q telemetry.Quantiles) string {
 	if q.Count == 0 {
 		return "-"
@@ -136,18 +141,18 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// SchedulerOf names the controller that places a team under the latest term, empty where none
-// that is reached does.
+// SchedulerOf gives the host that leads a team under the latest term, empty where none of the controllers
+// that answered does.
 func SchedulerOf(controllers []Controller, team string) (host string) {
-	answers, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
+	responses, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
 		return ""
 	}
 	latest := uint64(0)
-	for i := range answers {
-		for _, s := range answers[i].Teams {
-			if s.Team == team && s.Term >= latest {
-				host, latest = answers[i].Host, s.Term
+	for i := range responses {
+		for _, status := range responses[i].Teams {
+			if status.Team == team && status.Term >= latest {
+				host, latest = responses[i].Host, status.Term
 			}
 		}
 	}
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -13,29 +12,39 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// ErrNoLeader means that no controller that was reached holds the fleet.
+// ErrNoLeader means that no controller that answered leads the fleet.
 var ErrNoLeader = errors.New("no controller is known to decide on zones now; try again in a moment")
 
-// Zones writes how the zones stand, as the fleet's holder sees them, or the first controller
-// that answers where the holder doesn't.
+// Zones writes the state of the zones as the leader of the fleet knows it, or the first controller
+// that answers where the leader doesn't.
 func Zones(out io.Writer, controllers []Controller) error {
-	answers, missing, err := callAll[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
+	responses, missing, err := callAll[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
 	if err != nil {
 		return err
 	}
-	best := answers[0]
-	for _, a := range answers {
-		if a.Fleet {
-			best = a
+	shown := responses[0]
+	for _, r := range responses {
+		if r.Fleet {
+			shown = r
 		}
 	}
+	writeZones(out, shown.Zones, waitingTasks(responses))
+	switch {
+	case !shown.On:
+		fmt.Fprintln(out, "work does not return in stages: zone_return is off, or there is one zone only")
+	case !shown.Fleet:
+		fmt.Fprintf(out, "as %s sees it: the controller that decides was not reached\n", shown.Host)
+	}
+	writeMissing(out, missing, "")
+	return nil
+}
+
+// writeZones writes the table of zones; waiting is the tasks that wait for a later stage, by zone.
+func writeZones(out io.Writer, zones []peer.ZoneStatus, waiting map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ZONE\tSTATE\tSTAGE\tMACHINES\tNOT HEARD\tNOT SETTLED\tWAITS FOR A LATER STAGE\tSINCE\tEVIDENCE")
-	for _, z := range best.Zones {
-		stage := z.Stage
-		if stage == "" {
-			stage = "-"
-		}
+	for _, z := range zones {
+		stage := orDash(z.Stage)
 		if z.Held {
 			stage += " (held)"
 		}
@@ -43,55 +52,50 @@
 		if z.AtMS > 0 {
 			since = time.UnixMilli(z.AtMS).UTC().Format(time.RFC3339)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", z.Zone, z.State, stage, z.Machines, z.Unheard, z.Unsettled, waitingTasks(answers, z.Zone), since, z.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
+			z.Zone, z.State, stage, z.Machines, z.Unheard, z.Unsettled, waiting[z.Zone], since, z.Why)
 	}
 	w.Flush()
-	switch {
-	case !best.On:
-		fmt.Fprintln(out, "work does not return in stages: zone_return is off, or there is one zone only")
-	case !best.Fleet:
-		fmt.Fprintf(out, "as %s sees it: the controller that decides was not reached\n", best.Host)
-	}
-	if len(missing) > 0 {
-		fmt.Fprintf(out, "not reached: %s\n", strings.Join(missing, ", "))
-	}
-	return nil
 }
 
-// waitingTasks sums what waits for a later stage over the placers.
-func waitingTasks(answers []peer.ZonesResponse, zone string) (n int) {
-	for _, a := range answers {
-		for _, z := range a.Zones {
-			if z.Zone == zone {
-				n += z.Waiting
-			}
+// waitingTasks sums over all schedulers the tasks that wait for a later stage, by zone.
+func waitingTasks(responses []peer.ZonesResponse) map[string]int {
+	waiting := map[string]int{}
+	for _, r := range responses {
+		for _, z := range r.Zones {
+			waiting[z.Zone] += z.Waiting
 		}
 	}
-	return n
+	return waiting
 }
 
-// HoldZone stops a zone's return at its stage, or lets it go on.
+// HoldZone stops a zone's return at its stage, or resumes it. All controllers are asked, since which one
+// leads the fleet may change meanwhile; only that one acts. Where none does it fails with ErrNoLeader, or with
+// the leader's reason.
 func HoldZone(out io.Writer, set *config.Settings, controllers []Controller, zone string, held bool) error {
 	if !slices.Contains(set.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
 	}
-	answers, _, err := callAll[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
+	responses, _, err := callAll[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
 	if err != nil {
 		return err
 	}
-	for _, a := range answers {
-		switch {
-		case a.Done && held:
-			fmt.Fprintf(out, "the return of %s stays at its stage until it is resumed\n", zone)
-			return nil
-		case a.Done:
-			fmt.Fprintf(out, "the return of %s goes on\n", zone)
-			return nil
-		}
+	if !slices.ContainsFunc(responses, func(r peer.ZoneHoldResponse) bool { return r.Done }) {
+		return holdFailure(responses)
 	}
-	for _, a := range answers {
-		if a.Refusal != "" {
-			return errors.New(a.Refusal)
+	if held {
+		fmt.Fprintf(out, "the return of %s stays at its stage until it is resumed\n", zone)
+	} else {
+		fmt.Fprintf(out, "the return of %s goes on\n", zone)
+	}
+	return nil
+}
+
+// holdFailure says why no controller has stopped or resumed the return.
+func holdFailure(responses []peer.ZoneHoldResponse) error {
+	for _, r := range responses {
+		if r.Refusal != "" {
+			return errors.New(r.Refusal)
 		}
 	}
 	return ErrNoLeader
