--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -58,7 +58,7 @@
 }
 
 // Records are the groups as the key-value store last showed them, or as their writer knows them to be. They
-// are not safe for concurrent use: each owner guards its own.
+// are not safe for concurrent use: whoever keeps them guards them.
 type Records struct {
 	groups map[string]storedGroup // by key
 	keyOf  map[string]string      // the key that a machine is recorded under, by machine id
