--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -29,8 +29,8 @@
 	ErrLeaseNotFound = errors.New("the hold has ended")
 	// ErrCompacted means that the watched revision is no longer kept.
 	ErrCompacted = errors.New("the revision is no longer kept")
-	// errBusy means that all controllers together ask for more than the service allows.
-	errBusy = errors.New("too many requests")
+	// errRateLimited means that all controllers together ask for more than the service allows.
+	errRateLimited = errors.New("too many requests")
 	// ErrBudgetExhausted means that this controller's part of the budget is spent.
 	ErrBudgetExhausted = errors.New("request budget spent")
 )
@@ -38,10 +38,10 @@
 // Client calls the state service.
 type Client struct {
 	http   *httpx.Client
-	reqs   *rate.Limiter
-	writes *rate.Limiter
-	urgent *rate.Limiter // changes that users or other controllers wait for
-	asks   *rate.Limiter // keys read on users' behalf
+	requestBudget   *rate.Limiter
+	writeBudget *rate.Limiter
+	priorityWriteBudget *rate.Limiter // changes that users or other controllers wait for
+	userReadBudget   *rate.Limiter // keys read on users' behalf
 }
 
 // UserClient is the way of what users ask: reads for them have a part of the budget
@@ -51,7 +51,7 @@
 
 // Get reads a key while the users' part of the budget lasts.
 func (u UserClient) Get(ctx context.Context, key string) (wire.Item, bool, error) {
-	if !u.asks.Allow() {
+	if !u.userReadBudget.Allow() {
 		return wire.Item{}, false, fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted)
 	}
 	return u.Client.Get(ctx, key)
@@ -60,9 +60,9 @@
 // PriorityClient is a client whose changes have a part of the budget to themselves.
 type PriorityClient struct{ *Client }
 
-// busyPause is how long an urgent transaction waits when the service has had
+// rateLimitPause is how long an urgent transaction waits when the service has had
 // too many changes from all controllers together.
-const busyPause = 120 * time.Millisecond
+const rateLimitPause = 120 * time.Millisecond
 
 // Commit carries out a transaction that must not queue behind others. It takes
 // what the others have left of their part when its own is spent: after an
@@ -75,18 +75,18 @@
 func (u PriorityClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	budget := u.Client.urgent
-	if now := time.Now(); budget.AllowN(now, len(m.Operations)) || u.Client.writes.AllowN(now, len(m.Operations)) {
+	budget := u.Client.priorityWriteBudget
+	if now := time.Now(); budget.AllowN(now, len(m.Operations)) || u.Client.writeBudget.AllowN(now, len(m.Operations)) {
 		budget = nil
 	}
 	for {
 		rev, err := u.commit(ctx, m, budget, sending)
-		if !errors.Is(err, errBusy) {
+		if !errors.Is(err, errRateLimited) {
 			return rev, err
 		}
 		budget = nil
 		select {
-		case <-time.After(busyPause):
+		case <-time.After(rateLimitPause):
 		case <-ctx.Done():
 			return rev, err
 		}
@@ -99,10 +99,10 @@
 	n := float64(max(share, 1))
 	return &Client{
 		http:   httpx.NewClient(addr, 8, limit),
-		reqs:   rate.NewLimiter(rate.Limit(rps/n*0.95), max(1, int(rps/n*0.9))),
-		asks:   rate.NewLimiter(rate.Limit(rps/n*0.4), max(2, int(rps/n*0.4))),
-		writes: rate.NewLimiter(rate.Limit(writes/n*0.65), max(13, int(writes/n))),
-		urgent: rate.NewLimiter(rate.Limit(writes/n*0.3), max(8, int(writes/n/2))),
+		requestBudget:   rate.NewLimiter(rate.Limit(rps/n*0.95), max(1, int(rps/n*0.9))),
+		userReadBudget:   rate.NewLimiter(rate.Limit(rps/n*0.4), max(2, int(rps/n*0.4))),
+		writeBudget: rate.NewLimiter(rate.Limit(writes/n*0.65), max(13, int(writes/n))),
+		priorityWriteBudget: rate.NewLimiter(rate.Limit(writes/n*0.3), max(8, int(writes/n/2))),
 	}
 }
 
@@ -114,15 +114,15 @@
 const callTimeout = 3 * time.Second
 
 func (c *Client) call(ctx context.Context, method, target string, body any, timeout time.Duration) (*httpx.Response, error) {
-	return c.callAt(ctx, method, target, body, timeout, nil)
+	return c.callWithCheck(ctx, method, target, body, timeout, nil)
 }
 
-// callAt calls sending, if there is one, when the budget is had and the request
+// callWithCheck calls sending, if there is one, when the budget is had and the request
 // is about to be sent. Its error stands for a refusal.
-func (c *Client) callAt(ctx context.Context, method, target string, body any, timeout time.Duration, sending func() error) (*httpx.Response, error) {
+func (c *Client) callWithCheck(ctx context.Context, method, target string, body any, timeout time.Duration, sending func() error) (*httpx.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := c.reqs.Wait(ctx); err != nil {
+	if err := c.requestBudget.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted)
 	}
 	if sending != nil {
@@ -150,7 +150,7 @@
 	case 200, 404, 409, 410:
 		return r, nil
 	case 429:
-		return nil, fmt.Errorf("%w: %w", ErrRefused, errBusy)
+		return nil, fmt.Errorf("%w: %w", ErrRefused, errRateLimited)
 	case 400, 503:
 		return nil, fmt.Errorf("%w: status %d %.100s", ErrRefused, r.Status, r.Body)
 	}
@@ -218,14 +218,14 @@
 
 // Commit carries out a transaction and gives its revision.
 func (c *Client) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
-	return c.commit(ctx, m, c.writes, nil)
+	return c.commit(ctx, m, c.writeBudget, nil)
 }
 
 // CommitAt is Commit, with a word right before the transaction is sent: what
 // holds only from then on, or must hold still at that moment, is settled there
 // and not before the wait for the budget. If sending fails nothing is sent.
 func (c *Client) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
-	return c.commit(ctx, m, c.writes, sending)
+	return c.commit(ctx, m, c.writeBudget, sending)
 }
 
 func (c *Client) commit(ctx context.Context, m wire.Txn, budget *rate.Limiter, sending func() error) (uint64, error) {
@@ -239,7 +239,7 @@
 	if m.Conditions == nil {
 		m.Conditions = []wire.Condition{}
 	}
-	r, err := c.callAt(ctx, "POST", wire.PathTxn, m, callTimeout, sending)
+	r, err := c.callWithCheck(ctx, "POST", wire.PathTxn, m, callTimeout, sending)
 	if err != nil {
 		return 0, err
 	}
@@ -259,7 +259,7 @@
 // Spare tells whether n changes that can wait may be made now, leaving room
 // for urgent ones.
 func (c *Client) HasSpareWrites(n int) bool {
-	return c.writes.Tokens() >= float64(n)+float64(c.writes.Burst())/3
+	return c.writeBudget.Tokens() >= float64(n)+float64(c.writeBudget.Burst())/3
 }
 
 // Grant makes a hold.
@@ -280,7 +280,7 @@
 func (c *Client) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.reqs.Reserve()
+	c.requestBudget.Reserve()
 	r, err := c.send(ctx, "POST", fmt.Sprintf("%s/%d/extend", wire.PathLeases, hold), struct{}{})
 	if err != nil {
 		return err
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -28,8 +28,8 @@
 	ZonePrefix       = RootPrefix + "z/" // states of zones
 )
 
-// loaded are the prefixes read at the start; final states are only followed.
-var loaded = []string{LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, RootPrefix + "k/"}
+// loadedPrefixes are the prefixes read at the start; final states are only followed.
+var loadedPrefixes = []string{LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, RootPrefix + "k/"}
 
 // Event is one change of a key, in order of revisions.
 type Event struct {
@@ -46,21 +46,21 @@
 
 // Replica follows the keys and tells a listener of every change.
 type Replica struct {
-	src    Source
-	tell   func([]Event, uint64)
+	source    Source
+	notify   func([]Event, uint64)
 	log    *slog.Logger
-	stamps map[string]uint64
-	rev    uint64
+	modRevisions map[string]uint64
+	revision    uint64
 }
 
 // NewReplica makes a replica that tells its listener of changes, in order, and up to
 // which revision it knows all of them then.
 func NewReplica(src Source, tell func([]Event, uint64), log *slog.Logger) *Replica {
-	return &Replica{src: src, tell: tell, log: log, stamps: map[string]uint64{}}
+	return &Replica{source: src, notify: tell, log: log, modRevisions: map[string]uint64{}}
 }
 
-// minGap bounds how often a watch is opened anew, since each counts as a request.
-const minGap = 90 * time.Millisecond
+// minWatchInterval bounds how often a watch is opened anew, since each counts as a request.
+const minWatchInterval = 90 * time.Millisecond
 
 // Run follows the keys until ctx ends. loadedOnce is closed after the first full read.
 func (r *Replica) Run(ctx context.Context, loadedOnce chan<- struct{}) error {
@@ -89,7 +89,7 @@
 			}
 		}
 		began := time.Now()
-		ch, err := r.src.Watch(ctx, RootPrefix, r.rev, 20*time.Second)
+		ch, err := r.source.Watch(ctx, RootPrefix, r.revision, 20*time.Second)
 		switch {
 		case errors.Is(err, ErrCompacted):
 			fresh = false
@@ -101,38 +101,38 @@
 			pause(250 * time.Millisecond)
 			continue
 		}
-		r.apply(ch)
-		if gap := minGap - time.Since(began); gap > 0 {
+		r.applyChanges(ch)
+		if gap := minWatchInterval - time.Since(began); gap > 0 {
 			pause(gap)
 		}
 	}
 	return nil
 }
 
-// apply takes a watch's answer. Replays of what is known are dropped by stamp.
-func (r *Replica) apply(ch wire.WatchResponse) {
+// applyChanges takes a watch's answer. Replays of what is known are dropped by stamp.
+func (r *Replica) applyChanges(ch wire.WatchResponse) {
 	var evs []Event
 	for _, c := range ch.Changes {
 		key := c.Put
 		if key == "" {
 			key = c.Drop
 		}
-		if c.ModRevision <= r.stamps[key] || key == "" {
+		if c.ModRevision <= r.modRevisions[key] || key == "" {
 			continue
 		}
 		if c.Put != "" {
 			if !strings.HasPrefix(key, FinalJobPrefix) {
-				r.stamps[key] = c.ModRevision
+				r.modRevisions[key] = c.ModRevision
 			}
 			evs = append(evs, Event{key, c.Value, c.ModRevision})
 		} else {
-			delete(r.stamps, key)
+			delete(r.modRevisions, key)
 			evs = append(evs, Event{key, nil, c.ModRevision})
 		}
 	}
-	r.rev = max(r.rev, ch.Revision)
+	r.revision = max(r.revision, ch.Revision)
 	if len(evs) > 0 {
-		r.tell(evs, r.rev)
+		r.notify(evs, r.revision)
 	}
 }
 
@@ -141,8 +141,8 @@
 	var evs []Event
 	var low uint64
 	seen := map[string]bool{}
-	for i, p := range loaded {
-		items, rev, err := r.src.List(ctx, p)
+	for i, p := range loadedPrefixes {
+		items, rev, err := r.source.List(ctx, p)
 		if err != nil {
 			return err
 		}
@@ -151,25 +151,25 @@
 		}
 		for _, it := range items {
 			seen[it.Key] = true
-			if it.ModRevision > r.stamps[it.Key] {
+			if it.ModRevision > r.modRevisions[it.Key] {
 				evs = append(evs, Event{it.Key, it.Value, it.ModRevision})
 			}
 		}
 	}
-	for key, stamp := range r.stamps {
+	for key, stamp := range r.modRevisions {
 		if !seen[key] {
 			evs = append(evs, Event{key, nil, max(low, stamp)})
-			delete(r.stamps, key)
+			delete(r.modRevisions, key)
 		}
 	}
 	for _, e := range evs {
 		if e.Value != nil {
-			r.stamps[e.Key] = e.ModRevision
+			r.modRevisions[e.Key] = e.ModRevision
 		}
 	}
-	r.rev = low
+	r.revision = low
 	if len(evs) > 0 {
-		r.tell(evs, r.rev)
+		r.notify(evs, r.revision)
 	}
 	return nil
 }
--- a/internal/kvstore/replica_apply_bench_test.go
+++ b/internal/kvstore/replica_apply_bench_test.go
@@ -15,7 +15,7 @@
 	rev := uint64(0)
 	change := func() {
 		rev++
-		r.apply(wire.WatchResponse{Revision: rev, Changes: []wire.Change{{Put: ActiveJobPrefix + "job-000001", Value: []byte(`{}`), ModRevision: rev}}})
+		r.applyChanges(wire.WatchResponse{Revision: rev, Changes: []wire.Change{{Put: ActiveJobPrefix + "job-000001", Value: []byte(`{}`), ModRevision: rev}}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/kvstore/replica_test.go
+++ b/internal/kvstore/replica_test.go
@@ -16,14 +16,14 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// forgetful is a state service that now and then no longer keeps the watched revision.
-type forgetful struct {
+// compactingStore is a state service that now and then no longer keeps the watched revision.
+type compactingStore struct {
 	*fakes.KVClient
 	every int
 	calls int
 }
 
-func (f *forgetful) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+func (f *compactingStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	if f.calls++; f.calls%f.every == 0 {
 		return wire.WatchResponse{}, kvstore.ErrCompacted
 	}
@@ -32,7 +32,7 @@
 
 // Whatever the watch forgets or repeats, the listener ends up with what the
 // service holds, and never hears an older value of a key after a newer one.
-func TestReplicaFollows(t *testing.T) {
+func TestReplicaConvergesAfterCompactionAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
 		v := &fakes.KVClient{KVStore: st}
@@ -48,7 +48,7 @@
 				}
 			}
 		}
-		r := kvstore.NewReplica(&forgetful{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		r := kvstore.NewReplica(&compactingStore{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, stop := context.WithCancel(t.Context())
 		loaded := make(chan struct{})
 		go r.Run(ctx, loaded) //nolint:errcheck // ends with the context
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -17,41 +17,41 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 var timing = Timing{TTL: 24 * clock.Second, RenewInterval: 3 * clock.Second / 2, TakeoverGrace: 3 * clock.Second, ResignAfter: 5 * clock.Second, TransferDelay: 15 * clock.Second}
 
 // process is a controller's keeper and replica in a test's bubble.
 type process struct {
 	*Elector
-	view *fakes.KVClient
+	store *fakes.KVClient
 	stop context.CancelFunc
 }
 
 var duties = []string{"one", "two", "three"}
 
-func start(t *testing.T, st *fakes.KVStore, host string) *process {
+func startProcess(t *testing.T, st *fakes.KVStore, host string) *process {
 	ctx, cancel := context.WithCancel(t.Context())
 	v := &fakes.KVClient{KVStore: st}
-	k := NewElector(NewElection(host, []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
-	r := kvstore.NewReplica(v, k.Apply, quiet)
+	k := NewElector(NewElection(host, []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, discardLog)
+	r := kvstore.NewReplica(v, k.Apply, discardLog)
 	go k.Run(ctx)                      //nolint:errcheck // ends with the context
 	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 	return &process{k, v, cancel}
 }
 
-func (p *process) has(duty string) bool {
+func (p *process) leads(duty string) bool {
 	_, ok := p.Leading(duty)
 	return ok
 }
 
-// slow is a way to a state service that answers renewals late.
-type slow struct {
+// slowStore is a way to a state service that answers renewals late.
+type slowStore struct {
 	*fakes.KVClient
 	by time.Duration
 }
 
-func (s slow) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
+func (s slowStore) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
 	time.Sleep(min(s.by, timeout))
 	if s.by > timeout {
 		return kvstore.ErrOutcomeUnknown
@@ -60,14 +60,14 @@
 }
 
 // The state service answers two seconds late for a minute: duties are kept.
-func TestASlowStateServiceCostsNoDuty(t *testing.T) {
+func TestSlowStoreKeepsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		v := slow{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
-		k := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, quiet)
+		v := slowStore{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
+		k := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, discardLog)
 		go k.Run(ctx)                                                          //nolint:errcheck // ends with the context
-		go kvstore.NewReplica(v, k.Apply, quiet).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
+		go kvstore.NewReplica(v, k.Apply, discardLog).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 		time.Sleep(5 * time.Second)
 		for range 60 {
 			_, ok := k.Leading(duties[0])
@@ -80,60 +80,60 @@
 }
 
 // Each takes the duty it is preferred for; each duty has one holder.
-func TestDutiesAreSpread(t *testing.T) {
+func TestLeadershipsAreAcquiredByTheirPreferredLeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a, b, c := start(t, st, "a"), start(t, st, "b"), start(t, st, "c")
+		a, b, c := startProcess(t, st, "a"), startProcess(t, st, "b"), startProcess(t, st, "c")
 		time.Sleep(2 * time.Second)
-		require.True(t, a.has("one") && b.has("two") && c.has("three"))
-		require.False(t, a.has("two") || b.has("one"))
+		require.True(t, a.leads("one") && b.leads("two") && c.leads("three"))
+		require.False(t, a.leads("two") || b.leads("one"))
 	})
 }
 
 // A restarted process replaces its former incarnation at once; the former one,
 // should it live, is out.
-func TestARestartTakesItsDutiesAnew(t *testing.T) {
+func TestRestartAcquiresLeadershipsUnderNewTerms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
-		again := start(t, st, "a")
+		again := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		second, ok := again.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, first.Term+1, second.Term)
-		require.False(t, a.has("one"))
+		require.False(t, a.leads("one"))
 	})
 }
 
 // A process that is gone for good loses its duties when its hold ends, not before.
-func TestDutiesMoveWhenTheHoldEnds(t *testing.T) {
+func TestLeadershipMovesWhenLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a, b := start(t, st, "a"), start(t, st, "b")
+		a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
 		time.Sleep(10 * time.Second)
-		require.True(t, a.has("one"))
+		require.True(t, a.leads("one"))
 		a.stop()
 		time.Sleep(20 * time.Second)
-		require.False(t, b.has("one"))
+		require.False(t, b.leads("one"))
 		time.Sleep(4700 * time.Millisecond)
-		require.True(t, b.has("one"), "at once: whoever was away for its whole hold is not waited for")
+		require.True(t, b.leads("one"), "at once: whoever was away for its whole hold is not waited for")
 	})
 }
 
 // An outage of the state service of 20 s ends nobody's duties; a longer one
 // ends them by the holder's own clock, and a new term begins after it.
-func TestOutages(t *testing.T) {
+func TestOutageLongerThanLeaseEndsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
 		st.SetDown(true)
 		for range 20 {
 			time.Sleep(time.Second)
-			require.True(t, a.has("one"))
+			require.True(t, a.leads("one"))
 		}
 		st.SetDown(false)
 		time.Sleep(3 * time.Second)
@@ -142,7 +142,7 @@
 		require.Equal(t, first.Term, same.Term)
 		st.SetDown(true)
 		time.Sleep(28 * time.Second)
-		require.False(t, a.has("one"), "the hold may have ended by now")
+		require.False(t, a.leads("one"), "the hold may have ended by now")
 		st.SetDown(false)
 		time.Sleep(3 * time.Second)
 		next, ok := a.Leading("one")
@@ -153,31 +153,31 @@
 
 // One controller alone is refused by the state service. At no time do two hold
 // the same duty; told by a peer that can reach it, it gives up early.
-func TestACutOffHolderResigns(t *testing.T) {
+func TestIsolatedLeaderResignsWhenPeerHasContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a, b := start(t, st, "a"), start(t, st, "b")
+		a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
 		time.Sleep(10 * time.Second)
-		a.view.SetCut(true)
+		a.store.SetCut(true)
 		time.Sleep(6 * time.Second)
 		a.ObservePeer(0)
-		require.False(t, a.has("one"))
+		require.False(t, a.leads("one"))
 		_, resigned := a.StoreContact()
 		b.RemoveResigned(t.Context(), "a", resigned)
 		time.Sleep(4 * time.Second)
-		require.True(t, b.has("one"))
-		require.False(t, a.has("one"))
-		a.view.SetCut(false)
+		require.True(t, b.leads("one"))
+		require.False(t, a.leads("one"))
+		a.store.SetCut(false)
 		time.Sleep(2 * time.Second)
-		require.True(t, b.has("one") != a.has("one"))
+		require.True(t, b.leads("one") != a.leads("one"))
 	})
 }
 
-// withoutA has three controllers share the duties, and the first go away for long. It
+// clusterWithoutA has three controllers share the duties, and the first go away for long. It
 // gives the second.
-func withoutA(t *testing.T, st *fakes.KVStore) *process {
-	a, b := start(t, st, "a"), start(t, st, "b")
-	start(t, st, "c")
+func clusterWithoutA(t *testing.T, st *fakes.KVStore) *process {
+	a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
+	startProcess(t, st, "c")
 	time.Sleep(10 * time.Second)
 	a.stop()
 	time.Sleep(40 * time.Second)
@@ -186,37 +186,37 @@
 
 // A controller that was away for long finds its duties with others; they come
 // back to it once it has stayed, each under a new term, and never with two holders.
-func TestDutiesComeBack(t *testing.T) {
+func TestLeadershipReturnsToPreferredLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		b := withoutA(t, st)
+		b := clusterWithoutA(t, st)
 		held, ok := b.Leading("one")
 		require.True(t, ok)
-		again := start(t, st, "a")
+		again := startProcess(t, st, "a")
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
-			require.False(t, again.has("one") && b.has("one"))
+			require.False(t, again.leads("one") && b.leads("one"))
 		}
 		back, ok := again.Leading("one")
 		require.True(t, ok)
 		require.Greater(t, back.Term, held.Term)
-		require.True(t, b.has("two"), "what is meant for b stays")
+		require.True(t, b.leads("two"), "what is meant for b stays")
 	})
 }
 
 // A holder that hands a duty over doesn't act on it from then on, although the write that
 // frees it was refused or had no answer: another may have the duty already.
-func TestWhatIsHandedOverIsNotActedOn(t *testing.T) {
+func TestTransferredLeadershipIsNotActedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		b := withoutA(t, st)
-		require.True(t, b.has("one"))
-		start(t, st, "a")
+		b := clusterWithoutA(t, st)
+		require.True(t, b.leads("one"))
+		startProcess(t, st, "a")
 		time.Sleep(14 * time.Second)
-		require.True(t, b.has("one"), "a has not been back for long enough")
-		b.view.SetCut(true)
+		require.True(t, b.leads("one"), "a has not been back for long enough")
+		b.store.SetCut(true)
 		time.Sleep(3 * time.Second)
-		require.False(t, b.has("one"), "its turn to hand it over has come")
+		require.False(t, b.leads("one"), "its turn to hand it over has come")
 		holder, ok := b.Leader("one")
 		require.True(t, ok && holder == "b", "the claim says still that it is b's")
 	})
@@ -225,36 +225,36 @@
 // A controller is cut off from the workers: those of its duties that need them
 // go to others at once and stay there, the rest stays; once it reaches workers
 // again its own come back.
-func TestADeafControllerKeepsWhatNeedsNoWorkers(t *testing.T) {
+func TestUnreachableControllerTransfersOnlyWorkerDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a, b, c := start(t, st, "a"), start(t, st, "b"), start(t, st, "c")
+		a, b, c := startProcess(t, st, "a"), startProcess(t, st, "b"), startProcess(t, st, "c")
 		time.Sleep(20 * time.Second)
-		require.True(t, a.has("one") && b.has("two") && c.has("three"))
+		require.True(t, a.leads("one") && b.leads("two") && c.leads("three"))
 		a.SetUnreachable(true)
 		c.SetUnreachable(true)
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			require.False(t, a.has("one") && b.has("one"))
+			require.False(t, a.leads("one") && b.leads("one"))
 		}
-		require.True(t, b.has("one") && c.has("three"))
+		require.True(t, b.leads("one") && c.leads("three"))
 		time.Sleep(40 * time.Second)
-		require.True(t, b.has("one") && b.has("two") && c.has("three"))
+		require.True(t, b.leads("one") && b.leads("two") && c.leads("three"))
 		a.SetUnreachable(false)
 		time.Sleep(20 * time.Second)
-		require.True(t, a.has("one") && b.has("two"))
+		require.True(t, a.leads("one") && b.leads("two"))
 	})
 }
 
 // The number of controllers was changed, and with it the partitions. A new
 // duty's term is above those of the duties that were there before.
-func TestTermsGrowOverAllDuties(t *testing.T) {
+func TestNewDutyTermExceedsAllFormerTerms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
 		_, err := (&fakes.KVClient{KVStore: st}).Commit(t.Context(), wire.Txn{Operations: []wire.Operation{
 			{Put: kvstore.LeaderPrefix + "part-of-old", Value: Record{"a", "gone", 41}}}})
 		require.NoError(t, err)
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		h, ok := a.Leading("one")
 		require.True(t, ok)
@@ -264,19 +264,19 @@
 
 // A controller that restarts in an outage has had no contact at all: it must
 // not make its peers believe that they alone are cut off.
-func TestARestartInAnOutageClaimsNoContact(t *testing.T) {
+func TestRestartInOutageReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(10 * time.Second)
 		st.SetDown(true)
 		time.Sleep(8 * time.Second)
-		b := start(t, st, "b")
+		b := startProcess(t, st, "b")
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			ago, _ := b.StoreContact()
 			a.ObservePeer(ago)
-			require.True(t, a.has("one"), "the outage is shared: duties go on")
+			require.True(t, a.leads("one"), "the outage is shared: duties go on")
 		}
 		st.SetDown(false)
 		time.Sleep(2 * time.Second)
@@ -286,10 +286,10 @@
 }
 
 // An outage that all share is told apart from being cut off alone.
-func TestSharedOutage(t *testing.T) {
+func TestSharedOutageIsToldFromIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(10 * time.Second)
 		require.False(t, a.SharedOutage())
 		st.SetDown(true)
@@ -303,15 +303,15 @@
 }
 
 // A claim's write is held up and arrives when the claim has moved on.
-func TestALateClaimFails(t *testing.T) {
+func TestLateRegistrationIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakes.NewKVStore()
 		st.SetCapture(true)
-		a := start(t, st, "a")
+		a := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		a.stop()
 		st.SetCapture(false)
-		b := start(t, st, "a")
+		b := startProcess(t, st, "a")
 		time.Sleep(time.Second)
 		before, ok := b.Leading("one")
 		require.True(t, ok)
@@ -325,7 +325,7 @@
 
 // What controllers of the version before have written is read by this one, and the other
 // way round: records keep their fields' names.
-func TestRecordsKeepTheirFields(t *testing.T) {
+func TestRecordsKeepTheirJSONFields(t *testing.T) {
 	for want, record := range map[string]any{
 		`{"holder":"a","incarnation":"i","term":3}`: Record{Leader: "a", Incarnation: "i", Term: 3},
 		`{"incarnation":"i","deaf":true}`:           Registration{Incarnation: "i", Unreachable: true},
