--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -37,11 +37,11 @@
 
 // Client calls the state service.
 type Client struct {
-	http   *httpx.Client
-	requestBudget   *rate.Limiter
-	writeBudget *rate.Limiter
+	http                *httpx.Client
+	requestBudget       *rate.Limiter
+	writeBudget         *rate.Limiter
 	priorityWriteBudget *rate.Limiter // changes that users or other controllers wait for
-	userReadBudget   *rate.Limiter // keys read on users' behalf
+	userReadBudget      *rate.Limiter // keys read on users' behalf
 }
 
 // UserClient is the way of what users ask: reads for them have a part of the budget
@@ -98,10 +98,10 @@
 func NewClient(addr string, rps, writes float64, share, limit int) *Client {
 	n := float64(max(share, 1))
 	return &Client{
-		http:   httpx.NewClient(addr, 8, limit),
-		requestBudget:   rate.NewLimiter(rate.Limit(rps/n*0.95), max(1, int(rps/n*0.9))),
-		userReadBudget:   rate.NewLimiter(rate.Limit(rps/n*0.4), max(2, int(rps/n*0.4))),
-		writeBudget: rate.NewLimiter(rate.Limit(writes/n*0.65), max(13, int(writes/n))),
+		http:                httpx.NewClient(addr, 8, limit),
+		requestBudget:       rate.NewLimiter(rate.Limit(rps/n*0.95), max(1, int(rps/n*0.9))),
+		userReadBudget:      rate.NewLimiter(rate.Limit(rps/n*0.4), max(2, int(rps/n*0.4))),
+		writeBudget:         rate.NewLimiter(rate.Limit(writes/n*0.65), max(13, int(writes/n))),
 		priorityWriteBudget: rate.NewLimiter(rate.Limit(writes/n*0.3), max(8, int(writes/n/2))),
 	}
 }
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -46,11 +46,11 @@
 
 // Replica follows the keys and tells a listener of every change.
 type Replica struct {
-	source    Source
-	notify   func([]Event, uint64)
-	log    *slog.Logger
+	source       Source
+	notify       func([]Event, uint64)
+	log          *slog.Logger
 	modRevisions map[string]uint64
-	revision    uint64
+	revision     uint64
 }
 
 // NewReplica makes a replica that tells its listener of changes, in order, and up to
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -44,21 +44,21 @@
 
 // Election knows who is registered and who holds what.
 type Election struct {
-	host   string
-	controllers  []string // all controllers, sorted
-	duties []string // all claims, in a fixed order
+	host          string
+	controllers   []string // all controllers, sorted
+	duties        []string // all claims, in a fixed order
 	workerDuties  int      // the first so many of them need the workers
-	registrations  map[string]observedRegistration
-	leaderships map[string]Leadership
-	freeSince map[string]clock.Micros
-	presence   map[string]string // incarnations as last looked at, and since when
+	registrations map[string]observedRegistration
+	leaderships   map[string]Leadership
+	freeSince     map[string]clock.Micros
+	presence      map[string]string // incarnations as last looked at, and since when
 	presentSince  map[string]clock.Micros
-	transferring map[string]uint64 // duties being handed over: the stamp of their claim
-	departed   map[string]bool   // hosts that were registered and are not any more
+	transferring  map[string]uint64 // duties being handed over: the stamp of their claim
+	departed      map[string]bool   // hosts that were registered and are not any more
 
-	incarnation string
-	leaseID        uint64
-	leaseValidUntil       clock.Micros // this incarnation may act until then
+	incarnation     string
+	leaseID         uint64
+	leaseValidUntil clock.Micros // this incarnation may act until then
 }
 
 // NewElection makes a book for host; hosts names all controllers, duties all claims,
@@ -126,7 +126,9 @@
 func (e *Election) Incarnation() (string, uint64) { return e.incarnation, e.leaseID }
 
 // LeaseValid tells whether this process may act.
-func (e *Election) LeaseValid(now clock.Micros) bool { return e.incarnation != "" && now < e.leaseValidUntil }
+func (e *Election) LeaseValid(now clock.Micros) bool {
+	return e.incarnation != "" && now < e.leaseValidUntil
+}
 
 // isRegistered tells whether the replica shows this incarnation as registered.
 func (e *Election) isRegistered() bool {
@@ -142,7 +144,9 @@
 
 // ineligible tells that the i-th duty needs the workers and that a controller is cut
 // off from them.
-func (e *Election) ineligible(i int, host string) bool { return i < e.workerDuties && e.registrations[host].Unreachable }
+func (e *Election) ineligible(i int, host string) bool {
+	return i < e.workerDuties && e.registrations[host].Unreachable
+}
 
 // otherEligible tells that some other controller could hold the i-th duty.
 func (e *Election) otherEligible(i int) bool {
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -34,14 +34,14 @@
 	log    *slog.Logger
 	wake   chan struct{}
 
-	mu          sync.Mutex
-	election        *Election
-	lastRenewal      clock.Micros // when the last confirmed renewal was sent
-	lastResigned    string       // the last incarnation given up for good
-	lastPeerContact      clock.Micros // when a peer last said that it has contact
-	lastPeerHeartbeat     clock.Micros // when a peer last said anything
+	mu                sync.Mutex
+	election          *Election
+	lastRenewal       clock.Micros // when the last confirmed renewal was sent
+	lastResigned      string       // the last incarnation given up for good
+	lastPeerContact   clock.Micros // when a peer last said that it has contact
+	lastPeerHeartbeat clock.Micros // when a peer last said anything
 	lastTransfer      clock.Micros // when a duty was last handed over
-	unreachable bool         // no worker reaches this controller
+	unreachable       bool         // no worker reaches this controller
 }
 
 // NewElector makes a keeper around a book.
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -25,7 +25,7 @@
 type process struct {
 	*Elector
 	store *fakes.KVClient
-	stop context.CancelFunc
+	stop  context.CancelFunc
 }
 
 var duties = []string{"one", "two", "three"}
@@ -66,7 +66,7 @@
 		defer cancel()
 		v := slowStore{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
 		k := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), v, clock.NewSteady(), timing, discardLog)
-		go k.Run(ctx)                                                          //nolint:errcheck // ends with the context
+		go k.Run(ctx)                                                               //nolint:errcheck // ends with the context
 		go kvstore.NewReplica(v, k.Apply, discardLog).Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
 		time.Sleep(5 * time.Second)
 		for range 60 {
