--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -12,29 +12,28 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// RootPrefix is the prefix of every key of the project; the watch covers it.
-const RootPrefix = "ml/"
-
-// Prefixes of keys below Root.
 const (
-	LeaderPrefix     = RootPrefix + "c/" // duties
-	ControllerPrefix = RootPrefix + "n/" // registered incarnations
-	ActiveJobPrefix  = RootPrefix + "a/" // jobs that are not final
-	FinalJobPrefix   = RootPrefix + "f/" // final states of jobs
-	MachinePrefix    = RootPrefix + "m/" // machines that may hold tasks
-	ProgressPrefix   = RootPrefix + "p/" // completed tasks of active jobs
-	WatermarkPrefix  = RootPrefix + "w/" // how many tasks of active jobs may have been asked for
-	CatalogKey       = RootPrefix + "k/catalog"
-	ZonePrefix       = RootPrefix + "z/" // states of zones
+	// watchBlock is how long a watch may wait in the store for a change.
+	watchBlock = 20 * time.Second
+	// minWatchInterval bounds how often a watch is opened anew, since each counts as a request.
+	minWatchInterval = 90 * time.Millisecond
+	// loadRetryPause and watchRetryPause bound how often a store that does not answer is asked again: soon enough that an
+	// outage's end is noticed at once, seldom enough for the request budget.
+	loadRetryPause  = 300 * time.Millisecond
+	watchRetryPause = 250 * time.Millisecond
+	// failureLogInterval is how many failures in a row go with one log event: an outage lasts many tries.
+	failureLogInterval = 32
 )
 
 // loadedPrefixes are the prefixes read at the start; final states are only followed.
-var loadedPrefixes = []string{LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, RootPrefix + "k/"}
+var loadedPrefixes = []string{
+	LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, catalogPrefix,
+}
 
 // Event is one change of a key, in order of revisions.
 type Event struct {
 	Key         string
-	Value       json.RawMessage // nil: dropped
+	Value       json.RawMessage // nil: deleted
 	ModRevision uint64
 }
 
@@ -44,74 +43,81 @@
 	Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error)
 }
 
-// Replica follows the keys and tells a listener of every change.
+// Replica follows all keys and notifies a listener of every change. It keeps mod revisions, not values: what is to be known is
+// kept by the listener. Only the goroutine of Run uses its fields.
 type Replica struct {
-	source       Source
-	notify       func([]Event, uint64)
-	log          *slog.Logger
-	modRevisions map[string]uint64
-	revision     uint64
+	source Source
+	notify func([]Event, uint64)
+	log    *slog.Logger
+
+	modRevisions map[string]uint64 // of all keys that the listener knows, but for final states
+	revision     uint64            // all changes up to it are known
 }
 
-// NewReplica makes a replica that tells its listener of changes, in order, and up to
-// which revision it knows all of them then.
+// NewReplica makes a replica that notifies its listener of changes, in order, and up to which revision it knows all of them
+// then. The listener is called by the goroutine of Run and must not block.
 func NewReplica(src Source, tell func([]Event, uint64), log *slog.Logger) *Replica {
 	return &Replica{source: src, notify: tell, log: log, modRevisions: map[string]uint64{}}
 }
 
-// minWatchInterval bounds how often a watch is opened anew, since each counts as a request.
-const minWatchInterval = 90 * time.Millisecond
-
-// Run follows the keys until ctx ends. loadedOnce is closed after the first full read.
+// Run follows the keys until ctx ends: it reads all of them, then watches for changes until the store no longer has the watched
+// revision, and so on. loadedOnce is closed after the first full read.
 func (r *Replica) Run(ctx context.Context, loadedOnce chan<- struct{}) error {
-	fresh := false
-	first := true
-	tries := 0
-	pause := func(d time.Duration) {
-		select {
-		case <-time.After(d):
-		case <-ctx.Done():
+	for ctx.Err() == nil {
+		if !r.loadWithRetry(ctx) {
+			break
+		}
+		if loadedOnce != nil {
+			close(loadedOnce)
+			loadedOnce = nil
 		}
+		r.watchUntilCompacted(ctx)
 	}
-	for ctx.Err() == nil {
-		if !fresh {
-			if err := r.load(ctx); err != nil {
-				if tries++; tries%32 == 1 { // once in a while: an outage lasts many tries
-					r.log.Info("reading the state service", "tries", tries, "err", err)
-				}
-				pause(300 * time.Millisecond)
-				continue
-			}
-			fresh, tries = true, 0
-			if first {
-				close(loadedOnce)
-				first = false
-			}
+	return nil
+}
+
+// loadWithRetry reads all keys, again and again until it succeeds; it reports false when ctx has ended before.
+func (r *Replica) loadWithRetry(ctx context.Context) bool {
+	for attempts := 1; ctx.Err() == nil; attempts++ {
+		err := r.load(ctx)
+		if err == nil {
+			return true
 		}
+		if attempts%failureLogInterval == 1 {
+			r.log.Warn("store load failed", "attempts", attempts, "error", err)
+		}
+		pause(ctx, loadRetryPause)
+	}
+	return false
+}
+
+// watchUntilCompacted notifies the listener of changes until all keys are to be read anew, or ctx ends.
+func (r *Replica) watchUntilCompacted(ctx context.Context) {
+	failures := 0 // in a row
+	for ctx.Err() == nil {
 		began := time.Now()
-		ch, err := r.source.Watch(ctx, RootPrefix, r.revision, 20*time.Second)
+		changes, err := r.source.Watch(ctx, RootPrefix, r.revision, watchBlock)
 		switch {
 		case errors.Is(err, ErrCompacted):
-			fresh = false
-			continue
+			return
 		case err != nil:
-			if ctx.Err() == nil {
-				r.log.Debug("watching the state service", "err", err)
+			if failures++; failures%failureLogInterval == 1 && ctx.Err() == nil {
+				r.log.Warn("store watch failed", "error", err)
 			}
-			pause(250 * time.Millisecond)
+			pause(ctx, watchRetryPause)
 			continue
 		}
-		r.applyChanges(ch)
-		if gap := minWatchInterval - time.Since(began); gap > 0 {
-			pause(gap)
+		failures = 0
+		r.applyChanges(changes)
+		if rest := minWatchInterval - time.Since(began); rest > 0 {
+			pause(ctx, rest)
 		}
 	}
-	return nil
 }
 
-// applyChanges takes a watch's answer. Replays of what is known are dropped by stamp.
+// applyChanges takes a watch's answer. Repetitions of what is known are dropped by their mod revisions.
 func (r *Replica) applyChanges(ch wire.WatchResponse) {
-	var evs []Event
+	var events []Event
 	for _, c := range ch.Changes {
 		key := c.Put
 		if key == "" {
@@ -124,52 +130,54 @@
 			if !strings.HasPrefix(key, FinalJobPrefix) {
 				r.modRevisions[key] = c.ModRevision
 			}
-			evs = append(evs, Event{key, c.Value, c.ModRevision})
+			events = append(events, Event{key, c.Value, c.ModRevision})
 		} else {
 			delete(r.modRevisions, key)
-			evs = append(evs, Event{key, nil, c.ModRevision})
+			events = append(events, Event{key, nil, c.ModRevision})
 		}
 	}
-	r.revision = max(r.revision, ch.Revision)
-	if len(evs) > 0 {
-		r.notify(evs, r.revision)
-	}
+	r.publish(events, max(r.revision, ch.Revision))
 }
 
-// load reads everything and tells the differences from what was known.
+// load reads all keys and notifies the listener of the differences from what it knew.
 func (r *Replica) load(ctx context.Context) error {
-	var evs []Event
-	var low uint64
-	seen := map[string]bool{}
-	for i, p := range loadedPrefixes {
-		items, rev, err := r.source.List(ctx, p)
+	var events []Event
+	var lowest uint64 // revision of the earliest page: the watch goes on from there
+	present := map[string]bool{}
+	for i, prefix := range loadedPrefixes {
+		items, rev, err := r.source.List(ctx, prefix)
 		if err != nil {
 			return err
 		}
-		if i == 0 || rev < low {
-			low = rev
+		if i == 0 || rev < lowest {
+			lowest = rev
 		}
 		for _, it := range items {
-			seen[it.Key] = true
+			present[it.Key] = true
 			if it.ModRevision > r.modRevisions[it.Key] {
-				evs = append(evs, Event{it.Key, it.Value, it.ModRevision})
+				events = append(events, Event{it.Key, it.Value, it.ModRevision})
 			}
 		}
 	}
-	for key, stamp := range r.modRevisions {
-		if !seen[key] {
-			evs = append(evs, Event{key, nil, max(low, stamp)})
+	for key, modRevision := range r.modRevisions {
+		if !present[key] {
+			events = append(events, Event{key, nil, max(lowest, modRevision)})
 			delete(r.modRevisions, key)
 		}
 	}
-	for _, e := range evs {
+	for _, e := range events {
 		if e.Value != nil {
 			r.modRevisions[e.Key] = e.ModRevision
 		}
 	}
-	r.revision = low
-	if len(evs) > 0 {
-		r.notify(evs, r.revision)
-	}
+	r.publish(events, lowest)
 	return nil
 }
+
+// publish notifies the listener of events, if there are any, once all changes up to a revision are known.
+func (r *Replica) publish(events []Event, revision uint64) {
+	r.revision = revision
+	if len(events) > 0 {
+		r.notify(events, revision)
+	}
+}
--- a/internal/kvstore/replica_apply_bench_test.go
+++ b/internal/kvstore/replica_apply_bench_test.go
@@ -8,20 +8,21 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// One change that a watch tells of, among many keys that are known.
+// BenchmarkReplicaChange measures one change that a watch reports.
 func BenchmarkReplicaChange(b *testing.B) {
-	told := 0
-	r := NewReplica(nil, func(events []Event, _ uint64) { told += len(events) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	notified := 0
+	r := NewReplica(nil, func(events []Event, _ uint64) { notified += len(events) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	rev := uint64(0)
 	change := func() {
 		rev++
-		r.applyChanges(wire.WatchResponse{Revision: rev, Changes: []wire.Change{{Put: ActiveJobPrefix + "job-000001", Value: []byte(`{}`), ModRevision: rev}}})
+		r.applyChanges(wire.WatchResponse{Revision: rev, Changes: []wire.Change{
+			{Put: ActiveJobPrefix + "job-000001", Value: []byte(`{}`), ModRevision: rev}}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		change()
 	}
-	if told != int(rev) {
-		b.Fatal("a change was not told of")
+	if notified != int(rev) {
+		b.Fatal("the listener was not notified of a change")
 	}
 }
--- a/internal/kvstore/replica_load_bench_test.go
+++ b/internal/kvstore/replica_load_bench_test.go
@@ -12,21 +12,22 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A full read of some hundred keys, as at every start.
+// BenchmarkReplicaLoad measures a full read of some hundred keys, as at every start.
 func BenchmarkReplicaLoad(b *testing.B) {
-	v := &fakes.KVClient{KVStore: fakes.NewKVStore()}
+	store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	for i := range 400 {
-		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", kvstore.ActiveJobPrefix, i), Value: wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}}
-		if _, err := v.Commit(b.Context(), wire.Txn{Operations: []wire.Operation{op}}); err != nil {
+		job := wire.Job{ID: "job", Class: "class", Team: "red", Tasks: 100}
+		op := wire.Operation{Put: fmt.Sprintf("%sjob-%06d", kvstore.ActiveJobPrefix, i), Value: job}
+		if _, err := store.Commit(b.Context(), wire.Txn{Operations: []wire.Operation{op}}); err != nil {
 			b.Fatal(err)
 		}
 	}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	discardLog := slog.New(slog.NewTextHandler(io.Discard, nil))
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, stop := context.WithCancel(b.Context())
 		loaded, over := make(chan struct{}), make(chan struct{})
-		r := kvstore.NewReplica(v, func([]kvstore.Event, uint64) {}, quiet)
+		r := kvstore.NewReplica(store, func([]kvstore.Event, uint64) {}, discardLog)
 		go func() {
 			defer close(over)
 			r.Run(ctx, loaded) //nolint:errcheck // ends with the context
