--- /dev/null
+++ b/internal/kvstore/budget_shares_test.go
@@ -0,0 +1,36 @@
+package kvstore
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/time/rate"
+)
+
+// Unit of the division of the budget, in numbers.
+func TestBudgetIsDividedIntoSharesAndBursts(t *testing.T) {
+	type limit struct {
+		perSecond float64
+		burst     int
+	}
+	for name, c := range map[string]struct {
+		rps, writes                               float64
+		controllers                               int
+		requests, userReads, writing, prioritized limit
+	}{
+		"large store, three controllers": {300, 120, 3, limit{95, 90}, limit{40, 40}, limit{26, 40}, limit{12, 20}},
+		"small store, least bursts":      {3, 6, 3, limit{0.95, 1}, limit{0.4, 2}, limit{1.3, 13}, limit{0.6, 8}},
+		"no controllers count as one":    {10, 20, 0, limit{9.5, 9}, limit{4, 4}, limit{13, 20}, limit{6, 10}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := newBudget(c.rps, c.writes, c.controllers)
+			for _, l := range []struct {
+				want limit
+				got  *rate.Limiter
+			}{{c.requests, b.requests}, {c.userReads, b.userReads}, {c.writing, b.writes}, {c.prioritized, b.priorityWrites}} {
+				require.InDelta(t, l.want.perSecond, float64(l.got.Limit()), 1e-9)
+				require.Equal(t, l.want.burst, l.got.Burst())
+			}
+		})
+	}
+}
--- a/internal/kvstore/replica_load_bench_test.go
+++ b/internal/kvstore/replica_load_bench_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
@@ -22,7 +20,6 @@
 			b.Fatal(err)
 		}
 	}
-	discardLog := slog.New(slog.NewTextHandler(io.Discard, nil))
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, stop := context.WithCancel(b.Context())
--- a/internal/kvstore/replica_test.go
+++ b/internal/kvstore/replica_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -16,29 +14,29 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// compactingStore is a state service that now and then no longer keeps the watched revision.
+// compactingStore is a key-value store that now and then no longer has the watched revision.
 type compactingStore struct {
 	*fakes.KVClient
 	every int
 	calls int
 }
 
-func (f *compactingStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
-	if f.calls++; f.calls%f.every == 0 {
+func (s *compactingStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+	if s.calls++; s.calls%s.every == 0 {
 		return wire.WatchResponse{}, kvstore.ErrCompacted
 	}
-	return f.KVClient.Watch(ctx, prefix, rev, block)
+	return s.KVClient.Watch(ctx, prefix, rev, block)
 }
 
-// Whatever the watch forgets or repeats, the listener ends up with what the
-// service holds, and never hears an older value of a key after a newer one.
+// Whatever the watch no longer has or repeats, the listener ends up with what the store holds, and is never notified of an older
+// value of a key after a newer one.
 func TestReplicaConvergesAfterCompactionAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		v := &fakes.KVClient{KVStore: st}
+		store := fakes.NewKVStore()
+		client := &fakes.KVClient{KVStore: store}
 		known, last := map[string]string{}, map[string]uint64{}
-		tell := func(evs []kvstore.Event, _ uint64) {
-			for _, e := range evs {
+		listener := func(events []kvstore.Event, _ uint64) {
+			for _, e := range events {
 				require.GreaterOrEqual(t, e.ModRevision, last[e.Key], e.Key)
 				last[e.Key] = e.ModRevision
 				if e.Value == nil {
@@ -48,7 +46,7 @@
 				}
 			}
 		}
-		r := kvstore.NewReplica(&compactingStore{KVClient: v, every: 5}, tell, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		r := kvstore.NewReplica(&compactingStore{KVClient: client, every: 5}, listener, discardLog)
 		ctx, stop := context.WithCancel(t.Context())
 		loaded := make(chan struct{})
 		go r.Run(ctx, loaded) //nolint:errcheck // ends with the context
@@ -60,17 +58,17 @@
 			if rng.IntN(3) == 0 {
 				op = wire.Operation{Drop: key}
 			}
-			_, err := v.Commit(ctx, wire.Txn{Operations: []wire.Operation{op}})
+			_, err := client.Commit(ctx, wire.Txn{Operations: []wire.Operation{op}})
 			require.NoError(t, err)
 			if i == 100 {
-				st.SetDown(true)
+				store.SetDown(true)
 				time.Sleep(5 * time.Second)
-				st.SetDown(false)
+				store.SetDown(false)
 			}
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		items, _, err := v.List(ctx, kvstore.ActiveJobPrefix)
+		items, _, err := client.List(ctx, kvstore.ActiveJobPrefix)
 		require.NoError(t, err)
 		want := map[string]string{}
 		for _, it := range items {
