--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -1,8 +1,3 @@
-// Package claim is the one mechanism behind every duty of a controller: a key
-// that names its holder's incarnation and a term, taken by conditional write.
-//
-// Book is the decision: plain code on what the replica told. Keeper does the
-// I/O: it keeps the incarnation registered under a hold and takes free claims.
 package leaderelection
 
 import (
@@ -16,284 +11,214 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Record is the value of a claim's key.
+// Record is the value of a leadership's key.
 type Record struct {
-	Leader      string `json:"holder"`
+	Leader      string `json:"holder"` // a controller; empty: free
 	Incarnation string `json:"incarnation"`
 	Term        uint64 `json:"term"`
 }
 
-// Registration is the value of a controller's key, attached to its hold.
+// Registration is the value of a controller's key, attached to its controller lease.
 type Registration struct {
 	Incarnation string `json:"incarnation"`
-	// Unreachable tells that this controller is cut off from the workers: it should hold
-	// no duty that needs them, and its other duties go on.
+	// Unreachable says that this controller's workers don't reach it: it should lead nothing that needs them, and its other
+	// leaderships go on.
 	Unreachable bool `json:"deaf,omitempty"`
 }
 
-// Leadership is a claim as the replica last showed it.
+// Leadership is a leadership as the replica last showed it.
 type Leadership struct {
 	Record
 	ModRevision uint64
 }
 
+// Write is a conditional write of a leadership's key.
+type Write struct {
+	Duty string
+	Txn  wire.Txn
+}
+
+// observedRegistration is a registration as the replica last showed it.
 type observedRegistration struct {
 	Registration
 	modRevision uint64
 }
 
-// Election knows who is registered and who holds what.
+// presence is since when a controller has been registered, or not, as it is.
+type presence struct {
+	Registration
+	since clock.Micros
+}
+
+// Election knows which incarnations are registered and what each leads, and decides what to acquire and what to transfer. It is
+// not safe for concurrent use: Elector's lock guards it.
+//
+// It keeps the invariants of the package comment: Leading is true only under a valid lease, for a leadership that the replica
+// shows with this incarnation and that is not being transferred.
 type Election struct {
-	host          string
-	controllers   []string // all controllers, sorted
-	duties        []string // all claims, in a fixed order
-	workerDuties  int      // the first so many of them need the workers
+	controller   string   // this one
+	controllers  []string // all of them, sorted
+	duties       []string // all duties, in the same order at every controller
+	workerDuties int      // the first so many of them need the workers
+
+	// What the replica has shown, by controller and by duty.
 	registrations map[string]observedRegistration
+	departed      map[string]bool // controllers that were registered and no longer are
 	leaderships   map[string]Leadership
-	freeSince     map[string]clock.Micros
-	presence      map[string]string // incarnations as last looked at, and since when
-	presentSince  map[string]clock.Micros
-	transferring  map[string]uint64 // duties being handed over: the stamp of their claim
-	departed      map[string]bool   // hosts that were registered and are not any more
 
-	incarnation     string
+	// What follows from it over time.
+	presences    map[string]presence     // by controller, as of the last look of TransferLeadership
+	freeSince    map[string]clock.Micros // by duty without a leader, as of the last look of Campaign
+	transferring map[string]uint64       // by duty: mod revision of the leadership that this controller gives up
+
+	incarnation     string // of this process; empty: none
 	leaseID         uint64
 	leaseValidUntil clock.Micros // this incarnation may act until then
 }
 
-// NewElection makes a book for host; hosts names all controllers, duties all claims,
-// of which the first so many need the workers.
+// NewElection makes the election of one controller, host; hosts names all controllers, duties all duties, of which the first bound
+// need the workers.
 func NewElection(host string, hosts, duties []string, bound int) *Election {
-	hosts = slices.Sorted(slices.Values(hosts))
-	return &Election{host: host, controllers: hosts, duties: duties, workerDuties: bound, registrations: map[string]observedRegistration{},
-		leaderships: map[string]Leadership{}, freeSince: map[string]clock.Micros{}, presence: map[string]string{},
-		presentSince: map[string]clock.Micros{}, transferring: map[string]uint64{}, departed: map[string]bool{}}
+	return &Election{
+		controller:    host,
+		controllers:   slices.Sorted(slices.Values(hosts)),
+		duties:        duties,
+		workerDuties:  bound,
+		registrations: map[string]observedRegistration{},
+		departed:      map[string]bool{},
+		leaderships:   map[string]Leadership{},
+		presences:     map[string]presence{},
+		freeSince:     map[string]clock.Micros{},
+		transferring:  map[string]uint64{},
+	}
 }
 
-// PreferredLeader names the controller that the i-th duty is meant for, of all
-// controllers in order; k others are asked before the one that it gives.
+// PreferredLeader names the controller that the i-th duty is meant for, of all controllers in order; k others come before the one
+// that it returns.
 func PreferredLeader(sorted []string, i, k int) string { return sorted[(i+k)%len(sorted)] }
 
-// PeerCount is how many other controllers there are.
+// PeerCount returns how many other controllers there are.
 func (e *Election) PeerCount() int { return len(e.controllers) - 1 }
 
-// Apply takes one event of the replica.
+// Apply takes one event of the replica; keys that are neither registrations nor leaderships are passed over.
 func (e *Election) Apply(ev kvstore.Event) {
 	if name, ok := strings.CutPrefix(ev.Key, kvstore.ControllerPrefix); ok {
-		var r Registration
-		if ev.Value == nil || json.Unmarshal(ev.Value, &r) != nil {
-			if _, there := e.registrations[name]; there {
-				e.departed[name] = true
-			}
-			delete(e.registrations, name)
-			return
-		}
-		e.registrations[name] = observedRegistration{r, ev.ModRevision}
-		delete(e.departed, name)
-		return
+		e.applyRegistration(name, ev)
+	} else if duty, ok := strings.CutPrefix(ev.Key, kvstore.LeaderPrefix); ok {
+		e.applyLeadership(duty, ev)
 	}
-	name, ok := strings.CutPrefix(ev.Key, kvstore.LeaderPrefix)
-	if !ok {
+}
+
+func (e *Election) applyRegistration(controller string, ev kvstore.Event) {
+	var r Registration
+	if ev.Value == nil || json.Unmarshal(ev.Value, &r) != nil {
+		if _, known := e.registrations[controller]; known {
+			e.departed[controller] = true
+		}
+		delete(e.registrations, controller)
 		return
 	}
-	h := Leadership{ModRevision: ev.ModRevision}
-	if ev.Value != nil && json.Unmarshal(ev.Value, &h.Record) != nil {
-		return // not understood: nothing is claimed on it
+	e.registrations[controller] = observedRegistration{r, ev.ModRevision}
+	delete(e.departed, controller)
+}
+
+func (e *Election) applyLeadership(duty string, ev kvstore.Event) {
+	l := Leadership{ModRevision: ev.ModRevision}
+	if ev.Value != nil && json.Unmarshal(ev.Value, &l.Record) != nil {
+		return // not understood: nothing is acquired on it
 	}
-	e.leaderships[name] = h
+	e.leaderships[duty] = l
 }
 
-// StartIncarnation starts a new incarnation: every duty of the former one is given up.
+// StartIncarnation starts a new incarnation: every leadership of the former one is given up.
 func (e *Election) StartIncarnation(incarnation string, hold uint64, until clock.Micros) {
 	e.incarnation, e.leaseID, e.leaseValidUntil = incarnation, hold, until
 }
 
-// Resign ends the present incarnation for good and gives its name.
+// Resign ends the present incarnation for good and returns its name.
 func (e *Election) Resign() string {
-	inc := e.incarnation
+	incarnation := e.incarnation
 	e.incarnation, e.leaseID, e.leaseValidUntil = "", 0, 0
-	return inc
+	return incarnation
 }
 
-// ExtendLease notes that the hold of an incarnation is confirmed until a time.
+// ExtendLease takes that the controller lease of an incarnation is confirmed until a time. It says nothing of another incarnation.
 func (e *Election) ExtendLease(incarnation string, until clock.Micros) {
 	if incarnation == e.incarnation && incarnation != "" {
 		e.leaseValidUntil = max(e.leaseValidUntil, until)
 	}
 }
 
-// Incarnation is the present incarnation and its hold; empty when there is none.
+// Incarnation returns the present incarnation and its controller lease; empty when there is none.
 func (e *Election) Incarnation() (string, uint64) { return e.incarnation, e.leaseID }
 
-// LeaseValid tells whether this process may act.
+// LeaseValid reports whether this process may act.
 func (e *Election) LeaseValid(now clock.Micros) bool {
 	return e.incarnation != "" && now < e.leaseValidUntil
 }
 
-// isRegistered tells whether the replica shows this incarnation as registered.
+// isRegistered reports whether the replica shows the present incarnation as registered.
 func (e *Election) isRegistered() bool {
-	return e.incarnation != "" && e.registrations[e.host].Incarnation == e.incarnation
+	return e.incarnation != "" && e.registrations[e.controller].Incarnation == e.incarnation
 }
 
-// Leading gives the term and stamp of a claim that this incarnation holds and may act on.
+// Leading returns a leadership, and whether this incarnation has it and may act on it now.
 func (e *Election) Leading(duty string, now clock.Micros) (Leadership, bool) {
-	h, ok := e.leaderships[duty]
-	ok = ok && e.LeaseValid(now) && h.Incarnation == e.incarnation && h.Leader == e.host && e.transferring[duty] != h.ModRevision
-	return h, ok
-}
-
-// ineligible tells that the i-th duty needs the workers and that a controller is cut
-// off from them.
-func (e *Election) ineligible(i int, host string) bool {
-	return i < e.workerDuties && e.registrations[host].Unreachable
-}
-
-// otherEligible tells that some other controller could hold the i-th duty.
-func (e *Election) otherEligible(i int) bool {
-	for h, r := range e.registrations {
-		if h != e.host && r.Incarnation != "" && !e.ineligible(i, h) {
-			return true
-		}
-	}
-	return false
-}
-
-// TransferLeadership picks duties held here that others should have, and gives the writes
-// that free them: one whose preferred controller has been back for a while, or
-// all that need the workers when this controller is cut off from them. From now
-// on this controller does not act on them, whether the writes succeed or not:
-// should an answer be lost, another may hold the duty already.
-func (e *Election) TransferLeadership(now, after clock.Micros) (out []Write) {
-	for _, h := range e.controllers {
-		r := e.registrations[h]
-		as := r.Incarnation
-		if r.Unreachable {
-			as += " unreachable"
-		}
-		if e.presence[h] != as {
-			e.presence[h], e.presentSince[h] = as, now
-		}
-	}
-	if !e.isRegistered() || !e.LeaseValid(now) {
-		return nil
-	}
-	calm := true // one at a time
-	for i, d := range e.duties {
-		h := e.leaderships[d]
-		if h.Leader != e.host || h.Incarnation != e.incarnation {
-			continue
-		}
-		to := PreferredLeader(e.controllers, i, 0)
-		back := to != e.host && e.presence[to] != "" && now >= e.presentSince[to]+after && !e.ineligible(i, to)
-		urgent := e.ineligible(i, e.host) && e.otherEligible(i)
-		if e.transferring[d] != h.ModRevision && !urgent && !(back && calm) {
-			continue
-		}
-		calm = calm && urgent
-		e.transferring[d] = h.ModRevision
-		out = append(out, Write{d, wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + d, ModRevision: h.ModRevision}},
-			Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + d, Value: Record{Term: h.Term}}}}})
-	}
-	return out
+	l, ok := e.leaderships[duty]
+	return l, ok && e.LeaseValid(now) && e.isOwn(l) && e.transferring[duty] != l.ModRevision
 }
 
-// ReachabilityUpdate gives the write that tells in this controller's registration whether it is
-// cut off from the workers; ok is false when it says so already.
-func (e *Election) ReachabilityUpdate(unreachable bool) (m wire.Txn, ok bool) {
-	r := e.registrations[e.host]
-	if !e.isRegistered() || r.Unreachable == unreachable {
-		return m, false
-	}
-	return wire.Txn{Conditions: []wire.Condition{{Key: kvstore.ControllerPrefix + e.host, ModRevision: r.modRevision}},
-		Operations: []wire.Operation{{Put: kvstore.ControllerPrefix + e.host, Value: Registration{e.incarnation, unreachable}, LeaseID: e.leaseID}}}, true
+// isOwn reports whether a leadership names the present incarnation.
+func (e *Election) isOwn(l Leadership) bool {
+	return l.Incarnation == e.incarnation && l.Leader == e.controller
 }
 
-// Holder names the controller whose registered incarnation holds a duty.
+// Leader names the controller whose registered incarnation has a leadership.
 func (e *Election) Leader(duty string) (string, bool) {
-	h, ok := e.leaderships[duty]
-	if !ok || h.Leader == "" || e.registrations[h.Leader].Incarnation != h.Incarnation {
+	l, ok := e.leaderships[duty]
+	if !ok || l.Leader == "" || e.registrations[l.Leader].Incarnation != l.Incarnation {
 		return "", false
 	}
-	return h.Leader, true
+	return l.Leader, true
 }
 
-// Claim gives a claim as it stands, and whether the incarnation that it names is registered.
+// Current returns a leadership as it stands; live reports whether the incarnation that it names is registered.
 func (e *Election) Current(duty string) (h Leadership, live bool) {
 	_, live = e.Leader(duty)
 	return e.leaderships[duty], live
 }
 
-// Registered gives the registered incarnation of a controller and its stamp.
+// Registered returns the registered incarnation of a controller and the registration's mod revision.
 func (e *Election) Registered(host string) (string, uint64) {
 	r := e.registrations[host]
 	return r.Incarnation, r.modRevision
 }
 
-// Write is what is to be written of a claim now.
-type Write struct {
-	Duty string
-	Txn  wire.Txn
+// ReachabilityUpdate returns the write that says in this controller's registration whether its workers reach it; ok is false when
+// it says so already.
+func (e *Election) ReachabilityUpdate(unreachable bool) (m wire.Txn, ok bool) {
+	r := e.registrations[e.controller]
+	if !e.isRegistered() || r.Unreachable == unreachable {
+		return m, false
+	}
+	key := kvstore.ControllerPrefix + e.controller
+	return wire.Txn{
+		Conditions: []wire.Condition{{Key: key, ModRevision: r.modRevision}},
+		Operations: []wire.Operation{{Put: key, Value: Registration{e.incarnation, unreachable}, LeaseID: e.leaseID}},
+	}, true
 }
 
-// Campaign decides which free claims to take: its own preferred ones at once, also
-// those of a controller whose hold has just ended, those of one that was never
-// seen after the grace, any claim after twice that.
-func (e *Election) Campaign(now, grace clock.Micros) []Write {
-	if !e.isRegistered() || !e.LeaseValid(now) {
-		return nil
-	}
-	// Terms grow over all claims, also those of duties that are no longer in use:
-	// when the number of controllers, and so of partitions, has changed, the new
-	// partitions' tokens are still above what any worker has seen.
-	term := uint64(0)
-	for _, h := range e.leaderships {
-		term = max(term, h.Term)
-	}
-	var out []Write
-	for i, d := range e.duties {
-		if _, held := e.Leader(d); held {
-			delete(e.freeSince, d)
-			continue
-		}
-		since, ok := e.freeSince[d]
-		if !ok {
-			since = now
-			e.freeSince[d] = now
-		}
-		if !e.mayCampaign(i, now-since, grace) {
-			continue
-		}
-		h := e.leaderships[d]
-		when := []wire.Condition{{Key: kvstore.LeaderPrefix + d, ModRevision: h.ModRevision}, {Key: kvstore.ControllerPrefix + e.host, ModRevision: e.registrations[e.host].modRevision}}
-		if h.ModRevision == 0 {
-			when[0].ModRevision = 0
-		}
-		if h.Leader != "" && h.Leader != e.host {
-			when = append(when, wire.Condition{Key: kvstore.ControllerPrefix + h.Leader, ModRevision: e.registrations[h.Leader].modRevision})
-		}
-		out = append(out, Write{d, wire.Txn{Conditions: when, Operations: []wire.Operation{
-			{Put: kvstore.LeaderPrefix + d, Value: Record{e.host, e.incarnation, term + 1}}}}})
-	}
-	return out
+// ineligible reports whether the i-th duty needs the workers and a controller's workers don't reach it.
+func (e *Election) ineligible(i int, controller string) bool {
+	return i < e.workerDuties && e.registrations[controller].Unreachable
 }
 
-// mayCampaign tells whether it is this controller's mayCampaign for the i-th duty.
-func (e *Election) mayCampaign(i int, free, grace clock.Micros) bool {
-	for k := range e.controllers {
-		h := PreferredLeader(e.controllers, i, k)
-		if e.ineligible(i, h) && free < 4*grace {
-			continue // also this one itself; but a duty is never without any taker
-		}
-		if h == e.host {
+// otherEligible reports whether some other controller could lead the i-th duty.
+func (e *Election) otherEligible(i int) bool {
+	for name, r := range e.registrations {
+		if name != e.controller && r.Incarnation != "" && !e.ineligible(i, name) {
 			return true
 		}
-		_, there := e.registrations[h]
-		if there && free < 2*grace || !there && !e.departed[h] && free < grace {
-			// One that was never seen may be about to start. One whose hold has
-			// ended was away for all its time: its workers' leases are about to
-			// end as well, and those who wait are not served.
-			return false
-		}
 	}
 	return false
 }
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -19,7 +19,13 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-var timing = Timing{TTL: 24 * clock.Second, RenewInterval: 3 * clock.Second / 2, TakeoverGrace: 3 * clock.Second, ResignAfter: 5 * clock.Second, TransferDelay: 15 * clock.Second}
+var timing = Timing{
+	TTL:           24 * clock.Second,
+	RenewInterval: 3 * clock.Second / 2,
+	TakeoverGrace: 3 * clock.Second,
+	ResignAfter:   5 * clock.Second,
+	TransferDelay: 15 * clock.Second,
+}
 
 // process is a controller's keeper and replica in a test's bubble.
 type process struct {
--- /dev/null
+++ b/internal/leaderelection/registration.go
@@ -0,0 +1,81 @@
+package leaderelection
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/google/uuid"
+
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+// register creates a controller lease and puts a new incarnation under this controller's key. The write is conditional on the key
+// as read, so that a late copy of an old process's write can't undo it.
+func (e *Elector) register(ctx context.Context) error {
+	key := kvstore.ControllerPrefix + e.election.controller
+	former, _, err := e.store.Get(ctx, key)
+	if err != nil {
+		return fmt.Errorf("read former registration: %w", err)
+	}
+	sent := e.clock.Now()
+	leaseID, err := e.store.GrantLease(ctx, e.timing.TTL.Duration())
+	if err != nil {
+		return fmt.Errorf("create controller lease: %w", err)
+	}
+	e.mu.Lock()
+	registration := Registration{uuid.NewString(), e.unreachable}
+	e.mu.Unlock()
+	_, err = e.store.Commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: key, ModRevision: former.ModRevision}},
+		Operations: []wire.Operation{{Put: key, Value: registration, LeaseID: leaseID}},
+	})
+	if err != nil {
+		return fmt.Errorf("write registration: %w", err)
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.election.StartIncarnation(registration.Incarnation, leaseID, e.leaseLimit(sent))
+	e.lastRenewal = sent
+	e.log.Info("controller registered", "incarnation", registration.Incarnation)
+	return nil
+}
+
+// SetUnreachable takes whether this controller's workers don't reach it. The loop publishes it in the registration, and transfers
+// the leaderships that need workers.
+func (e *Elector) SetUnreachable(unreachable bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.unreachable = unreachable
+	e.notify()
+}
+
+// publishReachability writes into this controller's registration whether its workers reach it.
+func (e *Elector) publishReachability(ctx context.Context, due actions) {
+	if _, err := e.store.Commit(ctx, due.reachability); err != nil {
+		e.log.Warn("reachability publication failed", "unreachable", due.unreachable, "error", err)
+		return
+	}
+	e.log.Info("reachability published", "unreachable", due.unreachable)
+}
+
+// RemoveResigned removes the registration of a peer's incarnation that has resigned, so that its leaderships are free before its
+// lease expires. It does nothing if the peer has registered anew since.
+func (e *Elector) RemoveResigned(ctx context.Context, host, incarnation string) {
+	e.mu.Lock()
+	registered, modRevision := e.election.Registered(host)
+	e.mu.Unlock()
+	if incarnation == "" || registered != incarnation {
+		return
+	}
+	key := kvstore.ControllerPrefix + host
+	_, err := e.store.Commit(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: key, ModRevision: modRevision}},
+		Operations: []wire.Operation{{Drop: key}},
+	})
+	if err != nil {
+		e.log.Warn("peer registration removal failed", "peer", host, "error", err)
+		return
+	}
+	e.log.Info("peer registration removed", "peer", host)
+}
