--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -13,7 +13,7 @@
 
 // Tests of the client against raw answers: what each proves.
 
-func TestCommitErrorTellsRefusedFromUnknown(t *testing.T) {
+func TestCommitErrorSeparatesRefusedFromUnknown(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   error
--- /dev/null
+++ b/internal/leaderelection/helpers_test.go
@@ -0,0 +1,74 @@
+package leaderelection
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/fakes"
+	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+)
+
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+var timing = Timing{
+	TTL:           24 * clock.Second,
+	RenewInterval: 3 * clock.Second / 2,
+	TakeoverGrace: 3 * clock.Second,
+	ResignAfter:   5 * clock.Second,
+	TransferDelay: 15 * clock.Second,
+}
+
+// process is a controller's elector and replica in a test's bubble.
+type process struct {
+	*Elector
+	store *fakes.KVClient
+	stop  context.CancelFunc
+}
+
+var duties = []string{"one", "two", "three"}
+
+// startProcess starts a controller of three, a, b and c.
+func startProcess(t *testing.T, kv *fakes.KVStore, controller string) *process {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	store := &fakes.KVClient{KVStore: kv}
+	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+	r := kvstore.NewReplica(store, e.Apply, discardLog)
+	go e.Run(ctx)                      //nolint:errcheck // ends with the context
+	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
+	return &process{e, store, cancel}
+}
+
+func (p *process) leads(duty string) bool {
+	_, ok := p.Leading(duty)
+	return ok
+}
+
+// slowStore is a client of a key-value store that answers renewals late.
+type slowStore struct {
+	*fakes.KVClient
+	by time.Duration
+}
+
+func (s slowStore) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
+	time.Sleep(min(s.by, timeout))
+	if s.by > timeout {
+		return kvstore.ErrOutcomeUnknown
+	}
+	return s.KVClient.KeepAlive(ctx, hold, timeout)
+}
+
+// clusterWithoutA has three controllers share the duties, and the first stop for longer than its lease. It returns the second.
+func clusterWithoutA(t *testing.T, st *fakes.KVStore) *process {
+	t.Helper()
+	a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
+	startProcess(t, st, "c")
+	time.Sleep(10 * time.Second)
+	a.stop()
+	time.Sleep(40 * time.Second)
+	return b
+}
--- /dev/null
+++ b/internal/leaderelection/record_test.go
@@ -0,0 +1,20 @@
+package leaderelection
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Controllers of the release before and this one read each other's records: these keep their fields' names.
+func TestRecordsKeepTheirJSONFields(t *testing.T) {
+	for want, record := range map[string]any{
+		`{"holder":"a","incarnation":"i","term":3}`: Record{Leader: "a", Incarnation: "i", Term: 3},
+		`{"incarnation":"i","deaf":true}`:           Registration{Incarnation: "i", Unreachable: true},
+	} {
+		b, err := json.Marshal(record)
+		require.NoError(t, err)
+		require.JSONEq(t, want, string(b))
+	}
+}
