--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -11,7 +11,7 @@
 const (
 	// requestShare is below one: a lease renewal takes its request without waiting for it.
 	requestShare = 0.95
-	// requestBurstSeconds is how many seconds' worth of requests may be sent at once after a quiet time.
+	// requestBurstSeconds is how many seconds' worth of requests may be sent in a burst after a quiet time.
 	requestBurstSeconds = 0.9
 	minRequestBurst     = 1
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -26,10 +26,10 @@
 	budget budget
 }
 
-// NewClient makes a client that keeps to one of share parts of rps requests and writes changes a second; answers over limit
-// bytes are refused.
-func NewClient(addr string, rps, writes float64, share, limit int) *Client {
-	return &Client{http: httpx.NewClient(addr, maxIdleConnections, limit), budget: newBudget(rps, writes, share)}
+// NewClient makes a client that keeps to its part of rps requests and writes changes a second, which so many controllers share;
+// answers over limit bytes are rejected.
+func NewClient(addr string, rps, writes float64, controllers, limit int) *Client {
+	return &Client{http: httpx.NewClient(addr, maxIdleConnections, limit), budget: newBudget(rps, writes, controllers)}
 }
 
 // CountTraffic has the client count its traffic.
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of a call, to be told apart by errors.Is. Each call returns them with what was attempted.
+// Errors of a call, to be distinguished by errors.Is. Each call returns them with what was attempted.
 var (
 	// ErrRefused means that the request was surely not executed.
 	ErrRefused = errors.New("key-value store refused the request")
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -48,19 +48,20 @@
 
 // KeepAlive renews a lease; ErrLeaseNotFound when it has expired. It takes from the request budget what others wait for, and does
 // not queue behind them: every leadership depends on it.
-func (c *Client) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
+func (c *Client) KeepAlive(ctx context.Context, leaseID uint64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c.budget.requests.Reserve()
-	r, err := c.send(ctx, request{method: http.MethodPost, target: fmt.Sprintf("%s/%d/extend", wire.PathLeases, hold), body: struct{}{}})
+	target := fmt.Sprintf("%s/%d/extend", wire.PathLeases, leaseID)
+	r, err := c.send(ctx, request{method: http.MethodPost, target: target, body: struct{}{}})
 	if err != nil {
-		return fmt.Errorf("renew lease %d: %w", hold, err)
+		return fmt.Errorf("renew lease %d: %w", leaseID, err)
 	}
 	switch r.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusNotFound:
-		return fmt.Errorf("renew lease %d: %w", hold, ErrLeaseNotFound)
+		return fmt.Errorf("renew lease %d: %w", leaseID, ErrLeaseNotFound)
 	}
-	return fmt.Errorf("renew lease %d: %w", hold, errUnexpectedStatus(r))
+	return fmt.Errorf("renew lease %d: %w", leaseID, errUnexpectedStatus(r))
 }
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -18,7 +18,7 @@
 	// minWatchInterval bounds how often a watch is opened anew, since each counts as a request.
 	minWatchInterval = 90 * time.Millisecond
 	// loadRetryPause and watchRetryPause bound how often a store that does not answer is asked again: soon enough that an
-	// outage's end is noticed at once, seldom enough for the request budget.
+	// outage's end is noticed immediately, seldom enough for the request budget.
 	loadRetryPause  = 300 * time.Millisecond
 	watchRetryPause = 250 * time.Millisecond
 	// failureLogInterval is how many failures in a row go with one log event: an outage lasts many tries.
@@ -56,8 +56,8 @@
 
 // NewReplica makes a replica that notifies its listener of changes, in order, and up to which revision it knows all of them
 // then. The listener is called by the goroutine of Run and must not block.
-func NewReplica(src Source, tell func([]Event, uint64), log *slog.Logger) *Replica {
-	return &Replica{source: src, notify: tell, log: log, modRevisions: map[string]uint64{}}
+func NewReplica(source Source, listener func([]Event, uint64), log *slog.Logger) *Replica {
+	return &Replica{source: source, notify: listener, log: log, modRevisions: map[string]uint64{}}
 }
 
 // Run follows the keys until ctx ends: it reads all of them, then watches for changes until the store no longer has the watched
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -17,37 +17,37 @@
 const rateLimitPause = 120 * time.Millisecond
 
 // Commit carries out a transaction and returns its revision; ErrConflict if a condition did not hold.
-func (c *Client) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
-	return c.commit(ctx, m, c.budget.writes, nil)
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	return c.commit(ctx, txn, c.budget.writes, nil)
 }
 
-// CommitWithCheck is Commit with a call of sending right before the transaction is sent: what holds only from then on, or must
-// still hold at that moment, is settled there and not before the wait for the budget. If sending fails nothing is sent.
-func (c *Client) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
-	return c.commit(ctx, m, c.budget.writes, sending)
+// CommitWithCheck is Commit with a call of beforeSend right before the transaction is sent: what holds only from then on, or must
+// still hold at that moment, is settled there and not before the wait for the budget. If it fails nothing is sent.
+func (c *Client) CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error) {
+	return c.commit(ctx, txn, c.budget.writes, beforeSend)
 }
 
 // commit carries out a transaction; its operations are taken from a part of the budget, or were already if writes is nil.
-func (c *Client) commit(ctx context.Context, m wire.Txn, writes *rate.Limiter, beforeSend func() error) (uint64, error) {
+func (c *Client) commit(ctx context.Context, txn wire.Txn, writes *rate.Limiter, beforeSend func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rev, err := c.sendTxn(ctx, m, writes, beforeSend)
+	rev, err := c.sendTxn(ctx, txn, writes, beforeSend)
 	if err != nil {
 		return rev, fmt.Errorf("commit transaction: %w", err)
 	}
 	return rev, nil
 }
 
-func (c *Client) sendTxn(ctx context.Context, m wire.Txn, writes *rate.Limiter, beforeSend func() error) (uint64, error) {
-	if n := len(m.Operations); n > 0 && writes != nil {
+func (c *Client) sendTxn(ctx context.Context, txn wire.Txn, writes *rate.Limiter, beforeSend func() error) (uint64, error) {
+	if n := len(txn.Operations); n > 0 && writes != nil {
 		if err := writes.WaitN(ctx, n); err != nil {
 			return 0, errBudget()
 		}
 	}
-	if m.Conditions == nil {
-		m.Conditions = []wire.Condition{} // the store wants a list
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{} // the store wants a list
 	}
-	r, err := c.call(ctx, request{method: http.MethodPost, target: wire.PathTxn, body: m, timeout: callTimeout, beforeSend: beforeSend})
+	r, err := c.call(ctx, request{method: http.MethodPost, target: wire.PathTxn, body: txn, timeout: callTimeout, beforeSend: beforeSend})
 	if err != nil {
 		return 0, err
 	}
@@ -69,21 +69,21 @@
 
 // Commit carries out a transaction that must not queue behind others. It takes what the others have left of their part when its
 // own is spent: after an outage users come all together.
-func (p PriorityClient) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
-	return p.CommitWithCheck(ctx, m, nil)
+func (p PriorityClient) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	return p.CommitWithCheck(ctx, txn, nil)
 }
 
-// CommitWithCheck is Commit with a call of sending right before the transaction is sent, as Client.CommitWithCheck; sending is
+// CommitWithCheck is Commit with a call of beforeSend right before the transaction is sent, as Client.CommitWithCheck; beforeSend is
 // called before each try.
-func (p PriorityClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+func (p PriorityClient) CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	writes := p.budget.priorityWrites
-	if now := time.Now(); writes.AllowN(now, len(m.Operations)) || p.budget.writes.AllowN(now, len(m.Operations)) {
+	if now := time.Now(); writes.AllowN(now, len(txn.Operations)) || p.budget.writes.AllowN(now, len(txn.Operations)) {
 		writes = nil // taken
 	}
 	for {
-		rev, err := p.commit(ctx, m, writes, sending)
+		rev, err := p.commit(ctx, txn, writes, beforeSend)
 		if !errors.Is(err, errRateLimited) || !pause(ctx, rateLimitPause) {
 			return rev, err
 		}
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -76,14 +76,14 @@
 	leaseValidUntil clock.Micros // this incarnation may act until then
 }
 
-// NewElection makes the election of one controller, host; hosts names all controllers, duties all duties, of which the first bound
-// need the workers.
-func NewElection(host string, hosts, duties []string, bound int) *Election {
+// NewElection makes the election of one controller; controllers names all of them, duties all duties, of which the first so many,
+// workerDuties, need the workers.
+func NewElection(controller string, controllers, duties []string, workerDuties int) *Election {
 	return &Election{
-		controller:    host,
-		controllers:   slices.Sorted(slices.Values(hosts)),
+		controller:    controller,
+		controllers:   slices.Sorted(slices.Values(controllers)),
 		duties:        duties,
-		workerDuties:  bound,
+		workerDuties:  workerDuties,
 		registrations: map[string]observedRegistration{},
 		departed:      map[string]bool{},
 		leaderships:   map[string]Leadership{},
@@ -131,8 +131,8 @@
 }
 
 // StartIncarnation starts a new incarnation: every leadership of the former one is given up.
-func (e *Election) StartIncarnation(incarnation string, hold uint64, until clock.Micros) {
-	e.incarnation, e.leaseID, e.leaseValidUntil = incarnation, hold, until
+func (e *Election) StartIncarnation(incarnation string, leaseID uint64, validUntil clock.Micros) {
+	e.incarnation, e.leaseID, e.leaseValidUntil = incarnation, leaseID, validUntil
 }
 
 // Resign ends the present incarnation for good and returns its name.
@@ -143,9 +143,9 @@
 }
 
 // ExtendLease takes that the controller lease of an incarnation is confirmed until a time. It says nothing of another incarnation.
-func (e *Election) ExtendLease(incarnation string, until clock.Micros) {
+func (e *Election) ExtendLease(incarnation string, validUntil clock.Micros) {
 	if incarnation == e.incarnation && incarnation != "" {
-		e.leaseValidUntil = max(e.leaseValidUntil, until)
+		e.leaseValidUntil = max(e.leaseValidUntil, validUntil)
 	}
 }
 
@@ -183,23 +183,23 @@
 }
 
 // Current returns a leadership as it stands; live reports whether the incarnation that it names is registered.
-func (e *Election) Current(duty string) (h Leadership, live bool) {
+func (e *Election) Current(duty string) (l Leadership, live bool) {
 	_, live = e.Leader(duty)
 	return e.leaderships[duty], live
 }
 
 // Registered returns the registered incarnation of a controller and the registration's mod revision.
-func (e *Election) Registered(host string) (string, uint64) {
-	r := e.registrations[host]
+func (e *Election) Registered(controller string) (string, uint64) {
+	r := e.registrations[controller]
 	return r.Incarnation, r.modRevision
 }
 
 // ReachabilityUpdate returns the write that says in this controller's registration whether its workers reach it; ok is false when
 // it says so already.
-func (e *Election) ReachabilityUpdate(unreachable bool) (m wire.Txn, ok bool) {
+func (e *Election) ReachabilityUpdate(unreachable bool) (txn wire.Txn, ok bool) {
 	r := e.registrations[e.controller]
 	if !e.isRegistered() || r.Unreachable == unreachable {
-		return m, false
+		return txn, false
 	}
 	key := kvstore.ControllerPrefix + e.controller
 	return wire.Txn{
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -27,9 +27,9 @@
 // Store is the part of the key-value store that the elector needs.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, m wire.Txn) (uint64, error)
+	Commit(ctx context.Context, txn wire.Txn) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-	KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error
+	KeepAlive(ctx context.Context, leaseID uint64, timeout time.Duration) error
 }
 
 // Timing is how long things last: TTL of the controller lease; RenewInterval from one renewal of it to the next; TakeoverGrace, for
@@ -59,14 +59,14 @@
 }
 
 // NewElector makes an elector around an election.
-func NewElector(book *Election, store Store, c clock.Clock, t Timing, log *slog.Logger) *Elector {
-	return &Elector{election: book, store: store, clock: c, timing: t, log: log, wake: make(chan struct{}, 1)}
+func NewElector(election *Election, store Store, c clock.Clock, t Timing, log *slog.Logger) *Elector {
+	return &Elector{election: election, store: store, clock: c, timing: t, log: log, wake: make(chan struct{}, 1)}
 }
 
 // Apply takes events of the replica.
-func (e *Elector) Apply(evs []kvstore.Event, _ uint64) {
+func (e *Elector) Apply(events []kvstore.Event, _ uint64) {
 	e.mu.Lock()
-	for _, ev := range evs {
+	for _, ev := range events {
 		e.election.Apply(ev)
 	}
 	e.mu.Unlock()
--- a/internal/leaderelection/helpers_test.go
+++ b/internal/leaderelection/helpers_test.go
@@ -54,12 +54,12 @@
 	by time.Duration
 }
 
-func (s slowStore) KeepAlive(ctx context.Context, hold uint64, timeout time.Duration) error {
+func (s slowStore) KeepAlive(ctx context.Context, leaseID uint64, timeout time.Duration) error {
 	time.Sleep(min(s.by, timeout))
 	if s.by > timeout {
 		return kvstore.ErrOutcomeUnknown
 	}
-	return s.KVClient.KeepAlive(ctx, hold, timeout)
+	return s.KVClient.KeepAlive(ctx, leaseID, timeout)
 }
 
 // clusterWithoutA has three controllers share the duties, and the first stop for longer than its lease. It returns the second.
--- a/internal/leaderelection/registration.go
+++ b/internal/leaderelection/registration.go
@@ -61,21 +61,21 @@
 
 // RemoveResigned removes the registration of a peer's incarnation that has resigned, so that its leaderships are free before its
 // lease expires. It does nothing if the peer has registered anew since.
-func (e *Elector) RemoveResigned(ctx context.Context, host, incarnation string) {
+func (e *Elector) RemoveResigned(ctx context.Context, peer, incarnation string) {
 	e.mu.Lock()
-	registered, modRevision := e.election.Registered(host)
+	registered, modRevision := e.election.Registered(peer)
 	e.mu.Unlock()
 	if incarnation == "" || registered != incarnation {
 		return
 	}
-	key := kvstore.ControllerPrefix + host
+	key := kvstore.ControllerPrefix + peer
 	_, err := e.store.Commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: key, ModRevision: modRevision}},
 		Operations: []wire.Operation{{Drop: key}},
 	})
 	if err != nil {
-		e.log.Warn("peer registration removal failed", "peer", host, "error", err)
+		e.log.Warn("peer registration removal failed", "peer", peer, "error", err)
 		return
 	}
-	e.log.Info("peer registration removed", "peer", host)
+	e.log.Info("peer registration removed", "peer", peer)
 }
