--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -15,7 +15,6 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
-	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -62,23 +61,11 @@
 	return nil
 }
 
-// startLogged starts a controller whose log events are kept.
-func startLogged(t *testing.T, kv *fakes.KVStore, controller string) (*process, *eventLog) {
-	t.Helper()
-	log := &eventLog{}
-	ctx, cancel := context.WithCancel(t.Context())
-	store := &fakes.KVClient{KVStore: kv}
-	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, log.logger())
-	r := kvstore.NewReplica(store, e.Apply, discardLog)
-	go e.Run(ctx)                      //nolint:errcheck // ends with the context
-	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
-	return &process{e, store, cancel}, log
-}
-
 func TestLogEventsSayWhatChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := fakes.NewKVStore()
-		b, log := startLogged(t, kv, "b")
+		log := &eventLog{}
+		b := startProcessWithLog(t, kv, "b", log.logger())
 		time.Sleep(20 * time.Second)
 		require.Equal(t, 1, log.count("INFO controller registered incarnation"))
 		require.Equal(t, 3, log.count("INFO leadership acquired duty"))
--- a/internal/leaderelection/helpers_test.go
+++ b/internal/leaderelection/helpers_test.go
@@ -33,10 +33,15 @@
 
 // startProcess starts a controller of three, a, b and c.
 func startProcess(t *testing.T, kv *fakes.KVStore, controller string) *process {
+	t.Helper()
+	return startProcessWithLog(t, kv, controller, discardLog)
+}
+
+func startProcessWithLog(t *testing.T, kv *fakes.KVStore, controller string, log *slog.Logger) *process {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	store := &fakes.KVClient{KVStore: kv}
-	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, log)
 	r := kvstore.NewReplica(store, e.Apply, discardLog)
 	go e.Run(ctx)                      //nolint:errcheck // ends with the context
 	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
