--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -33,8 +33,8 @@
 
 // CancelJob starts the end of a job: nothing of it starts any more, and every owner
 // is to be told. found is false when the job is not active here.
-func (d *Scheduler) CancelJob(teamName, id string) (found bool) {
-	tm := d.teams[teamName]
+func (s *Scheduler) CancelJob(teamName, id string) (found bool) {
+	tm := s.teams[teamName]
 	if tm == nil || tm.jobs[id] == nil {
 		return false
 	}
@@ -43,26 +43,26 @@
 		return true
 	}
 	j.cancelling, j.cancelAcknowledged = true, map[string]bool{}
-	d.abandonMoves(tm, id)
-	for _, o := range d.sessions {
+	s.abandonMoves(tm, id)
+	for _, o := range s.sessions {
 		o.pending.Starts = slices.DeleteFunc(o.pending.Starts, func(s peer.StartTask) bool { return s.ID.Job == id })
 		o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool {
 			if a.ID.Job != id {
 				return false
 			}
-			if m := d.machines[a.Machine]; m != nil && m.assignments[a.ID] != nil {
-				d.releaseAssignment(m.assignments[a.ID])
-				d.recomputeAvailable(m)
+			if m := s.machines[a.Machine]; m != nil && m.assignments[a.ID] != nil {
+				s.releaseAssignment(m.assignments[a.ID])
+				s.recomputeAvailable(m)
 			}
 			return true
 		})
-		d.requestCancel(o, j)
+		s.requestCancel(o, j)
 	}
 	return true
 }
 
 // requestCancel has the present process of an owner told of a job's withdrawal, once.
-func (d *Scheduler) requestCancel(o *leaderSession, j *job) {
+func (s *Scheduler) requestCancel(o *leaderSession, j *job) {
 	c := peer.CancelJob{Job: j.ID, Team: j.Team}
 	if slices.Contains(o.pending.Cancels, c) || o.inFlight != nil && o.inFlightInstance == o.instance && slices.Contains(o.inFlight.Cancels, c) {
 		return
@@ -77,7 +77,7 @@
 // CancellationConfirmed tells whether the end of a withdrawn job may be written on the condition of
 // these claims: the present process of each holder has the withdrawal in memory, and
 // nothing of the job can start any more. Processes that have not been told are told.
-func (d *Scheduler) CancellationConfirmed(j *job, parts []PartitionLeadership) bool {
+func (s *Scheduler) CancellationConfirmed(j *job, parts []PartitionLeadership) bool {
 	if !j.mayHaveBeenOffered() {
 		return j.cancelling
 	}
@@ -88,14 +88,14 @@
 			// this claim, finds the end in its replica.
 			continue
 		}
-		o := d.sessions[c.Host]
+		o := s.sessions[c.Host]
 		if o == nil {
 			return false
 		}
 		if !j.cancelAcknowledged[o.instance] {
 			// Perhaps a new process of the same host: it knows nothing of what an
 			// earlier one has taken.
-			d.requestCancel(o, j)
+			s.requestCancel(o, j)
 			ready = false
 		} else if o.partitionTerms[c.Partition] != c.Term {
 			ready = false // that process has not said that it holds the partition under this claim
@@ -129,39 +129,39 @@
 
 // CancelJob ends a job: no task of it starts from now on; once that is certain of
 // every machine, the end is written, and only then told.
-func (p *Server) CancelJob(q peer.JobRequest) peer.JobResponse {
+func (s *Server) CancelJob(q peer.JobRequest) peer.JobResponse {
 	retry := peer.JobResponse{Known: true, Found: true, Retry: true}
-	if _, ok := p.elections.Leading(Duty(q.Team)); !ok {
+	if _, ok := s.elections.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	deadline := time.NewTimer(cancelWait)
 	defer deadline.Stop()
 	for {
-		parts := p.partitionLeaderships()
-		p.mu.Lock()
+		parts := s.partitionLeaderships()
+		s.mu.Lock()
 		// Under the lock: between two looks the end could be written and the job dropped,
 		// and its user be told to come back although it is cancelled.
-		if f, over := p.jobs.Final(q.ID); over {
-			p.mu.Unlock()
+		if f, over := s.jobs.Final(q.ID); over {
+			s.mu.Unlock()
 			return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 		}
-		ctx := p.running
-		tm := p.scheduler.teams[q.Team]
+		ctx := s.running
+		tm := s.scheduler.teams[q.Team]
 		if tm == nil || tm.jobs[q.ID] == nil {
-			p.mu.Unlock()
+			s.mu.Unlock()
 			return peer.JobResponse{Known: tm != nil}
 		}
 		j := tm.jobs[q.ID]
 		if j.finalWriteInFlight && !j.cancelling {
-			p.mu.Unlock()
+			s.mu.Unlock()
 			return retry // its end as done is being written
 		}
-		p.scheduler.CancelJob(q.Team, q.ID)
-		ready := p.claimFinalCancel(j, parts)
-		news := p.updated
-		p.mu.Unlock()
-		wake(p.wake)
-		if ready && p.writeCancelled(ctx, j, parts) == nil {
+		s.scheduler.CancelJob(q.Team, q.ID)
+		ready := s.claimFinalCancel(j, parts)
+		news := s.updated
+		s.mu.Unlock()
+		wake(s.wake)
+		if ready && s.writeCancelled(ctx, j, parts) == nil {
 			continue
 		}
 		select {
@@ -176,20 +176,20 @@
 
 // resumeCancellations goes on with withdrawals whose users were told to come back: they
 // find the end written, and a job of which nothing may start is not left for ever.
-func (p *Server) resumeCancellations(ctx context.Context) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Server) resumeCancellations(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var parts []PartitionLeadership
-	for _, tm := range p.scheduler.teams {
+	for _, tm := range s.scheduler.teams {
 		for _, j := range tm.jobs {
 			if !j.cancelling {
 				continue
 			}
 			if parts == nil {
-				parts = p.partitionLeaderships()
+				parts = s.partitionLeaderships()
 			}
-			if p.claimFinalCancel(j, parts) {
-				go p.writeCancelled(ctx, j, parts) //nolint:errcheck // tried again
+			if s.claimFinalCancel(j, parts) {
+				go s.writeCancelled(ctx, j, parts) //nolint:errcheck // tried again
 			}
 		}
 	}
@@ -197,8 +197,8 @@
 
 // claimFinalCancel tells whether the end of a withdrawn job is to be written now, by the
 // caller. The lock is held.
-func (p *Server) claimFinalCancel(j *job, parts []PartitionLeadership) bool {
-	if j.finalWriteInFlight || p.clock.Now() < j.finalWriteAfter || !p.scheduler.CancellationConfirmed(j, parts) {
+func (s *Server) claimFinalCancel(j *job, parts []PartitionLeadership) bool {
+	if j.finalWriteInFlight || s.clock.Now() < j.finalWriteAfter || !s.scheduler.CancellationConfirmed(j, parts) {
 		return false
 	}
 	j.finalWriteInFlight = true
@@ -207,31 +207,31 @@
 
 // writeCancelled writes the end of a withdrawn job that is marked as finishing, on the
 // condition that no partition has changed hands.
-func (p *Server) writeCancelled(ctx context.Context, j *job, parts []PartitionLeadership) error {
+func (s *Server) writeCancelled(ctx context.Context, j *job, parts []PartitionLeadership) error {
 	var when []wire.Condition
-	p.mu.Lock()
+	s.mu.Lock()
 	if j.mayHaveBeenOffered() {
 		for _, c := range parts {
 			when = append(when, wire.Condition{Key: c.Key, ModRevision: c.ModRevision})
 		}
 	}
-	p.mu.Unlock()
-	err := p.writeFinalStates(ctx, p.priorityStore, []*job{j}, wire.Cancelled, false, when)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	s.mu.Unlock()
+	err := s.writeFinalStates(ctx, s.priorityStore, []*job{j}, wire.Cancelled, false, when)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	j.finalWriteInFlight = false
 	if err != nil {
-		j.finalWriteAfter = p.clock.Now() + cancelRetryInterval
+		j.finalWriteAfter = s.clock.Now() + cancelRetryInterval
 	}
-	p.notifyUpdated()
+	s.notifyUpdated()
 	return err
 }
 
 // partitionLeaderships gives the claims of all partitions as the replica shows them.
-func (p *Server) partitionLeaderships() []PartitionLeadership {
-	out := make([]PartitionLeadership, 0, len(p.partitionDuties))
-	for i, duty := range p.partitionDuties {
-		h, live := p.elections.Current(duty)
+func (s *Server) partitionLeaderships() []PartitionLeadership {
+	out := make([]PartitionLeadership, 0, len(s.partitionDuties))
+	for i, duty := range s.partitionDuties {
+		h, live := s.elections.Current(duty)
 		c := PartitionLeadership{Partition: i, Key: kvstore.LeaderPrefix + duty, ModRevision: h.ModRevision, Term: h.Term}
 		if live {
 			c.Host = h.Leader
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -12,39 +12,39 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// watermarkGap gathers raised watermarks into one write.
-const watermarkGap = 150 * time.Millisecond
+// watermarkInterval gathers raised watermarks into one write.
+const watermarkInterval = 150 * time.Millisecond
 
 // watermarkLoop writes which tasks may be asked for, ahead of their turn.
-func (p *Server) watermarkLoop(ctx context.Context) error {
+func (s *Server) watermarkLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, watermarkGap)
-		p.mu.Lock()
-		list := p.scheduler.PlanWatermarks(p.clock.Now(), p.maxRecordBytes)
-		p.mu.Unlock()
+		pause(ctx, watermarkInterval)
+		s.mu.Lock()
+		list := s.scheduler.PlanWatermarks(s.clock.Now(), s.maxRecordBytes)
+		s.mu.Unlock()
 		for _, w := range list {
-			h, ok := p.elections.Leading(Duty(w.Team))
+			h, ok := s.elections.Leading(Duty(w.Team))
 			if !ok {
 				continue
 			}
-			rev, err := p.priorityStore.Commit(ctx, wire.Txn{
+			rev, err := s.priorityStore.Commit(ctx, wire.Txn{
 				Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
 				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
 			if err != nil {
-				p.log.Debug("writing watermarks", "team", w.Team, "err", err)
+				s.log.Debug("writing watermarks", "team", w.Team, "err", err)
 				continue
 			}
-			p.mu.Lock()
-			p.scheduler.HandleWatermarkRecord(w.Key, w.Watermarks, rev)
-			p.mu.Unlock()
-			wake(p.wake)
+			s.mu.Lock()
+			s.scheduler.HandleWatermarkRecord(w.Key, w.Watermarks, rev)
+			s.mu.Unlock()
+			wake(s.wake)
 		}
 	}
 	return nil
 }
 
 // writeLoop writes the ends of jobs at once and progress now and then.
-func (p *Server) writeLoop(ctx context.Context) error {
+func (s *Server) writeLoop(ctx context.Context) error {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	var last clock.Micros
@@ -53,13 +53,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-p.writes:
+		case <-s.writes:
 		}
-		p.startFinalWrites(ctx)
-		p.resumeCancellations(ctx)
-		if now := p.clock.Now(); now >= last+p.progressInterval {
+		s.startFinalWrites(ctx)
+		s.resumeCancellations(ctx)
+		if now := s.clock.Now(); now >= last+s.progressInterval {
 			last = now
-			p.writeProgress(ctx)
+			s.writeProgress(ctx)
 		}
 	}
 }
@@ -67,8 +67,8 @@
 var errTeamLost = errors.New("the team is held no more")
 
 // teamCondition gives the condition that a team is still held under a term.
-func (p *Server) teamCondition(t *team) (wire.Condition, error) {
-	h, ok := p.elections.Leading(Duty(t.Name))
+func (s *Server) teamCondition(t *team) (wire.Condition, error) {
+	h, ok := s.elections.Leading(Duty(t.Name))
 	if !ok || h.Term != t.term {
 		return wire.Condition{}, errTeamLost
 	}
@@ -85,18 +85,18 @@
 
 // startFinalWrites has the ends of jobs written that are due, as many to a transaction
 // as it takes. A job keeps being answered for until its end is about to be sent.
-func (p *Server) startFinalWrites(ctx context.Context) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	most := min(p.txnOps, maxFinalWriteOperations)
-	for _, tm := range p.scheduler.teams {
-		ready := p.scheduler.CompletedJobs(tm)
+func (s *Server) startFinalWrites(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	most := min(s.txnOps, maxFinalWriteOperations)
+	for _, tm := range s.scheduler.teams {
+		ready := s.scheduler.CompletedJobs(tm)
 		// Where many wait for the budget, each end costs one change instead of two.
 		brief := most < 2 || len(ready) > most/2
 		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
 			n, ops := 0, 0
 			for n < len(ready) {
-				if ops += p.finalStateOperations(ready[n], brief); n > 0 && ops > most {
+				if ops += s.finalStateOperations(ready[n], brief); n > 0 && ops > most {
 					break
 				}
 				n++
@@ -108,12 +108,12 @@
 			}
 			tm.finalWritesInFlight++
 			go func() {
-				defer wake(p.writes)
-				if err := p.writeFinalStates(ctx, p.store, batch, wire.Done, brief, nil); err != nil {
-					p.log.Debug("ends of jobs", "team", tm.Name, "err", err)
+				defer wake(s.writes)
+				if err := s.writeFinalStates(ctx, s.store, batch, wire.Done, brief, nil); err != nil {
+					s.log.Debug("ends of jobs", "team", tm.Name, "err", err)
 				}
-				p.mu.Lock()
-				defer p.mu.Unlock()
+				s.mu.Lock()
+				defer s.mu.Unlock()
 				tm.finalWritesInFlight--
 			}()
 		}
@@ -121,8 +121,8 @@
 }
 
 // finalStateOperations is how many finalStateOperations the end of a job takes. The lock is held.
-func (p *Server) finalStateOperations(j *job, brief bool) int {
-	n := 2 + len(p.scheduler.progress[j.ID])
+func (s *Server) finalStateOperations(j *job, brief bool) int {
+	n := 2 + len(s.scheduler.progress[j.ID])
 	if brief {
 		n--
 	}
@@ -138,25 +138,25 @@
 // from here. That begins only when the transaction is about to be sent: with
 // hundreds of ends a minute most of the time is spent waiting for the budget,
 // and jobs of which nothing is told for so long count as forgotten.
-func (p *Server) writeFinalStates(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
+func (s *Server) writeFinalStates(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
 	tm := batch[0].team
 	for try := 0; ctx.Err() == nil; try++ {
-		p.mu.Lock()
-		batch = slices.DeleteFunc(batch, func(j *job) bool { return !p.isActive(j) })
-		m, rest := p.finalStateTxn(batch, phase, brief)
+		s.mu.Lock()
+		batch = slices.DeleteFunc(batch, func(j *job) bool { return !s.isActive(j) })
+		m, rest := s.finalStateTxn(batch, phase, brief)
 		m.Conditions = append(m.Conditions, when...)
-		p.mu.Unlock()
+		s.mu.Unlock()
 		if len(batch) == 0 {
 			return nil
 		}
 		_, err := store.CommitWithCheck(ctx, m, func() error {
-			if _, err := p.teamCondition(tm); err != nil {
+			if _, err := s.teamCondition(tm); err != nil {
 				return err
 			}
-			p.mu.Lock()
-			defer p.mu.Unlock()
+			s.mu.Lock()
+			defer s.mu.Unlock()
 			for _, j := range batch {
-				if !p.isActive(j) {
+				if !s.isActive(j) {
 					return errJobsChanged
 				}
 			}
@@ -166,10 +166,10 @@
 			return nil
 		})
 		if err == nil {
-			p.markFinished(batch, phase)
-			for some := range slices.Chunk(rest, p.txnOps) {
-				if _, err := p.store.Commit(ctx, wire.Txn{Conditions: m.Conditions[:1], Operations: some}); err != nil {
-					p.log.Info("dropping progress", "team", tm.Name, "err", err)
+			s.markFinished(batch, phase)
+			for some := range slices.Chunk(rest, s.txnOps) {
+				if _, err := s.store.Commit(ctx, wire.Txn{Conditions: m.Conditions[:1], Operations: some}); err != nil {
+					s.log.Info("dropping progress", "team", tm.Name, "err", err)
 				}
 			}
 			return nil
@@ -178,17 +178,17 @@
 			return err
 		}
 		if try%32 == 0 { // once in a while: an outage lasts many tries
-			p.log.Info("writing the ends of jobs", "job", batch[0].ID, "jobs", len(batch), "tries", try+1, "err", err)
+			s.log.Info("writing the ends of jobs", "job", batch[0].ID, "jobs", len(batch), "tries", try+1, "err", err)
 		}
 		// A condition that does not hold is a definite answer to this try, not to earlier ones.
 		refused := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
-		p.mu.Lock()
+		s.mu.Lock()
 		for _, j := range batch {
 			j.finalWriteUnanswered = j.finalWriteUnanswered || !refused
 			j.finalStateUncertain = j.finalWriteUnanswered
 		}
 		unknown := batch[0].finalWriteUnanswered
-		p.mu.Unlock()
+		s.mu.Unlock()
 		if phase == wire.Cancelled && (!unknown || try >= 2) {
 			return err // its user asks again
 		}
@@ -196,7 +196,7 @@
 			// One of them is over already, by an earlier try that had no answer:
 			// it must not keep the others from their end.
 			for _, j := range batch {
-				if err := p.writeFinalStates(ctx, store, []*job{j}, phase, brief, when); err != nil {
+				if err := s.writeFinalStates(ctx, store, []*job{j}, phase, brief, when); err != nil {
 					return err
 				}
 			}
@@ -208,13 +208,13 @@
 }
 
 // isActive tells that a job is still this placer's to end. The lock is held.
-func (p *Server) isActive(j *job) bool {
-	return j.team.jobs[j.ID] == j && p.scheduler.teams[j.team.Name] == j.team
+func (s *Server) isActive(j *job) bool {
+	return j.team.jobs[j.ID] == j && s.scheduler.teams[j.team.Name] == j.team
 }
 
 // finalStateTxn makes the transaction that ends jobs of one team, its first condition
 // being the team's claim; rest are drops of progress that it has no room for. The lock is held.
-func (p *Server) finalStateTxn(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
+func (s *Server) finalStateTxn(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
 	if len(batch) == 0 {
 		return m, nil
 	}
@@ -222,7 +222,7 @@
 	m.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.modRevision}}
 	for _, j := range batch {
 		m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
-		if brief || p.txnOps < 2 {
+		if brief || s.txnOps < 2 {
 			over := jobs.Record{EndPhase: phase}
 			over.ID, over.Team, over.Tasks = j.ID, j.Team, j.Tasks
 			m.Operations = append(m.Operations, wire.Operation{Put: kvstore.ActiveJobPrefix + j.ID, Value: over})
@@ -232,8 +232,8 @@
 		}
 	}
 	for _, j := range batch {
-		for c := range p.scheduler.progress[j.ID] {
-			if op := (wire.Operation{Drop: progressKey(j.ID, c)}); len(m.Operations) < p.txnOps {
+		for c := range s.scheduler.progress[j.ID] {
+			if op := (wire.Operation{Drop: progressKey(j.ID, c)}); len(m.Operations) < s.txnOps {
 				m.Operations = append(m.Operations, op)
 			} else {
 				rest = append(rest, op)
@@ -244,13 +244,13 @@
 }
 
 // markFinished takes note that jobs' ends are written.
-func (p *Server) markFinished(batch []*job, phase string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Server) markFinished(batch []*job, phase string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, j := range batch {
-		p.jobs.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
-		p.scheduler.DropJob(j.ID)
-		p.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
-			"after_s", (p.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(), "again", j.retries)
+		s.jobs.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
+		s.scheduler.DropJob(j.ID)
+		s.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
+			"after_s", (s.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(), "again", j.retries)
 	}
 }
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -25,7 +25,7 @@
 
 // The next placer of a team, maybe of another release, finds records of progress and watermarks by
 // their keys: a key of another form would be a record lost.
-func TestPlacerKeysKeepTheirForm(t *testing.T) {
+func TestRecordKeysKeepTheirForm(t *testing.T) {
 	require.Equal(t, goldenLines(t, "golden_keys.txt"), []string{
 		progressKey("job-1", chunkID{0, ChunkTasks}),
 		progressKey("job-1", chunkID{12, ChunkTasks}),
@@ -47,7 +47,7 @@
 
 // A record of progress is the bits of its tasks in base64, a record of watermarks the
 // numbers of tasks by job.
-func TestPlacerRecordsKeepEncodedForm(t *testing.T) {
+func TestRecordsKeepEncodedForm(t *testing.T) {
 	lines := goldenLines(t, "golden_records.txt")
 	require.Len(t, lines, 2)
 	j := &job{Job: &jobs.Job{}, chunkTasks: 64, done: []uint64{0x1000000000ff8001}}
--- a/internal/scheduler/progress_records.go
+++ b/internal/scheduler/progress_records.go
@@ -39,20 +39,20 @@
 
 // progress is a record of completed tasks, and the stamp of its last change.
 type progress struct {
-	bits  []byte
-	stamp uint64
+	bits        []byte
+	modRevision uint64
 }
 
 // HandleProgressRecord takes a record of completed tasks, as the replica shows it or as it
 // was written. Older words than the newest known change nothing.
-func (d *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, stamp uint64) {
-	if d.progress[id] == nil {
-		d.progress[id] = map[chunkID]progress{}
+func (s *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, stamp uint64) {
+	if s.progress[id] == nil {
+		s.progress[id] = map[chunkID]progress{}
 	}
-	if stamp >= d.progress[id][chunk].stamp {
-		d.progress[id][chunk] = progress{bits, stamp}
+	if stamp >= s.progress[id][chunk].modRevision {
+		s.progress[id][chunk] = progress{bits, stamp}
 	}
 }
 
 // DropProgress takes note that a record of completed tasks is gone.
-func (d *Scheduler) DropProgress(id string, chunk chunkID) { delete(d.progress[id], chunk) }
+func (s *Scheduler) DropProgress(id string, chunk chunkID) { delete(s.progress[id], chunk) }
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -26,10 +26,10 @@
 func (w *progressWrite) size() int { return min(w.j.chunkTasks, w.j.Tasks)/6 + 300 }
 
 // writeProgress writes down which tasks are done, and then lets their machines forget them.
-func (p *Server) writeProgress(ctx context.Context) {
-	p.mu.Lock()
+func (s *Server) writeProgress(ctx context.Context) {
+	s.mu.Lock()
 	byTeam := map[*team][]progressWrite{}
-	for _, tm := range p.scheduler.teams {
+	for _, tm := range s.scheduler.teams {
 		for _, j := range tm.jobs {
 			if j.finalWriteInFlight || j.doneCount == j.Tasks {
 				continue // its end costs no more, and says all of it
@@ -39,31 +39,31 @@
 			}
 			if len(j.dirtyChunks) == 0 {
 				for id, e := range j.unacknowledged {
-					p.scheduler.acknowledge(j, id, e)
+					s.scheduler.acknowledge(j, id, e)
 				}
 				clear(j.unacknowledged)
 			}
 		}
 	}
-	p.mu.Unlock()
+	s.mu.Unlock()
 	for tm, list := range byTeam {
 		for len(list) > 0 {
 			n := 1
-			for size := list[0].size(); n < min(len(list), p.txnOps) && size+list[n].size() < wire.MaxTxnBytes; n++ {
+			for size := list[0].size(); n < min(len(list), s.txnOps) && size+list[n].size() < wire.MaxTxnBytes; n++ {
 				size += list[n].size()
 			}
-			if !p.store.HasSpareWrites(n) {
+			if !s.store.HasSpareWrites(n) {
 				n = 1
-				if !p.store.HasSpareWrites(1) {
+				if !s.store.HasSpareWrites(1) {
 					return
 				}
 			}
-			cond, err := p.teamCondition(tm)
+			cond, err := s.teamCondition(tm)
 			if err != nil {
 				break
 			}
 			m := wire.Txn{Conditions: []wire.Condition{cond}}
-			p.mu.Lock()
+			s.mu.Lock()
 			for i := range list[:n] {
 				w := &list[i]
 				at := chunkID{w.chunk, w.j.chunkTasks}
@@ -71,7 +71,7 @@
 				// Without the record's own stamp a late copy of an earlier write would take
 				// back what is written down and forgotten by the workers since.
 				m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + w.j.ID, ModRevision: w.j.ModRevision},
-					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: p.scheduler.progress[w.j.ID][at].stamp})
+					wire.Condition{Key: progressKey(w.j.ID, at), ModRevision: s.scheduler.progress[w.j.ID][at].modRevision})
 				m.Operations = append(m.Operations, wire.Operation{Put: progressKey(w.j.ID, at), Value: base64.StdEncoding.EncodeToString(w.bits)})
 				delete(w.j.dirtyChunks, w.chunk)
 				w.ends = map[peer.TaskID]string{}
@@ -81,29 +81,29 @@
 					}
 				}
 			}
-			p.mu.Unlock()
-			rev, err := p.store.Commit(ctx, m)
-			p.mu.Lock()
+			s.mu.Unlock()
+			rev, err := s.store.Commit(ctx, m)
+			s.mu.Lock()
 			for _, w := range list[:n] {
 				if err != nil {
 					w.j.dirtyChunks[w.chunk] = true
 					continue
 				}
-				if p.isActive(w.j) {
-					p.scheduler.HandleProgressRecord(w.j.ID, chunkID{w.chunk, w.j.chunkTasks}, w.bits, rev)
+				if s.isActive(w.j) {
+					s.scheduler.HandleProgressRecord(w.j.ID, chunkID{w.chunk, w.j.chunkTasks}, w.bits, rev)
 				}
 				for id, e := range w.ends {
 					delete(w.j.unacknowledged, id)
-					p.scheduler.acknowledge(w.j, id, e)
+					s.scheduler.acknowledge(w.j, id, e)
 				}
 			}
-			p.mu.Unlock()
+			s.mu.Unlock()
 			if err != nil {
-				p.log.Debug("writing progress", "err", err)
+				s.log.Debug("writing progress", "err", err)
 				return
 			}
 			list = list[n:]
 		}
 	}
-	wake(p.wake)
+	wake(s.wake)
 }
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -5,35 +5,35 @@
 )
 
 // Status tells what a job's user may be told; only while the team is held.
-func (p *Server) Status(q peer.JobRequest) peer.JobResponse {
-	if _, ok := p.elections.Leading(Duty(q.Team)); !ok {
+func (s *Server) Status(q peer.JobRequest) peer.JobResponse {
+	if _, ok := s.elections.Leading(Duty(q.Team)); !ok {
 		return peer.JobResponse{}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if f, ok := p.jobs.Final(q.ID); ok {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if f, ok := s.jobs.Final(q.ID); ok {
 		return peer.JobResponse{Known: true, Found: true, State: f.State(q.ID)}
 	}
-	return p.scheduler.Status(q.Team, q.ID)
+	return s.scheduler.Status(q.Team, q.ID)
 }
 
 // Demands lists what waits, for the fleet.
-func (p *Server) Demands() []peer.Demand {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.scheduler.Demands(p.clock.Now())
+func (s *Server) Demands() []peer.Demand {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scheduler.Demands(s.clock.Now())
 }
 
 // MachineViews appends the mirror of all machines, for the fleet.
-func (p *Server) MachineViews(to []peer.MachineView) []peer.MachineView {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.scheduler.MachineViews(to, p.clock.Now())
+func (s *Server) MachineViews(to []peer.MachineView) []peer.MachineView {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scheduler.MachineViews(to, s.clock.Now())
 }
 
 // TeamStatuses tells how each team that is held stands.
-func (p *Server) TeamStatuses() []peer.TeamStatus {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.scheduler.TeamStatuses(p.clock.Now())
+func (s *Server) TeamStatuses() []peer.TeamStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scheduler.TeamStatuses(s.clock.Now())
 }
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -94,7 +94,7 @@
 
 // New makes a server around a scheduler.
 func New(scheduler *Scheduler, o Options) *Server {
-	p := &Server{
+	s := &Server{
 		teams: o.Teams, partitionDuties: o.PartitionDuties, partitions: o.Partitions, elections: o.Elections, store: o.Store, priorityStore: o.PriorityStore,
 		jobs: o.Jobs, clock: o.Clock, log: o.Log,
 		txnOps: o.TxnOps, maxRecordBytes: o.MaxRecordBytes, progressInterval: o.ProgressEvery, fairShares: o.FairShares,
@@ -110,15 +110,15 @@
 	}
 	scheduler.chunkTasks = chunkTasks(o.MaxRecordBytes)
 	for h := range o.Partitions {
-		p.senders[h] = make(chan struct{}, 1)
+		s.senders[h] = make(chan struct{}, 1)
 	}
-	return p
+	return s
 }
 
 // notifyUpdated has withdrawals that wait look again. The lock is held.
-func (p *Server) notifyUpdated() {
-	close(p.updated)
-	p.updated = make(chan struct{})
+func (s *Server) notifyUpdated() {
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
 func wake(c chan struct{}) {
@@ -129,32 +129,32 @@
 }
 
 // SetFetchRates tells how fast machine types fetch images, in GB a second.
-func (p *Server) SetFetchRates(rates map[string]float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.scheduler.SetFetchRates(rates)
+func (s *Server) SetFetchRates(rates map[string]float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.scheduler.SetFetchRates(rates)
 }
 
 // SetPrices tells what machines cost.
-func (p *Server) SetPrices(types []wire.MachineType) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.scheduler.SetPrices(types)
+func (s *Server) SetPrices(types []wire.MachineType) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.scheduler.SetPrices(types)
 }
 
 // Apply takes events of the replica: jobs, progress and machines' records.
-func (p *Server) Apply(evs []kvstore.Event) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now, recorded := p.clock.Now(), false
+func (s *Server) Apply(evs []kvstore.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now, recorded := s.clock.Now(), false
 	for _, e := range evs {
 		switch {
 		case strings.HasPrefix(e.Key, kvstore.ActiveJobPrefix):
 			id := strings.TrimPrefix(e.Key, kvstore.ActiveJobPrefix)
-			if j, ok := p.jobs.Active(id); ok && e.Value != nil {
-				p.scheduler.AddJob(j, now)
+			if j, ok := s.jobs.Active(id); ok && e.Value != nil {
+				s.scheduler.AddJob(j, now)
 			} else {
-				p.scheduler.DropJob(id)
+				s.scheduler.DropJob(id)
 			}
 		case strings.HasPrefix(e.Key, kvstore.ProgressPrefix):
 			id, c, _ := strings.Cut(strings.TrimPrefix(e.Key, kvstore.ProgressPrefix), "/")
@@ -163,10 +163,10 @@
 			switch {
 			case !ok:
 			case e.Value == nil:
-				p.scheduler.DropProgress(id, n)
+				s.scheduler.DropProgress(id, n)
 			case json.Unmarshal(e.Value, &text) == nil:
 				if bits, err := base64.StdEncoding.DecodeString(text); err == nil {
-					p.scheduler.HandleProgressRecord(id, n, bits, e.ModRevision)
+					s.scheduler.HandleProgressRecord(id, n, bits, e.ModRevision)
 				}
 			}
 		case strings.HasPrefix(e.Key, kvstore.WatermarkPrefix):
@@ -174,66 +174,66 @@
 			if e.Value != nil && json.Unmarshal(e.Value, &jobs) != nil {
 				continue
 			}
-			p.scheduler.HandleWatermarkRecord(e.Key, jobs, e.ModRevision)
+			s.scheduler.HandleWatermarkRecord(e.Key, jobs, e.ModRevision)
 		case strings.HasPrefix(e.Key, kvstore.MachinePrefix):
-			came, went := p.records.Apply(e)
+			came, went := s.records.Apply(e)
 			recorded = true
 			for _, id := range went {
-				p.scheduler.HandleMachineRecord(id, false)
+				s.scheduler.HandleMachineRecord(id, false)
 			}
 			for id := range came {
-				p.scheduler.HandleMachineRecord(id, true)
+				s.scheduler.HandleMachineRecord(id, true)
 			}
 		}
 	}
 	if recorded {
-		p.scheduler.legacyRecords = p.records.HasLegacy()
+		s.scheduler.legacyRecords = s.records.HasLegacy()
 	}
-	wake(p.wake)
+	wake(s.wake)
 }
 
 // Reconcile takes over and gives up teams as the claims now say.
-func (p *Server) Reconcile() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	terms := p.scheduler.TeamTerms()
+func (s *Server) Reconcile() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	terms := s.scheduler.TeamTerms()
 	gained := false
-	for _, t := range p.teams {
-		h, mine := p.elections.Leading(Duty(t.Name))
+	for _, t := range s.teams {
+		h, mine := s.elections.Leading(Duty(t.Name))
 		term, have := terms[t.Name]
 		switch {
 		case mine && (!have || term != h.Term):
-			active := p.jobs.ActiveOfTeam(t.Name)
-			p.scheduler.AcquireTeam(t.Name, h.Term, h.ModRevision, active, p.clock.Now())
-			p.log.Info("team taken over", "team", t.Name, "term", h.Term, "jobs", len(active))
+			active := s.jobs.ActiveOfTeam(t.Name)
+			s.scheduler.AcquireTeam(t.Name, h.Term, h.ModRevision, active, s.clock.Now())
+			s.log.Info("team taken over", "team", t.Name, "term", h.Term, "jobs", len(active))
 			gained = true
 		case !mine && have:
-			p.scheduler.ReleaseTeam(t.Name)
-			p.log.Info("team given up", "team", t.Name, "term", term)
+			s.scheduler.ReleaseTeam(t.Name)
+			s.log.Info("team given up", "team", t.Name, "term", term)
 		}
 	}
 	if gained {
-		for h := range p.partitions {
-			go p.poll(h, 0) //nolint:errcheck // the loop polls again
+		for h := range s.partitions {
+			go s.poll(h, 0) //nolint:errcheck // the loop polls again
 		}
-		wake(p.wake)
+		wake(s.wake)
 	}
 }
 
 // Run places until ctx ends.
-func (p *Server) Run(ctx context.Context) error {
-	p.mu.Lock()
-	p.running = ctx
-	p.mu.Unlock()
+func (s *Server) Run(ctx context.Context) error {
+	s.mu.Lock()
+	s.running = ctx
+	s.mu.Unlock()
 	g, ctx := errgroup.WithContext(ctx)
-	for h := range p.partitions {
-		g.Go(func() error { return p.pollLoop(ctx, h) })
-		g.Go(func() error { return p.sendLoop(ctx, h) })
+	for h := range s.partitions {
+		g.Go(func() error { return s.pollLoop(ctx, h) })
+		g.Go(func() error { return s.sendLoop(ctx, h) })
 	}
-	g.Go(func() error { return p.scheduleLoop(ctx) })
-	g.Go(func() error { return p.writeLoop(ctx) })
-	g.Go(func() error { return p.watermarkLoop(ctx) })
-	g.Go(func() error { return p.summaryLoop(ctx) })
+	g.Go(func() error { return s.scheduleLoop(ctx) })
+	g.Go(func() error { return s.writeLoop(ctx) })
+	g.Go(func() error { return s.watermarkLoop(ctx) })
+	g.Go(func() error { return s.summaryLoop(ctx) })
 	return g.Wait()
 }
 
@@ -246,12 +246,12 @@
 	}
 }
 
-func (p *Server) pollLoop(ctx context.Context, host string) error {
+func (s *Server) pollLoop(ctx context.Context, host string) error {
 	for ctx.Err() == nil {
-		if err := p.poll(host, clock.Second); err != nil {
-			p.mu.Lock()
-			p.scheduler.MarkUnreachable(host)
-			p.mu.Unlock()
+		if err := s.poll(host, clock.Second); err != nil {
+			s.mu.Lock()
+			s.scheduler.MarkUnreachable(host)
+			s.mu.Unlock()
 			pause(ctx, 150*time.Millisecond)
 		}
 	}
@@ -260,57 +260,57 @@
 
 // poll asks an owner for what changed; for everything when a team's term is
 // new to it, so that its answer is given under the fence of that term.
-func (p *Server) poll(host string, wait clock.Micros) error {
-	p.mu.Lock()
-	in := p.scheduler.NextPoll(host)
+func (s *Server) poll(host string, wait clock.Micros) error {
+	s.mu.Lock()
+	in := s.scheduler.NextPoll(host)
 	in.Wait = wait
-	if p.fairShares {
-		in.Demands = p.scheduler.DemandsFor(host, p.clock.Now())
+	if s.fairShares {
+		in.Demands = s.scheduler.DemandsFor(host, s.clock.Now())
 	}
-	p.mu.Unlock()
-	ans, err := p.partitions[host].Poll(in)
+	s.mu.Unlock()
+	ans, err := s.partitions[host].Poll(in)
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	began := p.clock.Now()
-	p.scheduler.HandlePollResponse(host, in, &ans, began)
-	p.pollMetrics.Round((p.clock.Now() - began).Duration())
-	p.notifyUpdated()
-	wake(p.wake)
-	wake(p.writes)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	began := s.clock.Now()
+	s.scheduler.HandlePollResponse(host, in, &ans, began)
+	s.pollMetrics.Round((s.clock.Now() - began).Duration())
+	s.notifyUpdated()
+	wake(s.wake)
+	wake(s.writes)
 	return nil
 }
 
-func (p *Server) sendLoop(ctx context.Context, host string) error {
+func (s *Server) sendLoop(ctx context.Context, host string) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-p.senders[host]:
+		case <-s.senders[host]:
 		}
 		for ctx.Err() == nil {
-			p.mu.Lock()
-			r := p.scheduler.NextBatch(host)
-			p.mu.Unlock()
+			s.mu.Lock()
+			r := s.scheduler.NextBatch(host)
+			s.mu.Unlock()
 			if r == nil {
 				break
 			}
-			ans, err := p.partitions[host].ApplyBatch(*r)
-			p.mu.Lock()
+			ans, err := s.partitions[host].ApplyBatch(*r)
+			s.mu.Lock()
 			if err != nil {
-				p.scheduler.MarkUnreachable(host)
-				p.mu.Unlock()
-				p.log.Debug("round had no answer", "owner", host, "err", err)
+				s.scheduler.MarkUnreachable(host)
+				s.mu.Unlock()
+				s.log.Debug("round had no answer", "owner", host, "err", err)
 				pause(ctx, 150*time.Millisecond)
 				continue
 			}
-			met := p.scheduler.HandleBatchResponse(host, r, &ans, p.clock.Now())
-			p.notifyUpdated()
-			wake(p.wake)
-			wake(p.writes)
-			p.mu.Unlock()
+			met := s.scheduler.HandleBatchResponse(host, r, &ans, s.clock.Now())
+			s.notifyUpdated()
+			wake(s.wake)
+			wake(s.writes)
+			s.mu.Unlock()
 			if !met {
 				// What bears repeating goes to the new process, once a poll has met it:
 				// not again and again until then.
@@ -321,16 +321,16 @@
 }
 
 // summaryLoop logs now and then how placing stands.
-func (p *Server) summaryLoop(ctx context.Context) error {
+func (s *Server) summaryLoop(ctx context.Context) error {
 	var last Counters
 	for ctx.Err() == nil {
 		pause(ctx, 10*time.Second)
-		p.mu.Lock()
-		s := p.scheduler.Summary()
-		p.mu.Unlock()
-		c := s.Counters
+		s.mu.Lock()
+		summary := s.scheduler.Summary()
+		s.mu.Unlock()
+		c := summary.Counters
 		if c != last {
-			p.log.Info("placing", "waiting", s.Waiting, "bound", s.Bound, "withdrawn", s.CancellingJobs, "placed", c.Placed-last.Placed, "refused", c.Refused-last.Refused, "yielded", c.Yielded-last.Yielded,
+			s.log.Info("placing", "waiting", summary.Waiting, "bound", summary.Bound, "withdrawn", summary.CancellingJobs, "placed", c.Placed-last.Placed, "refused", c.Refused-last.Refused, "yielded", c.Yielded-last.Yielded,
 				"preempted", c.Preempted-last.Preempted, "moves", c.Moves-last.Moves, "moved", c.Moved-last.Moved, "done", c.Done-last.Done, "stopped", c.Stopped-last.Stopped,
 				"failed", c.Failed-last.Failed, "lost", c.Lost-last.Lost, "fetch_cpu_s", int((c.FetchCPUs - last.FetchCPUs).Seconds()))
 		}
@@ -346,7 +346,7 @@
 	return max(min(8*time.Millisecond+time.Duration(bound)*20*time.Microsecond, 50*time.Millisecond), 3*took)
 }
 
-func (p *Server) scheduleLoop(ctx context.Context) error {
+func (s *Server) scheduleLoop(ctx context.Context) error {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -354,23 +354,23 @@
 		case <-ctx.Done():
 			return nil
 		case due := <-tick.C:
-			p.scheduleMetrics.Late(time.Since(due))
-			p.Reconcile()
-		case <-p.wake:
+			s.scheduleMetrics.Late(time.Since(due))
+			s.Reconcile()
+		case <-s.wake:
 		}
-		p.mu.Lock()
-		began := p.clock.Now()
-		p.scheduler.Schedule(began)
-		for h, c := range p.senders {
-			if p.scheduler.HasBatch(h, began) {
+		s.mu.Lock()
+		began := s.clock.Now()
+		s.scheduler.Schedule(began)
+		for h, c := range s.senders {
+			if s.scheduler.HasBatch(h, began) {
 				wake(c)
 			}
 		}
-		bound := p.scheduler.Summary().Bound
-		took := (p.clock.Now() - began).Duration()
-		p.scheduleMetrics.Round(took)
+		bound := s.scheduler.Summary().Bound
+		took := (s.clock.Now() - began).Duration()
+		s.scheduleMetrics.Round(took)
 		gap := scheduleInterval(bound, took)
-		p.mu.Unlock()
+		s.mu.Unlock()
 		pause(ctx, gap)
 	}
 }
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -21,50 +21,50 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// narrow is a state service that takes few changes a second from this controller.
-type narrow struct {
+// budgetedStore is a state service that takes few changes a second from this controller.
+type budgetedStore struct {
 	*fakes.KVClient
-	budget  *rate.Limiter
-	changes int
+	budget     *rate.Limiter
+	operations int
 }
 
-func (n *narrow) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+func (n *budgetedStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if err := n.budget.WaitN(ctx, len(m.Operations)); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrBudgetExhausted)
 	}
-	n.changes += len(m.Operations)
+	n.operations += len(m.Operations)
 	return n.KVClient.CommitWithCheck(ctx, m, sending)
 }
 
-// always holds every duty.
-type always struct{ leaderelection.Leadership }
+// alwaysLeading holds every duty.
+type alwaysLeading struct{ leaderelection.Leadership }
 
-func (a always) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
-func (a always) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
+func (a alwaysLeading) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
+func (a alwaysLeading) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 
-// writer is a placer that holds the team red; what it writes goes to a state service.
-type writer struct {
+// serverFixture is a placer that holds the team red; what it writes goes to a state service.
+type serverFixture struct {
 	*Server
 	t     *testing.T
-	state *fakes.KVClient
+	store *fakes.KVClient
 }
 
-func newWriter(t *testing.T, view *fakes.KVClient, store Store) *writer {
+func newServerFixture(t *testing.T, view *fakes.KVClient, store Store) *serverFixture {
 	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}}})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: red}}, Seed: 1, WallMS: func() int64 { return 0 }})
 	scheduler.AcquireTeam(red, 1, stamp, nil, 0)
-	claims := always{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: stamp}}
-	return &writer{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000, Elections: claims, Store: store, PriorityStore: store, Jobs: jobs.NewCache(),
+	claims := alwaysLeading{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: stamp}}
+	return &serverFixture{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000, Elections: claims, Store: store, PriorityStore: store, Jobs: jobs.NewCache(),
 		Clock: clock.NewSteady(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), t, view}
 }
 
 // accept has a job on record and at the scheduler.
-func (w *writer) accept(id string, tasks int) *job {
+func (w *serverFixture) accept(id string, tasks int) *job {
 	rec := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
-	stamp, err := w.state.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + id, Value: rec}}})
+	stamp, err := w.store.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + id, Value: rec}}})
 	require.NoError(w.t, err)
 	w.scheduler.AddJob(jobs.New(rec, stamp), 0)
 	return w.scheduler.teams[red].jobs[id]
@@ -73,12 +73,12 @@
 // Hundreds of jobs of one task each are done within moments, far more than there
 // are changes to spare. While their ends wait for the budget each of them is
 // answered for: only what is being sent at the moment may get a retry.
-func TestEndsThatWaitForTheBudgetAreAnsweredFor(t *testing.T) {
+func TestFinalStateQueuedForWriteBudgetKeepsStatusAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		st := &narrow{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
-		p := newWriter(t, st.KVClient, st)
+		st := &budgetedStore{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
+		p := newServerFixture(t, st.KVClient, st)
 		const many = 300
 		name := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 		for i := range many {
@@ -104,17 +104,17 @@
 			require.Zero(t, retries, "nothing is being sent at this moment")
 			require.Less(t, time.Since(began), 60*time.Second)
 		}
-		require.LessOrEqual(t, st.changes, many+maxFinalWriteOperations, "one change for each")
+		require.LessOrEqual(t, st.operations, many+maxFinalWriteOperations, "one change for each")
 	})
 }
 
 // A record of progress has no answer and is carried out late, after a newer one of
 // the same placer. What was written since, and forgotten by the workers, stays.
-func TestLateProgressTakesNothingBack(t *testing.T) {
+func TestLateProgressWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		p := newWriter(t, st, st)
+		p := newServerFixture(t, st, st)
 		j := p.accept("job-000001", 8)
 		st.SetCapture(true)
 		j.markDone(0)
@@ -134,10 +134,10 @@
 
 // However few changes a transaction takes, or many controllers there are: four times as
 // many conditions name the claims of all partitions, the team's and the job's record.
-func TestAWithdrawnJobsEndFitsATransaction(t *testing.T) {
+func TestCancelledFinalStateFitsTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		w := newWriter(t, st, st)
+		w := newServerFixture(t, st, st)
 		j := w.accept("job-000001", 8)
 		for _, most := range []int{1, 2, 3, 12, 100} {
 			w.txnOps = most
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -23,8 +23,8 @@
 const watermarkStep = 256
 
 type watermarks struct {
-	stamp uint64 // 0: not there
-	of    map[string]int
+	modRevision uint64 // 0: not there
+	tasksByJob  map[string]int
 }
 
 // WatermarkWrite is one key's new value, to be written on the condition of its stamp.
@@ -39,16 +39,16 @@
 
 // HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written.
 // Older words than the newest known change nothing; nil means that it is gone.
-func (d *Scheduler) HandleWatermarkRecord(key string, of map[string]int, stamp uint64) {
-	if old := d.watermarks[key]; stamp < old.stamp {
+func (s *Scheduler) HandleWatermarkRecord(key string, of map[string]int, stamp uint64) {
+	if old := s.watermarks[key]; stamp < old.modRevision {
 		return
 	}
 	if of == nil {
-		delete(d.watermarks, key)
+		delete(s.watermarks, key)
 		return
 	}
-	d.watermarks[key] = watermarks{stamp, of}
-	for _, tm := range d.teams {
+	s.watermarks[key] = watermarks{stamp, of}
+	for _, tm := range s.teams {
 		if strings.HasPrefix(key, watermarkPrefix(tm.Name)) {
 			for id, n := range of {
 				if j := tm.jobs[id]; j != nil {
@@ -60,13 +60,13 @@
 }
 
 // watermarkOf gives a job's watermark on record.
-func (d *Scheduler) watermarkOf(team string, j *jobs.Job) (n int) {
+func (s *Scheduler) watermarkOf(team string, j *jobs.Job) (n int) {
 	if j.Watermarked {
 		return j.Tasks
 	}
-	for key, r := range d.watermarks {
+	for key, r := range s.watermarks {
 		if strings.HasPrefix(key, watermarkPrefix(team)) {
-			n = max(n, r.of[j.ID])
+			n = max(n, r.tasksByJob[j.ID])
 		}
 	}
 	return n
@@ -76,13 +76,13 @@
 // enough can be asked for to fill a quarter of this team's part of the
 // machines. Jobs that are not near their turn stay free for any next placer. A
 // value takes at most so many bytes.
-func (d *Scheduler) PlanWatermarks(now clock.Micros, most int) (out []WatermarkWrite) {
+func (s *Scheduler) PlanWatermarks(now clock.Micros, most int) (out []WatermarkWrite) {
 	raise := map[*team]map[string]int{}
 	ahead := map[*team]int64{}
-	for _, j := range d.schedulingOrder(now) {
+	for _, j := range s.schedulingOrder(now) {
 		tm := j.team
 		due := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-10*clock.Second
-		if ahead[tm] > d.usableCPU/int64(4*len(d.teamConfigs))+64e6 && !due {
+		if ahead[tm] > s.usableCPU/int64(4*len(s.teamConfigs))+64e6 && !due {
 			continue
 		}
 		ahead[tm] += int64(len(j.queue)+max(0, j.watermark-j.nextTask)) * j.Need.CPU
@@ -100,22 +100,22 @@
 		raise[tm][j.ID] = to
 	}
 	for tm, up := range raise {
-		out = append(out, d.watermarkWrites(tm, up, most)...)
+		out = append(out, s.watermarkWrites(tm, up, most)...)
 	}
 	slices.SortFunc(out, func(a, b WatermarkWrite) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
 // watermarkWrites puts raised watermarks where the jobs' watermarks are, or where there is room.
-func (d *Scheduler) watermarkWrites(tm *team, up map[string]int, most int) (out []WatermarkWrite) {
+func (s *Scheduler) watermarkWrites(tm *team, up map[string]int, most int) (out []WatermarkWrite) {
 	prefix := watermarkPrefix(tm.Name)
 	rest := slices.Sorted(maps.Keys(up))
 	for n := 0; len(rest) > 0; n++ {
 		key := fmt.Sprintf("%s%d", prefix, n)
-		old := d.watermarks[key]
-		w := WatermarkWrite{Team: tm.Name, Key: key, ModRevision: old.stamp, Watermarks: map[string]int{}}
+		old := s.watermarks[key]
+		w := WatermarkWrite{Team: tm.Name, Key: key, ModRevision: old.modRevision, Watermarks: map[string]int{}}
 		size := 0
-		for id, n := range old.of {
+		for id, n := range old.tasksByJob {
 			if tm.jobs[id] != nil { // jobs that are over need no watermark
 				w.Watermarks[id] = n
 				size += len(id) + 12
