--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -6,251 +6,250 @@
 	"slices"
 	"time"
 
-	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// watermarkInterval gathers raised watermarks into one write.
-const watermarkInterval = 150 * time.Millisecond
+const (
+	// maxFinalWritesInFlight is how many transactions with final states of one team are under way at a time: the budget
+	// goes round among the teams, however many final states one of them has.
+	maxFinalWritesInFlight = 3
+	// maxFinalWriteOperations bounds the operations of a transaction with final states: it waits until the budget has room
+	// for all of them.
+	maxFinalWriteOperations = 12
+	// finalWriteRetryInterval spaces the attempts of one write.
+	finalWriteRetryInterval = 300 * time.Millisecond
+	// finalWriteLogEvery is how many attempts of one write make one log event: an outage lasts for many.
+	finalWriteLogEvery = 32
+	// maxUncertainCancelAttempts is after how many attempts the write of a cancellation without a definite answer is given
+	// up: its user asks again, and writeLoop goes on with it.
+	maxUncertainCancelAttempts = 3
+)
 
-// watermarkLoop writes which tasks may be asked for, ahead of their turn.
-func (s *Server) watermarkLoop(ctx context.Context) error {
-	for ctx.Err() == nil {
-		pause(ctx, watermarkInterval)
-		s.mu.Lock()
-		list := s.scheduler.PlanWatermarks(s.clock.Now(), s.maxRecordBytes)
-		s.mu.Unlock()
-		for _, w := range list {
-			h, ok := s.elections.Leading(Duty(w.Team))
-			if !ok {
-				continue
-			}
-			rev, err := s.priorityStore.Commit(ctx, wire.Txn{
-				Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(w.Team), ModRevision: h.ModRevision}, {Key: w.Key, ModRevision: w.ModRevision}},
-				Operations: []wire.Operation{{Put: w.Key, Value: w.Watermarks}}})
-			if err != nil {
-				s.log.Debug("writing watermarks", "team", w.Team, "err", err)
-				continue
-			}
-			s.mu.Lock()
-			s.scheduler.HandleWatermarkRecord(w.Key, w.Watermarks, rev)
-			s.mu.Unlock()
-			wake(s.wake)
-		}
-	}
-	return nil
+// errJobsChanged means that some job of a transaction was found over before the transaction was sent.
+var errJobsChanged = errors.New("some jobs are not active any more")
+
+// finalStateWriter writes final states of jobs. It keeps the invariant of job records (docs/design.md, "Why the rules hold", 10):
+// a final state replaces the active record in one transaction, on the condition of the team's leadership and the record's
+// mod revision; and from the moment that it is sent until its outcome is known the job's status is not answered
+// (job.finalStateUncertain). Jobs that end as done need no confirmation by partition leaders; those that are cancelled are
+// written by way of canceller (11).
+type finalStateWriter struct {
+	*core
+	store    Store // for jobs that are done, and for what is removed afterwards
+	lifetime *lifetime
 }
 
-// writeLoop writes the ends of jobs at once and progress now and then.
-func (s *Server) writeLoop(ctx context.Context) error {
-	tick := time.NewTicker(500 * time.Millisecond)
-	defer tick.Stop()
-	var last clock.Micros
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-tick.C:
-		case <-s.writes:
-		}
-		s.startFinalWrites(ctx)
-		s.resumeCancellations(ctx)
-		if now := s.clock.Now(); now >= last+s.progressInterval {
-			last = now
-			s.writeProgress(ctx)
-		}
-	}
+// finalWrite is the final state of some jobs of one team, to be written in one transaction.
+type finalWrite struct {
+	store Store
+	jobs  []*job
+	phase string // wire.Done or wire.Cancelled
+	// inPlace writes the end into the active records: one operation for each job instead of two.
+	inPlace    bool
+	conditions []wire.Condition // beside the team's leadership and the jobs' records
 }
 
-var errTeamLost = errors.New("the team is held no more")
-
-// teamCondition gives the condition that a team is still held under a term.
-func (s *Server) teamCondition(t *team) (wire.Condition, error) {
-	h, ok := s.elections.Leading(Duty(t.Name))
-	if !ok || h.Term != t.term {
-		return wire.Condition{}, errTeamLost
+// startDue starts the writes of final states of done jobs, as many jobs to a transaction as it takes. A job's status is
+// answered until its final state is about to be sent.
+func (w *finalStateWriter) startDue(ctx context.Context) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	limit := min(w.txnOps, maxFinalWriteOperations)
+	for _, tm := range w.scheduler.teams {
+		ready := w.scheduler.CompletedJobs(tm)
+		// Where many wait for the budget, each costs one operation instead of two.
+		inPlace := limit < 2 || len(ready) > limit/2
+		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
+			n := w.batchSize(ready, limit, inPlace)
+			w.start(ctx, tm, &finalWrite{store: w.store, jobs: ready[:n], phase: wire.Done, inPlace: inPlace})
+			ready = ready[n:]
+		}
 	}
-	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: h.ModRevision}, nil
 }
 
-// maxFinalWritesInFlight is how many transactions with ends of one team's jobs are under way
-// at a time: the budget goes round among the teams, whatever one of them has.
-const maxFinalWritesInFlight = 3
-
-// maxFinalWriteOperations bounds the changes of a transaction with ends: those who wait for the
-// budget wait for one another.
-const maxFinalWriteOperations = 12
-
-// startFinalWrites has the ends of jobs written that are due, as many to a transaction
-// as it takes. A job keeps being answered for until its end is about to be sent.
-func (s *Server) startFinalWrites(ctx context.Context) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	most := min(s.txnOps, maxFinalWriteOperations)
-	for _, tm := range s.scheduler.teams {
-		ready := s.scheduler.CompletedJobs(tm)
-		// Where many wait for the budget, each end costs one change instead of two.
-		brief := most < 2 || len(ready) > most/2
-		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
-			n, ops := 0, 0
-			for n < len(ready) {
-				if ops += s.finalStateOperations(ready[n], brief); n > 0 && ops > most {
-					break
-				}
-				n++
-			}
-			batch := ready[:n]
-			ready = ready[n:]
-			for _, j := range batch {
-				j.finalWriteInFlight = true
-			}
-			tm.finalWritesInFlight++
-			go func() {
-				defer wake(s.writes)
-				if err := s.writeFinalStates(ctx, s.store, batch, wire.Done, brief, nil); err != nil {
-					s.log.Debug("ends of jobs", "team", tm.Name, "err", err)
-				}
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				tm.finalWritesInFlight--
-			}()
+// batchSize gives how many of some jobs fit a transaction of at most so many operations, at least one. The lock is held.
+func (w *finalStateWriter) batchSize(ready []*job, limit int, inPlace bool) int {
+	operations := 0
+	for n, j := range ready {
+		if operations += w.operationCount(j, inPlace); n > 0 && operations > limit {
+			return n
 		}
 	}
+	return len(ready)
 }
 
-// finalStateOperations is how many finalStateOperations the end of a job takes. The lock is held.
-func (s *Server) finalStateOperations(j *job, brief bool) int {
-	n := 2 + len(s.scheduler.progress[j.ID])
-	if brief {
+// operationCount gives how many operations the final state of a job takes. The lock is held.
+func (w *finalStateWriter) operationCount(j *job, inPlace bool) int {
+	n := 2 + len(w.scheduler.progress[j.ID])
+	if inPlace {
 		n--
 	}
 	return n
 }
 
-var errJobsChanged = errors.New("some of the jobs are over already")
+// start writes final states of a team's done jobs in a goroutine that the lifetime owns. The lock is held.
+func (w *finalStateWriter) start(ctx context.Context, tm *team, f *finalWrite) {
+	for _, j := range f.jobs {
+		j.finalWriteInFlight = true
+	}
+	tm.finalWritesInFlight++
+	w.lifetime.start(func() {
+		defer w.writeWake.notify()
+		if err := w.write(ctx, f); err != nil {
+			w.log.Debug("ends of jobs", "team", tm.Name, "err", err)
+		}
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		tm.finalWritesInFlight--
+	})
+}
 
-// writeFinalStates writes the final states of jobs of one team, on the condition that the
-// team is held, that each job's record is as it was accepted, and of what else is
-// given. While one may have
-// been written without this process knowing, that job's user is told nothing
-// from here. That begins only when the transaction is about to be sent: with
-// hundreds of ends a minute most of the time is spent waiting for the budget,
-// and jobs of which nothing is told for so long count as forgotten.
-func (s *Server) writeFinalStates(ctx context.Context, store Store, batch []*job, phase string, brief bool, when []wire.Condition) error {
-	tm := batch[0].team
-	for try := 0; ctx.Err() == nil; try++ {
-		s.mu.Lock()
-		batch = slices.DeleteFunc(batch, func(j *job) bool { return !s.isActive(j) })
-		m, rest := s.finalStateTxn(batch, phase, brief)
-		m.Conditions = append(m.Conditions, when...)
-		s.mu.Unlock()
-		if len(batch) == 0 {
+// write writes final states, again until it has a definite answer; jobs that are over in the meantime are left out. Errors are
+// errTeamLost, the context's, or for a cancellation that of its last attempt.
+func (w *finalStateWriter) write(ctx context.Context, f *finalWrite) error {
+	tm := f.jobs[0].team
+	for attempt := 1; ctx.Err() == nil; attempt++ {
+		txn, remaining := w.prepare(f)
+		if len(f.jobs) == 0 {
 			return nil
 		}
-		_, err := store.CommitWithCheck(ctx, m, func() error {
-			if _, err := s.teamCondition(tm); err != nil {
-				return err
-			}
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			for _, j := range batch {
-				if !s.isActive(j) {
-					return errJobsChanged
-				}
-			}
-			for _, j := range batch {
-				j.finalStateUncertain = true
-			}
-			return nil
-		})
+		_, err := f.store.CommitWithCheck(ctx, txn, func() error { return w.beforeSending(tm, f.jobs) })
 		if err == nil {
-			s.markFinished(batch, phase)
-			for some := range slices.Chunk(rest, s.txnOps) {
-				if _, err := s.store.Commit(ctx, wire.Txn{Conditions: m.Conditions[:1], Operations: some}); err != nil {
-					s.log.Info("dropping progress", "team", tm.Name, "err", err)
-				}
-			}
+			w.markFinished(f.jobs, f.phase)
+			w.dropProgress(ctx, tm, txn.Conditions[:1], remaining)
 			return nil
 		}
 		if errors.Is(err, errTeamLost) {
 			return err
 		}
-		if try%32 == 0 { // once in a while: an outage lasts many tries
-			s.log.Info("writing the ends of jobs", "job", batch[0].ID, "jobs", len(batch), "tries", try+1, "err", err)
+		if attempt%finalWriteLogEvery == 1 {
+			w.log.Info("writing the ends of jobs", "job", f.jobs[0].ID, "jobs", len(f.jobs), "tries", attempt, "err", err)
 		}
-		// A condition that does not hold is a definite answer to this try, not to earlier ones.
-		refused := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
-		s.mu.Lock()
-		for _, j := range batch {
-			j.finalWriteUnanswered = j.finalWriteUnanswered || !refused
-			j.finalStateUncertain = j.finalWriteUnanswered
+		uncertain := w.noteFailure(f.jobs, err)
+		if f.phase == wire.Cancelled && (!uncertain || attempt >= maxUncertainCancelAttempts) {
+			return err
 		}
-		unknown := batch[0].finalWriteUnanswered
-		s.mu.Unlock()
-		if phase == wire.Cancelled && (!unknown || try >= 2) {
-			return err // its user asks again
+		if errors.Is(err, kvstore.ErrConflict) && len(f.jobs) > 1 {
+			return w.writeSeparately(ctx, f)
 		}
-		if errors.Is(err, kvstore.ErrConflict) && len(batch) > 1 {
-			// One of them is over already, by an earlier try that had no answer:
-			// it must not keep the others from their end.
-			for _, j := range batch {
-				if err := s.writeFinalStates(ctx, store, []*job{j}, phase, brief, when); err != nil {
-					return err
-				}
-			}
-			return nil
-		}
-		pause(ctx, 300*time.Millisecond)
+		pause(ctx, finalWriteRetryInterval)
 	}
 	return ctx.Err()
 }
 
-// isActive tells that a job is still this placer's to end. The lock is held.
-func (s *Server) isActive(j *job) bool {
-	return j.team.jobs[j.ID] == j && s.scheduler.teams[j.team.Name] == j.team
+// prepare leaves out jobs that are not active any more, and makes the transaction for the others.
+func (w *finalStateWriter) prepare(f *finalWrite) (txn wire.Txn, remaining []wire.Operation) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	f.jobs = slices.DeleteFunc(f.jobs, func(j *job) bool { return !w.isActive(j) })
+	return w.txn(f)
 }
 
-// finalStateTxn makes the transaction that ends jobs of one team, its first condition
-// being the team's claim; rest are drops of progress that it has no room for. The lock is held.
-func (s *Server) finalStateTxn(batch []*job, phase string, brief bool) (m wire.Txn, rest []wire.Operation) {
-	if len(batch) == 0 {
-		return m, nil
+// txn makes the transaction that ends jobs of one team, its first condition being the team's leadership. What it has no room
+// for of the removal of their progress remains. The lock is held.
+func (w *finalStateWriter) txn(f *finalWrite) (txn wire.Txn, remaining []wire.Operation) {
+	if len(f.jobs) == 0 {
+		return txn, nil
 	}
-	tm := batch[0].team
-	m.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.modRevision}}
-	for _, j := range batch {
-		m.Conditions = append(m.Conditions, wire.Condition{Key: kvstore.ActiveJobPrefix + j.ID, ModRevision: j.ModRevision})
-		if brief || s.txnOps < 2 {
-			over := jobs.Record{EndPhase: phase}
-			over.ID, over.Team, over.Tasks = j.ID, j.Team, j.Tasks
-			m.Operations = append(m.Operations, wire.Operation{Put: kvstore.ActiveJobPrefix + j.ID, Value: over})
+	tm := f.jobs[0].team
+	txn.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.modRevision}}
+	for _, j := range f.jobs {
+		key := kvstore.ActiveJobPrefix + j.ID
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, ModRevision: j.ModRevision})
+		if f.inPlace || w.txnOps < 2 {
+			ended := jobs.Record{EndPhase: f.phase}
+			ended.ID, ended.Team, ended.Tasks = j.ID, j.Team, j.Tasks
+			txn.Operations = append(txn.Operations, wire.Operation{Put: key, Value: ended})
 		} else {
-			m.Operations = append(m.Operations, wire.Operation{Put: kvstore.FinalJobPrefix + j.ID, Value: jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}},
-				wire.Operation{Drop: kvstore.ActiveJobPrefix + j.ID})
+			txn.Operations = append(txn.Operations,
+				wire.Operation{Put: kvstore.FinalJobPrefix + j.ID, Value: finalState(j, f.phase)},
+				wire.Operation{Drop: key})
 		}
 	}
-	for _, j := range batch {
-		for c := range s.scheduler.progress[j.ID] {
-			if op := (wire.Operation{Drop: progressKey(j.ID, c)}); len(m.Operations) < s.txnOps {
-				m.Operations = append(m.Operations, op)
+	for _, j := range f.jobs {
+		for chunk := range w.scheduler.progress[j.ID] {
+			if drop := (wire.Operation{Drop: progressKey(j.ID, chunk)}); len(txn.Operations) < w.txnOps {
+				txn.Operations = append(txn.Operations, drop)
 			} else {
-				rest = append(rest, op)
+				remaining = append(remaining, drop)
 			}
 		}
 	}
-	return m, rest
+	txn.Conditions = append(txn.Conditions, f.conditions...)
+	return txn, remaining
+}
+
+func finalState(j *job, phase string) jobs.Final {
+	return jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}
+}
+
+// beforeSending is called when a transaction is about to be sent, after its wait for the budget: it checks again that the
+// team is led and its jobs are active, and only then makes their status uncertain. With hundreds of final states a minute most of the time
+// goes into the wait, and jobs whose status is not answered for so long count as forgotten.
+func (w *finalStateWriter) beforeSending(tm *team, batch []*job) error {
+	if _, err := w.teamCondition(tm); err != nil {
+		return err
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, j := range batch {
+		if !w.isActive(j) {
+			return errJobsChanged
+		}
+	}
+	for _, j := range batch {
+		j.finalStateUncertain = true
+	}
+	return nil
+}
+
+// noteFailure keeps what a failed attempt leaves open, and tells whether the jobs' final states may have been written. A
+// condition that does not hold, or a refusal, is a definite answer to this attempt, not to earlier ones.
+func (w *finalStateWriter) noteFailure(batch []*job, err error) (uncertain bool) {
+	definite := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, j := range batch {
+		j.finalWriteUnanswered = j.finalWriteUnanswered || !definite
+		j.finalStateUncertain = j.finalWriteUnanswered
+	}
+	return batch[0].finalWriteUnanswered
+}
+
+// writeSeparately writes the final states of several jobs one by one: one of them is over already, by an earlier attempt that
+// had no answer, and must not keep the others from their end.
+func (w *finalStateWriter) writeSeparately(ctx context.Context, f *finalWrite) error {
+	for _, j := range f.jobs {
+		single := *f
+		single.jobs = []*job{j}
+		if err := w.write(ctx, &single); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// dropProgress removes records of progress that a transaction with final states had no room for. What fails stays: it is read
+// by nobody.
+func (w *finalStateWriter) dropProgress(ctx context.Context, tm *team, leading []wire.Condition, drops []wire.Operation) {
+	for operations := range slices.Chunk(drops, w.txnOps) {
+		if _, err := w.store.Commit(ctx, wire.Txn{Conditions: leading, Operations: operations}); err != nil {
+			w.log.Info("dropping progress", "team", tm.Name, "err", err)
+		}
+	}
 }
 
-// markFinished takes note that jobs' ends are written.
-func (s *Server) markFinished(batch []*job, phase string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// markFinished takes note that final states are written.
+func (w *finalStateWriter) markFinished(batch []*job, phase string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, j := range batch {
-		s.jobs.AddFinal(j.ID, jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks})
-		s.scheduler.DropJob(j.ID)
-		s.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
-			"after_s", (s.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(), "again", j.retries)
+		w.jobs.AddFinal(j.ID, finalState(j, phase))
+		w.scheduler.DropJob(j.ID)
+		w.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
+			"after_s", (w.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(),
+			"again", j.retries)
 	}
 }
--- a/internal/scheduler/progress_records.go
+++ b/internal/scheduler/progress_records.go
@@ -6,12 +6,11 @@
 	"strings"
 )
 
-// ChunkTasks is how many tasks one record of progress covers, where a record may
-// be as large as that takes.
+// ChunkTasks is how many tasks one record of progress covers, where a record may be as large as that takes.
 const ChunkTasks = 32768
 
-// chunkID names a record of progress: the tasks from N*Size on. Where records
-// must be smaller they say so, and each is read by its own size.
+// chunkID names a record of progress: the tasks from N*Size on. Where records must be smaller their keys say so, and each is
+// read by its own size.
 type chunkID struct{ N, Size int }
 
 func (c chunkID) String() string {
@@ -21,36 +20,37 @@
 	return fmt.Sprintf("%d.%d", c.N, c.Size)
 }
 
+// parseChunk reads what String gives.
 func parseChunk(text string) (c chunkID, ok bool) {
-	n, size, small := strings.Cut(text, ".")
+	number, size, hasSize := strings.Cut(text, ".")
 	c.Size = ChunkTasks
-	var err, err2 error
-	c.N, err = strconv.Atoi(n)
-	if small {
-		c.Size, err2 = strconv.Atoi(size)
+	var numberErr, sizeErr error
+	c.N, numberErr = strconv.Atoi(number)
+	if hasSize {
+		c.Size, sizeErr = strconv.Atoi(size)
 	}
-	return c, err == nil && err2 == nil && c.N >= 0 && c.Size > 0 && c.Size%8 == 0
+	return c, numberErr == nil && sizeErr == nil && c.N >= 0 && c.Size > 0 && c.Size%8 == 0
 }
 
-// chunkTasks is how many tasks a record of at most so many bytes covers.
-func chunkTasks(most int) int {
-	return min(ChunkTasks, max(1, (most-2)/4*3/8)*64)
+// chunkTasks is how many tasks a record of at most maxBytes covers: a multiple of 64, in base64 between two quotes.
+func chunkTasks(maxBytes int) int {
+	return min(ChunkTasks, max(1, (maxBytes-2)/4*3/8)*64)
 }
 
-// progress is a record of completed tasks, and the stamp of its last change.
+// progress is a record of completed tasks as last known.
 type progress struct {
 	bits        []byte
 	modRevision uint64
 }
 
-// HandleProgressRecord takes a record of completed tasks, as the replica shows it or as it
-// was written. Older words than the newest known change nothing.
-func (s *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, stamp uint64) {
+// HandleProgressRecord takes a record of completed tasks, as the replica shows it or as it was written. What is older than the
+// newest known changes nothing.
+func (s *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, modRevision uint64) {
 	if s.progress[id] == nil {
 		s.progress[id] = map[chunkID]progress{}
 	}
-	if stamp >= s.progress[id][chunk].modRevision {
-		s.progress[id][chunk] = progress{bits, stamp}
+	if modRevision >= s.progress[id][chunk].modRevision {
+		s.progress[id][chunk] = progress{bits, modRevision}
 	}
 }
 
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -21,130 +21,138 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// budgetedStore is a state service that takes few changes a second from this controller.
+// budgetedStore is a key-value store that takes few operations a second from this controller.
 type budgetedStore struct {
 	*fakes.KVClient
 	budget     *rate.Limiter
 	operations int
 }
 
-func (n *budgetedStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+func (s *budgetedStore) CommitWithCheck(ctx context.Context, txn wire.Txn, sending func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	if err := n.budget.WaitN(ctx, len(m.Operations)); err != nil {
+	if err := s.budget.WaitN(ctx, len(txn.Operations)); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrBudgetExhausted)
 	}
-	n.operations += len(m.Operations)
-	return n.KVClient.CommitWithCheck(ctx, m, sending)
+	s.operations += len(txn.Operations)
+	return s.KVClient.CommitWithCheck(ctx, txn, sending)
 }
 
-// alwaysLeading holds every duty.
+// alwaysLeading has every leadership.
 type alwaysLeading struct{ leaderelection.Leadership }
 
 func (a alwaysLeading) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 func (a alwaysLeading) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 
-// serverFixture is a placer that holds the team red; what it writes goes to a state service.
+// serverFixture is a server that leads the team red, before Run; what it writes goes to a store.
 type serverFixture struct {
 	*Server
 	t     *testing.T
 	store *fakes.KVClient
 }
 
-func newServerFixture(t *testing.T, view *fakes.KVClient, store Store) *serverFixture {
-	stamp, err := view.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}}})
+// newServerFixture makes a server that writes to store, over a store that shows its team's leadership.
+func newServerFixture(t *testing.T, kv *fakes.KVClient, store Store) *serverFixture {
+	t.Helper()
+	rev, err := kv.Commit(t.Context(), wire.Txn{
+		Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}},
+	})
 	require.NoError(t, err)
 	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: red}}, Seed: 1, WallMS: func() int64 { return 0 }})
-	scheduler.AcquireTeam(red, 1, stamp, nil, 0)
-	claims := alwaysLeading{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: stamp}}
-	return &serverFixture{New(scheduler, Options{TxnOps: 12, MaxRecordBytes: 4000, Elections: claims, Store: store, PriorityStore: store, Jobs: jobs.NewCache(),
-		Clock: clock.NewSteady(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), t, view}
+	scheduler.AcquireTeam(red, 1, rev, nil, 0)
+	server := New(scheduler, Options{
+		TxnOps: 12, MaxRecordBytes: 4000,
+		Elections: alwaysLeading{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: rev}},
+		Store:     store, PriorityStore: store, Jobs: jobs.NewCache(), Clock: clock.NewSteady(),
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	return &serverFixture{server, t, kv}
 }
 
-// accept has a job on record and at the scheduler.
-func (w *serverFixture) accept(id string, tasks int) *job {
-	rec := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
-	stamp, err := w.store.Commit(w.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + id, Value: rec}}})
-	require.NoError(w.t, err)
-	w.scheduler.AddJob(jobs.New(rec, stamp), 0)
-	return w.scheduler.teams[red].jobs[id]
+// accept puts a job on record and into the scheduler.
+func (f *serverFixture) accept(id string, tasks int) *job {
+	f.t.Helper()
+	record := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
+	rev, err := f.store.Commit(f.t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.ActiveJobPrefix + id, Value: record}}})
+	require.NoError(f.t, err)
+	f.scheduler.AddJob(jobs.New(record, rev), 0)
+	return f.scheduler.teams[red].jobs[id]
 }
 
-// Hundreds of jobs of one task each are done within moments, far more than there
-// are changes to spare. While their ends wait for the budget each of them is
-// answered for: only what is being sent at the moment may get a retry.
+// Hundreds of jobs of one task each are done within moments, far more than the budget has operations for. While their
+// final states wait for the budget the status of each is answered: only what is being sent at the moment may get a retry.
 func TestFinalStateQueuedForWriteBudgetKeepsStatusAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		st := &budgetedStore{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
-		p := newServerFixture(t, st.KVClient, st)
-		const many = 300
+		store := &budgetedStore{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
+		f := newServerFixture(t, store.KVClient, store)
+		const jobCount = 300
 		name := func(i int) string { return fmt.Sprintf("job-%06d", i) }
-		for i := range many {
-			p.accept(name(i), 1).markDone(0)
+		for i := range jobCount {
+			f.accept(name(i), 1).markDone(0)
 		}
-		go p.writeLoop(ctx) //nolint:errcheck // ends with the context
-		began := time.Now()
-		for over := 0; over < many; {
+		go f.writeLoop(ctx) //nolint:errcheck // ends with the context
+		startedAt := time.Now()
+		for finished := 0; finished < jobCount; {
 			time.Sleep(500 * time.Millisecond)
 			synctest.Wait() // what is sent at this very instant has its answer
-			over = 0
+			finished = 0
 			retries := 0
-			for i := range many {
-				a := p.Status(peer.JobRequest{Team: red, ID: name(i)})
-				require.True(t, a.Known && a.Found)
-				if a.Retry {
+			for i := range jobCount {
+				response := f.Status(peer.JobRequest{Team: red, ID: name(i)})
+				require.True(t, response.Known && response.Found)
+				if response.Retry {
 					retries++
 				}
-				if a.State.Phase == wire.Done {
-					over++
+				if response.State.Phase == wire.Done {
+					finished++
 				}
 			}
 			require.Zero(t, retries, "nothing is being sent at this moment")
-			require.Less(t, time.Since(began), 60*time.Second)
+			require.Less(t, time.Since(startedAt), 60*time.Second)
 		}
-		require.LessOrEqual(t, st.operations, many+maxFinalWriteOperations, "one change for each")
+		require.LessOrEqual(t, store.operations, jobCount+maxFinalWriteOperations, "one operation for each")
 	})
 }
 
-// A record of progress has no answer and is carried out late, after a newer one of
-// the same placer. What was written since, and forgotten by the workers, stays.
+// A write of progress has no answer and is carried out late, after a newer one of the same scheduler. What was written since,
+// and forgotten by the workers, stays.
 func TestLateProgressWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
-		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		p := newServerFixture(t, st, st)
-		j := p.accept("job-000001", 8)
-		st.SetCapture(true)
+		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
+		f := newServerFixture(t, store, store)
+		j := f.accept("job-000001", 8)
+		store.SetCapture(true)
 		j.markDone(0)
-		p.writeProgress(ctx)
-		st.SetCapture(false)
+		f.progress.write(ctx)
+		store.SetCapture(false)
 		for n := 1; n < 3; n++ {
 			j.markDone(n)
-			p.writeProgress(ctx)
+			f.progress.write(ctx)
 		}
-		require.Zero(t, st.Release(), "the late copy must change nothing")
-		it, ok, err := st.Get(ctx, progressKey(j.ID, chunkID{0, j.chunkTasks}))
+		require.Zero(t, store.Release(), "the late copy must change nothing")
+		item, ok, err := store.Get(ctx, progressKey(j.ID, chunkID{0, j.chunkTasks}))
 		require.NoError(t, err)
 		require.True(t, ok)
-		require.JSONEq(t, `"Bw=="`, string(it.Value), "three tasks are done")
+		require.JSONEq(t, `"Bw=="`, string(item.Value), "three tasks are done")
 	})
 }
 
-// However few changes a transaction takes, or many controllers there are: four times as
-// many conditions name the claims of all partitions, the team's and the job's record.
+// However few operations a transaction takes, or many controllers there are: four times as many conditions name the
+// leaderships of all partitions, the team's and the job's record.
 func TestCancelledFinalStateFitsTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		w := newServerFixture(t, st, st)
-		j := w.accept("job-000001", 8)
-		for _, most := range []int{1, 2, 3, 12, 100} {
-			w.txnOps = most
-			m, _ := w.finalStateTxn([]*job{j}, wire.Cancelled, false)
-			require.LessOrEqual(t, len(m.Conditions)+MaxPartitions(most), 4*most)
-			require.LessOrEqual(t, len(m.Operations), max(most, 1))
-			require.Positive(t, MaxPartitions(most))
+		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
+		f := newServerFixture(t, store, store)
+		j := f.accept("job-000001", 8)
+		for _, txnOps := range []int{1, 2, 3, 12, 100} {
+			f.txnOps = txnOps
+			txn, _ := f.finalStates.txn(&finalWrite{jobs: []*job{j}, phase: wire.Cancelled})
+			require.LessOrEqual(t, len(txn.Conditions)+MaxPartitions(txnOps), 4*txnOps)
+			require.LessOrEqual(t, len(txn.Operations), max(txnOps, 1))
+			require.Positive(t, MaxPartitions(txnOps))
 		}
 	})
 }
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -12,22 +12,34 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// A job's watermark is the number of its tasks that may ever have been asked for: a
-// task is asked for only when a watermark above it is in the state service. So the
-// next placer of the team knows which tasks can't be on any machine, and starts
-// those at once, also while some machines are not accounted for. Many jobs'
-// watermarks share a key. Jobs whose tasks should start within a time are marked
-// as a whole when they are accepted: users wait for the same budget of changes.
+// The decisions about watermarks; watermarkWriter does the I/O.
+//
+// A job's watermark is the number of its tasks that may ever have been assigned: a task is assigned only when a watermark above
+// it is in the key-value store. So the next scheduler of the team knows which tasks can't be on any machine, and starts those
+// immediately, also while some machines are unaccounted (docs/design.md, "Why the rules hold", 7). Many jobs' watermarks share
+// a key. Jobs whose tasks should start within a time are watermarked as a whole when they are accepted: users wait for the same
+// budget of changes.
 
-// watermarkStep is by how many tasks a watermark is raised.
-const watermarkStep = 256
+const (
+	// watermarkStep is by how many tasks a watermark is raised.
+	watermarkStep = 256
+	// watermarkLead is how long before a job's first task becomes due its watermark is raised whatever its turn.
+	watermarkLead = 10 * clock.Second
+	// aheadShare is the part of this team's share of the usable CPUs that is to be covered by watermarks ahead of the tasks'
+	// turn, one in so many; aheadCPU is added, in millionths of a CPU, for small fleets.
+	aheadShare = 4
+	aheadCPU   = 64e6
+	// watermarkEntryBytes is what a job takes of a record beside its id.
+	watermarkEntryBytes = 12
+)
 
+// watermarks is a record of watermarks as last known.
 type watermarks struct {
-	modRevision uint64 // 0: not there
-	tasksByJob  map[string]int
+	modRevision uint64         // 0: there is no such record
+	tasksByJob  map[string]int // watermarks by job id
 }
 
-// WatermarkWrite is one key's new value, to be written on the condition of its stamp.
+// WatermarkWrite is one key's new value, to be written on the condition of its mod revision.
 type WatermarkWrite struct {
 	Team        string
 	Key         string
@@ -37,20 +49,20 @@
 
 func watermarkPrefix(team string) string { return kvstore.WatermarkPrefix + url.PathEscape(team) + "/" }
 
-// HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written.
-// Older words than the newest known change nothing; nil means that it is gone.
-func (s *Scheduler) HandleWatermarkRecord(key string, of map[string]int, stamp uint64) {
-	if old := s.watermarks[key]; stamp < old.modRevision {
+// HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written; nil means that it is gone.
+// What is older than the newest known changes nothing.
+func (s *Scheduler) HandleWatermarkRecord(key string, tasksByJob map[string]int, modRevision uint64) {
+	if old := s.watermarks[key]; modRevision < old.modRevision {
 		return
 	}
-	if of == nil {
+	if tasksByJob == nil {
 		delete(s.watermarks, key)
 		return
 	}
-	s.watermarks[key] = watermarks{stamp, of}
+	s.watermarks[key] = watermarks{modRevision, tasksByJob}
 	for _, tm := range s.teams {
 		if strings.HasPrefix(key, watermarkPrefix(tm.Name)) {
-			for id, n := range of {
+			for id, n := range tasksByJob {
 				if j := tm.jobs[id]; j != nil {
 					j.watermark = max(j.watermark, n)
 				}
@@ -64,91 +76,114 @@
 	if j.Watermarked {
 		return j.Tasks
 	}
-	for key, r := range s.watermarks {
+	for key, record := range s.watermarks {
 		if strings.HasPrefix(key, watermarkPrefix(team)) {
-			n = max(n, r.tasksByJob[j.ID])
+			n = max(n, record.tasksByJob[j.ID])
 		}
 	}
 	return n
 }
 
-// PlanWatermarks decides which watermarks to raise: of the jobs that go first, until
-// enough can be asked for to fill a quarter of this team's part of the
-// machines. Jobs that are not near their turn stay free for any next placer. A
-// value takes at most so many bytes.
-func (s *Scheduler) PlanWatermarks(now clock.Micros, most int) (out []WatermarkWrite) {
-	raise := map[*team]map[string]int{}
-	ahead := map[*team]int64{}
+// PlanWatermarks decides which watermarks to raise: those of the jobs that go first, until what may be assigned fills a quarter
+// of this team's part of the usable CPUs. Jobs that are not near their turn stay free for any next scheduler. A value takes
+// at most maxBytes.
+func (s *Scheduler) PlanWatermarks(now clock.Micros, maxBytes int) (out []WatermarkWrite) {
+	plan := watermarkPlan{
+		limitCPU: s.usableCPU/int64(aheadShare*max(1, len(s.teamConfigs))) + aheadCPU,
+		aheadCPU: map[*team]int64{},
+		raised:   map[*team]map[string]int{},
+	}
 	for _, j := range s.schedulingOrder(now) {
-		tm := j.team
-		due := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-10*clock.Second
-		if ahead[tm] > s.usableCPU/int64(4*len(s.teamConfigs))+64e6 && !due {
-			continue
-		}
-		ahead[tm] += int64(len(j.queue)+max(0, j.watermark-j.nextTask)) * j.Need.CPU
-		if j.nextTask < j.watermark || j.watermark >= j.Tasks {
-			continue
-		}
-		to := j.Tasks
-		if to > j.watermark+watermarkStep*3/2 {
-			to = j.watermark + watermarkStep
-		}
-		ahead[tm] += int64(to-j.watermark) * j.Need.CPU
-		if raise[tm] == nil {
-			raise[tm] = map[string]int{}
-		}
-		raise[tm][j.ID] = to
+		plan.consider(j, now)
 	}
-	for tm, up := range raise {
-		out = append(out, s.watermarkWrites(tm, up, most)...)
+	for tm, raised := range plan.raised {
+		out = append(out, s.watermarkWrites(tm, raised, maxBytes)...)
 	}
 	slices.SortFunc(out, func(a, b WatermarkWrite) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
-// watermarkWrites puts raised watermarks where the jobs' watermarks are, or where there is room.
-func (s *Scheduler) watermarkWrites(tm *team, up map[string]int, most int) (out []WatermarkWrite) {
-	prefix := watermarkPrefix(tm.Name)
-	rest := slices.Sorted(maps.Keys(up))
-	for n := 0; len(rest) > 0; n++ {
-		key := fmt.Sprintf("%s%d", prefix, n)
-		old := s.watermarks[key]
-		w := WatermarkWrite{Team: tm.Name, Key: key, ModRevision: old.modRevision, Watermarks: map[string]int{}}
-		size := 0
-		for id, n := range old.tasksByJob {
-			if tm.jobs[id] != nil { // jobs that are over need no watermark
-				w.Watermarks[id] = n
-				size += len(id) + 12
-			}
-		}
-		var over []string
-		changed := false
-		for _, id := range rest {
-			if _, here := w.Watermarks[id]; !here {
-				if size += len(id) + 12; size > most {
-					over = append(over, id)
-					continue
-				}
-			}
-			w.Watermarks[id], changed = up[id], true
+// watermarkPlan collects the watermarks to raise while jobs are considered in the order of the queue.
+type watermarkPlan struct {
+	limitCPU int64                    // how much of each team is to be covered ahead
+	aheadCPU map[*team]int64          // how much is, by the jobs considered so far
+	raised   map[*team]map[string]int // new watermarks by job id
+}
+
+// consider raises a job's watermark if all its tasks below it are queued and its team has not enough ahead.
+func (p *watermarkPlan) consider(j *job, now clock.Micros) {
+	firstTaskDue := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-watermarkLead
+	if p.aheadCPU[j.team] > p.limitCPU && !firstTaskDue {
+		return
+	}
+	p.aheadCPU[j.team] += int64(len(j.queue)+max(0, j.watermark-j.nextTask)) * j.Need.CPU
+	if j.nextTask < j.watermark || j.watermark >= j.Tasks {
+		return
+	}
+	raised := j.Tasks
+	if raised > j.watermark+watermarkStep*3/2 { // a small rest is not worth a write of its own
+		raised = j.watermark + watermarkStep
+	}
+	p.aheadCPU[j.team] += int64(raised-j.watermark) * j.Need.CPU
+	if p.raised[j.team] == nil {
+		p.raised[j.team] = map[string]int{}
+	}
+	p.raised[j.team][j.ID] = raised
+}
+
+// watermarkWrites puts raised watermarks into the records that hold the jobs' watermarks, or into the first that has room.
+func (s *Scheduler) watermarkWrites(tm *team, raised map[string]int, maxBytes int) (out []WatermarkWrite) {
+	remaining := slices.Sorted(maps.Keys(raised))
+	for n := 0; len(remaining) > 0; n++ {
+		key := fmt.Sprintf("%s%d", watermarkPrefix(tm.Name), n)
+		write := WatermarkWrite{Team: tm.Name, Key: key, ModRevision: s.watermarks[key].modRevision}
+		write.Watermarks = s.watermarks[key].ofActiveJobs(tm)
+		before := len(remaining)
+		if remaining = write.raise(raised, remaining, maxBytes); len(remaining) < before {
+			out = append(out, write)
 		}
-		if changed {
-			out = append(out, w)
+	}
+	return out
+}
+
+// ofActiveJobs copies the watermarks of jobs that are active; those that are over need none.
+func (w watermarks) ofActiveJobs(tm *team) map[string]int {
+	out := map[string]int{}
+	for id, n := range w.tasksByJob {
+		if tm.jobs[id] != nil {
+			out[id] = n
 		}
-		rest = over
 	}
 	return out
 }
 
-// releaseFormerlyOffered lets the tasks that a former placer may have asked for be placed: all
-// machines are accounted for, and those that are on none are known.
+// raise sets the watermarks of the jobs that the record holds, and of those that it has room for; it gives the other ids.
+func (w *WatermarkWrite) raise(raised map[string]int, ids []string, maxBytes int) (remaining []string) {
+	size := 0
+	for id := range w.Watermarks {
+		size += len(id) + watermarkEntryBytes
+	}
+	for _, id := range ids {
+		if _, held := w.Watermarks[id]; !held {
+			if size += len(id) + watermarkEntryBytes; size > maxBytes {
+				remaining = append(remaining, id)
+				continue
+			}
+		}
+		w.Watermarks[id] = raised[id]
+	}
+	return remaining
+}
+
+// releaseFormerlyOffered queues the tasks that a former scheduler may have assigned: all machines are accounted, and the tasks
+// that run on one are known.
 func (j *job) releaseFormerlyOffered() {
 	j.awaitsAccounting = false
-	var again []int
+	var released []int
 	for n := range j.offeredByFormer {
 		if !j.isDone(n) && j.assignments[n] == nil {
-			again = append(again, n)
+			released = append(released, n)
 		}
 	}
-	j.queue = append(again, j.queue...)
+	j.queue = append(released, j.queue...)
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -61,7 +61,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.SetZoneState(name, r, p.clock.Now())
-	wake(p.wake)
+	p.scheduleWake.notify()
 }
 
 // ZoneEvidence counts for each zone what is known of its machines.
