--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -23,8 +23,8 @@
 	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 }
 
-// The next placer of a team, maybe of another release, finds records of progress and watermarks by
-// their keys: a key of another form would be a record lost.
+// The next leader of a team, maybe of another release, finds records of progress and watermarks by their keys: a key of another
+// form would be a record lost.
 func TestRecordKeysKeepTheirForm(t *testing.T) {
 	require.Equal(t, goldenLines(t, "golden_keys.txt"), []string{
 		progressKey("job-1", chunkID{0, ChunkTasks}),
@@ -40,13 +40,12 @@
 		require.True(t, ok)
 		require.Equal(t, c, got)
 	}
-	for most, tasks := range map[int]int{100: 576, 4096: 24512, 1 << 20: ChunkTasks} {
-		require.Equal(t, tasks, chunkTasks(most), "tasks of a record of at most %d bytes", most)
+	for maxBytes, tasks := range map[int]int{100: 576, 4096: 24512, 1 << 20: ChunkTasks} {
+		require.Equal(t, tasks, chunkTasks(maxBytes), "tasks of a record of at most %d bytes", maxBytes)
 	}
 }
 
-// A record of progress is the bits of its tasks in base64, a record of watermarks the
-// numbers of tasks by job.
+// A record of progress is the bits of its tasks in base64, a record of watermarks the numbers of tasks by job.
 func TestRecordsKeepEncodedForm(t *testing.T) {
 	lines := goldenLines(t, "golden_records.txt")
 	require.Len(t, lines, 2)
@@ -62,10 +61,13 @@
 	require.NoError(t, err)
 	require.Equal(t, lines[1], string(marks))
 
-	// And a placer takes from them what they tell.
+	// And a server understands them.
 	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: "red"}}, Seed: 1, WallMS: func() int64 { return 0 }})
-	p := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewSteady(), Log: slog.New(slog.DiscardHandler)})
-	p.Apply([]kvstore.Event{{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5}, {Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6}})
+	server := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewSteady(), Log: slog.New(slog.DiscardHandler)})
+	server.Apply([]kvstore.Event{
+		{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5},
+		{Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6},
+	})
 	require.Equal(t, map[chunkID]progress{{3, 64}: {bits, 5}}, scheduler.progress["job-1"])
 	require.Equal(t, watermarks{6, map[string]int{"job-1": 256, "job-2": 40}}, scheduler.watermarks["ml/w/red/0"])
 }
