--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -98,7 +98,7 @@
 	w.lifetime.start(func() {
 		defer w.writeWake.notify()
 		if err := w.write(ctx, f); err != nil {
-			w.log.Debug("ends of jobs", "team", tm.Name, "err", err)
+			w.log.Warn("final state write failed", "team", tm.Name, "error", err)
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -125,7 +125,7 @@
 			return err
 		}
 		if attempt%finalWriteLogEvery == 1 {
-			w.log.Info("writing the ends of jobs", "job", f.jobs[0].ID, "jobs", len(f.jobs), "tries", attempt, "err", err)
+			w.log.Warn("final state write retried", "job", f.jobs[0].ID, "jobs", len(f.jobs), "attempts", attempt, "error", err)
 		}
 		uncertain := w.noteFailure(f.jobs, err)
 		if f.phase == wire.Cancelled && (!uncertain || attempt >= maxUncertainCancelAttempts) {
@@ -236,7 +236,7 @@
 func (w *finalStateWriter) dropProgress(ctx context.Context, tm *team, leading []wire.Condition, drops []wire.Operation) {
 	for operations := range slices.Chunk(drops, w.txnOps) {
 		if _, err := w.store.Commit(ctx, wire.Txn{Conditions: leading, Operations: operations}); err != nil {
-			w.log.Info("dropping progress", "team", tm.Name, "err", err)
+			w.log.Warn("progress deletion failed", "team", tm.Name, "error", err)
 		}
 	}
 }
@@ -248,8 +248,8 @@
 	for _, j := range batch {
 		w.jobs.AddFinal(j.ID, finalState(j, phase))
 		w.scheduler.DropJob(j.ID)
-		w.log.Info("job is over", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
-			"after_s", (w.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(),
-			"again", j.retries)
+		w.log.Info("job finished", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
+			"duration_s", (w.clock.Now() - j.acceptedAt).Seconds(), "last_start_s", (j.lastStartAt - j.acceptedAt).Seconds(),
+			"retries", j.retries)
 	}
 }
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -115,7 +115,7 @@
 		s.mu.Lock()
 		s.scheduler.MarkUnreachable(host)
 		s.mu.Unlock()
-		s.log.Debug("round had no answer", "owner", host, "err", err)
+		s.log.Debug("assignment batch unanswered", "peer", host, "error", err)
 		pause(ctx, unreachablePause)
 		return
 	}
@@ -147,9 +147,9 @@
 
 // logSummary logs the tasks and jobs as they are, and what has happened since the last summary.
 func (s *Server) logSummary(now Summary, last Counters) {
-	s.log.Info("placing",
-		"waiting", now.Waiting, "bound", now.Bound, "withdrawn", now.CancellingJobs,
-		"placed", now.Placed-last.Placed, "refused", now.Refused-last.Refused, "yielded", now.Yielded-last.Yielded,
+	s.log.Info("scheduler summary",
+		"waiting", now.Waiting, "bound", now.Bound, "cancelling", now.CancellingJobs,
+		"placed", now.Placed-last.Placed, "rejected", now.Refused-last.Refused, "yielded", now.Yielded-last.Yielded,
 		"preempted", now.Preempted-last.Preempted, "moves", now.Moves-last.Moves, "moved", now.Moved-last.Moved,
 		"done", now.Done-last.Done, "stopped", now.Stopped-last.Stopped, "failed", now.Failed-last.Failed, "lost", now.Lost-last.Lost,
 		"fetch_cpu_s", int((now.FetchCPUs - last.FetchCPUs).Seconds()))
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -96,7 +96,7 @@
 		rev, err := w.store.Commit(ctx, w.txn(leading, writes[:n]))
 		w.handleResult(writes[:n], rev, err)
 		if err != nil {
-			w.log.Debug("writing progress", "err", err)
+			w.log.Warn("progress write failed", "error", err)
 			return false
 		}
 		writes = writes[n:]
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -132,11 +132,11 @@
 		case leading && (!scheduled || term != leadership.Term):
 			active := s.jobs.ActiveOfTeam(t.Name)
 			s.scheduler.AcquireTeam(t.Name, leadership.Term, leadership.ModRevision, active, s.clock.Now())
-			s.log.Info("team taken over", "team", t.Name, "term", leadership.Term, "jobs", len(active))
+			s.log.Info("team leadership acquired", "team", t.Name, "term", leadership.Term, "jobs", len(active))
 			acquired = true
 		case !leading && scheduled:
 			s.scheduler.ReleaseTeam(t.Name)
-			s.log.Info("team given up", "team", t.Name, "term", term)
+			s.log.Info("team leadership released", "team", t.Name, "term", term)
 		}
 	}
 	if acquired {
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -47,7 +47,7 @@
 		Operations: []wire.Operation{{Put: write.Key, Value: write.Watermarks}},
 	})
 	if err != nil {
-		w.log.Debug("writing watermarks", "team", write.Team, "err", err)
+		w.log.Warn("watermark write failed", "team", write.Team, "error", err)
 		return
 	}
 	w.mu.Lock()
