--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -41,13 +41,15 @@
 
 // CancelJob cancels a job: no task of it starts from now on; once that is certain of every machine, the final state is written,
 // and only then is it answered as cancelled. Where that takes long the answer is to retry.
-func (s *Server) CancelJob(q peer.JobRequest) peer.JobResponse { return s.cancellations.cancel(q) }
+func (s *Server) CancelJob(request peer.JobRequest) peer.JobResponse {
+	return s.cancellations.cancel(request)
+}
 
 // cancelRetry is the answer to a user who is to come back.
 var cancelRetry = peer.JobResponse{Known: true, Found: true, Retry: true}
 
-func (c *canceller) cancel(q peer.JobRequest) peer.JobResponse {
-	if _, ok := c.elections.Leading(Duty(q.Team)); !ok {
+func (c *canceller) cancel(request peer.JobRequest) peer.JobResponse {
+	if _, ok := c.elections.Leading(Duty(request.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	ctx, cancel := c.lifetime.newContext()
@@ -55,7 +57,7 @@
 	deadline := time.NewTimer(cancelWait)
 	defer deadline.Stop()
 	for {
-		step := c.advance(q)
+		step := c.advance(request)
 		if step.response != nil {
 			return *step.response
 		}
@@ -74,24 +76,24 @@
 }
 
 // advance takes a cancellation as far as it goes without waiting.
-func (c *canceller) advance(q peer.JobRequest) cancelStep {
+func (c *canceller) advance(request peer.JobRequest) cancelStep {
 	partitions := c.partitionLeaderships()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Under the lock: otherwise the final state could be written and the job dropped in between, and its user be asked to come
 	// back although it is cancelled.
-	if final, ok := c.jobs.Final(q.ID); ok {
-		return cancelStep{response: &peer.JobResponse{Known: true, Found: true, State: final.State(q.ID)}}
+	if final, ok := c.jobs.Final(request.ID); ok {
+		return cancelStep{response: &peer.JobResponse{Known: true, Found: true, State: final.State(request.ID)}}
 	}
-	tm := c.scheduler.teams[q.Team]
-	if tm == nil || tm.jobs[q.ID] == nil {
+	tm := c.scheduler.teams[request.Team]
+	if tm == nil || tm.jobs[request.ID] == nil {
 		return cancelStep{response: &peer.JobResponse{Known: tm != nil}}
 	}
-	j := tm.jobs[q.ID]
+	j := tm.jobs[request.ID]
 	if j.finalWriteInFlight && !j.cancelling {
 		return cancelStep{response: &cancelRetry} // its final state as done is being written
 	}
-	c.scheduler.CancelJob(q.Team, q.ID)
+	c.scheduler.CancelJob(request.Team, request.ID)
 	return cancelStep{job: j, partitions: partitions, write: c.beginFinalWrite(j, partitions), updated: c.updated.next()}
 }
 
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -185,9 +185,9 @@
 	return jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}
 }
 
-// beforeSending is called when a transaction is about to be sent, after its wait for the budget: it checks again that the
-// team is led and its jobs are active, and only then makes their status uncertain. With hundreds of final states a minute most of the time
-// goes into the wait, and jobs whose status is not answered for so long count as forgotten.
+// beforeSending is called when a transaction is about to be sent, after its wait for the budget: it checks again that the team is
+// led and its jobs are active, and only then makes their status uncertain. With hundreds of final states a minute most of
+// the time goes into the wait, and jobs whose status is not answered for so long count as forgotten.
 func (w *finalStateWriter) beforeSending(tm *team, batch []*job) error {
 	if _, err := w.teamCondition(tm); err != nil {
 		return err
--- a/internal/scheduler/lifetime_test.go
+++ b/internal/scheduler/lifetime_test.go
@@ -24,7 +24,7 @@
 	return peer.PollResponse{}, peer.ErrUnavailable
 }
 
-func (p *slowPartition) ApplyBatch(peer.Batch) (peer.BatchResponse, error) {
+func (*slowPartition) ApplyBatch(peer.Batch) (peer.BatchResponse, error) {
 	return peer.BatchResponse{}, peer.ErrUnavailable
 }
 
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -6,16 +6,16 @@
 
 // Status answers what a job's user may learn; nothing is known unless the team is led. While the outcome of a final write is
 // unknown the answer is to retry (docs/design.md, "Why the rules hold", 10).
-func (s *Server) Status(q peer.JobRequest) peer.JobResponse {
-	if _, ok := s.elections.Leading(Duty(q.Team)); !ok {
+func (s *Server) Status(request peer.JobRequest) peer.JobResponse {
+	if _, ok := s.elections.Leading(Duty(request.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if final, ok := s.jobs.Final(q.ID); ok {
-		return peer.JobResponse{Known: true, Found: true, State: final.State(q.ID)}
+	if final, ok := s.jobs.Final(request.ID); ok {
+		return peer.JobResponse{Known: true, Found: true, State: final.State(request.ID)}
 	}
-	return s.scheduler.Status(q.Team, q.ID)
+	return s.scheduler.Status(request.Team, request.ID)
 }
 
 // Demands lists the tasks that wait, by shape, for the autoscaler.
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -16,21 +16,29 @@
 
 // Elections tells which leaderships this process has, and who leads otherwise.
 type Elections interface {
+	// Leading gives this process's leadership of a duty; false when it may not act on it now.
 	Leading(duty string) (leaderelection.Leadership, bool)
-	Current(duty string) (h leaderelection.Leadership, live bool)
+	// Current gives the leadership as the replica shows it; live tells whether the incarnation that it names is registered: one that
+	// is not never acts again.
+	Current(duty string) (leadership leaderelection.Leadership, live bool)
 }
 
-// Store carries out transactions.
+// Store carries out transactions within a budget of operations. Errors wrap kvstore.ErrRefused and kvstore.ErrConflict where
+// nothing was written for certain, and kvstore.ErrOutcomeUnknown where it may have been, or may yet be.
 type Store interface {
-	Commit(ctx context.Context, m wire.Txn) (uint64, error)
-	CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error)
+	// Commit gives the revision that the transaction was written at.
+	Commit(ctx context.Context, txn wire.Txn) (uint64, error)
+	// CommitWithCheck calls sending when the transaction is about to be sent, after the wait for the budget; where that fails
+	// nothing is sent.
+	CommitWithCheck(ctx context.Context, txn wire.Txn, sending func() error) (uint64, error)
+	// HasSpareWrites tells whether n operations that can wait may be made now.
 	HasSpareWrites(n int) bool
 }
 
 // PartitionClient calls the partition leader of a controller, this one's or a peer's. Its calls end by a timeout of their own.
 type PartitionClient interface {
-	ApplyBatch(in peer.Batch) (peer.BatchResponse, error)
-	Poll(in peer.PollRequest) (peer.PollResponse, error)
+	ApplyBatch(batch peer.Batch) (peer.BatchResponse, error)
+	Poll(request peer.PollRequest) (peer.PollResponse, error)
 }
 
 // Duty names the leadership of a team.
@@ -63,7 +71,7 @@
 	TxnOps          int                        // operations in a transaction
 	MaxRecordBytes  int
 	ProgressEvery   clock.Micros
-	FairShares      bool // partition leaders are told what waits of each team
+	FairShares      bool // polls carry the teams' demands
 
 	Elections     Elections
 	Store         Store
