--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -37,42 +37,42 @@
 
 // Autoscaler rents and returns machines while it holds the claim.
 type Autoscaler struct {
-	cloud   *CloudClient
-	claims  Elections
-	store   Store
-	others  ControllerClient
-	clock   clock.Clock
-	knobs   Parameters
-	backoff clock.Micros
-	lag     clock.Micros
-	skew    clock.Micros // the most that times of day are off
-	wall    func() time.Time
-	kept    func() wire.Catalog
-	log     *slog.Logger
-	steps   *telemetry.Duty
-	zones   zones
+	cloud         *CloudClient
+	elections     Elections
+	store         Store
+	controllers   ControllerClient
+	clock         clock.Clock
+	parameters    Parameters
+	backoff       clock.Micros
+	listLag       clock.Micros
+	clockSkew     clock.Micros // the most that times of day are off
+	wallClock     func() time.Time
+	storedCatalog func() wire.Catalog
+	log           *slog.Logger
+	dutyStats     *telemetry.Duty
+	zones         zoneStates
 
-	term      uint64
-	counter   uint64
-	rented    map[string]Instance
-	listedAt  map[string]clock.Micros // when a machine was last on the list, or was rented
-	known     map[string]clock.Micros // when a machine was first seen on the list
-	gone      map[string]clock.Micros
-	refused   map[InstanceKind]clock.Micros
-	catalog   wire.Catalog
-	fetched   clock.Micros
-	listed    clock.Micros
-	told      clock.Micros
-	unlisted  int // lists that failed in a row
-	listAgain clock.Micros
-	window    map[InstanceKind]int // rental requests of a kind at a time
-	atOnce    int                  // rental requests at a time
-	most      int                  // machines of a kind asked for at a time
+	term             uint64
+	requestCounter   uint64
+	instances        map[string]Instance
+	lastSeen         map[string]clock.Micros // when a machine was last on the list, or was rented
+	firstListed      map[string]clock.Micros // when a machine was first seen on the list
+	goneSince        map[string]clock.Micros
+	refusedUntil     map[InstanceKind]clock.Micros
+	catalog          wire.Catalog
+	catalogFetchedAt clock.Micros
+	listedAt         clock.Micros
+	summaryAt        clock.Micros
+	listFailures     int // lists that failed in a row
+	nextListAt       clock.Micros
+	requestWindow    map[InstanceKind]int // rental requests of a kind at a time
+	maxRequests      int                  // rental requests at a time
+	maxPerKind       int                  // machines of a kind asked for at a time
 
 	// What a step looks at, kept for the next one's use: all machines are looked at
 	// several times a second, and copies of them were most of what this process allocated.
-	views  []peer.MachineView
-	viewAt map[string]int
+	views     []peer.MachineView
+	viewIndex map[string]int
 }
 
 // Options of an autoscaler.
@@ -96,18 +96,18 @@
 // New makes an autoscaler that does nothing until it leads the fleet.
 func New(o Options) *Autoscaler {
 	atOnce := max(1, int(o.Cloud.rps*1.6))
-	f := &Autoscaler{
-		atOnce: atOnce, most: wire.MaxScaleOut * atOnce, cloud: o.Cloud, claims: o.Elections, store: o.Store, others: o.Controllers,
-		clock: o.Clock, knobs: o.Parameters, backoff: o.Backoff, lag: o.ListLag, skew: o.ClockSkew, wall: o.WallClock,
-		kept: o.StoredCatalog, log: o.Log, steps: o.Telemetry.Duty("fleet"),
+	a := &Autoscaler{
+		maxRequests: atOnce, maxPerKind: wire.MaxScaleOut * atOnce, cloud: o.Cloud, elections: o.Elections, store: o.Store, controllers: o.Controllers,
+		clock: o.Clock, parameters: o.Parameters, backoff: o.Backoff, listLag: o.ListLag, clockSkew: o.ClockSkew, wallClock: o.WallClock,
+		storedCatalog: o.StoredCatalog, log: o.Log, dutyStats: o.Telemetry.Duty("fleet"),
 	}
-	f.zones.watch = o.Zones
-	f.cloud.CountTraffic(o.Telemetry.Traffic(telemetry.Cloud))
-	return f
+	a.zones.watch = o.Zones
+	a.cloud.CountTraffic(o.Telemetry.Traffic(telemetry.Cloud))
+	return a
 }
 
 // Run does the duty while it is held, until ctx ends.
-func (f *Autoscaler) Run(ctx context.Context) error {
+func (a *Autoscaler) Run(ctx context.Context) error {
 	tick := time.NewTicker(400 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -116,95 +116,95 @@
 			return nil
 		case <-tick.C:
 		}
-		h, mine := f.claims.Leading(Duty)
+		h, mine := a.elections.Leading(Duty)
 		if !mine {
-			f.term = 0
+			a.term = 0
 			continue
 		}
-		if h.Term != f.term {
-			f.begin(h.Term)
-			f.log.Info("fleet taken over", "term", h.Term)
+		if h.Term != a.term {
+			a.startTerm(h.Term)
+			a.log.Info("fleet taken over", "term", h.Term)
 		}
 		began := time.Now()
-		f.step(ctx, h)
-		f.steps.Round(time.Since(began))
+		a.step(ctx, h)
+		a.dutyStats.Round(time.Since(began))
 	}
 }
 
-// begin starts the duty under a term, knowing nothing of what is rented.
-func (f *Autoscaler) begin(term uint64) {
-	f.term, f.counter = term, 0
-	f.rented, f.listedAt = map[string]Instance{}, map[string]clock.Micros{}
-	f.known, f.window = map[string]clock.Micros{}, map[InstanceKind]int{}
-	f.gone, f.refused = map[string]clock.Micros{}, map[InstanceKind]clock.Micros{}
-	f.fetched, f.listed, f.unlisted, f.listAgain = 0, 0, 0, 0
+// startTerm starts the duty under a term, knowing nothing of what is rented.
+func (a *Autoscaler) startTerm(term uint64) {
+	a.term, a.requestCounter = term, 0
+	a.instances, a.lastSeen = map[string]Instance{}, map[string]clock.Micros{}
+	a.firstListed, a.requestWindow = map[string]clock.Micros{}, map[InstanceKind]int{}
+	a.goneSince, a.refusedUntil = map[string]clock.Micros{}, map[InstanceKind]clock.Micros{}
+	a.catalogFetchedAt, a.listedAt, a.listFailures, a.nextListAt = 0, 0, 0, 0
 }
 
-func (f *Autoscaler) step(ctx context.Context, h leaderelection.Leadership) {
-	now := f.clock.Now()
-	if f.fetched == 0 || now > f.fetched+30*clock.Second {
-		f.fetchCatalog(ctx, h, now)
+func (a *Autoscaler) step(ctx context.Context, h leaderelection.Leadership) {
+	now := a.clock.Now()
+	if a.catalogFetchedAt == 0 || now > a.catalogFetchedAt+30*clock.Second {
+		a.fetchCatalog(ctx, h, now)
 	}
-	if len(f.catalog.Types) == 0 {
+	if len(a.catalog.Types) == 0 {
 		// The cloud is out: the catalog kept in the state service will do.
-		if f.catalog = f.kept(); len(f.catalog.Types) == 0 {
+		if a.catalog = a.storedCatalog(); len(a.catalog.Types) == 0 {
 			return
 		}
 	}
-	if (f.listed == 0 || now > f.listed+3*clock.Second) && now >= f.listAgain {
-		if err := f.list(ctx); err != nil {
-			if f.unlisted++; f.unlisted%20 == 1 { // once in a while: an outage lasts many tries
-				f.log.Info("listing machines", "tries", f.unlisted, "err", err)
+	if (a.listedAt == 0 || now > a.listedAt+3*clock.Second) && now >= a.nextListAt {
+		if err := a.refreshInstances(ctx); err != nil {
+			if a.listFailures++; a.listFailures%20 == 1 { // once in a while: an outage lasts many tries
+				a.log.Info("listing machines", "tries", a.listFailures, "err", err)
 			}
-			f.listAgain = now + clock.Second
+			a.nextListAt = now + clock.Second
 		} else {
-			f.unlisted = 0
+			a.listFailures = 0
 		}
 	}
-	if f.listed == 0 {
+	if a.listedAt == 0 {
 		return // nothing is known of what is rented
 	}
-	f.views = f.others.MachineViews(f.views[:0])
-	f.viewAt = indexViews(f.viewAt, f.views)
-	in := Input{Now: f.clock.Now(), Types: f.catalog.Types, Instances: f.rented, Views: f.views, Demands: f.others.Demands(ctx),
-		Refused: f.refused, Parameters: f.knobs, MaxCount: f.most, viewAt: f.viewAt}
-	f.notice(in, now)
+	a.views = a.controllers.MachineViews(a.views[:0])
+	a.viewIndex = indexViews(a.viewIndex, a.views)
+	in := Input{Now: a.clock.Now(), Types: a.catalog.Types, Instances: a.instances, Views: a.views, Demands: a.controllers.Demands(ctx),
+		Refused: a.refusedUntil, Parameters: a.parameters, MaxCount: a.maxPerKind, viewIndex: a.viewIndex}
+	a.observeViews(in, now)
 	unsettled := false
-	in.Closed, unsettled = f.closedZones()
+	in.Closed, unsettled = a.closedZones()
 	rentals, returns := Plan(in)
 	if unsettled {
-		returns = limitReturns(returns)
+		returns = limitIdleScaleIn(returns)
 	}
-	if now > f.told+10*clock.Second {
-		f.told = now
-		f.tell(in)
+	if now > a.summaryAt+10*clock.Second {
+		a.summaryAt = now
+		a.logSummary(in)
 	}
-	if f.log.Enabled(ctx, slog.LevelDebug) {
-		f.log.Debug("fleet", "rented", len(f.rented), "views", len(in.Views), "demands", in.Demands, "rentals", rentals, "returns", returns)
+	if a.log.Enabled(ctx, slog.LevelDebug) {
+		a.log.Debug("fleet", "rented", len(a.instances), "views", len(in.Views), "demands", in.Demands, "rentals", rentals, "returns", returns)
 	}
 	// What one kind could not give is asked of the next at once.
 	for pass := 0; pass < 4 && len(rentals) > 0; pass++ {
-		if got, mine := f.claims.Leading(Duty); !mine || got.Term != f.term {
+		if got, mine := a.elections.Leading(Duty); !mine || got.Term != a.term {
 			return
 		}
-		if !f.rent(ctx, f.some(rentals)) {
+		if !a.requestScaleOut(ctx, a.selectRequests(rentals)) {
 			break
 		}
-		in.Now = f.clock.Now()
+		in.Now = a.clock.Now()
 		rentals, _ = Plan(in)
 	}
 	if len(returns) > 0 {
-		f.giveBack(ctx, returns)
+		a.requestScaleIn(ctx, returns)
 	}
 }
 
-// notice takes from the views which machines' workers have reported, and since
+// observeViews takes from the views which machines' workers have reported, and since
 // when some are silent or gone.
-func (f *Autoscaler) notice(in Input, now clock.Micros) {
-	for id, r := range f.rented {
+func (a *Autoscaler) observeViews(in Input, now clock.Micros) {
+	for id, r := range a.instances {
 		was := r
 		here := false
-		if i, ok := in.viewAt[id]; ok {
+		if i, ok := in.viewIndex[id]; ok {
 			here = !in.Views[i].Silent
 			r.Up = r.Up || in.Views[i].Accounted
 		}
@@ -215,13 +215,13 @@
 			r.Lost = now
 		}
 		if r != was {
-			f.rented[id] = r
+			a.instances[id] = r
 		}
 	}
 }
 
-// tell logs how the fleet stands.
-func (f *Autoscaler) tell(in Input) {
+// logSummary logs how the fleet stands.
+func (a *Autoscaler) logSummary(in Input) {
 	var have, used, waiting, large, pieces int64
 	for _, d := range in.Demands {
 		large = max(large, d.Need.CPU)
@@ -238,10 +238,10 @@
 			}
 		}
 	}
-	if f.log.Enabled(context.Background(), slog.LevelDebug) {
+	if a.log.Enabled(context.Background(), slog.LevelDebug) {
 		for i := range in.Views {
 			v := &in.Views[i]
-			f.log.Debug("machine", "id", v.ID, "type", v.Type, "spot", v.Spot, "usable", v.Usable, "silent", v.Silent, "sick", v.Sick,
+			a.log.Debug("machine", "id", v.ID, "type", v.Type, "spot", v.Spot, "usable", v.Usable, "silent", v.Silent, "sick", v.Sick,
 				"noticed", v.Noticed, "free_cpus", v.Free.CPUs(), "free_gb", float64(v.Free.Mem)/1e6, "tasks", v.Count, "idle_s", v.Idle.Seconds())
 		}
 	}
@@ -253,5 +253,5 @@
 	for _, d := range in.Demands {
 		waiting += d.Need.CPU * int64(d.Waiting)
 	}
-	f.log.Info("fleet", "up", up, "rented", len(in.Instances), "spot", spot, "cpus", have/1e6, "used", used/1e6, "waiting_cpus", waiting/1e6, "pieces", pieces/1e6)
+	a.log.Info("fleet", "up", up, "rented", len(in.Instances), "spot", spot, "cpus", have/1e6, "used", used/1e6, "waiting_cpus", waiting/1e6, "pieces", pieces/1e6)
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -21,16 +21,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cloud answers as the protocol's page says, on loopback.
-type cloud struct {
-	mu       sync.Mutex
-	names    []string
-	returned []string
-	listed   []wire.Instance
-	answer   func(wire.ScaleOutRequest) (int, any)
+// fakeCloud answers as the protocol's page says, on loopback.
+type fakeCloud struct {
+	mu           sync.Mutex
+	requestNames []string
+	returned     []string
+	instances    []wire.Instance
+	answer       func(wire.ScaleOutRequest) (int, any)
 }
 
-func (c *cloud) handle(_ context.Context, r *httpx.Request) httpx.Response {
+func (c *fakeCloud) handle(_ context.Context, r *httpx.Request) httpx.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	status, v := 200, any(nil)
@@ -43,26 +43,26 @@
 		c.returned = append(c.returned, h.Hosts...)
 		v = h
 	case r.Method == "GET":
-		v = wire.InstancePage{Instances: c.listed}
+		v = wire.InstancePage{Instances: c.instances}
 	default:
 		var h wire.ScaleOutRequest
 		json.Unmarshal(r.Body, &h) //nolint:errcheck // a bad one has no name
-		c.names = append(c.names, h.Name)
+		c.requestNames = append(c.requestNames, h.Name)
 		status, v = c.answer(h)
 	}
 	b, _ := json.Marshal(v)
 	return httpx.Response{Status: status, Body: b}
 }
 
-// with reads or changes the cloud between calls.
-func (c *cloud) with(do func()) {
+// withLock reads or changes the cloud between calls.
+func (c *fakeCloud) withLock(do func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do()
 }
 
-// others stands for the controllers.
-type others struct {
+// fakeControllers stands for the controllers.
+type fakeControllers struct {
 	demands []peer.Demand
 	views   []peer.MachineView
 	ready   []string
@@ -70,7 +70,7 @@
 	records map[string]int64
 }
 
-func (o *others) RecordedBefore(at int64) (out []peer.MachineRef) {
+func (o *fakeControllers) RecordedBefore(at int64) (out []peer.MachineRef) {
 	for id, w := range o.records {
 		if w < at {
 			out = append(out, peer.MachineRef{ID: id})
@@ -79,29 +79,29 @@
 	return out
 }
 
-func (o *others) Demands(context.Context) []peer.Demand { return o.demands }
-func (o *others) MachineViews(to []peer.MachineView) []peer.MachineView {
+func (o *fakeControllers) Demands(context.Context) []peer.Demand { return o.demands }
+func (o *fakeControllers) MachineViews(to []peer.MachineView) []peer.MachineView {
 	return append(to, o.views...)
 }
-func (o *others) Drain(_ context.Context, _ []peer.MachineRef) []string { return o.ready }
-func (o *others) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
+func (o *fakeControllers) Drain(_ context.Context, _ []peer.MachineRef) []string { return o.ready }
+func (o *fakeControllers) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	for _, m := range list {
 		o.gone = append(o.gone, m.ID)
 	}
 }
 
-type held struct{ term uint64 }
+type fakeElections struct{ term uint64 }
 
-func (h *held) Leading(string) (leaderelection.Leadership, bool) {
+func (h *fakeElections) Leading(string) (leaderelection.Leadership, bool) {
 	return leaderelection.Leadership{Record: leaderelection.Record{Term: h.term}}, h.term > 0
 }
 
-func newFleet(t *testing.T) (*Autoscaler, *cloud, *others, *held) {
+func newTestAutoscaler(t *testing.T) (*Autoscaler, *fakeCloud, *fakeControllers, *fakeElections) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	c := &cloud{answer: func(h wire.ScaleOutRequest) (int, any) { return 200, wire.HostList{Hosts: []string{"m-" + h.Name}} }}
+	c := &fakeCloud{answer: func(h wire.ScaleOutRequest) (int, any) { return 200, wire.HostList{Hosts: []string{"m-" + h.Name}} }}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	srv := httpx.NewServer(c.handle, nil, 8, 1<<20, time.Minute, quiet)
 	ctx, stop := context.WithCancel(t.Context())
@@ -118,43 +118,43 @@
 		}
 		return err == nil
 	}, time.Minute, 5*time.Millisecond)
-	o, h := &others{}, &held{term: 3}
-	f := New(Options{Cloud: NewCloudClient(addr, 10_000, 1<<20), Elections: h, Store: &fakes.KVClient{KVStore: fakes.NewKVStore()}, Controllers: o,
+	o, h := &fakeControllers{}, &fakeElections{term: 3}
+	a := New(Options{Cloud: NewCloudClient(addr, 10_000, 1<<20), Elections: h, Store: &fakes.KVClient{KVStore: fakes.NewKVStore()}, Controllers: o,
 		Clock: clock.NewSteady(), WallClock: time.Now, Parameters: Parameters{IdleScaleInDelay: 60 * clock.Second, BootPatience: 3},
 		Backoff: 12 * clock.Second, ListLag: 8 * clock.Second, ClockSkew: clock.Second,
 		StoredCatalog: func() wire.Catalog { return wire.Catalog{} }, Log: quiet})
-	f.begin(3)
-	return f, c, o, h
+	a.startTerm(3)
+	return a, c, o, h
 }
 
 // A rental request's name is never used again, not by the next holder either.
 func TestRequestNamesAreNeverReused(t *testing.T) {
-	f, c, o, h := newFleet(t)
-	o.demands = waiting(2, nil)
+	a, c, o, h := newTestAutoscaler(t)
+	o.demands = waitingDemand(2, nil)
 	for term := uint64(3); term < 5; term++ {
 		h.term = term
-		f.begin(term)
+		a.startTerm(term)
 		for range 3 {
-			f.rented = map[string]Instance{} // as if none had come
-			f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: term}})
+			a.instances = map[string]Instance{} // as if none had come
+			a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: term}})
 		}
 	}
-	c.with(func() {
+	c.withLock(func() {
 		seen := map[string]bool{}
-		for _, n := range c.names {
+		for _, n := range c.requestNames {
 			require.False(t, seen[n], n)
 			seen[n] = true
 		}
-		require.GreaterOrEqual(t, len(c.names), 6)
+		require.GreaterOrEqual(t, len(c.requestNames), 6)
 	})
 }
 
 // What the cloud can't give is asked of another kind at once, and not again for a while.
 func TestNoCapacity(t *testing.T) {
-	f, c, o, _ := newFleet(t)
-	o.demands = waiting(2, nil)
+	a, c, o, _ := newTestAutoscaler(t)
+	o.demands = waitingDemand(2, nil)
 	kinds := []bool{}
-	c.with(func() {
+	c.withLock(func() {
 		c.answer = func(h wire.ScaleOutRequest) (int, any) {
 			kinds = append(kinds, h.Spot)
 			if h.Spot {
@@ -163,10 +163,10 @@
 			return 200, wire.HostList{Hosts: []string{"m-1"}}
 		}
 	})
-	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-	c.with(func() { require.Equal(t, []bool{true, false}, kinds) })
-	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-	c.with(func() {
+	a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
+	c.withLock(func() { require.Equal(t, []bool{true, false}, kinds) })
+	a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
+	c.withLock(func() {
 		require.Equal(t, []bool{true, false}, kinds, "the machine is on its way, though the list lags")
 	})
 }
@@ -174,55 +174,55 @@
 // A machine that nobody expected is on the list: it is given back when it is idle,
 // but only once its owner has set it aside.
 func TestUnexpectedMachines(t *testing.T) {
-	f, c, o, _ := newFleet(t)
-	c.with(func() {
-		c.listed = []wire.Instance{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
+	a, c, o, _ := newTestAutoscaler(t)
+	c.withLock(func() {
+		c.instances = []wire.Instance{{ID: "m-7", Type: "big", Zone: "a", Phase: wire.MachineRunning, AgeS: 500}}
 	})
 	o.views = []peer.MachineView{{ID: "m-7", Type: "big", Zone: "a", Accounted: true, Usable: true, Idle: 90 * clock.Second}}
-	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-	c.with(func() { require.Empty(t, c.returned, "its owner has not set it aside") })
+	a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
+	c.withLock(func() { require.Empty(t, c.returned, "its owner has not set it aside") })
 	o.ready = []string{"m-7"}
-	f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-	c.with(func() { require.Equal(t, []string{"m-7"}, c.returned) })
+	a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
+	c.withLock(func() { require.Equal(t, []string{"m-7"}, c.returned) })
 	require.Equal(t, []string{"m-7"}, o.gone)
 }
 
 // Odd answers of the cloud lead to nothing but another try.
 func TestOddAnswersOfTheCloud(t *testing.T) {
-	f, c, o, _ := newFleet(t)
-	o.demands = waiting(2, nil)
-	for _, a := range []func(wire.ScaleOutRequest) (int, any){
+	a, c, o, _ := newTestAutoscaler(t)
+	o.demands = waitingDemand(2, nil)
+	for _, answer := range []func(wire.ScaleOutRequest) (int, any){
 		func(wire.ScaleOutRequest) (int, any) { return 429, nil },
 		func(wire.ScaleOutRequest) (int, any) { return 503, wire.Error{Error: "trouble"} },
 		func(wire.ScaleOutRequest) (int, any) { return 200, "what?" },
 		func(wire.ScaleOutRequest) (int, any) { return 500, strings.Repeat("x", 300) },
 	} {
-		c.with(func() { c.answer = a })
-		f.refused = map[InstanceKind]clock.Micros{}
-		f.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-		require.Empty(t, f.rented)
+		c.withLock(func() { c.answer = answer })
+		a.refusedUntil = map[InstanceKind]clock.Micros{}
+		a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
+		require.Empty(t, a.instances)
 	}
 }
 
-// hands is a clock that the test moves.
-type hands struct{ now clock.Micros }
+// manualClock is a clock that the test moves.
+type manualClock struct{ now clock.Micros }
 
-func (h *hands) Now() clock.Micros { return h.now }
+func (h *manualClock) Now() clock.Micros { return h.now }
 
 // A machine that was on the list and is on a later one no more is gone, sooner
 // than its worker's lease would tell. A list that may be older than the first
 // sight of it proves nothing, nor does one that never had it.
 func TestOffTheListIsGone(t *testing.T) {
-	f, c, o, _ := newFleet(t)
-	at := &hands{100 * clock.Second}
-	f.clock = at
+	a, c, o, _ := newTestAutoscaler(t)
+	at := &manualClock{100 * clock.Second}
+	a.clock = at
 	see := func(list ...wire.Instance) {
-		c.with(func() { c.listed = list })
-		require.NoError(t, f.list(t.Context()))
+		c.withLock(func() { c.instances = list })
+		require.NoError(t, a.refreshInstances(t.Context()))
 	}
 	kept := wire.Instance{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
 	taken := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	f.rented["m-9"], f.listedAt["m-9"] = Instance{ID: "m-9"}, at.now // rented just now
+	a.instances["m-9"], a.lastSeen["m-9"] = Instance{ID: "m-9"}, at.now // rented just now
 	see(kept, taken)
 	at.now += 16 * clock.Second // the list may lag twice its 8 s
 	see(kept)
@@ -231,38 +231,38 @@
 	at.now += 2 * clock.Second
 	see(kept)
 	require.Equal(t, []string{"m-2"}, o.gone)
-	require.Contains(t, f.rented, "m-9")
+	require.Contains(t, a.instances, "m-9")
 }
 
 // A new holder's first list: a machine that was recorded long before it and is
 // not on it is gone, and its owner need not wait for it. One recorded lately may
 // not be listed yet.
 func TestRecordedAndOffTheListIsGone(t *testing.T) {
-	f, c, o, _ := newFleet(t)
+	a, c, o, _ := newTestAutoscaler(t)
 	now := time.UnixMilli(1_800_000_000_000)
-	f.wall = func() time.Time { return now }
+	a.wallClock = func() time.Time { return now }
 	o.records = map[string]int64{"m-1": now.UnixMilli() - 60_000, "m-2": now.UnixMilli() - 60_000, "m-3": now.UnixMilli() - 17_000}
-	c.with(func() { c.listed = []wire.Instance{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}} })
-	require.NoError(t, f.list(t.Context()))
+	c.withLock(func() { c.instances = []wire.Instance{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}} })
+	require.NoError(t, a.refreshInstances(t.Context()))
 	require.Equal(t, []string{"m-2"}, o.gone)
 }
 
 // A cloud that has nothing of a kind is asked once in a while; one that gives
 // all it is asked for is asked for twice as much the next time.
 func TestRequestsGrowWithWhatIsGiven(t *testing.T) {
-	f, _, _, _ := newFleet(t)
+	a, _, _, _ := newTestAutoscaler(t)
 	k := InstanceKind{"big", "a", true}
 	many := make([]ScaleOut, 20)
 	for i := range many {
 		many[i] = ScaleOut{k, 1}
 	}
-	f.atOnce = 8
+	a.maxRequests = 8
 	for _, want := range []int{2, 4, 8, 8} {
-		got := f.some(many)
+		got := a.selectRequests(many)
 		require.Len(t, got, want)
-		f.rent(t.Context(), got)
+		a.requestScaleOut(t.Context(), got)
 	}
-	f.refused = map[InstanceKind]clock.Micros{}
-	f.rent(t.Context(), []ScaleOut{{k, 2}}) // one comes of two
-	require.Len(t, f.some(many), 1)
+	a.refusedUntil = map[InstanceKind]clock.Micros{}
+	a.requestScaleOut(t.Context(), []ScaleOut{{k, 2}}) // one comes of two
+	require.Len(t, a.selectRequests(many), 1)
 }
--- a/internal/autoscaler/benchmark_test.go
+++ b/internal/autoscaler/benchmark_test.go
@@ -29,7 +29,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				in.viewAt = nil
+				in.viewIndex = nil
 				Plan(in)
 			}
 		})
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -53,8 +53,8 @@
 	MaxCount   int             // machines of a kind asked for at once
 	Closed     map[string]bool // zones in which none are rented now
 
-	// viewAt gives the place of a machine in Views. Plan makes it where it is not given.
-	viewAt map[string]int
+	// viewIndex gives the place of a machine in Views. Plan makes it where it is not given.
+	viewIndex map[string]int
 }
 
 // indexViews fills a map from machines to their places in a list of views.
@@ -82,14 +82,14 @@
 }
 
 type bin struct {
-	kind  InstanceKind
-	free  resources.Amounts
-	taken bool // something that waits is to go there
+	kind     InstanceKind
+	free     resources.Amounts
+	reserved bool // something that waits is to go there
 }
 
-// take puts as many tasks of a demand into the bin as fit, at most so many.
-func (b *bin) take(d *peer.Demand, most int) (n int) {
-	if !d.Need.Fits(b.free) || !allows(d, b.kind) {
+// place puts as many tasks of a demand into the bin as fit, at most so many.
+func (b *bin) place(d *peer.Demand, most int) (n int) {
+	if !d.Need.Fits(b.free) || !permits(d, b.kind) {
 		return 0
 	}
 	n = most
@@ -99,11 +99,11 @@
 		}
 	}
 	b.free = b.free.Minus(d.Need.Times(int64(n)))
-	b.taken = b.taken || n > 0
+	b.reserved = b.reserved || n > 0
 	return n
 }
 
-func allows(d *peer.Demand, k InstanceKind) bool {
+func permits(d *peer.Demand, k InstanceKind) bool {
 	return (!k.Spot || d.Spot) && (d.Zone == "" || d.Zone == k.Zone) && (len(d.Types) == 0 || slices.Contains(d.Types, k.Type))
 }
 
@@ -111,76 +111,76 @@
 // what is to go where.
 type planner struct {
 	Input
-	types map[string]wire.MachineType
-	open  []InstanceKind // that may be asked for now, the cheapest first
-	price map[InstanceKind]float64
-	wants map[InstanceKind]int // machines to rent
-	bins  []*bin               // room there is or will be
-	room  []bin                // of the machine of each view
-	have  int64                // CPUs of all machines that may get tasks, in millionths
-	used  int64                // and those in use
+	types     map[string]wire.MachineType
+	available []InstanceKind // that may be asked for now, the cheapest first
+	price     map[InstanceKind]float64
+	requested map[InstanceKind]int // machines to rent
+	bins      []*bin               // room there is or will be
+	viewBins  []bin                // of the machine of each view
+	totalCPU  int64                // CPUs of all machines that may get tasks, in millionths
+	usedCPU   int64                // and those in use
 }
 
 // Plan decides what to rent and what to return.
 func Plan(in Input) (rentals []ScaleOut, returns []ScaleIn) {
-	if in.viewAt == nil {
-		in.viewAt = indexViews(nil, in.Views)
+	if in.viewIndex == nil {
+		in.viewIndex = indexViews(nil, in.Views)
 	}
-	p := &planner{Input: in, types: map[string]wire.MachineType{}, wants: map[InstanceKind]int{}}
+	p := &planner{Input: in, types: map[string]wire.MachineType{}, requested: map[InstanceKind]int{}}
 	for _, t := range in.Types {
 		p.types[t.Name] = t
 	}
-	p.open, p.price = kinds(in)
-	p.countViewed()
-	p.countBooting()
-	p.fill()
+	p.available, p.price = availableKinds(in)
+	p.addViewedMachines()
+	p.addBootingInstances()
+	p.packDemands()
 	if in.Parameters.Economy {
-		trim(in, p.wants, p.open, p.types, p.have, p.used)
+		limitToCatchup(in, p.requested, p.available, p.types, p.totalCPU, p.usedCPU)
 	} else {
-		p.addSpare()
+		p.addSpareCapacity()
 	}
-	return p.requests(), giveBack(in, p.types, p.room)
+	return p.scaleOutRequests(), planScaleIn(in, p.types, p.viewBins)
 }
 
-// offer is what a new machine of a type has to offer.
-func (p *planner) offer(typeName string) resources.Amounts {
+// capacityOf is what a new machine of a type has to capacityOf.
+func (p *planner) capacityOf(typeName string) resources.Amounts {
 	t := p.types[typeName]
 	return resources.Capacity(t.CPUs, t.GPUs, t.MemGB)
 }
 
-// countViewed takes the room of machines that may get tasks.
-func (p *planner) countViewed() {
+// addViewedMachines takes the room of machines that may get tasks.
+func (p *planner) addViewedMachines() {
 	p.bins = make([]*bin, 0, len(p.Views))
-	p.room = make([]bin, len(p.Views))
+	p.viewBins = make([]bin, len(p.Views))
 	for i := range p.Views {
 		v := &p.Views[i]
 		if !v.Usable {
 			continue
 		}
-		p.room[i] = bin{kind: InstanceKind{v.Type, v.Zone, v.Spot}, free: v.Free}
-		p.bins = append(p.bins, &p.room[i])
-		p.used += v.Cap.CPU - v.Free.CPU
-		p.have += v.Cap.CPU
+		p.viewBins[i] = bin{kind: InstanceKind{v.Type, v.Zone, v.Spot}, free: v.Free}
+		p.bins = append(p.bins, &p.viewBins[i])
+		p.usedCPU += v.Cap.CPU - v.Free.CPU
+		p.totalCPU += v.Cap.CPU
 	}
 }
 
-// countBooting takes the room of machines that are rented and not up yet.
-func (p *planner) countBooting() {
+// addBootingInstances takes the room of machines that are rented and not up yet.
+func (p *planner) addBootingInstances() {
 	for _, r := range p.Instances {
-		_, viewed := p.viewAt[r.ID]
+		_, viewed := p.viewIndex[r.ID]
 		_, known := p.types[r.Type]
 		if !known || viewed || r.Up || r.Phase == wire.MachineFailed {
 			continue
 		}
-		b := &bin{kind: r.InstanceKind, free: p.offer(r.Type)}
+		b := &bin{kind: r.InstanceKind, free: p.capacityOf(r.Type)}
 		p.bins = append(p.bins, b)
-		p.have += b.free.CPU
+		p.totalCPU += b.free.CPU
 	}
 }
 
-// fill puts what waits where there is room, the highest rank and then the largest
+// packDemands puts what waits where there is room, the highest rank and then the largest
 // tasks first, and rents for what is left.
-func (p *planner) fill() {
+func (p *planner) packDemands() {
 	demands := slices.Clone(p.Demands)
 	sort.SliceStable(demands, func(a, b int) bool {
 		if demands[a].Rank != demands[b].Rank {
@@ -195,24 +195,24 @@
 			if rest == 0 {
 				break
 			}
-			rest -= b.take(d, rest)
+			rest -= b.place(d, rest)
 		}
 		for rest > 0 {
-			b := p.rentFor(d)
+			b := p.addInstanceFor(d)
 			if b == nil {
 				break
 			}
-			rest -= b.take(d, rest)
+			rest -= b.place(d, rest)
 		}
 	}
 }
 
-// rentFor adds a machine of the cheapest kind that serves a demand; nil when none does.
-func (p *planner) rentFor(d *peer.Demand) *bin {
+// addInstanceFor adds a machine of the cheapest kind that serves a demand; nil when none does.
+func (p *planner) addInstanceFor(d *peer.Demand) *bin {
 	var best *InstanceKind
-	for i := range p.open {
-		k := &p.open[i]
-		if !allows(d, *k) || !d.Need.Fits(p.offer(k.Type)) || p.wants[*k] >= p.MaxCount {
+	for i := range p.available {
+		k := &p.available[i]
+		if !permits(d, *k) || !d.Need.Fits(p.capacityOf(k.Type)) || p.requested[*k] >= p.MaxCount {
 			continue
 		}
 		if best == nil || p.cost(*k) < p.cost(*best) {
@@ -222,34 +222,36 @@
 	if best == nil {
 		return nil
 	}
-	p.wants[*best]++
-	b := &bin{kind: *best, free: p.offer(best.Type)}
+	p.requested[*best]++
+	b := &bin{kind: *best, free: p.capacityOf(best.Type)}
 	p.bins = append(p.bins, b)
 	return b
 }
 
 // cost is a kind's price; of equals, the zone with fewer machines: a wave takes fewer.
-func (p *planner) cost(k InstanceKind) float64 { return p.price[k] + spreadWeight*float64(p.wants[k]) }
+func (p *planner) cost(k InstanceKind) float64 {
+	return p.price[k] + spreadWeight*float64(p.requested[k])
+}
 
 // spreadWeight is by how much each machine of a kind makes another one of it dearer. It
 // only decides between equals.
 const spreadWeight = 1e-6
 
-// addSpare rents room ahead, as a share of what is in use.
-func (p *planner) addSpare() {
-	spare := int64(p.Parameters.SpareShare*float64(p.used)) - (p.have - p.used)
-	for _, k := range p.open {
+// addSpareCapacity rents room ahead, as a share of what is in use.
+func (p *planner) addSpareCapacity() {
+	spare := int64(p.Parameters.SpareShare*float64(p.usedCPU)) - (p.totalCPU - p.usedCPU)
+	for _, k := range p.available {
 		cpu := p.types[k.Type].CPUs
-		for spare > 0 && p.wants[k] < p.MaxCount && cpu > 0 {
-			p.wants[k]++
+		for spare > 0 && p.requested[k] < p.MaxCount && cpu > 0 {
+			p.requested[k]++
 			spare -= int64(cpu * 1e6)
 		}
 	}
 }
 
-// requests splits what is wanted into requests that the cloud takes, in a fixed order.
-func (p *planner) requests() (out []ScaleOut) {
-	for k, n := range p.wants {
+// scaleOutRequests splits what is wanted into scaleOutRequests that the cloud takes, in a fixed order.
+func (p *planner) scaleOutRequests() (out []ScaleOut) {
+	for k, n := range p.requested {
 		for ; n > 0; n -= wire.MaxScaleOut {
 			out = append(out, ScaleOut{k, min(n, wire.MaxScaleOut)})
 		}
@@ -260,10 +262,10 @@
 	return out
 }
 
-// trim keeps economical deployments from renting machines for work that those at
+// limitToCatchup keeps economical deployments from renting machines for work that those at
 // hand can do in time: together they do what waits within the time to catch
 // up, or sooner where a deadline asks for it.
-func trim(in Input, wants map[InstanceKind]int, open []InstanceKind, types map[string]wire.MachineType, have, used int64) {
+func limitToCatchup(in Input, wants map[InstanceKind]int, open []InstanceKind, types map[string]wire.MachineType, have, used int64) {
 	var run, n float64
 	for _, d := range in.Demands {
 		run += d.RunFor.Seconds() * float64(d.Waiting)
@@ -294,9 +296,9 @@
 	}
 }
 
-// kinds lists what may be asked for now, the cheapest CPU first, and its price;
+// availableKinds lists what may be asked for now, the cheapest CPU first, and its price;
 // of equals, the zone with fewer machines.
-func kinds(in Input) ([]InstanceKind, map[InstanceKind]float64) {
+func availableKinds(in Input) ([]InstanceKind, map[InstanceKind]float64) {
 	var list []InstanceKind
 	price := map[InstanceKind]float64{}
 	have := map[InstanceKind]int{}
@@ -323,54 +325,54 @@
 	return list, price
 }
 
-// lostFor tells that the worker of a machine was silent for long enough to give
+// silentTooLong tells that the worker of a machine was silent for long enough to give
 // the machine back. One that is dead is soon listed as failed; what is listed as
 // running hangs or is cut off, and may be back sooner than another has booted.
-func (r Instance) lostFor(now clock.Micros, types map[string]wire.MachineType) bool {
+func (r Instance) silentTooLong(now clock.Micros, types map[string]wire.MachineType) bool {
 	return r.Lost != 0 && now >= r.Lost+clock.FromSeconds(types[r.Type].BootS)
 }
 
-// idleFor tells that a machine which can't be used now, and so has nothing to do,
+// unusableTooLong tells that a machine which can't be used now, and so has nothing to do,
 // was so for as long as another takes to boot: until then it may be back sooner.
-func (r Instance) idleFor(idle clock.Micros, types map[string]wire.MachineType) bool {
+func (r Instance) unusableTooLong(idle clock.Micros, types map[string]wire.MachineType) bool {
 	return idle > clock.FromSeconds(types[r.Type].BootS)
 }
 
-// whyIdle is the reason for which machines are given back that could be used.
-const whyIdle = "idle"
+// reasonIdle is the reason for which machines are given back that could be used.
+const reasonIdle = "idle"
 
-// giveBack decides which machines are of no more use. On a large fleet something
+// planScaleIn decides which machines are of no more use. On a large fleet something
 // waits at every moment, so with economy an idle machine is kept only for what is
 // to go to that machine; without economy, for anything that waits.
-func giveBack(in Input, types map[string]wire.MachineType, room []bin) (out []ScaleIn) {
+func planScaleIn(in Input, types map[string]wire.MachineType, room []bin) (out []ScaleIn) {
 	for i := range in.Views {
 		v := &in.Views[i]
-		wanted := v.Usable && len(in.Demands) > 0 && (room[i].taken || !in.Parameters.Economy)
+		wanted := v.Usable && len(in.Demands) > 0 && (room[i].reserved || !in.Parameters.Economy)
 		r, listed := in.Instances[v.ID]
 		switch {
 		case r.Phase == wire.MachineFailed:
 			out = append(out, ScaleIn{v.ID, v.Zone, "failed"})
 		case v.Silent:
-			if listed && r.lostFor(in.Now, types) {
+			if listed && r.silentTooLong(in.Now, types) {
 				out = append(out, ScaleIn{v.ID, v.Zone, "silent for its whole lease"})
 			}
 		case v.Sick && v.Count == 0:
 			out = append(out, ScaleIn{v.ID, v.Zone, "several jobs failed on it, or it is slow"})
 		case v.Draining && v.Count == 0:
 			out = append(out, ScaleIn{v.ID, v.Zone, "set aside for return"})
-		case v.Accounted && v.Count == 0 && v.Idle > in.Parameters.IdleScaleInDelay && !wanted && (v.Usable || v.Noticed || r.idleFor(v.Idle-in.Parameters.IdleScaleInDelay, types)):
-			out = append(out, ScaleIn{v.ID, v.Zone, whyIdle})
+		case v.Accounted && v.Count == 0 && v.Idle > in.Parameters.IdleScaleInDelay && !wanted && (v.Usable || v.Noticed || r.unusableTooLong(v.Idle-in.Parameters.IdleScaleInDelay, types)):
+			out = append(out, ScaleIn{v.ID, v.Zone, reasonIdle})
 		}
 	}
 	for _, r := range in.Instances {
-		if _, viewed := in.viewAt[r.ID]; viewed {
+		if _, viewed := in.viewIndex[r.ID]; viewed {
 			continue
 		}
 		age := in.Now - r.Since
 		if r.Phase == wire.MachineFailed {
 			out = append(out, ScaleIn{r.ID, r.Zone, "failed"})
 		} else if r.Up {
-			if !r.lostFor(in.Now, types) {
+			if !r.silentTooLong(in.Now, types) {
 				continue
 			}
 			out = append(out, ScaleIn{r.ID, r.Zone, "its worker is gone"})
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -44,27 +44,27 @@
 	ErrZoneReturnDisabled = errors.New("zone states are off")
 )
 
-// zones is the deciding part of the duty.
-type zones struct {
+// zoneStates is the deciding part of the duty.
+type zoneStates struct {
 	watch ZoneWatch
 
-	mu      sync.Mutex
-	decider *zone.Decider // nil while the duty is not held
-	stamps  map[string]uint64
-	unsaved map[string]bool // zones whose state is not on record as it was decided
+	mu           sync.Mutex
+	decider      *zone.Decider // nil while the duty is not held
+	modRevisions map[string]uint64
+	unsaved      map[string]bool // zones whose state is not on record as it was decided
 }
 
-// zonesEvery is how often the states of zones are looked at.
-const zonesEvery = 500 * time.Millisecond
+// zoneStepInterval is how often the states of zones are looked at.
+const zoneStepInterval = 500 * time.Millisecond
 
 // RunZones decides the states of zones while the duty is held, until ctx ends. It does not wait
 // for the cloud, whose calls may take seconds.
-func (f *Autoscaler) RunZones(ctx context.Context) error {
-	z := &f.zones
+func (a *Autoscaler) RunZones(ctx context.Context) error {
+	z := &a.zones
 	if z.watch.Source == nil {
 		return nil
 	}
-	tick := time.NewTicker(zonesEvery)
+	tick := time.NewTicker(zoneStepInterval)
 	defer tick.Stop()
 	term := uint64(0)
 	for {
@@ -73,61 +73,61 @@
 			return nil
 		case <-tick.C:
 		}
-		h, mine := f.claims.Leading(Duty)
+		h, mine := a.elections.Leading(Duty)
 		if !mine {
 			term = 0
-			z.end()
+			z.endTerm()
 			continue
 		}
-		now := f.clock.Now()
+		now := a.clock.Now()
 		if h.Term != term {
 			term = h.Term
-			z.begin(now)
+			z.startTerm(now)
 		}
-		f.stepZones(ctx, h, f.others.Demands(ctx), now)
+		a.stepZones(ctx, h, a.controllers.Demands(ctx), now)
 	}
 }
 
-// begin goes on where the records stand.
-func (z *zones) begin(now clock.Micros) {
+// startTerm goes on where the records stand.
+func (z *zoneStates) startTerm(now clock.Micros) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	records := map[string]zone.Record{}
-	z.stamps, z.unsaved = map[string]uint64{}, map[string]bool{}
+	z.modRevisions, z.unsaved = map[string]uint64{}, map[string]bool{}
 	for name, r := range z.watch.Source.ZoneRecords() {
-		records[name], z.stamps[name] = r.Record, r.ModRevision
+		records[name], z.modRevisions[name] = r.Record, r.ModRevision
 	}
 	z.decider = zone.NewDecider(z.watch.Settings, z.watch.Names, records, now)
 }
 
-// end forgets what was decided: another holder goes on.
-func (z *zones) end() {
+// endTerm forgets what was decided: another holder goes on.
+func (z *zoneStates) endTerm() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.decider = nil
 }
 
 // stepZones decides, and writes what has changed.
-func (f *Autoscaler) stepZones(ctx context.Context, h leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
-	z := &f.zones
+func (a *Autoscaler) stepZones(ctx context.Context, h leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
+	z := &a.zones
 	evidence := z.watch.Source.ZoneEvidence()
 	z.mu.Lock()
-	changed := z.decider.Step(evidence, peer.WaitingByStage(demands), now, f.wall().UnixMilli())
+	changed := z.decider.Step(evidence, peer.WaitingByStage(demands), now, a.wallClock().UnixMilli())
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[name]
 		z.unsaved[name] = true
-		f.log.Info("a zone's state has changed", "zone", name, "state", r.State, "stage", r.Stage.String(), "flaps", r.Flaps, "why", r.Why)
+		a.log.Info("a zone's state has changed", "zone", name, "state", r.State, "stage", r.Stage.String(), "flaps", r.Flaps, "why", r.Why)
 	}
 	z.mu.Unlock()
-	if err := f.saveZones(ctx, h); err != nil {
-		f.log.Debug("writing the states of zones", "err", err)
+	if err := a.saveZones(ctx, h); err != nil {
+		a.log.Debug("writing the states of zones", "err", err)
 	}
 }
 
 // saveZones writes what is not on record yet, each on the condition of the fleet's claim and of the
 // key's stamp as last known: a late copy, or a former holder's write, changes nothing.
-func (f *Autoscaler) saveZones(ctx context.Context, h leaderelection.Leadership) error {
-	z := &f.zones
+func (a *Autoscaler) saveZones(ctx context.Context, h leaderelection.Leadership) error {
+	z := &a.zones
 	z.mu.Lock()
 	if z.decider == nil {
 		z.mu.Unlock()
@@ -138,25 +138,25 @@
 	names := slices.Sorted(maps.Keys(z.unsaved))
 	for _, name := range names {
 		key := kvstore.ZonePrefix + name
-		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.stamps[name]})
+		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.modRevisions[name]})
 		m.Operations = append(m.Operations, wire.Operation{Put: key, Value: records[name]})
 	}
 	z.mu.Unlock()
 	if len(names) == 0 {
 		return nil
 	}
-	rev, err := f.store.Commit(ctx, m)
+	rev, err := a.store.Commit(ctx, m)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if err != nil {
 		// Its fate may be unknown: what is on record by now is what the replica shows.
 		for name, r := range z.watch.Source.ZoneRecords() {
-			z.stamps[name] = r.ModRevision
+			z.modRevisions[name] = r.ModRevision
 		}
 		return err
 	}
 	for _, name := range names {
-		z.stamps[name] = rev
+		z.modRevisions[name] = rev
 		if z.decider == nil || z.decider.Records()[name] == records[name] {
 			delete(z.unsaved, name)
 		}
@@ -165,18 +165,18 @@
 }
 
 // HoldZone stops a zone's return at its stage, or lets it go on. It returns once that is on record.
-func (f *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
-	z := &f.zones
+func (a *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
+	z := &a.zones
 	if z.watch.Source == nil {
 		return ErrZoneReturnDisabled
 	}
-	h, mine := f.claims.Leading(Duty)
+	h, mine := a.elections.Leading(Duty)
 	z.mu.Lock()
 	if !mine || z.decider == nil {
 		z.mu.Unlock()
 		return ErrNotLeader
 	}
-	_, known := z.decider.Hold(name, held, f.wall().UnixMilli())
+	_, known := z.decider.Hold(name, held, a.wallClock().UnixMilli())
 	if known {
 		z.unsaved[name] = true
 	}
@@ -184,12 +184,12 @@
 	if !known {
 		return ErrUnknownZone
 	}
-	return f.saveZones(ctx, h)
+	return a.saveZones(ctx, h)
 }
 
 // closedZones are those in which no machines are rented now.
-func (f *Autoscaler) closedZones() (closed map[string]bool, unsettled bool) {
-	z := &f.zones
+func (a *Autoscaler) closedZones() (closed map[string]bool, unsettled bool) {
+	z := &a.zones
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.decider == nil {
@@ -205,16 +205,16 @@
 	return closed, unsettled
 }
 
-// returnsAtOnce is how many idle machines are given back at a time while a zone comes back: the
+// maxIdleScaleIn is how many idle machines are given back at a time while a zone comes back: the
 // replacements rented for it are not all dropped in the moment in which it is there again.
-const returnsAtOnce = 2
+const maxIdleScaleIn = 2
 
-// limitReturns leaves of the machines to give back those that can't be used, and a few idle ones.
-func limitReturns(list []ScaleIn) (out []ScaleIn) {
+// limitIdleScaleIn leaves of the machines to give back those that can't be used, and a few idle ones.
+func limitIdleScaleIn(list []ScaleIn) (out []ScaleIn) {
 	idle := 0
 	for _, r := range list {
-		if r.Reason == whyIdle {
-			if idle++; idle > returnsAtOnce {
+		if r.Reason == reasonIdle {
+			if idle++; idle > maxIdleScaleIn {
 				continue
 			}
 		}
--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -17,57 +17,57 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// zoneWorld is a fleet's holder with zones a and b, and the state service as it stands.
-type zoneWorld struct {
-	evidence map[string]zone.Evidence
-	records  map[string]ZoneRecord
-	stamps   map[string]uint64 // of all keys
-	rev      uint64
-	lose     bool // the answer to the next write
-	commits  []wire.Txn
+// zoneFixture is a fleet's holder with zones a and b, and the state service as it stands.
+type zoneFixture struct {
+	evidence     map[string]zone.Evidence
+	records      map[string]ZoneRecord
+	modRevisions map[string]uint64 // of all keys
+	revision     uint64
+	loseAnswer   bool // the answer to the next write
+	commits      []wire.Txn
 }
 
-func (w *zoneWorld) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
-func (w *zoneWorld) ZoneRecords() map[string]ZoneRecord     { return w.records }
-func (w *zoneWorld) Leading(string) (leaderelection.Leadership, bool) {
+func (w *zoneFixture) ZoneEvidence() map[string]zone.Evidence { return w.evidence }
+func (w *zoneFixture) ZoneRecords() map[string]ZoneRecord     { return w.records }
+func (w *zoneFixture) Leading(string) (leaderelection.Leadership, bool) {
 	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 7}, true
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (w *zoneWorld) Commit(_ context.Context, m wire.Txn) (uint64, error) {
+func (w *zoneFixture) Commit(_ context.Context, m wire.Txn) (uint64, error) {
 	w.commits = append(w.commits, m)
 	for _, c := range m.Conditions {
-		if w.stamps[c.Key] != c.ModRevision {
+		if w.modRevisions[c.Key] != c.ModRevision {
 			return 0, kvstore.ErrConflict
 		}
 	}
-	w.rev++
+	w.revision++
 	for _, op := range m.Operations {
-		w.stamps[op.Put] = w.rev
-		w.records[op.Put[len(kvstore.ZonePrefix):]] = ZoneRecord{op.Value.(zone.Record), w.rev}
+		w.modRevisions[op.Put] = w.revision
+		w.records[op.Put[len(kvstore.ZonePrefix):]] = ZoneRecord{op.Value.(zone.Record), w.revision}
 	}
-	if w.lose {
-		w.lose = false
+	if w.loseAnswer {
+		w.loseAnswer = false
 		return 0, errNoAnswer
 	}
-	return w.rev, nil
+	return w.revision, nil
 }
 
-func newZoneWorld() (*zoneWorld, *Autoscaler) {
-	w := &zoneWorld{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
-		stamps: map[string]uint64{kvstore.LeaderPrefix + Duty: 7}, rev: 10}
-	f := &Autoscaler{claims: w, store: w, wall: time.Now, log: slog.New(slog.DiscardHandler)}
-	f.zones.watch = ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
+func newZoneFixture() (*zoneFixture, *Autoscaler) {
+	w := &zoneFixture{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
+		modRevisions: map[string]uint64{kvstore.LeaderPrefix + Duty: 7}, revision: 10}
+	a := &Autoscaler{elections: w, store: w, wallClock: time.Now, log: slog.New(slog.DiscardHandler)}
+	a.zones.watch = ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
 		ReturnAfter: clock.Second, ReturnMost: clock.Second}}
-	f.zones.begin(clock.Second)
-	return w, f
+	a.zones.startTerm(clock.Second)
+	return w, a
 }
 
-func (w *zoneWorld) steps(t *testing.T, f *Autoscaler, from clock.Micros, n int) {
+func (w *zoneFixture) steps(t *testing.T, a *Autoscaler, from clock.Micros, n int) {
 	h, _ := w.Leading(Duty)
 	for i := range n {
-		f.stepZones(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
+		a.stepZones(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
 	}
 }
 
@@ -75,9 +75,9 @@
 // nor a former holder's write changes a later one. A write without an answer is tried again from
 // what is on record by then.
 func TestZoneRecordsAreConditional(t *testing.T) {
-	w, f := newZoneWorld()
-	w.lose = true
-	w.steps(t, f, 2*clock.Second, 12)
+	w, a := newZoneFixture()
+	w.loseAnswer = true
+	w.steps(t, a, 2*clock.Second, 12)
 	require.Equal(t, zone.Lost, w.records["b"].State)
 	require.NotEmpty(t, w.commits)
 	for _, m := range w.commits {
@@ -97,34 +97,34 @@
 // A hold is on record when the operator is told so; an unknown zone and a controller that does not
 // decide are told apart.
 func TestHoldsAreOnRecord(t *testing.T) {
-	w, f := newZoneWorld()
-	require.NoError(t, f.HoldZone(t.Context(), "b", true))
+	w, a := newZoneFixture()
+	require.NoError(t, a.HoldZone(t.Context(), "b", true))
 	require.True(t, w.records["b"].Held)
-	require.ErrorIs(t, f.HoldZone(t.Context(), "c", true), ErrUnknownZone)
-	f.zones.end()
-	require.ErrorIs(t, f.HoldZone(t.Context(), "b", false), ErrNotLeader)
+	require.ErrorIs(t, a.HoldZone(t.Context(), "c", true), ErrUnknownZone)
+	a.zones.endTerm()
+	require.ErrorIs(t, a.HoldZone(t.Context(), "b", false), ErrNotLeader)
 	require.ErrorIs(t, (&Autoscaler{}).HoldZone(t.Context(), "b", true), ErrZoneReturnDisabled)
 }
 
 // No machines are rented in a zone that is lost, and few idle ones given back while it returns.
 func TestRentingWhileAZoneIsAway(t *testing.T) {
-	w, f := newZoneWorld()
-	w.steps(t, f, 2*clock.Second, 12)
-	closed, unsettled := f.closedZones()
+	w, a := newZoneFixture()
+	w.steps(t, a, 2*clock.Second, 12)
+	closed, unsettled := a.closedZones()
 	require.Equal(t, map[string]bool{"b": true}, closed)
 	require.True(t, unsettled)
-	list, _ := kinds(Input{Types: []wire.MachineType{{Name: "big", CPUs: 8, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}, Closed: closed})
+	list, _ := availableKinds(Input{Types: []wire.MachineType{{Name: "big", CPUs: 8, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}, Closed: closed})
 	require.Len(t, list, 2)
 	for _, k := range list {
 		require.Equal(t, "a", k.Zone)
 	}
-	returns := []ScaleIn{{ID: "1", Reason: whyIdle}, {ID: "2", Reason: whyIdle}, {ID: "3", Reason: whyIdle}, {ID: "4", Reason: "failed"}}
-	require.Equal(t, []ScaleIn{returns[0], returns[1], returns[3]}, limitReturns(returns))
+	returns := []ScaleIn{{ID: "1", Reason: reasonIdle}, {ID: "2", Reason: reasonIdle}, {ID: "3", Reason: reasonIdle}, {ID: "4", Reason: "failed"}}
+	require.Equal(t, []ScaleIn{returns[0], returns[1], returns[3]}, limitIdleScaleIn(returns))
 	w.evidence["b"] = zone.Evidence{Machines: 10}
-	w.steps(t, f, 20*clock.Second, 4)
+	w.steps(t, a, 20*clock.Second, 4)
 	require.Equal(t, zone.Returning, w.records["b"].State)
 	require.Equal(t, recovery.Reconcile, w.records["b"].Stage)
-	closed, unsettled = f.closedZones()
+	closed, unsettled = a.closedZones()
 	require.Empty(t, closed)
 	require.True(t, unsettled)
 }
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -9,44 +9,44 @@
 }
 
 const (
-	// firstStarts is how many starts may be under way at a time when a return begins.
-	firstStarts = 4
-	// widening is by how much each start that succeeded raises that.
-	widening = 1
-	// mostStarts bounds it.
-	mostStarts = 256
-	// lateness is how much longer than its bound a stage may seem to last, where the word of its
+	// initialStarts is how many starts may be under way at a time when a return begins.
+	initialStarts = 4
+	// startsPerSuccess is by how much each start that succeeded raises that.
+	startsPerSuccess = 1
+	// maxStarts bounds it.
+	maxStarts = 256
+	// stageEndMargin is how much longer than its bound a stage may seem to last, where the word of its
 	// end is missing: after that an owner admits all.
-	lateness = 5 * clock.Second
+	stageEndMargin = 5 * clock.Second
 )
 
 // Gate admits work in one zone at one owner of machines, while work returns there.
 type Gate struct {
-	stage  Stage
-	held   bool // by operators: it stays as it is
-	lost   bool // the zone has not begun to return
-	since  clock.Micros
-	heard  clock.Micros // since when a machine of a lost zone is heard; 0: none is
-	starts int          // how many may be under way
+	stage          Stage
+	held           bool // by operators: it stays as it is
+	lost           bool // the zone has not begun to return
+	since          clock.Micros
+	heartbeatSince clock.Micros // since when a machine of a lost zone is heard; 0: none is
+	maxInFlight    int          // how many may be under way
 }
 
-// lostMost is how long an owner waits, from the first machine of a lost zone that it hears, for the
+// maxLostWait is how long an owner waits, from the first machine of a lost zone that it hears, for the
 // word that the zone returns. It is longer than the longest that a zone must be heard before.
-const lostMost = 65 * clock.Second
+const maxLostWait = 65 * clock.Second
 
 // NewGate makes a gate at a stage.
 func NewGate(s Stage, held bool, now clock.Micros) *Gate {
-	return &Gate{stage: s, held: held, since: now, starts: firstStarts}
+	return &Gate{stage: s, held: held, since: now, maxInFlight: initialStarts}
 }
 
 // NewLostGate makes a gate of a zone that is lost: it admits nothing new, so that the first machines
 // that are back don't get whatever asks first.
-func NewLostGate() *Gate { return &Gate{stage: Reconcile, lost: true, starts: firstStarts} }
+func NewLostGate() *Gate { return &Gate{stage: Reconcile, lost: true, maxInFlight: initialStarts} }
 
 // HeartbeatSeen takes note that a machine of the zone is heard.
 func (g *Gate) HeartbeatSeen(now clock.Micros) {
-	if g.lost && g.heard == 0 {
-		g.heard = now
+	if g.lost && g.heartbeatSince == 0 {
+		g.heartbeatSince = now
 	}
 }
 
@@ -61,22 +61,22 @@
 // while: a controller with an old view may do less, but not for ever.
 func (g *Gate) Stage(now clock.Micros) Stage {
 	if g.lost {
-		if g.heard != 0 && now > g.heard+lostMost {
+		if g.heartbeatSince != 0 && now > g.heartbeatSince+maxLostWait {
 			return Open
 		}
 		return Reconcile
 	}
-	if !g.held && now > g.since+g.stage.MaxDuration()+lateness {
+	if !g.held && now > g.since+g.stage.MaxDuration()+stageEndMargin {
 		return Open
 	}
 	return g.stage
 }
 
 // Succeeded takes note that a start has led to a running task: more may be under way.
-func (g *Gate) Succeeded() { g.starts = min(g.starts+widening, mostStarts) }
+func (g *Gate) Succeeded() { g.maxInFlight = min(g.maxInFlight+startsPerSuccess, maxStarts) }
 
 // Starts is how many starts may be under way at a time.
-func (g *Gate) Starts() int { return g.starts }
+func (g *Gate) Starts() int { return g.maxInFlight }
 
 // Admits tells whether a task of a stage may be given room on a machine while so many starts are
 // under way in the zone. A cold machine gets one trial task before more: after a loss that outlasted the
@@ -86,7 +86,7 @@
 	if stage == Open {
 		return true
 	}
-	if task > stage || underWay >= g.starts {
+	if task > stage || underWay >= g.maxInFlight {
 		return false
 	}
 	return m.Warm || m.Pending == 0
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -35,7 +35,7 @@
 	for s := Reconcile; s < Open; s++ {
 		require.Equal(t, s, Advance(s, s.MaxDuration()-1, busy))
 		require.Equal(t, s+1, Advance(s, s.MaxDuration(), busy))
-		total += s.MaxDuration() + lateness
+		total += s.MaxDuration() + stageEndMargin
 	}
 	require.Less(t, total, 90*sec)
 	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "what waits may not have been told yet")
@@ -80,7 +80,7 @@
 	require.True(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec+1))
 	g.SetStage(Reconcile, false, 1070*sec)
 	require.Equal(t, Reconcile, g.Stage(1071*sec), "it returns")
-	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.MaxDuration()+lateness+1))
+	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.MaxDuration()+stageEndMargin+1))
 }
 
 // What succeeds lets more start at a time, up to a bound.
@@ -92,14 +92,14 @@
 	for range 1000 {
 		g.Succeeded()
 	}
-	require.Equal(t, mostStarts, g.Starts())
+	require.Equal(t, maxStarts, g.Starts())
 }
 
 // An owner that hears of no end of a stage admits all after a while; one that operators hold stays.
 func TestAGateWithoutNewsOpens(t *testing.T) {
 	g := NewGate(Urgent, false, sec)
-	require.Equal(t, Urgent, g.Stage(sec+Urgent.MaxDuration()+lateness))
-	require.Equal(t, Open, g.Stage(sec+Urgent.MaxDuration()+lateness+1))
+	require.Equal(t, Urgent, g.Stage(sec+Urgent.MaxDuration()+stageEndMargin))
+	require.Equal(t, Open, g.Stage(sec+Urgent.MaxDuration()+stageEndMargin+1))
 	g.SetStage(Services, false, 30*sec)
 	require.Equal(t, Services, g.Stage(31*sec))
 	g.SetStage(Services, true, 31*sec)
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -42,19 +42,19 @@
 	return Open, false
 }
 
-// idleRank and highRank are levels of ranks as jobs have them.
+// idlePriority and highPriority are levels of ranks as jobs have them.
 const (
-	idleRank = 0
-	highRank = 2
+	idlePriority = 0
+	highPriority = 2
 )
 
 // DefaultStage is the stage of a job by its rank and by whether it has a deadline: what is
 // urgent by rank or has a deadline goes first, what is idle last.
 func DefaultStage(rank int, deadline bool) Stage {
 	switch {
-	case rank >= highRank || deadline && rank > idleRank:
+	case rank >= highPriority || deadline && rank > idlePriority:
 		return Urgent
-	case rank > idleRank:
+	case rank > idlePriority:
 		return Services
 	}
 	return Cold
@@ -62,7 +62,7 @@
 
 // Bounds of the stages: whatever waits, a stage is over by then. Together they stay below the time
 // for which work may wait while a machine that fits has room.
-var stageMost = [...]clock.Micros{
+var maxDurations = [...]clock.Micros{
 	Reconcile: 15 * clock.Second,
 	Urgent:    20 * clock.Second,
 	Services:  15 * clock.Second,
@@ -75,11 +75,11 @@
 	if s < Reconcile || s > Open {
 		return 0
 	}
-	return stageMost[s]
+	return maxDurations[s]
 }
 
-// least is how long a stage lasts at least: what waits must have been told.
-const least = 2 * clock.Second
+// minStageDuration is how long a stage lasts at minStageDuration: what waits must have been told.
+const minStageDuration = 2 * clock.Second
 
 // Facts is what decides when a stage is over.
 type Facts struct {
@@ -95,7 +95,7 @@
 	if lasted >= s.MaxDuration() {
 		return s + 1
 	}
-	if lasted < least {
+	if lasted < minStageDuration {
 		return s
 	}
 	switch s {
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -55,39 +55,39 @@
 	ReturnMost   clock.Micros // the longest that it becomes
 }
 
-// fewest is how many machines a zone must have to be judged: one or two may fail by themselves.
-const fewest = 3
+// minMachines is how many machines a zone must have to be judged: one or two may fail by themselves.
+const minMachines = 3
 
-// gone tells that so many machines are not heard that it is the zone and not they.
-func (e Evidence) gone() bool { return e.Machines >= fewest && 3*e.Unheard >= 2*e.Machines }
+// mostMissing tells that so many machines are not heard that it is the zone and not they.
+func (e Evidence) mostMissing() bool { return e.Machines >= minMachines && 3*e.Unheard >= 2*e.Machines }
 
-// back tells that at least half of the machines are heard.
-func (e Evidence) back() bool { return e.Machines >= 1 && 2*e.Unheard <= e.Machines }
+// halfReachable tells that at least half of the machines are heard.
+func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.Unheard <= e.Machines }
 
-// zone is what a decider knows of one zone.
-type zone struct {
+// zoneStatus is what a decider knows of one zoneStatus.
+type zoneStatus struct {
 	Record
-	since clock.Micros // of the state and stage, by the decider's clock
-	gone  clock.Micros // since when most machines are not heard; 0: they are
-	back  clock.Micros // since when at least half are
+	since          clock.Micros // of the state and stage, by the decider's clock
+	missingSince   clock.Micros // since when most machines are not heard; 0: they are
+	reachableSince clock.Micros // since when at least half are
 }
 
 // Decider follows the evidence. It is made anew with each holder of the fleet, from the records.
 type Decider struct {
 	settings Settings
-	zones    map[string]*zone
+	zones    map[string]*zoneStatus
 }
 
 // NewDecider makes a decider that goes on where the records stand. What lasted before is not
 // known to it: times begin anew.
 func NewDecider(s Settings, names []string, records map[string]Record, now clock.Micros) *Decider {
-	d := &Decider{settings: s, zones: map[string]*zone{}}
+	d := &Decider{settings: s, zones: map[string]*zoneStatus{}}
 	for _, name := range names {
 		r, ok := records[name]
 		if !ok || r.State == "" {
 			r = Record{State: Healthy}
 		}
-		d.zones[name] = &zone{Record: r, since: now}
+		d.zones[name] = &zoneStatus{Record: r, since: now}
 	}
 	return d
 }
@@ -104,7 +104,7 @@
 	for name, z := range d.zones {
 		before := z.Record
 		e := evidence[name]
-		d.step(name, z, e, evidence, waiting, now)
+		d.transition(name, z, e, evidence, waiting, now)
 		if z.Record != before {
 			z.since, z.AtMS, z.Why = now, wallMS, e.String()
 			changed[name] = z.Record
@@ -113,49 +113,49 @@
 	return changed
 }
 
-func (d *Decider) step(name string, z *zone, e Evidence, all map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros) {
-	z.note(e, now)
-	gone := z.gone != 0 && d.otherHeard(name, all)
+func (d *Decider) transition(name string, z *zoneStatus, e Evidence, all map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros) {
+	z.observe(e, now)
+	gone := z.missingSince != 0 && d.otherZoneReachable(name, all)
 	switch z.State {
 	case Healthy:
-		if gone && now >= z.gone+d.settings.SuspectAfter {
+		if gone && now >= z.missingSince+d.settings.SuspectAfter {
 			z.State = Suspect
 		}
 	case Suspect:
 		switch {
-		case z.back != 0:
+		case z.reachableSince != 0:
 			z.State = Healthy
-		case gone && now >= z.gone+d.settings.LostAfter:
+		case gone && now >= z.missingSince+d.settings.LostAfter:
 			z.State = Lost
 		}
 	case Lost:
-		if z.back != 0 && now >= z.back+d.returnAfter(z.Flaps) {
+		if z.reachableSince != 0 && now >= z.reachableSince+d.returnDelay(z.Flaps) {
 			z.State, z.Stage = Returning, recovery.Reconcile
 		}
 	case Returning:
-		d.stepReturn(z, e, gone, waiting, now)
+		d.advanceReturn(z, e, gone, waiting, now)
 	}
 }
 
-// note keeps since when a zone's machines are heard, or are not.
-func (z *zone) note(e Evidence, now clock.Micros) {
+// observe keeps since when a zone's machines are heard, or are not.
+func (z *zoneStatus) observe(e Evidence, now clock.Micros) {
 	switch {
-	case !e.gone():
-		z.gone = 0
-	case z.gone == 0:
-		z.gone = now
+	case !e.mostMissing():
+		z.missingSince = 0
+	case z.missingSince == 0:
+		z.missingSince = now
 	}
 	switch {
-	case !e.back():
-		z.back = 0
-	case z.back == 0:
-		z.back = now
+	case !e.halfReachable():
+		z.reachableSince = 0
+	case z.reachableSince == 0:
+		z.reachableSince = now
 	}
 }
 
-// stepReturn goes on with a return, or gives it up. While a zone comes and goes, each return
+// advanceReturn goes on with a return, or gives it up. While a zone comes and goes, each return
 // begins later than the one before.
-func (d *Decider) stepReturn(z *zone, e Evidence, gone bool, waiting map[recovery.Stage]int, now clock.Micros) {
+func (d *Decider) advanceReturn(z *zoneStatus, e Evidence, gone bool, waiting map[recovery.Stage]int, now clock.Micros) {
 	if gone {
 		z.State, z.Stage = Lost, recovery.Reconcile
 		z.Flaps++
@@ -170,16 +170,16 @@
 	}
 }
 
-// returnAfter is how long a zone that was lost again so often must be heard before it returns.
-func (d *Decider) returnAfter(flaps int) clock.Micros {
+// returnDelay is how long a zone that was lost again so often must be heard before it returns.
+func (d *Decider) returnDelay(flaps int) clock.Micros {
 	return min(d.settings.ReturnAfter<<min(flaps, 10), d.settings.ReturnMost)
 }
 
-// otherHeard tells that the machines of some other zone are heard: where nobody is, it is
+// otherZoneReachable tells that the machines of some other zone are heard: where nobody is, it is
 // whoever decides that is cut off.
-func (d *Decider) otherHeard(name string, all map[string]Evidence) bool {
+func (d *Decider) otherZoneReachable(name string, all map[string]Evidence) bool {
 	for other := range d.zones {
-		if other != name && all[other].back() {
+		if other != name && all[other].halfReachable() {
 			return true
 		}
 	}
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -13,165 +13,165 @@
 
 var settings = Settings{SuspectAfter: 4 * sec, LostAfter: 12 * sec, ReturnAfter: 3 * sec, ReturnMost: 60 * sec}
 
-// scene is a decider of two zones, looked at every half second.
-type scene struct {
+// scenario is a decider of two zones, looked at every half second.
+type scenario struct {
 	t       *testing.T
-	d       *Decider
+	decider *Decider
 	now     clock.Micros
 	a, b    Evidence
 	waiting map[recovery.Stage]int
 }
 
 var (
-	heard   = Evidence{Machines: 10}
-	unheard = Evidence{Machines: 10, Unheard: 10}
+	allReachable = Evidence{Machines: 10}
+	allMissing   = Evidence{Machines: 10, Unheard: 10}
 )
 
-func newScene(t *testing.T) *scene {
-	s := &scene{t: t, now: 100 * sec, a: heard, b: heard, waiting: map[recovery.Stage]int{}}
-	s.d = NewDecider(settings, []string{"a", "b"}, nil, s.now)
+func newScenario(t *testing.T) *scenario {
+	s := &scenario{t: t, now: 100 * sec, a: allReachable, b: allReachable, waiting: map[recovery.Stage]int{}}
+	s.decider = NewDecider(settings, []string{"a", "b"}, nil, s.now)
 	return s
 }
 
-func (s *scene) run(d clock.Micros) {
+func (s *scenario) run(d clock.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += sec / 2
-		s.d.Step(map[string]Evidence{"a": s.a, "b": s.b}, s.waiting, s.now, int64(s.now/1000))
+		s.decider.Step(map[string]Evidence{"a": s.a, "b": s.b}, s.waiting, s.now, int64(s.now/1000))
 	}
 }
 
-func (s *scene) is(zone string, state State, stage recovery.Stage) {
+func (s *scenario) requireState(zone string, state State, stage recovery.Stage) {
 	s.t.Helper()
-	r := s.d.Records()[zone]
+	r := s.decider.Records()[zone]
 	require.Equal(s.t, state, r.State, "%s at %v: %+v", zone, s.now.Seconds(), r)
 	require.Equal(s.t, stage, r.Stage, "%s at %v: %+v", zone, s.now.Seconds(), r)
 }
 
 // A zone drops and comes back: it is suspect, lost, and returns stage by stage.
 func TestAZoneDropsAndReturns(t *testing.T) {
-	s := newScene(t)
+	s := newScenario(t)
 	s.run(5 * sec)
-	s.is("b", Healthy, 0)
-	s.b = unheard
+	s.requireState("b", Healthy, 0)
+	s.b = allMissing
 	s.run(3 * sec)
-	s.is("b", Healthy, 0)
+	s.requireState("b", Healthy, 0)
 	s.run(2 * sec)
-	s.is("b", Suspect, 0)
+	s.requireState("b", Suspect, 0)
 	s.run(9 * sec)
-	s.is("b", Lost, 0)
-	s.is("a", Healthy, 0)
+	s.requireState("b", Lost, 0)
+	s.requireState("a", Healthy, 0)
 	s.b, s.waiting[recovery.Urgent], s.waiting[recovery.Services] = Evidence{Machines: 10, Unsettled: 4}, 5, 5
 	s.run(2 * sec)
-	s.is("b", Lost, 0)
+	s.requireState("b", Lost, 0)
 	s.run(3 * sec / 2)
-	s.is("b", Returning, recovery.Reconcile)
+	s.requireState("b", Returning, recovery.Reconcile)
 	s.run(5 * sec)
-	s.is("b", Returning, recovery.Reconcile)
+	s.requireState("b", Returning, recovery.Reconcile)
 	s.b.Unsettled = 0
 	s.run(sec / 2)
-	s.is("b", Returning, recovery.Urgent)
+	s.requireState("b", Returning, recovery.Urgent)
 	s.run(10 * sec)
-	s.is("b", Returning, recovery.Urgent)
+	s.requireState("b", Returning, recovery.Urgent)
 	s.waiting[recovery.Urgent] = 0
 	s.run(sec / 2)
-	s.is("b", Returning, recovery.Services)
+	s.requireState("b", Returning, recovery.Services)
 	s.run(15 * sec) // what waits longer holds nobody up
-	s.is("b", Returning, recovery.Cold)
+	s.requireState("b", Returning, recovery.Cold)
 	s.run(15 * sec)
-	s.is("b", Healthy, 0)
+	s.requireState("b", Healthy, 0)
 }
 
 func TestWhatIsNoLoss(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
-		"a third of the machines":        {heard, Evidence{Machines: 9, Unheard: 5}},
-		"nobody is heard: it is us":      {unheard, unheard},
-		"two machines fail":              {heard, Evidence{Machines: 2, Unheard: 2}},
-		"the other zone has no machines": {Evidence{}, unheard},
+		"a third of the machines":        {allReachable, Evidence{Machines: 9, Unheard: 5}},
+		"nobody is heard: it is us":      {allMissing, allMissing},
+		"two machines fail":              {allReachable, Evidence{Machines: 2, Unheard: 2}},
+		"the other zone has no machines": {Evidence{}, allMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(t)
+			s := newScenario(t)
 			s.a, s.b = x.a, x.b
 			s.run(60 * sec)
-			s.is("a", Healthy, 0)
-			s.is("b", Healthy, 0)
+			s.requireState("a", Healthy, 0)
+			s.requireState("b", Healthy, 0)
 		})
 	}
 	only := NewDecider(settings, []string{"a"}, nil, sec)
 	require.False(t, only.Several())
-	require.Empty(t, only.Step(map[string]Evidence{"a": unheard}, nil, 100*sec, 0))
+	require.Empty(t, only.Step(map[string]Evidence{"a": allMissing}, nil, 100*sec, 0))
 }
 
 // A zone that comes and goes must be heard for longer each time before work returns: its
 // returns become fewer.
 func TestAZoneThatComesAndGoes(t *testing.T) {
-	s := newScene(t)
-	s.b = unheard
+	s := newScenario(t)
+	s.b = allMissing
 	s.run(20 * sec)
-	s.is("b", Lost, 0)
+	s.requireState("b", Lost, 0)
 	returns, last := 0, Lost
 	for range 24 { // two minutes of five seconds each way
-		s.b = heard
+		s.b = allReachable
 		s.run(5 * sec)
-		if state := s.d.Records()["b"].State; state == Returning && last != Returning {
+		if state := s.decider.Records()["b"].State; state == Returning && last != Returning {
 			returns++
 		}
-		s.b = unheard
+		s.b = allMissing
 		s.run(5 * sec)
-		last = s.d.Records()["b"].State
+		last = s.decider.Records()["b"].State
 		require.Equal(t, Lost, last)
 	}
 	require.Equal(t, 1, returns, "the second would take six seconds")
-	s.b = heard
+	s.b = allReachable
 	s.run(6*sec + sec/2)
-	s.is("b", Returning, recovery.Reconcile)
+	s.requireState("b", Returning, recovery.Reconcile)
 }
 
 // Operators stop a return at its stage; it stays there, also when somebody else decides, until
 // they let it go on. A zone that drops meanwhile is lost all the same.
 func TestAReturnIsHeld(t *testing.T) {
-	s := newScene(t)
-	s.b = unheard
+	s := newScenario(t)
+	s.b = allMissing
 	s.run(20 * sec)
-	s.b = heard
+	s.b = allReachable
 	s.run(6 * sec)
-	s.is("b", Returning, recovery.Urgent)
-	_, known := s.d.Hold("b", true, 1)
+	s.requireState("b", Returning, recovery.Urgent)
+	_, known := s.decider.Hold("b", true, 1)
 	require.True(t, known)
 	s.run(200 * sec)
-	s.is("b", Returning, recovery.Urgent)
-	s.d = NewDecider(settings, []string{"a", "b"}, s.d.Records(), s.now)
+	s.requireState("b", Returning, recovery.Urgent)
+	s.decider = NewDecider(settings, []string{"a", "b"}, s.decider.Records(), s.now)
 	s.run(200 * sec)
-	s.is("b", Returning, recovery.Urgent)
-	s.d.Hold("b", false, 2)
+	s.requireState("b", Returning, recovery.Urgent)
+	s.decider.Hold("b", false, 2)
 	s.run(25 * sec)
-	s.is("b", Healthy, 0)
-	_, known = s.d.Hold("c", true, 3)
+	s.requireState("b", Healthy, 0)
+	_, known = s.decider.Hold("c", true, 3)
 	require.False(t, known)
 }
 
 // Whoever decides next goes on where the records stand.
 func TestADeciderEndsAtEachStage(t *testing.T) {
-	s := newScene(t)
-	s.b = unheard
+	s := newScenario(t)
+	s.b = allMissing
 	s.waiting = map[recovery.Stage]int{recovery.Urgent: 1, recovery.Services: 1}
 	seen := map[State]bool{}
 	for range 160 {
 		s.run(sec)
-		seen[s.d.Records()["b"].State] = true
-		before := s.d.Records()
-		s.d = NewDecider(settings, []string{"a", "b"}, before, s.now)
-		require.Equal(t, before, s.d.Records())
-		if s.d.Records()["b"].State == Lost {
-			s.b = heard
+		seen[s.decider.Records()["b"].State] = true
+		before := s.decider.Records()
+		s.decider = NewDecider(settings, []string{"a", "b"}, before, s.now)
+		require.Equal(t, before, s.decider.Records())
+		if s.decider.Records()["b"].State == Lost {
+			s.b = allReachable
 		}
 	}
 	require.True(t, seen[Healthy], "with a new decider every second nothing is decided that takes longer")
 	s.run(20 * sec)
-	s.is("b", Lost, 0)
-	s.b = heard
+	s.requireState("b", Lost, 0)
+	s.b = allReachable
 	s.run(4 * sec)
-	s.d = NewDecider(settings, []string{"a", "b"}, s.d.Records(), s.now)
-	s.is("b", Returning, recovery.Reconcile)
+	s.decider = NewDecider(settings, []string{"a", "b"}, s.decider.Records(), s.now)
+	s.requireState("b", Returning, recovery.Reconcile)
 	s.run(80 * sec)
-	s.is("b", Healthy, 0)
+	s.requireState("b", Healthy, 0)
 }
