--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,3 +1,17 @@
+// Package autoscaler scales the fleet out and in: the leader of the fleet requests instances from the
+// cloud by the demand that the schedulers report, returns the ones that are of no more use, and decides the
+// states of zones.
+//
+// Decisions are plain code that does no I/O: Plan (what to request and return, as a pipeline: available
+// kinds, capacity, bin packing of the demand, limits, requests), instanceList (which instances
+// exist), requestPacer (how many requests at a time) and package zone. I/O is done by Autoscaler,
+// zoneStates and CloudClient.
+//
+// Invariants, with the argument's number in docs/design.md, "Why the rules hold":
+//   - An instance counts as gone only by the cloud's word: returned, failed, or proven absent (4, instanceList).
+//   - A scale-out request's name is used once, and a machine is returned only after its partition
+//     leader has drained it (12, requestScaleOut and scaleIn).
+//   - Every write to the key-value store depends on the fleet's leadership (leadershipCondition).
 package autoscaler
 
 import (
@@ -12,20 +26,32 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Duty is the fleet's claim.
+// Duty names the leadership of the fleet.
 const Duty = "fleet"
 
-// ControllerClient asks all controllers for what the fleet needs.
+const (
+	// stepInterval is how often the leader decides: well below the time in which an instance boots,
+	// so that it adds little to the wait of a task.
+	stepInterval = 400 * time.Millisecond
+	// summaryInterval is how often the fleet's size and use are logged.
+	summaryInterval = 10 * clock.Second
+)
+
+// ControllerClient asks all controllers for what the autoscaler needs, and notifies them.
 type ControllerClient interface {
+	// Demands gives what waits, of all teams.
 	Demands(ctx context.Context) []peer.Demand
-	// Views appends the views of all machines.
+	// MachineViews appends the views of all machines.
 	MachineViews(to []peer.MachineView) []peer.MachineView
+	// Drain has the partition leaders drain machines, and gives those that hold nothing any more.
 	Drain(ctx context.Context, list []peer.MachineRef) (ready []string)
+	// MarkMachinesGone notifies the partition leaders of machines that are gone for certain.
 	MarkMachinesGone(ctx context.Context, list []peer.MachineRef)
+	// RecordedBefore gives the machines whose records were written before a time of day.
 	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
-// Elections tells whether the fleet is held.
+// Elections knows which leaderships this controller has.
 type Elections interface {
 	Leading(duty string) (leaderelection.Leadership, bool)
 }
@@ -35,41 +61,33 @@
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Autoscaler rents and returns machines while it holds the claim.
+// Autoscaler scales out and in while it leads the fleet. Run's goroutine owns all fields but zones,
+// which RunZones and HoldZone share under its own lock.
 type Autoscaler struct {
 	cloud         *CloudClient
 	elections     Elections
 	store         Store
 	controllers   ControllerClient
 	clock         clock.Clock
-	parameters    Parameters
-	backoff       clock.Micros
-	listLag       clock.Micros
-	clockSkew     clock.Micros // the most that times of day are off
 	wallClock     func() time.Time
+	parameters    Parameters
 	storedCatalog func() wire.Catalog
 	log           *slog.Logger
 	dutyStats     *telemetry.Duty
-	zones         zoneStates
+	zones         *zoneStates // nil: states of zones are not decided
+
+	term           uint64 // 0: not leading
+	requestCounter uint64 // of scale-out requests in this term
+	list           instanceList
+	pacer          requestPacer
 
-	term             uint64
-	requestCounter   uint64
-	instances        map[string]Instance
-	lastSeen         map[string]clock.Micros // when a machine was last on the list, or was rented
-	firstListed      map[string]clock.Micros // when a machine was first seen on the list
-	goneSince        map[string]clock.Micros
-	refusedUntil     map[InstanceKind]clock.Micros
 	catalog          wire.Catalog
-	catalogFetchedAt clock.Micros
-	listedAt         clock.Micros
-	summaryAt        clock.Micros
-	listFailures     int // lists that failed in a row
-	nextListAt       clock.Micros
-	requestWindow    map[InstanceKind]int // rental requests of a kind at a time
-	maxRequests      int                  // rental requests at a time
-	maxPerKind       int                  // machines of a kind asked for at a time
+	catalogFetchedAt clock.Micros // 0: not in this term
+	nextListAt       clock.Micros // not before, after a read that failed
+	listFailures     int          // in a row
+	summaryAt        clock.Micros // of the last summary logged
 
-	// What a step looks at, kept for the next one's use: all machines are looked at
+	// Views and their index are kept for the next step's use: all machines are looked at
 	// several times a second, and copies of them were most of what this process allocated.
 	views     []peer.MachineView
 	viewIndex map[string]int
@@ -84,9 +102,9 @@
 	Clock         clock.Clock
 	WallClock     func() time.Time
 	Parameters    Parameters
-	Backoff       clock.Micros        // how long a kind of instance that was refused is not asked for
+	Backoff       clock.Micros        // how long a kind of instance that was refused is not requested
 	ListLag       clock.Micros        // how old the cloud's list may be
-	ClockSkew     clock.Micros        // the most that times of day are off
+	ClockSkew     clock.Micros        // how far clocks of the time of day may be apart
 	StoredCatalog func() wire.Catalog // as the key-value store has it
 	Zones         ZoneWatch           // zero: states of zones are not decided
 	Log           *slog.Logger
@@ -95,163 +113,105 @@
 
 // New makes an autoscaler that does nothing until it leads the fleet.
 func New(o Options) *Autoscaler {
-	atOnce := max(1, int(o.Cloud.rps*1.6))
 	a := &Autoscaler{
-		maxRequests: atOnce, maxPerKind: wire.MaxScaleOut * atOnce, cloud: o.Cloud, elections: o.Elections, store: o.Store, controllers: o.Controllers,
-		clock: o.Clock, parameters: o.Parameters, backoff: o.Backoff, listLag: o.ListLag, clockSkew: o.ClockSkew, wallClock: o.WallClock,
-		storedCatalog: o.StoredCatalog, log: o.Log, dutyStats: o.Telemetry.Duty("fleet"),
+		cloud:         o.Cloud,
+		elections:     o.Elections,
+		store:         o.Store,
+		controllers:   o.Controllers,
+		clock:         o.Clock,
+		wallClock:     o.WallClock,
+		parameters:    o.Parameters,
+		storedCatalog: o.StoredCatalog,
+		log:           o.Log,
+		dutyStats:     o.Telemetry.Duty("fleet"),
+		zones:         newZoneStates(o),
+		list:          instanceList{lag: o.ListLag, skew: o.ClockSkew},
+		pacer:         requestPacer{backoff: o.Backoff, maxRequests: max(1, int(o.Cloud.rps*maxRequestsPerRPS))},
 	}
-	a.zones.watch = o.Zones
 	a.cloud.CountTraffic(o.Telemetry.Traffic(telemetry.Cloud))
 	return a
 }
 
-// Run does the duty while it is held, until ctx ends.
+// Run scales the fleet while this controller leads it, until ctx ends.
 func (a *Autoscaler) Run(ctx context.Context) error {
-	tick := time.NewTicker(400 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-tick.C:
-		}
-		h, mine := a.elections.Leading(Duty)
-		if !mine {
-			a.term = 0
-			continue
-		}
-		if h.Term != a.term {
-			a.startTerm(h.Term)
-			a.log.Info("fleet taken over", "term", h.Term)
-		}
-		began := time.Now()
-		a.step(ctx, h)
-		a.dutyStats.Round(time.Since(began))
-	}
+	leaderLoop{
+		elections: a.elections,
+		interval:  stepInterval,
+		startTerm: func(leadership leaderelection.Leadership) {
+			a.startTerm(leadership.Term)
+			a.log.Info("fleet leadership acquired", "term", leadership.Term)
+		},
+		step: func(ctx context.Context, leadership leaderelection.Leadership) {
+			began := time.Now()
+			a.step(ctx, leadership)
+			a.dutyStats.Round(time.Since(began))
+		},
+		endTerm: func() { a.term = 0 },
+	}.run(ctx)
+	return nil
 }
 
-// startTerm starts the duty under a term, knowing nothing of what is rented.
+// startTerm begins a term, knowing nothing of the instances.
 func (a *Autoscaler) startTerm(term uint64) {
 	a.term, a.requestCounter = term, 0
-	a.instances, a.lastSeen = map[string]Instance{}, map[string]clock.Micros{}
-	a.firstListed, a.requestWindow = map[string]clock.Micros{}, map[InstanceKind]int{}
-	a.goneSince, a.refusedUntil = map[string]clock.Micros{}, map[InstanceKind]clock.Micros{}
-	a.catalogFetchedAt, a.listedAt, a.listFailures, a.nextListAt = 0, 0, 0, 0
+	a.list.reset()
+	a.pacer.reset()
+	a.catalogFetchedAt, a.listFailures, a.nextListAt = 0, 0, 0
 }
 
-func (a *Autoscaler) step(ctx context.Context, h leaderelection.Leadership) {
+// stillLeading reports whether the term in which this step began goes on.
+func (a *Autoscaler) stillLeading() bool {
+	leadership, leading := a.elections.Leading(Duty)
+	return leading && leadership.Term == a.term
+}
+
+// step observes the fleet, decides, and acts.
+func (a *Autoscaler) step(ctx context.Context, leadership leaderelection.Leadership) {
 	now := a.clock.Now()
-	if a.catalogFetchedAt == 0 || now > a.catalogFetchedAt+30*clock.Second {
-		a.fetchCatalog(ctx, h, now)
-	}
-	if len(a.catalog.Types) == 0 {
-		// The cloud is out: the catalog kept in the state service will do.
-		if a.catalog = a.storedCatalog(); len(a.catalog.Types) == 0 {
-			return
-		}
-	}
-	if (a.listedAt == 0 || now > a.listedAt+3*clock.Second) && now >= a.nextListAt {
-		if err := a.refreshInstances(ctx); err != nil {
-			if a.listFailures++; a.listFailures%20 == 1 { // once in a while: an outage lasts many tries
-				a.log.Info("listing machines", "tries", a.listFailures, "err", err)
-			}
-			a.nextListAt = now + clock.Second
-		} else {
-			a.listFailures = 0
-		}
+	if !a.refreshCatalog(ctx, leadership, now) {
+		return
 	}
-	if a.listedAt == 0 {
-		return // nothing is known of what is rented
+	a.refreshInstancesIfDue(ctx, now)
+	if a.list.listedAt == 0 {
+		return // which instances there are is not known
 	}
-	a.views = a.controllers.MachineViews(a.views[:0])
-	a.viewIndex = indexViews(a.viewIndex, a.views)
-	in := Input{Now: a.clock.Now(), Types: a.catalog.Types, Instances: a.instances, Views: a.views, Demands: a.controllers.Demands(ctx),
-		Refused: a.refusedUntil, Parameters: a.parameters, MaxCount: a.maxPerKind, viewIndex: a.viewIndex}
-	a.observeViews(in, now)
-	unsettled := false
-	in.Closed, unsettled = a.closedZones()
-	rentals, returns := Plan(in)
-	if unsettled {
-		returns = limitIdleScaleIn(returns)
-	}
-	if now > a.summaryAt+10*clock.Second {
-		a.summaryAt = now
-		a.logSummary(in)
-	}
-	if a.log.Enabled(ctx, slog.LevelDebug) {
-		a.log.Debug("fleet", "rented", len(a.instances), "views", len(in.Views), "demands", in.Demands, "rentals", rentals, "returns", returns)
-	}
-	// What one kind could not give is asked of the next at once.
-	for pass := 0; pass < 4 && len(rentals) > 0; pass++ {
-		if got, mine := a.elections.Leading(Duty); !mine || got.Term != a.term {
-			return
-		}
-		if !a.requestScaleOut(ctx, a.selectRequests(rentals)) {
-			break
-		}
-		in.Now = a.clock.Now()
-		rentals, _ = Plan(in)
-	}
-	if len(returns) > 0 {
-		a.requestScaleIn(ctx, returns)
+	in := a.observe(ctx, now)
+	scaleOut, scaleIn := a.decide(&in)
+	a.logStep(ctx, in, scaleOut, scaleIn, now)
+	if !a.scaleOut(ctx, in, scaleOut) {
+		return
 	}
+	a.scaleIn(ctx, scaleIn)
 }
 
-// observeViews takes from the views which machines' workers have reported, and since
-// when some are silent or gone.
-func (a *Autoscaler) observeViews(in Input, now clock.Micros) {
-	for id, r := range a.instances {
-		was := r
-		here := false
-		if i, ok := in.viewIndex[id]; ok {
-			here = !in.Views[i].Silent
-			r.Up = r.Up || in.Views[i].Accounted
-		}
-		switch {
-		case here:
-			r.Lost = 0
-		case r.Up && r.Lost == 0:
-			r.Lost = now
-		}
-		if r != was {
-			a.instances[id] = r
-		}
-	}
+// observe collects what a plan is made from. Instances and Refused are the live maps, so that a plan made
+// anew within the step sees what the requests before it brought.
+func (a *Autoscaler) observe(ctx context.Context, now clock.Micros) Input {
+	a.views = a.controllers.MachineViews(a.views[:0])
+	a.viewIndex = indexViews(a.viewIndex, a.views)
+	in := Input{
+		Now:        a.clock.Now(),
+		Types:      a.catalog.Types,
+		Instances:  a.list.instances,
+		Views:      a.views,
+		Demands:    a.controllers.Demands(ctx),
+		Refused:    a.pacer.refusedUntil,
+		Parameters: a.parameters,
+		MaxCount:   wire.MaxScaleOut * a.pacer.maxRequests,
+		viewIndex:  a.viewIndex,
+	}
+	a.list.observeViews(in.Views, in.viewIndex, now)
+	return in
 }
 
-// logSummary logs how the fleet stands.
-func (a *Autoscaler) logSummary(in Input) {
-	var have, used, waiting, large, pieces int64
-	for _, d := range in.Demands {
-		large = max(large, d.Need.CPU)
-	}
-	up, spot := 0, 0
-	for i := range in.Views {
-		v := &in.Views[i]
-		if !v.Silent {
-			up++
-			have += v.Cap.CPU
-			used += v.Cap.CPU - v.Free.CPU
-			if large > 0 && v.Free.CPU > 0 {
-				pieces += v.Free.CPU % large // of no use to the largest that waits
-			}
-		}
-	}
-	if a.log.Enabled(context.Background(), slog.LevelDebug) {
-		for i := range in.Views {
-			v := &in.Views[i]
-			a.log.Debug("machine", "id", v.ID, "type", v.Type, "spot", v.Spot, "usable", v.Usable, "silent", v.Silent, "sick", v.Sick,
-				"noticed", v.Noticed, "free_cpus", v.Free.CPUs(), "free_gb", float64(v.Free.Mem)/1e6, "tasks", v.Count, "idle_s", v.Idle.Seconds())
-		}
-	}
-	for _, r := range in.Instances {
-		if r.Spot {
-			spot++
-		}
-	}
-	for _, d := range in.Demands {
-		waiting += d.Need.CPU * int64(d.Waiting)
+// decide plans with the zones as they stand, and defers the return of most idle machines while one
+// of them is not healthy.
+func (a *Autoscaler) decide(in *Input) ([]ScaleOut, []ScaleIn) {
+	closed, unsettled := a.zones.closedZones()
+	in.Closed = closed
+	scaleOut, scaleIn := Plan(*in)
+	if unsettled {
+		scaleIn = limitIdleScaleIn(scaleIn)
 	}
-	a.log.Info("fleet", "up", up, "rented", len(in.Instances), "spot", spot, "cpus", have/1e6, "used", used/1e6, "waiting_cpus", waiting/1e6, "pieces", pieces/1e6)
+	return scaleOut, scaleIn
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -135,7 +135,7 @@
 		h.term = term
 		a.startTerm(term)
 		for range 3 {
-			a.instances = map[string]Instance{} // as if none had come
+			a.list.instances = map[string]Instance{} // as if none had come
 			a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: term}})
 		}
 	}
@@ -198,9 +198,9 @@
 		func(wire.ScaleOutRequest) (int, any) { return 500, strings.Repeat("x", 300) },
 	} {
 		c.withLock(func() { c.answer = answer })
-		a.refusedUntil = map[InstanceKind]clock.Micros{}
+		a.pacer.refusedUntil = map[InstanceKind]clock.Micros{}
 		a.step(t.Context(), leaderelection.Leadership{Record: leaderelection.Record{Term: 3}})
-		require.Empty(t, a.instances)
+		require.Empty(t, a.list.instances)
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	kept := wire.Instance{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
 	taken := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	a.instances["m-9"], a.lastSeen["m-9"] = Instance{ID: "m-9"}, at.now // rented just now
+	a.list.instances["m-9"], a.list.lastSeen["m-9"] = Instance{ID: "m-9"}, at.now // rented just now
 	see(kept, taken)
 	at.now += 16 * clock.Second // the list may lag twice its 8 s
 	see(kept)
@@ -231,7 +231,7 @@
 	at.now += 2 * clock.Second
 	see(kept)
 	require.Equal(t, []string{"m-2"}, o.gone)
-	require.Contains(t, a.instances, "m-9")
+	require.Contains(t, a.list.instances, "m-9")
 }
 
 // A new holder's first list: a machine that was recorded long before it and is
@@ -256,13 +256,13 @@
 	for i := range many {
 		many[i] = ScaleOut{k, 1}
 	}
-	a.maxRequests = 8
+	a.pacer.maxRequests = 8
 	for _, want := range []int{2, 4, 8, 8} {
-		got := a.selectRequests(many)
+		got := a.pacer.selectRequests(many)
 		require.Len(t, got, want)
 		a.requestScaleOut(t.Context(), got)
 	}
-	a.refusedUntil = map[InstanceKind]clock.Micros{}
+	a.pacer.refusedUntil = map[InstanceKind]clock.Micros{}
 	a.requestScaleOut(t.Context(), []ScaleOut{{k, 2}}) // one comes of two
-	require.Len(t, a.selectRequests(many), 1)
+	require.Len(t, a.pacer.selectRequests(many), 1)
 }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -140,23 +140,23 @@
 // listed as running: each is kept for as long as another would take to boot, and
 // used when it is back. One that is listed as failed goes at once.
 func TestMachinesThatAreCutOffAreWaitedFor(t *testing.T) {
-	a := &Autoscaler{instances: map[string]Instance{}}
+	list := &instanceList{instances: map[string]Instance{}}
 	in := testInput()
 	views := func(silent bool) (out []peer.MachineView) {
-		for id := range a.instances {
+		for id := range list.instances {
 			out = append(out, peer.MachineView{ID: id, Type: "big", Zone: "a", Accounted: true, Usable: !silent, Silent: silent, Count: 1})
 		}
 		return out
 	}
 	for i := range 245 {
 		id := fmt.Sprintf("m-%03d", i)
-		a.instances[id] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: id, Phase: wire.MachineRunning}
+		list.instances[id] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: id, Phase: wire.MachineRunning}
 	}
 	step := func(after clock.Micros, silent bool) []ScaleIn {
 		in.Now += after
-		in.Instances, in.Views = a.instances, views(silent)
+		in.Instances, in.Views = list.instances, views(silent)
 		in.viewIndex = indexViews(nil, in.Views)
-		a.observeViews(in, in.Now)
+		list.observeViews(in.Views, in.viewIndex, in.Now)
 		_, returns := Plan(in)
 		return returns
 	}
@@ -165,9 +165,9 @@
 	require.Empty(t, step(25*sec, true))
 	require.Empty(t, step(sec, false), "back, and used")
 	require.Empty(t, step(sec, true), "counted anew")
-	r := a.instances["m-007"]
+	r := list.instances["m-007"]
 	r.Phase = wire.MachineFailed
-	a.instances["m-007"] = r
+	list.instances["m-007"] = r
 	require.Equal(t, []ScaleIn{{"m-007", "a", "failed"}}, step(28*sec, true))
 	require.Len(t, step(3*sec, true), 245)
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -4,102 +4,124 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"sync"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// selectRequests picks the requests to send now: of a kind that gave less than it was
-// asked for, one; of one that gave all, twice as many as the last time. So what
+const (
+	// initialWindow is how many requests for a kind are sent at a time at first.
+	initialWindow = 2
+	// unknownOutcomeBackoff is how long a kind is not requested after a request without a usable
+	// response: the instances may have been granted, and the list shows them by then.
+	unknownOutcomeBackoff = 3 * clock.Second
+	// maxRequestsPerRPS is how many scale-out requests are sent at a time, for each request a second
+	// that the cloud admits: two seconds of the budget (cloudBudgetShare), well below cloudCallTimeout.
+	maxRequestsPerRPS = 1.6
+	// maxScaleOutPasses bounds how often a step plans anew for what the cloud has refused.
+	maxScaleOutPasses = 4
+)
+
+// requestPacer decides how many scale-out requests are sent at a time, and for how long a kind of
+// instance is not requested. Plain code; the goroutine of Autoscaler.Run owns it.
+type requestPacer struct {
+	backoff      clock.Micros // how long a kind that was refused is not requested
+	maxRequests  int          // at a time, of all kinds
+	window       map[InstanceKind]int
+	refusedUntil map[InstanceKind]clock.Micros
+}
+
+// reset forgets all responses, for a new term.
+func (p *requestPacer) reset() {
+	p.window = map[InstanceKind]int{}
+	p.refusedUntil = map[InstanceKind]clock.Micros{}
+}
+
+// selectRequests picks the requests to send now: of a kind that gave less than was
+// requested, one; of one that gave all, twice as many as the last time. So what
 // the cloud has not got costs few calls, and what it has comes in a few steps.
-func (a *Autoscaler) selectRequests(rentals []ScaleOut) (out []ScaleOut) {
-	n := map[InstanceKind]int{}
-	for _, h := range rentals {
-		if a.requestWindow[h.InstanceKind] == 0 {
-			a.requestWindow[h.InstanceKind] = 2
+func (p *requestPacer) selectRequests(planned []ScaleOut) []ScaleOut {
+	var selected []ScaleOut
+	ofKind := map[InstanceKind]int{}
+	for _, r := range planned {
+		if p.window[r.InstanceKind] == 0 {
+			p.window[r.InstanceKind] = initialWindow
 		}
-		if n[h.InstanceKind] < a.requestWindow[h.InstanceKind] && len(out) < a.maxRequests {
-			n[h.InstanceKind]++
-			out = append(out, h)
+		if ofKind[r.InstanceKind] < p.window[r.InstanceKind] && len(selected) < p.maxRequests {
+			ofKind[r.InstanceKind]++
+			selected = append(selected, r)
 		}
 	}
-	return out
+	return selected
 }
 
-// requestScaleOut sends rental requests, all kinds at once, and tells whether fewer came than were asked
-// for. A request's name is never used again: the term and a counter.
-func (a *Autoscaler) requestScaleOut(ctx context.Context, list []ScaleOut) (short bool) {
-	sent := a.clock.Now()
-	got := make([]wire.HostList, len(list))
-	errs := make([]error, len(list))
-	var wg sync.WaitGroup
-	for i, h := range list {
-		a.requestCounter++
-		req := wire.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", a.term, a.requestCounter), Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
-		wg.Go(func() { errs[i] = a.cloud.call(ctx, "POST", wire.PathInstances, req, &got[i]) })
-	}
-	wg.Wait()
+// growWindows doubles the windows of all kinds of which requests were sent.
+func (p *requestPacer) growWindows(sent []ScaleOut) {
 	grown := map[InstanceKind]bool{}
-	for _, h := range list {
-		if !grown[h.InstanceKind] {
-			grown[h.InstanceKind] = true
-			a.requestWindow[h.InstanceKind] = min(2*a.requestWindow[h.InstanceKind], a.maxRequests)
+	for _, r := range sent {
+		if !grown[r.InstanceKind] {
+			grown[r.InstanceKind] = true
+			p.window[r.InstanceKind] = min(2*p.window[r.InstanceKind], p.maxRequests)
 		}
 	}
-	for i, h := range list {
-		hosts, err := got[i].Hosts, errs[i]
-		a.log.Info("renting", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(hosts), "err", err)
-		if errors.Is(err, errNoCapacity) || err == nil && len(hosts) < h.Count {
-			a.refusedUntil[h.InstanceKind], a.requestWindow[h.InstanceKind] = sent+a.backoff, 1
-		} else if err != nil && a.refusedUntil[h.InstanceKind] < sent {
-			a.refusedUntil[h.InstanceKind] = sent + 3*clock.Second // perhaps rented all the same: the list will tell
-		}
-		for _, id := range hosts {
-			a.instances[id] = Instance{InstanceKind: h.InstanceKind, ID: id, Phase: wire.MachineBooting, Since: sent}
-			a.lastSeen[id] = sent
-		}
-		short = short || len(hosts) < h.Count
+}
+
+// observeResponse takes the outcome of a request that was sent at sent.
+func (p *requestPacer) observeResponse(r ScaleOut, granted int, err error, sent clock.Micros) {
+	switch {
+	case errors.Is(err, errNoCapacity) || err == nil && granted < r.Count:
+		p.refusedUntil[r.InstanceKind], p.window[r.InstanceKind] = sent+p.backoff, 1
+	case err != nil && p.refusedUntil[r.InstanceKind] < sent:
+		p.refusedUntil[r.InstanceKind] = sent + unknownOutcomeBackoff
 	}
-	return short
 }
 
-// requestScaleIn returns machines that their owners have set aside.
-func (a *Autoscaler) requestScaleIn(ctx context.Context, list []ScaleIn) {
-	why := map[string]string{}
-	zone := map[string]string{}
-	var some, failed []peer.MachineRef
-	for _, r := range list {
-		if a.instances[r.ID].Phase == wire.MachineFailed {
-			failed = append(failed, peer.MachineRef{ID: r.ID, Zone: r.Zone})
+// scaleOut sends the planned requests. What one kind could not give is planned anew and requested
+// of the next one in the same step. It reports whether the leadership was still held.
+func (a *Autoscaler) scaleOut(ctx context.Context, in Input, planned []ScaleOut) (leading bool) {
+	for pass := 0; pass < maxScaleOutPasses && len(planned) > 0; pass++ {
+		if !a.stillLeading() {
+			return false
 		}
-		if len(some) < 100 {
-			some = append(some, peer.MachineRef{ID: r.ID, Zone: r.Zone})
-			why[r.ID], zone[r.ID] = r.Reason, r.Zone
+		if !a.requestScaleOut(ctx, a.pacer.selectRequests(planned)) {
+			return true
 		}
+		in.Now = a.clock.Now()
+		planned, _ = Plan(in)
 	}
-	if len(failed) > 0 {
-		a.controllers.MarkMachinesGone(ctx, failed) // the cloud's own word that they have stopped
-	}
-	ready := a.controllers.Drain(ctx, some)
-	if len(ready) == 0 {
-		return
-	}
-	if got, mine := a.elections.Leading(Duty); !mine || got.Term != a.term {
-		return
-	}
-	if err := a.cloud.call(ctx, "POST", wire.PathScaleIn, wire.HostList{Hosts: ready}, nil); err != nil {
-		a.log.Info("returning machines", "hosts", ready, "err", err)
-		return
+	return true
+}
+
+// requestScaleOut sends scale-out requests, all at the same time, and reports whether fewer instances were
+// granted than requested. A request's name, of the term and a counter, is never used again: the
+// cloud takes each name once (docs/design.md, "Why the rules hold", 12).
+func (a *Autoscaler) requestScaleOut(ctx context.Context, requests []ScaleOut) (short bool) {
+	sent := a.clock.Now()
+	granted := make([]wire.HostList, len(requests))
+	errs := make([]error, len(requests))
+	var wg sync.WaitGroup
+	for i, r := range requests {
+		a.requestCounter++
+		req := wire.ScaleOutRequest{
+			Name:  fmt.Sprintf("r-%d-%d", a.term, a.requestCounter),
+			Type:  r.Type,
+			Zone:  r.Zone,
+			Spot:  r.Spot,
+			Count: r.Count,
+		}
+		wg.Go(func() { errs[i] = a.cloud.call(ctx, http.MethodPost, wire.PathInstances, req, &granted[i]) })
 	}
-	now := a.clock.Now()
-	var gone []peer.MachineRef
-	for _, id := range ready {
-		gone = append(gone, peer.MachineRef{ID: id, Zone: zone[id]})
-		a.log.Info("returned a machine", "machine", id, "why", why[id])
-		a.goneSince[id] = now
-		a.forget(id)
+	wg.Wait()
+	a.pacer.growWindows(requests)
+	for i, r := range requests {
+		ids, err := granted[i].Hosts, errs[i]
+		a.log.Info("scale-out requested", "type", r.Type, "zone", r.Zone, "spot", r.Spot,
+			"requested", r.Count, "granted", len(ids), "error", err)
+		a.pacer.observeResponse(r, len(ids), err, sent)
+		a.list.addRequested(r.InstanceKind, ids, sent)
+		short = short || len(ids) < r.Count
 	}
-	a.controllers.MarkMachinesGone(ctx, gone)
+	return short
 }
--- /dev/null
+++ b/internal/autoscaler/summary.go
@@ -0,0 +1,74 @@
+package autoscaler
+
+import (
+	"context"
+	"log/slog"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+)
+
+// fleetSummary is the fleet's size and use. CPUs are in millionths.
+type fleetSummary struct {
+	up, instances, spot int
+	cpu, usedCPU        int64 // of the machines that are up
+	waitingCPU          int64 // of tasks that wait
+	fragmentedCPU       int64 // free, and of no use to the largest task that waits
+}
+
+func summarize(in Input) fleetSummary {
+	s := fleetSummary{instances: len(in.Instances)}
+	largest := int64(0)
+	for _, d := range in.Demands {
+		largest = max(largest, d.Need.CPU)
+		s.waitingCPU += d.Need.CPU * int64(d.Waiting)
+	}
+	for i := range in.Views {
+		v := &in.Views[i]
+		if v.Silent {
+			continue
+		}
+		s.up++
+		s.cpu += v.Cap.CPU
+		s.usedCPU += v.Cap.CPU - v.Free.CPU
+		if largest > 0 && v.Free.CPU > 0 {
+			s.fragmentedCPU += v.Free.CPU % largest
+		}
+	}
+	for _, instance := range in.Instances {
+		if instance.Spot {
+			s.spot++
+		}
+	}
+	return s
+}
+
+// logStep logs the fleet's summary once in a while, and what a step has decided.
+func (a *Autoscaler) logStep(ctx context.Context, in Input, scaleOut []ScaleOut, scaleIn []ScaleIn, now clock.Micros) {
+	debug := a.log.Enabled(ctx, slog.LevelDebug)
+	if now > a.summaryAt+summaryInterval {
+		a.summaryAt = now
+		if debug {
+			a.logMachines(in.Views)
+		}
+		a.logSummary(summarize(in))
+	}
+	if debug {
+		a.log.Debug("autoscaler decision", "instances", len(in.Instances), "views", len(in.Views), "demands", in.Demands,
+			"scale_out", scaleOut, "scale_in", scaleIn)
+	}
+}
+
+func (a *Autoscaler) logMachines(views []peer.MachineView) {
+	for i := range views {
+		v := &views[i]
+		a.log.Debug("machine state", "machine", v.ID, "type", v.Type, "spot", v.Spot, "usable", v.Usable, "silent", v.Silent,
+			"quarantined", v.Sick, "noticed", v.Noticed, "free_cpus", v.Free.CPUs(), "free_gb", float64(v.Free.Mem)/1e6,
+			"tasks", v.Count, "idle_s", v.Idle.Seconds())
+	}
+}
+
+func (a *Autoscaler) logSummary(s fleetSummary) {
+	a.log.Info("fleet summary", "up", s.up, "rented", s.instances, "spot", s.spot, "cpus", s.cpu/1e6, "used", s.usedCPU/1e6,
+		"waiting_cpus", s.waitingCPU/1e6, "fragmented_cpus", s.fragmentedCPU/1e6)
+}
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"maps"
 	"slices"
 	"sync"
@@ -16,11 +17,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// ZoneSource tells what the fleet's holder decides the states of zones by.
+// zoneStepInterval is how often the states of zones are decided: a fraction of the shortest time
+// that a state lasts, which is counted in seconds.
+const zoneStepInterval = 500 * time.Millisecond
+
+// ZoneSource gives what the fleet's leader decides the states of zones by.
 type ZoneSource interface {
-	// ZoneEvidence tells what is known of each zone's machines.
+	// ZoneEvidence gives what is known of each zone's machines.
 	ZoneEvidence() map[string]zone.Evidence
-	// ZoneRecords gives the states on record, with their keys' stamps.
+	// ZoneRecords gives the states on record, with their keys' mod revisions.
 	ZoneRecords() map[string]ZoneRecord
 }
 
@@ -30,62 +35,79 @@
 	ModRevision uint64
 }
 
-// ZoneWatch has the fleet's holder decide the states of zones.
+// ZoneWatch has the fleet's leader decide the states of zones.
 type ZoneWatch struct {
 	Settings zone.Settings
 	Names    []string
 	Source   ZoneSource
 }
 
-// Errors of a hold.
+// Errors of HoldZone.
 var (
-	ErrNotLeader          = errors.New("this controller does not hold the fleet")
+	ErrNotLeader          = errors.New("this controller does not lead the fleet")
 	ErrUnknownZone        = errors.New("there is no such zone")
 	ErrZoneReturnDisabled = errors.New("zone states are off")
 )
 
-// zoneStates is the deciding part of the duty.
+// zoneStates decides the states of zones while this controller leads the fleet, and writes them to the
+// key-value store. A nil one decides nothing.
 type zoneStates struct {
-	watch ZoneWatch
+	watch       ZoneWatch
+	elections   Elections
+	store       Store
+	controllers ControllerClient
+	clock       clock.Clock
+	wallClock   func() time.Time
+	log         *slog.Logger
 
 	mu           sync.Mutex
-	decider      *zone.Decider // nil while the duty is not held
-	modRevisions map[string]uint64
-	unsaved      map[string]bool // zones whose state is not on record as it was decided
+	decider      *zone.Decider     // nil while not leading
+	modRevisions map[string]uint64 // of the zones' records, as last known
+	unsaved      map[string]bool   // zones whose state is not on record as it was decided
 }
 
-// zoneStepInterval is how often the states of zones are looked at.
-const zoneStepInterval = 500 * time.Millisecond
+// newZoneStates gives nil where the states of zones are not decided.
+func newZoneStates(o Options) *zoneStates {
+	if o.Zones.Source == nil {
+		return nil
+	}
+	return &zoneStates{
+		watch:       o.Zones,
+		elections:   o.Elections,
+		store:       o.Store,
+		controllers: o.Controllers,
+		clock:       o.Clock,
+		wallClock:   o.WallClock,
+		log:         o.Log,
+	}
+}
 
-// RunZones decides the states of zones while the duty is held, until ctx ends. It does not wait
-// for the cloud, whose calls may take seconds.
+// RunZones decides the states of zones while this controller leads the fleet, until ctx ends. It is a
+// loop of its own since it must not wait for the cloud, whose calls may take seconds.
 func (a *Autoscaler) RunZones(ctx context.Context) error {
-	z := &a.zones
-	if z.watch.Source == nil {
+	z := a.zones
+	if z == nil {
 		return nil
 	}
-	tick := time.NewTicker(zoneStepInterval)
-	defer tick.Stop()
-	term := uint64(0)
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-tick.C:
-		}
-		h, mine := a.elections.Leading(Duty)
-		if !mine {
-			term = 0
-			z.endTerm()
-			continue
-		}
-		now := a.clock.Now()
-		if h.Term != term {
-			term = h.Term
-			z.startTerm(now)
-		}
-		a.stepZones(ctx, h, a.controllers.Demands(ctx), now)
+	leaderLoop{
+		elections: z.elections,
+		interval:  zoneStepInterval,
+		startTerm: func(leaderelection.Leadership) { z.startTerm(z.clock.Now()) },
+		step: func(ctx context.Context, leadership leaderelection.Leadership) {
+			now := z.clock.Now()
+			z.step(ctx, leadership, z.controllers.Demands(ctx), now)
+		},
+		endTerm: z.endTerm,
+	}.run(ctx)
+	return nil
+}
+
+// HoldZone stops a zone's return at its stage, or lets it go on. It returns once that is on record.
+func (a *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
+	if a.zones == nil {
+		return ErrZoneReturnDisabled
 	}
+	return a.zones.hold(ctx, name, held)
 }
 
 // startTerm goes on where the records stand.
@@ -100,96 +122,128 @@
 	z.decider = zone.NewDecider(z.watch.Settings, z.watch.Names, records, now)
 }
 
-// endTerm forgets what was decided: another holder goes on.
+// endTerm forgets what was decided: another leader goes on.
 func (z *zoneStates) endTerm() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.decider = nil
 }
 
-// stepZones decides, and writes what has changed.
-func (a *Autoscaler) stepZones(ctx context.Context, h leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
-	z := &a.zones
+// step decides, and writes what has changed.
+func (z *zoneStates) step(ctx context.Context, leadership leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
+	z.decide(demands, now)
+	if err := z.save(ctx, leadership); err != nil {
+		z.log.Warn("zone state write failed", "error", err)
+	}
+}
+
+func (z *zoneStates) decide(demands []peer.Demand, now clock.Micros) {
 	evidence := z.watch.Source.ZoneEvidence()
 	z.mu.Lock()
-	changed := z.decider.Step(evidence, peer.WaitingByStage(demands), now, a.wallClock().UnixMilli())
+	defer z.mu.Unlock()
+	changed := z.decider.Step(evidence, peer.WaitingByStage(demands), now, z.wallClock().UnixMilli())
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[name]
 		z.unsaved[name] = true
-		a.log.Info("a zone's state has changed", "zone", name, "state", r.State, "stage", r.Stage.String(), "flaps", r.Flaps, "why", r.Why)
+		z.log.Info("zone state changed", "zone", name, "state", r.State, "stage", r.Stage.String(), "flaps", r.Flaps, "reason", r.Why)
+	}
+}
+
+// zoneWrite is a transaction with the states that it writes.
+type zoneWrite struct {
+	txn     wire.Txn
+	records map[string]zone.Record
+	names   []string // in the order of the transaction's operations
+}
+
+// save writes what is not on record yet.
+func (z *zoneStates) save(ctx context.Context, leadership leaderelection.Leadership) error {
+	w, err := z.pendingWrite(leadership)
+	if err != nil || len(w.names) == 0 {
+		return err
 	}
-	z.mu.Unlock()
-	if err := a.saveZones(ctx, h); err != nil {
-		a.log.Debug("writing the states of zones", "err", err)
+	revision, err := z.store.Commit(ctx, w.txn)
+	if err != nil {
+		// The write's outcome may be unknown: what is on record by now is what the replica shows.
+		z.reloadModRevisions()
+		return err
 	}
+	z.acknowledge(w, revision)
+	return nil
 }
 
-// saveZones writes what is not on record yet, each on the condition of the fleet's claim and of the
-// key's stamp as last known: a late copy, or a former holder's write, changes nothing.
-func (a *Autoscaler) saveZones(ctx context.Context, h leaderelection.Leadership) error {
-	z := &a.zones
+// pendingWrite is the write of all unsaved states, each on the condition of the fleet's leadership and
+// of the key's mod revision as last known: a late copy, or a former leader's write, changes nothing.
+func (z *zoneStates) pendingWrite(leadership leaderelection.Leadership) (zoneWrite, error) {
 	z.mu.Lock()
+	defer z.mu.Unlock()
 	if z.decider == nil {
-		z.mu.Unlock()
-		return ErrNotLeader
+		return zoneWrite{}, ErrNotLeader
 	}
-	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty, ModRevision: h.ModRevision}}}
-	records := z.decider.Records()
-	names := slices.Sorted(maps.Keys(z.unsaved))
-	for _, name := range names {
-		key := kvstore.ZonePrefix + name
-		m.Conditions = append(m.Conditions, wire.Condition{Key: key, ModRevision: z.modRevisions[name]})
-		m.Operations = append(m.Operations, wire.Operation{Put: key, Value: records[name]})
+	w := zoneWrite{
+		txn:     wire.Txn{Conditions: []wire.Condition{leadershipCondition(leadership)}},
+		records: z.decider.Records(),
+		names:   slices.Sorted(maps.Keys(z.unsaved)),
 	}
-	z.mu.Unlock()
-	if len(names) == 0 {
-		return nil
+	for _, name := range w.names {
+		key := kvstore.ZonePrefix + name
+		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: key, ModRevision: z.modRevisions[name]})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Put: key, Value: w.records[name]})
 	}
-	rev, err := a.store.Commit(ctx, m)
+	return w, nil
+}
+
+func (z *zoneStates) reloadModRevisions() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if err != nil {
-		// Its fate may be unknown: what is on record by now is what the replica shows.
-		for name, r := range z.watch.Source.ZoneRecords() {
-			z.modRevisions[name] = r.ModRevision
-		}
-		return err
+	for name, r := range z.watch.Source.ZoneRecords() {
+		z.modRevisions[name] = r.ModRevision
 	}
-	for _, name := range names {
-		z.modRevisions[name] = rev
-		if z.decider == nil || z.decider.Records()[name] == records[name] {
+}
+
+// acknowledge takes note that a write is on record. A state that was decided anew meanwhile stays unsaved.
+func (z *zoneStates) acknowledge(w zoneWrite, revision uint64) {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	for _, name := range w.names {
+		z.modRevisions[name] = revision
+		if z.decider == nil || z.decider.Records()[name] == w.records[name] {
 			delete(z.unsaved, name)
 		}
 	}
-	return nil
 }
 
-// HoldZone stops a zone's return at its stage, or lets it go on. It returns once that is on record.
-func (a *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
-	z := &a.zones
-	if z.watch.Source == nil {
-		return ErrZoneReturnDisabled
+// hold stops a zone's return at its stage, or lets it go on, and saves that.
+func (z *zoneStates) hold(ctx context.Context, name string, held bool) error {
+	leadership, leading := z.elections.Leading(Duty)
+	if !leading {
+		return ErrNotLeader
 	}
-	h, mine := a.elections.Leading(Duty)
+	if err := z.decideHold(name, held); err != nil {
+		return err
+	}
+	return z.save(ctx, leadership)
+}
+
+func (z *zoneStates) decideHold(name string, held bool) error {
 	z.mu.Lock()
-	if !mine || z.decider == nil {
-		z.mu.Unlock()
+	defer z.mu.Unlock()
+	if z.decider == nil {
 		return ErrNotLeader
 	}
-	_, known := z.decider.Hold(name, held, a.wallClock().UnixMilli())
-	if known {
-		z.unsaved[name] = true
-	}
-	z.mu.Unlock()
-	if !known {
+	if _, known := z.decider.Hold(name, held, z.wallClock().UnixMilli()); !known {
 		return ErrUnknownZone
 	}
-	return a.saveZones(ctx, h)
+	z.unsaved[name] = true
+	return nil
 }
 
-// closedZones are those in which no machines are rented now.
-func (a *Autoscaler) closedZones() (closed map[string]bool, unsettled bool) {
-	z := &a.zones
+// closedZones are those in which no instances are requested now; unsettled reports whether some zone
+// is not healthy.
+func (z *zoneStates) closedZones() (closed map[string]bool, unsettled bool) {
+	if z == nil {
+		return nil, false
+	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.decider == nil {
@@ -204,21 +258,3 @@
 	}
 	return closed, unsettled
 }
-
-// maxIdleScaleIn is how many idle machines are given back at a time while a zone comes back: the
-// replacements rented for it are not all dropped in the moment in which it is there again.
-const maxIdleScaleIn = 2
-
-// limitIdleScaleIn leaves of the machines to give back those that can't be used, and a few idle ones.
-func limitIdleScaleIn(list []ScaleIn) (out []ScaleIn) {
-	idle := 0
-	for _, r := range list {
-		if r.Reason == reasonIdle {
-			if idle++; idle > maxIdleScaleIn {
-				continue
-			}
-		}
-		out = append(out, r)
-	}
-	return out
-}
--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -57,9 +57,9 @@
 func newZoneFixture() (*zoneFixture, *Autoscaler) {
 	w := &zoneFixture{evidence: map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}}, records: map[string]ZoneRecord{},
 		modRevisions: map[string]uint64{kvstore.LeaderPrefix + Duty: 7}, revision: 10}
-	a := &Autoscaler{elections: w, store: w, wallClock: time.Now, log: slog.New(slog.DiscardHandler)}
-	a.zones.watch = ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
-		ReturnAfter: clock.Second, ReturnMost: clock.Second}}
+	a := New(Options{Cloud: NewCloudClient("", 1, 1), Elections: w, Store: w, WallClock: time.Now, Log: slog.New(slog.DiscardHandler),
+		Zones: ZoneWatch{Names: []string{"a", "b"}, Source: w, Settings: zone.Settings{SuspectAfter: clock.Second, LostAfter: 3 * clock.Second,
+			ReturnAfter: clock.Second, ReturnMost: clock.Second}}})
 	a.zones.startTerm(clock.Second)
 	return w, a
 }
@@ -67,7 +67,7 @@
 func (w *zoneFixture) steps(t *testing.T, a *Autoscaler, from clock.Micros, n int) {
 	h, _ := w.Leading(Duty)
 	for i := range n {
-		a.stepZones(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
+		a.zones.step(t.Context(), h, nil, from+clock.Micros(i)*clock.Second/2)
 	}
 }
 
@@ -110,7 +110,7 @@
 func TestRentingWhileAZoneIsAway(t *testing.T) {
 	w, a := newZoneFixture()
 	w.steps(t, a, 2*clock.Second, 12)
-	closed, unsettled := a.closedZones()
+	closed, unsettled := a.zones.closedZones()
 	require.Equal(t, map[string]bool{"b": true}, closed)
 	require.True(t, unsettled)
 	list, _ := availableKinds(Input{Types: []wire.MachineType{{Name: "big", CPUs: 8, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}, Closed: closed})
@@ -124,7 +124,7 @@
 	w.steps(t, a, 20*clock.Second, 4)
 	require.Equal(t, zone.Returning, w.records["b"].State)
 	require.Equal(t, recovery.Reconcile, w.records["b"].Stage)
-	closed, unsettled = a.closedZones()
+	closed, unsettled = a.zones.closedZones()
 	require.Empty(t, closed)
 	require.True(t, unsettled)
 }
