--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -102,11 +102,11 @@
 }
 
 // newPlanner prepares a plan with no capacity yet.
-func newPlanner(in Input) *planner {
+func newPlanner(in Input) planner {
 	if in.viewIndex == nil {
 		in.viewIndex = indexViews(nil, in.Views)
 	}
-	p := &planner{Input: in, types: map[string]wire.MachineType{}, requested: map[InstanceKind]int{}}
+	p := planner{Input: in, types: map[string]wire.MachineType{}, requested: map[InstanceKind]int{}}
 	for _, t := range in.Types {
 		p.types[t.Name] = t
 	}
