--- a/internal/autoscaler/benchmark_test.go
+++ b/internal/autoscaler/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A plan for a fleet that is in use, with sixty jobs that wait.
+// BenchmarkFleetSizes measures a plan for a fleet that is in use, with sixty jobs that wait.
 func BenchmarkFleetSizes(b *testing.B) {
 	for _, machines := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("plan/%d", machines), func(b *testing.B) {
@@ -24,8 +24,8 @@
 					Free: resources.Capacity(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
 			}
 			for i := range 60 {
-				in.Demands = append(in.Demands, peer.Demand{Need: resources.Request(float64(2+i%4), 0, 2), Spot: true, Rank: 1, Waiting: 100,
-					RunFor: 30 * clock.Second})
+				in.Demands = append(in.Demands, peer.Demand{Need: resources.Request(float64(2+i%4), 0, 2), Spot: true, Rank: 1,
+					Waiting: 100, RunFor: 30 * clock.Second})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
