--- a/internal/zone/zone_test.go
+++ b/internal/zone/decider_test.go
@@ -13,7 +13,7 @@
 
 var settings = Settings{SuspectAfter: 4 * sec, LostAfter: 12 * sec, ReturnAfter: 3 * sec, ReturnMost: 60 * sec}
 
-// scenario is a decider of two zones, looked at every half second.
+// scenario is a decider of two zones that does a step every half second.
 type scenario struct {
 	t       *testing.T
 	decider *Decider
@@ -47,8 +47,8 @@
 	require.Equal(s.t, stage, r.Stage, "%s at %v: %+v", zone, s.now.Seconds(), r)
 }
 
-// A zone drops and comes back: it is suspect, lost, and returns stage by stage.
-func TestAZoneDropsAndReturns(t *testing.T) {
+// A zone is cut off and reachable again: it is suspect, lost, and returns stage by stage.
+func TestLostZoneReturnsInStages(t *testing.T) {
 	s := newScenario(t)
 	s.run(5 * sec)
 	s.requireState("b", Healthy, 0)
@@ -75,18 +75,18 @@
 	s.waiting[recovery.Urgent] = 0
 	s.run(sec / 2)
 	s.requireState("b", Returning, recovery.Services)
-	s.run(15 * sec) // what waits longer holds nobody up
+	s.run(15 * sec) // a stage ends at its bound, whatever waits
 	s.requireState("b", Returning, recovery.Cold)
 	s.run(15 * sec)
 	s.requireState("b", Healthy, 0)
 }
 
-func TestWhatIsNoLoss(t *testing.T) {
+func TestZoneWithoutZoneLossStaysHealthy(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
-		"a third of the machines":        {allReachable, Evidence{Machines: 9, Unheard: 5}},
-		"nobody is heard: it is us":      {allMissing, allMissing},
-		"two machines fail":              {allReachable, Evidence{Machines: 2, Unheard: 2}},
-		"the other zone has no machines": {Evidence{}, allMissing},
+		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, Unheard: 5}},
+		"no zone is reachable: the controller is cut off": {allMissing, allMissing},
+		"two machines fail":                               {allReachable, Evidence{Machines: 2, Unheard: 2}},
+		"the other zone has no machines":                  {Evidence{}, allMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t)
@@ -101,9 +101,9 @@
 	require.Empty(t, only.Step(map[string]Evidence{"a": allMissing}, nil, 100*sec, 0))
 }
 
-// A zone that comes and goes must be heard for longer each time before work returns: its
+// A zone that comes and goes must be reachable for longer each time before work returns: its
 // returns become fewer.
-func TestAZoneThatComesAndGoes(t *testing.T) {
+func TestFlappingZoneReturnsLaterEachTime(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
 	s.run(20 * sec)
@@ -126,9 +126,9 @@
 	s.requireState("b", Returning, recovery.Reconcile)
 }
 
-// Operators stop a return at its stage; it stays there, also when somebody else decides, until
-// they let it go on. A zone that drops meanwhile is lost all the same.
-func TestAReturnIsHeld(t *testing.T) {
+// Operators stop a return at its stage; it stays there, also under another decider, until
+// they let it go on.
+func TestHeldReturnStaysAtItsStage(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
 	s.run(20 * sec)
@@ -149,8 +149,8 @@
 	require.False(t, known)
 }
 
-// Whoever decides next goes on where the records stand.
-func TestADeciderEndsAtEachStage(t *testing.T) {
+// A new leader's decider goes on where the records stand.
+func TestNewDeciderContinuesFromRecords(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
 	s.waiting = map[recovery.Stage]int{recovery.Urgent: 1, recovery.Services: 1}
@@ -175,3 +175,20 @@
 	s.run(80 * sec)
 	s.requireState("b", Healthy, 0)
 }
+
+// A zone that is cut off during a held return is lost all the same; its return is still held then.
+func TestHeldReturnIsLostWhenMachinesAreMissing(t *testing.T) {
+	s := newScenario(t)
+	s.b = allMissing
+	s.run(20 * sec)
+	s.b = allReachable
+	s.run(6 * sec)
+	s.requireState("b", Returning, recovery.Urgent)
+	s.decider.Hold("b", true, 1)
+	s.b = allMissing
+	s.run(sec)
+	s.requireState("b", Lost, recovery.Reconcile)
+	s.b = allReachable
+	s.run(200 * sec)
+	s.requireState("b", Returning, recovery.Reconcile)
+}
