--- /dev/null
+++ b/internal/recovery/stages_test.go
@@ -0,0 +1,49 @@
+package recovery
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+)
+
+const sec = clock.Second
+
+func TestDefaultStageFollowsPriorityAndDeadline(t *testing.T) {
+	for _, x := range []struct {
+		priority int
+		deadline bool
+		want     Stage
+	}{{3, false, Urgent}, {2, false, Urgent}, {1, true, Urgent}, {1, false, Services}, {0, true, Cold}, {0, false, Cold}} {
+		require.Equal(t, x.want, DefaultStage(x.priority, x.deadline), "%+v", x)
+	}
+}
+
+func TestStageOfNameIsInverseOfString(t *testing.T) {
+	for s := Reconcile; s <= Open; s++ {
+		named, ok := StageOf(s.String())
+		require.True(t, ok)
+		require.Equal(t, s, named)
+	}
+	_, ok := StageOf("soon")
+	require.False(t, ok)
+}
+
+// A stage lasts until what it is for is done, and no longer than its bound; together they stay
+// below the 90 s for which work may wait while a machine that fits has room.
+func TestStageEndsWhenDoneOrAtItsBound(t *testing.T) {
+	busy := Facts{Unsettled: 1, Waiting: map[Stage]int{Urgent: 1, Services: 1, Cold: 1}}
+	total := clock.Micros(0)
+	for s := Reconcile; s < Open; s++ {
+		require.Equal(t, s, Advance(s, s.MaxDuration()-1, busy))
+		require.Equal(t, s+1, Advance(s, s.MaxDuration(), busy))
+		total += s.MaxDuration() + stageEndMargin
+	}
+	require.Less(t, total, 90*sec)
+	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "what waits may not have been reported yet")
+	require.Equal(t, Urgent, Advance(Reconcile, 2*sec, Facts{}))
+	require.Equal(t, Services, Advance(Urgent, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
+	require.Equal(t, Services, Advance(Services, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
+	require.Equal(t, Open, Advance(Open, sec, busy))
+}
