--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -8,7 +8,7 @@
 // zoneStates and CloudClient.
 //
 // Invariants, with the argument's number in docs/design.md, "Why the rules hold":
-//   - An instance counts as gone only by the cloud's word: returned, failed, or proven absent (4, instanceList).
+//   - An instance counts as gone only by what the cloud says: returned, failed, or proven absent (4, instanceList).
 //   - A scale-out request's name is used once, and a machine is returned only after its partition
 //     leader has drained it (12, requestScaleOut and scaleIn).
 //   - Every write to the key-value store depends on the fleet's leadership (leadershipCondition).
--- a/internal/autoscaler/cloud_client.go
+++ b/internal/autoscaler/cloud_client.go
@@ -23,7 +23,7 @@
 	// cloudBudgetShare is the share of the granted rate that is used: the cloud's own count may
 	// fall differently over a second.
 	cloudBudgetShare = 0.8
-	// noCapacityText is how the cloud words a refusal, in wire.Error.
+	// noCapacityText is the cloud's text of a refusal, in wire.Error.
 	noCapacityText = "no capacity"
 )
 
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -102,8 +102,8 @@
 
 // takeGone removes the instances that the complete list begun at began proves gone, and gives
 // them by id. recorded are the machines whose records are older than recordedBeforeMS: they existed
-// before the moment that the list describes. By that a new leader, to whom every instance is
-// new, tells which ones the partition leaders need not wait for.
+// before the moment that the list describes. By that a new leader, to which every instance is
+// new, finds those that the partition leaders need not wait for.
 func (l *instanceList) takeGone(began clock.Micros, recorded []peer.MachineRef) []peer.MachineRef {
 	var gone []peer.MachineRef
 	remove := func(id, zone string) {
--- a/internal/autoscaler/instance_list_test.go
+++ b/internal/autoscaler/instance_list_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -51,3 +52,29 @@
 	require.NoError(t, s.autoscaler.refreshInstances(t.Context()))
 	require.Equal(t, []string{"m-2"}, s.controllers.gone)
 }
+
+// An instance that was returned stays gone, though lists that lag still show it.
+func TestReturnedInstanceIsNotRestoredByLaggingList(t *testing.T) {
+	l := instanceList{lag: 8 * sec}
+	l.reset()
+	listed := []wire.Instance{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}}
+	l.observePage(listed, 100*sec, 100*sec)
+	require.Contains(t, l.instances, "m-1")
+	l.markGone("m-1", 101*sec)
+	l.observePage(listed, 104*sec, 104*sec)
+	l.completeList(104 * sec)
+	require.Empty(t, l.instances)
+	require.Empty(t, l.takeGone(104*sec, []peer.MachineRef{{ID: "m-1"}}), "the controllers have been notified")
+}
+
+// An instance that was granted and is never listed is expected for three times the lag, and is then
+// forgotten; nobody is notified of it as gone.
+func TestGrantedInstanceNeverListedIsForgotten(t *testing.T) {
+	l := instanceList{lag: 8 * sec}
+	l.reset()
+	l.addRequested(InstanceKind{"big", "a", true}, []string{"m-1"}, 100*sec)
+	require.Empty(t, l.takeGone(126*sec, nil))
+	require.Contains(t, l.instances, "m-1")
+	require.Empty(t, l.takeGone(126*sec+1, nil))
+	require.Empty(t, l.instances)
+}
--- a/internal/autoscaler/plan_packing.go
+++ b/internal/autoscaler/plan_packing.go
@@ -71,16 +71,9 @@
 	}
 }
 
-// packDemands packs what waits into the bins, the highest priority and then the largest tasks first,
-// and adds instances for what is left.
+// packDemands packs what waits into the bins, and adds instances for what is left.
 func (p *planner) packDemands() {
-	demands := slices.Clone(p.Demands)
-	sort.SliceStable(demands, func(i, j int) bool {
-		if demands[i].Rank != demands[j].Rank {
-			return demands[i].Rank > demands[j].Rank
-		}
-		return demands[i].Need.CPU > demands[j].Need.CPU
-	})
+	demands := packingOrder(p.Demands)
 	for i := range demands {
 		d := &demands[i]
 		rest := packInto(p.bins, d, d.Waiting)
@@ -94,6 +87,18 @@
 	}
 }
 
+// packingOrder is a copy of the demands, the highest priority and then the largest tasks first.
+func packingOrder(demands []peer.Demand) []peer.Demand {
+	ordered := slices.Clone(demands)
+	sort.SliceStable(ordered, func(i, j int) bool {
+		if ordered[i].Rank != ordered[j].Rank {
+			return ordered[i].Rank > ordered[j].Rank
+		}
+		return ordered[i].Need.CPU > ordered[j].Need.CPU
+	})
+	return ordered
+}
+
 // packInto packs tasks of a demand into bins, in their order, and gives how many are left.
 func packInto(bins []*bin, d *peer.Demand, waiting int) (rest int) {
 	rest = waiting
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// testInput is an input with one machine type in two zones, and nothing rented.
+// testInput is an input with one machine type in two zones, and no instances.
 func testInput() Input {
 	return Input{
 		Now:        1000 * sec,
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// A cloud that has nothing of a kind is asked for it once in a while; one that grants
+// A kind of which the cloud has too few gets one request at a time; one of which it grants
 // all requests gets twice as many the next time.
 func TestRequestWindowGrowsWithGrantsAndShrinksOnRefusal(t *testing.T) {
 	s := newScenario(t)
@@ -91,3 +91,25 @@
 	a.requestScaleOut(t.Context(), []ScaleOut{{k, 2}}) // one is granted of two
 	require.Len(t, a.pacer.selectRequests(planned), 1)
 }
+
+// A refusal backs off for the whole backoff, a response that leaves the outcome open only until the list shows it.
+func TestRequestOutcomeDecidesBackoff(t *testing.T) {
+	k := InstanceKind{"big", "a", true}
+	for name, x := range map[string]struct {
+		granted int
+		err     error
+		want    clock.Micros // refused until
+	}{
+		"all granted":     {2, nil, 0},
+		"fewer granted":   {1, nil, 112 * sec},
+		"no capacity":     {0, errNoCapacity, 112 * sec},
+		"unknown outcome": {0, errNoAnswer, 103 * sec},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := requestPacer{backoff: 12 * sec, maxRequests: 4}
+			p.reset()
+			p.observeResponse(ScaleOut{k, 2}, x.granted, x.err, 100*sec)
+			require.Equal(t, x.want, p.refusedUntil[k])
+		})
+	}
+}
--- a/internal/autoscaler/summary.go
+++ b/internal/autoscaler/summary.go
@@ -69,6 +69,6 @@
 }
 
 func (a *Autoscaler) logSummary(s fleetSummary) {
-	a.log.Info("fleet summary", "up", s.up, "rented", s.instances, "spot", s.spot, "cpus", s.cpu/1e6, "used", s.usedCPU/1e6,
-		"waiting_cpus", s.waitingCPU/1e6, "fragmented_cpus", s.fragmentedCPU/1e6)
+	a.log.Info("fleet summary", "up", s.up, "rented", s.instances, "spot", s.spot, "cpus", s.cpu/cpuUnit, "used", s.usedCPU/cpuUnit,
+		"waiting_cpus", s.waitingCPU/cpuUnit, "fragmented_cpus", s.fragmentedCPU/cpuUnit)
 }
--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -115,7 +115,7 @@
 }
 
 // A hold is on record when the operator's request is answered; an unknown zone and a controller that does
-// not lead are told apart.
+// not lead give different errors.
 func TestZoneHoldIsOnRecordWhenAnswered(t *testing.T) {
 	f := newZoneFixture()
 	require.NoError(t, f.autoscaler.HoldZone(t.Context(), "b", true))
