--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -8,117 +8,117 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// over tells that nothing of a task's job may run any more. For a task that
+// jobEnded tells that nothing of a task's job may run any more. For a task that
 // was found, its job not being active is proof: the record was there before
 // the task's start, and the replica is as new as this owner's claim. For one that was
 // asked for, the replica must be as new as its record.
-func (t *State) over(k *task) bool {
-	if _, ok := t.cancelled[k.id.Job]; ok {
+func (s *State) jobEnded(t *task) bool {
+	if _, ok := s.cancellations[t.id.Job]; ok {
 		return true
 	}
-	return t.jobs.Ended(k.id.Job, k.made)
+	return s.jobs.Ended(t.id.Job, t.jobRevision)
 }
 
-// maxOrders keeps an answer's line below the protocol's 64 KiB.
-const maxOrders = 400
+// maxCommands keeps an answer's line below the protocol's 64 KiB.
+const maxCommands = 400
 
-// resend tells whether an order may go to the worker's own address once more.
-func (k *task) resend(now clock.Micros) bool {
-	return k.lastSend == 0 || now > k.lastSend+clock.Second
+// mayResend tells whether an order may go to the worker's own address once more.
+func (t *task) mayResend(now clock.Micros) bool {
+	return t.deliveredAt == 0 || now > t.deliveredAt+clock.Second
 }
 
-// orders collects what the worker should do now.
-func (t *State) orders(m *machine, inReport bool, now clock.Micros) []wire.Order {
-	tasks := m.inOrder(0)
-	t.endTasksOfOverJobs(m, tasks)
-	out := stops(tasks, inReport, now)
-	if !m.silent && !m.gone && m.registered {
-		out = t.runs(m, tasks, out, inReport, now)
+// dueCommands collects what the worker should do now.
+func (s *State) dueCommands(m *machine, inReport bool, now clock.Micros) []wire.Order {
+	tasks := m.tasksByAge(0)
+	s.stopTasksOfEndedJobs(m, tasks)
+	out := stopCommands(tasks, inReport, now)
+	if !m.silent && !m.gone && m.recorded {
+		out = s.appendRunCommands(m, tasks, out, inReport, now)
 	}
 	if inReport {
-		out = forgets(m, tasks, out)
+		out = prependForgetCommands(m, tasks, out)
 	}
 	return out
 }
 
-// endTasksOfOverJobs decides to stop what runs of jobs that are over; their ends need
+// stopTasksOfEndedJobs decides to stop what runs of jobs that are over; their ends need
 // no placer's word to be forgotten.
-func (t *State) endTasksOfOverJobs(m *machine, tasks []*task) {
-	for _, k := range tasks {
-		if !t.over(k) {
+func (s *State) stopTasksOfEndedJobs(m *machine, tasks []*task) {
+	for _, t := range tasks {
+		if !s.jobEnded(t) {
 			continue
 		}
-		k.settled = true
-		if !k.exited() && !k.stop {
-			k.stop, k.grace = true, 0
-			t.show(m, k)
+		t.acknowledged = true
+		if !t.exited() && !t.stopping {
+			t.stopping, t.stopGraceS = true, 0
+			s.markTaskChanged(m, t)
 		}
 	}
 }
 
-// stops collects the stops that are due.
-func stops(tasks []*task, inReport bool, now clock.Micros) []wire.Order {
+// stopCommands collects the stopCommands that are due.
+func stopCommands(tasks []*task, inReport bool, now clock.Micros) []wire.Order {
 	out := []wire.Order{}
-	for _, k := range tasks {
-		if len(out) >= maxOrders {
+	for _, t := range tasks {
+		if len(out) >= maxCommands {
 			return out
 		}
-		if !k.stop || k.exited() {
+		if !t.stopping || t.exited() {
 			continue
 		}
-		grace := k.grace
-		if k.phase == wire.TaskCheckpointing && grace > 0 || !inReport && !k.resend(now) {
+		grace := t.stopGraceS
+		if t.phase == wire.TaskCheckpointing && grace > 0 || !inReport && !t.mayResend(now) {
 			continue
 		}
 		if !inReport {
-			k.lastSend = now
+			t.deliveredAt = now
 		}
-		out = append(out, wire.Order{Verb: wire.VerbStop, Task: wire.TaskName(k.id.Job, k.id.N), Attempt: k.id.Attempt, GraceS: &grace})
+		out = append(out, wire.Order{Verb: wire.VerbStop, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt, GraceS: &grace})
 	}
 	return out
 }
 
-// runs appends the starts that are due: of tasks whose worker has not shown them
+// appendRunCommands appends the starts that are due: of tasks whose worker has not shown them
 // yet, as far as the worker's own room suffices.
-func (t *State) runs(m *machine, tasks []*task, out []wire.Order, inReport bool, now clock.Micros) []wire.Order {
-	started, _ := m.inUse()
-	for _, k := range tasks {
-		if len(out) >= maxOrders {
+func (s *State) appendRunCommands(m *machine, tasks []*task, out []wire.Order, inReport bool, now clock.Micros) []wire.Order {
+	started, _ := m.resourcesInUse()
+	for _, t := range tasks {
+		if len(out) >= maxCommands {
 			return out
 		}
-		if k.seen || k.stop || k.held || k.exited() {
+		if t.reported || t.stopping || t.reserved || t.exited() {
 			continue
 		}
-		if !k.sent {
-			if m.draining || !k.need.Fits(m.cap.Minus(started)) {
+		if !t.sent {
+			if m.draining || !t.need.Fits(m.capacity.Minus(started)) {
 				continue
 			}
-			started = started.Plus(k.need)
-			k.sent = true
+			started = started.Plus(t.need)
+			t.sent = true
 		}
 		if inReport {
-			k.sentTick = m.tick
-		} else if k.resend(now) {
-			k.lastSend = now
+			t.runTick = m.tick
+		} else if t.mayResend(now) {
+			t.deliveredAt = now
 		} else {
 			continue
 		}
-		out = append(out, wire.Order{Verb: wire.VerbRun, Task: wire.TaskName(k.id.Job, k.id.N), Attempt: k.id.Attempt})
+		out = append(out, wire.Order{Verb: wire.VerbRun, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt})
 	}
 	return out
 }
 
-// forgets puts the forgets that are due in front of other orders. They go only into
+// prependForgetCommands puts the prependForgetCommands that are due in front of other orders. They go only into
 // answers to reports: the worker takes those in sequence, so no run that was sent in an
 // earlier answer can arrive after the forget and start the attempt once more.
-func forgets(m *machine, tasks []*task, others []wire.Order) []wire.Order {
+func prependForgetCommands(m *machine, tasks []*task, others []wire.Order) []wire.Order {
 	var out []wire.Order
-	for _, k := range tasks {
-		if len(out)+len(others) >= maxOrders {
+	for _, t := range tasks {
+		if len(out)+len(others) >= maxCommands {
 			break
 		}
-		if k.exited() && k.settled && (k.risk == 0 || m.seenToken > k.risk) {
-			out = append(out, wire.Order{Verb: wire.VerbForget, Task: wire.TaskName(k.id.Job, k.id.N), Attempt: k.id.Attempt})
+		if t.exited() && t.acknowledged && (t.unansweredToken == 0 || m.shownToken > t.unansweredToken) {
+			out = append(out, wire.Order{Verb: wire.VerbForget, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt})
 		}
 	}
 	if len(out) == 0 {
@@ -129,14 +129,14 @@
 
 // NextDelivery gives what to send to a worker's own address now, nil for nothing.
 // Until it is answered, its runs count as possibly still on their way.
-func (t *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
-	m := t.machines[id]
-	if m == nil || m.inflight || m.gone || m.silent || m.Addr == "" || now < m.quietUntil {
+func (s *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
+	m := s.machines[id]
+	if m == nil || m.deliveryInFlight || m.gone || m.silent || m.Addr == "" || now < m.deliveryPausedUntil {
 		return "", nil
 	}
-	o = &wire.Orders{FencingToken: m.token, Incarnation: m.session, Orders: []wire.Order{}}
+	o = &wire.Orders{FencingToken: m.token, Incarnation: m.incarnation, Orders: []wire.Order{}}
 	if m.accounted {
-		o.Orders = t.orders(m, false, now)
+		o.Orders = s.dueCommands(m, false, now)
 		if len(o.Orders) == 0 {
 			return "", nil
 		}
@@ -145,7 +145,7 @@
 				continue
 			}
 			job, n, _ := wire.SplitTask(or.Task)
-			m.tasks[peer.TaskID{Job: job, N: n, Attempt: or.Attempt}].risk = m.token
+			m.tasks[peer.TaskID{Job: job, N: n, Attempt: or.Attempt}].unansweredToken = m.token
 		}
 	} else {
 		if now < m.probedAt+500*clock.Millisecond {
@@ -153,73 +153,73 @@
 		}
 		m.probedAt = now
 	}
-	m.inflight, m.orderTick = true, m.tick
+	m.deliveryInFlight, m.deliveryTick = true, m.tick
 	return m.Addr, o
 }
 
 // HandleDeliveryResponse takes the answer to /orders: the worker's report after it.
-func (t *State) HandleDeliveryResponse(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
-	m := t.machines[id]
-	if m == nil || !m.inflight || sent.FencingToken>>termShift != t.parts[m.part] {
+func (s *State) HandleDeliveryResponse(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
+	m := s.machines[id]
+	if m == nil || !m.deliveryInFlight || sent.FencingToken>>termShift != s.terms[m.partition] {
 		return
 	}
-	m.inflight = false
-	for _, k := range m.tasks {
-		if k.risk == sent.FencingToken {
-			k.risk = 0
+	m.deliveryInFlight = false
+	for _, t := range m.tasks {
+		if t.unansweredToken == sent.FencingToken {
+			t.unansweredToken = 0
 		}
 	}
 	if r.Machine != id {
-		m.quietUntil = now + 5*clock.Second
+		m.deliveryPausedUntil = now + 5*clock.Second
 		return
 	}
-	if m.heard && r.Incarnation == m.session && r.Tick <= m.orderTick {
+	if m.contacted && r.Incarnation == m.incarnation && r.Tick <= m.deliveryTick {
 		// This answer is no copy, and yet its tick is none that can follow those
 		// seen: the worker has begun anew without a new session. What it was just
 		// told may run there, for a lease from now at most, since its reports are
 		// taken for copies and not answered. It is told nothing more.
-		m.answered, m.unconfirmed = now, true
-		m.quietUntil = now + t.timing.Lease.PlusDrift() + clock.Second
-		t.touch(m)
+		m.answeredAt, m.unconfirmed = now, true
+		m.deliveryPausedUntil = now + s.timing.Lease.PlusDrift() + clock.Second
+		s.markChanged(m)
 		return
 	}
-	if !m.heard {
-		if m.session != r.Incarnation {
-			m.session, m.probedAt = r.Incarnation, 0 // the next try names the right one
+	if !m.contacted {
+		if m.incarnation != r.Incarnation {
+			m.incarnation, m.probedAt = r.Incarnation, 0 // the next try names the right one
 		}
-		if r.FencingToken < baseToken(t.parts[m.part]) {
+		if r.FencingToken < firstToken(s.terms[m.partition]) {
 			return
 		}
 	}
-	t.absorb(m, r, false, now)
+	s.applyHeartbeat(m, r, false, now)
 }
 
 // HandleDeliveryTimeout notes that /orders had no answer: it may still be executed, until
 // the worker shows a higher token. Orders go with reports for a while.
-func (t *State) HandleDeliveryTimeout(id string, sent *wire.Orders, now clock.Micros) {
-	m := t.machines[id]
-	if m == nil || sent.FencingToken>>termShift != t.parts[m.part] {
+func (s *State) HandleDeliveryTimeout(id string, sent *wire.Orders, now clock.Micros) {
+	m := s.machines[id]
+	if m == nil || sent.FencingToken>>termShift != s.terms[m.partition] {
 		return
 	}
-	m.inflight = false
+	m.deliveryInFlight = false
 	m.token++
-	m.quietUntil = now + 2*clock.Second
+	m.deliveryPausedUntil = now + 2*clock.Second
 	// Reports may come from a machine that no answer and no order reaches. It
 	// gets no more tasks until it shows that it has heard.
 	m.unconfirmed = true
-	t.touch(m)
+	s.markChanged(m)
 }
 
 // PendingDeliveries lists machines that should be sent to now, or probed. Those that want
 // nothing any more are looked at again when something about them changes.
-func (t *State) PendingDeliveries(now clock.Micros) []string {
+func (s *State) PendingDeliveries(now clock.Micros) []string {
 	var out []string
-	for id, m := range t.due {
-		if m.inflight || now < m.quietUntil {
+	for id, m := range s.deliveryCandidates {
+		if m.deliveryInFlight || now < m.deliveryPausedUntil {
 			continue
 		}
-		if m.silent || m.gone || m.Addr == "" || !m.wants() {
-			delete(t.due, id)
+		if m.silent || m.gone || m.Addr == "" || !m.needsDelivery() {
+			delete(s.deliveryCandidates, id)
 			continue
 		}
 		out = append(out, id)
@@ -228,14 +228,14 @@
 	return out
 }
 
-// wants tells that a machine is to be probed, or has a task whose start or stop
+// needsDelivery tells that a machine is to be probed, or has a task whose start or stop
 // its worker has not shown yet.
-func (m *machine) wants() bool {
+func (m *machine) needsDelivery() bool {
 	if !m.accounted && !m.draining {
 		return true
 	}
-	for _, k := range m.tasks {
-		if !k.seen && !k.held || k.stop && !k.held && !k.exited() && k.phase != wire.TaskCheckpointing {
+	for _, t := range m.tasks {
+		if !t.reported && !t.reserved || t.stopping && !t.reserved && !t.exited() && t.phase != wire.TaskCheckpointing {
 			return true
 		}
 	}
--- a/internal/partition/connections_test.go
+++ b/internal/partition/connections_test.go
@@ -13,7 +13,7 @@
 // and never has more lines to them than its sockets allow; deliveries that find
 // none wait for those that are out.
 func TestAFleetOfLinesStaysWithinItsSockets(t *testing.T) {
-	l := newLines(40, nil)
+	l := newWorkerConnections(40, nil)
 	out := map[string]*httpx.Client{}
 	sent, waits := 0, 0
 	for i := 0; sent < 1800; i++ {
@@ -21,25 +21,25 @@
 		if out[id] != nil {
 			continue
 		}
-		if !l.room(id) {
+		if !l.available(id) {
 			waits++
 			for id, c := range out { // one comes back, and is told that others wait
-				require.True(t, l.put(id, c))
+				require.True(t, l.release(id, c))
 				delete(out, id)
 				break
 			}
 			continue
 		}
-		out[id] = l.take(id, "10.0.0.1:1")
+		out[id] = l.acquire(id, "10.0.0.1:1")
 		sent++
-		require.LessOrEqual(t, len(l.of), 40)
+		require.LessOrEqual(t, len(l.byMachine), 40)
 	}
 	require.Positive(t, waits)
 	for id, c := range out {
-		l.put(id, c)
+		l.release(id, c)
 	}
 	require.Equal(t, 40, l.idle.Len())
-	l.keep(func(string) bool { return false })
-	require.Empty(t, l.of)
+	l.retain(func(string) bool { return false })
+	require.Empty(t, l.byMachine)
 	require.Zero(t, l.idle.Len())
 }
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -12,73 +12,73 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// send starts a delivery for each machine that has something to be sent.
-func (o *Server) send(ctx context.Context) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	now := o.clock.Now()
-	for _, id := range o.table.PendingDeliveries(now) {
-		part, _ := o.table.PartitionOf(id)
-		if term, _ := o.table.PartitionTerm(part); !o.holds(part, term) {
+// startDeliveries starts a delivery for each machine that has something to be sent.
+func (s *Server) startDeliveries(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
+	for _, id := range s.state.PendingDeliveries(now) {
+		part, _ := s.state.PartitionOf(id)
+		if term, _ := s.state.PartitionTerm(part); !s.leads(part, term) {
 			continue
 		}
-		if !o.lines.room(id) {
+		if !s.connections.available(id) {
 			return // they are looked at again when a delivery is over
 		}
-		addr, orders := o.table.NextDelivery(id, now)
+		addr, orders := s.state.NextDelivery(id, now)
 		if orders == nil {
 			continue
 		}
-		go o.deliver(ctx, id, part, o.lines.take(id, addr), orders)
+		go s.deliver(ctx, id, part, s.connections.acquire(id, addr), orders)
 	}
 }
 
-const orderTimeout = 1200 * time.Millisecond
+const deliveryTimeout = 1200 * time.Millisecond
 
 // deliver sends orders to one worker's own address and takes its answer.
-func (o *Server) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (s *Server) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	r, err := o.post(ctx, part, c, orders)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.lines.put(id, c) {
-		o.poke()
+	r, err := s.postCommands(ctx, part, c, orders)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.connections.release(id, c) {
+		s.wakeDelivery()
 	}
-	now := o.clock.Now()
+	now := s.clock.Now()
 	if err != nil {
-		o.log.Debug("orders had no answer", "machine", id, "err", err)
-		o.table.HandleDeliveryTimeout(id, orders, now)
+		s.log.Debug("orders had no answer", "machine", id, "err", err)
+		s.state.HandleDeliveryTimeout(id, orders, now)
 		return
 	}
-	o.table.HandleDeliveryResponse(id, orders, r, now)
-	o.notify()
+	s.state.HandleDeliveryResponse(id, orders, r, now)
+	s.notifyChange()
 }
 
 var (
-	errOdd     = errors.New("odd answer")
-	errNotHeld = errors.New("the partition's claim is over")
+	errUnexpectedAnswer = errors.New("odd answer")
+	errNotLeader        = errors.New("the partition's claim is over")
 )
 
-// post sends orders while their partition is held under the term of their token.
-func (o *Server) post(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
+// postCommands sends orders while their partition is held under the term of their token.
+func (s *Server) postCommands(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
 	b, err := json.Marshal(orders)
 	if err != nil {
 		return nil, err
 	}
-	if !o.holds(part, orders.FencingToken>>termShift) {
-		return nil, errNotHeld
+	if !s.leads(part, orders.FencingToken>>termShift) {
+		return nil, errNotLeader
 	}
 	resp, err := c.Do(ctx, "POST", wire.PathOrders, b)
 	if err != nil {
 		return nil, err
 	}
 	if resp.Status != 200 && resp.Status != 409 {
-		return nil, fmt.Errorf("%w: status %d", errOdd, resp.Status)
+		return nil, fmt.Errorf("%w: status %d", errUnexpectedAnswer, resp.Status)
 	}
 	var r wire.Heartbeat
 	if err := json.Unmarshal(resp.Body, &r); err != nil || r.Machine == "" {
-		return nil, fmt.Errorf("%w: %.80s", errOdd, resp.Body)
+		return nil, fmt.Errorf("%w: %.80s", errUnexpectedAnswer, resp.Body)
 	}
 	return &r, nil
 }
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -5,17 +5,17 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-type lastRound struct {
-	seq    uint64
-	answer peer.BatchResponse
-	at     clock.Micros
+type lastBatch struct {
+	seq       uint64
+	response  peer.BatchResponse
+	handledAt clock.Micros
 }
 
 // HandleBatch carries out what a placing controller has for this owner.
-func (t *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
-	last := t.rounds[in.From]
+func (s *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
+	last := s.lastBatches[in.From]
 	if in.Seq == last.seq && in.Seq != 0 {
-		return last.answer
+		return last.response
 	}
 	ans := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
 	if in.Seq < last.seq {
@@ -24,49 +24,49 @@
 		}
 		return ans
 	}
-	t.fence(in.Terms)
+	s.fenceTeams(in.Terms)
 	for _, c := range in.Cancels {
 		term := in.Terms[c.Team]
-		if term == 0 || term < t.teamTerms[c.Team] {
+		if term == 0 || term < s.teamTerms[c.Team] {
 			continue // by a former placer of the team: the job may have been placed anew since
 		}
-		t.cancelled[c.Job] = cancel{now, term}
-		for _, m := range t.machines {
-			for id, k := range m.tasks {
+		s.cancellations[c.Job] = cancellation{now, term}
+		for _, m := range s.machines {
+			for id, t := range m.tasks {
 				if id.Job == c.Job {
-					t.end(m, k, 0)
+					s.stopTask(m, t, 0)
 				}
 			}
 		}
 	}
-	for _, s := range in.Stops {
-		if m := t.machines[s.Machine]; m != nil {
-			if k := m.tasks[s.ID]; k != nil {
-				t.end(m, k, s.GraceS)
+	for _, x := range in.Stops {
+		if m := s.machines[x.Machine]; m != nil {
+			if t := m.tasks[x.ID]; t != nil {
+				s.stopTask(m, t, x.GraceS)
 			}
 		}
 	}
 	for i := range in.Starts {
-		t.startHeld(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
+		s.startReserved(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
 	}
-	for _, s := range in.Settles {
-		if m := t.machines[s.Machine]; m != nil {
-			if k := m.tasks[s.ID]; k != nil && k.exited() {
-				k.settled = true
+	for _, x := range in.Settles {
+		if m := s.machines[x.Machine]; m != nil {
+			if t := m.tasks[x.ID]; t != nil && t.exited() {
+				t.acknowledged = true
 			}
 		}
 	}
 	for _, id := range in.Slow {
-		if m := t.machines[id]; m != nil && !m.sick {
-			m.sick = true
-			t.touch(m)
+		if m := s.machines[id]; m != nil && !m.quarantined {
+			m.quarantined = true
+			s.markChanged(m)
 		}
 	}
 	for i := range in.Asks {
 		a := &in.Asks[i]
-		decision := t.lease(a, in.Terms[a.Team], now)
-		ans.Refused[i] = decision != granted
-		ans.Versions[i] = t.version
+		decision := s.acceptAssignment(a, in.Terms[a.Team], now)
+		ans.Refused[i] = decision != accepted
+		ans.Versions[i] = s.version
 		if decision == yielded && ans.Yielded == nil {
 			ans.Yielded = make([]bool, len(in.Asks))
 		}
@@ -74,14 +74,14 @@
 			ans.Yielded[i] = true
 		}
 	}
-	t.rounds[in.From] = lastRound{in.Seq, ans, now}
+	s.lastBatches[in.From] = lastBatch{in.Seq, ans, now}
 	return ans
 }
 
-// fence refuses, from now on, what comes under lower terms of these teams.
-func (t *State) fence(terms map[string]uint64) {
+// fenceTeams refuses, from now on, what comes under lower terms of these teams.
+func (s *State) fenceTeams(terms map[string]uint64) {
 	for team, term := range terms {
-		t.teamTerms[team] = max(t.teamTerms[team], term)
+		s.teamTerms[team] = max(s.teamTerms[team], term)
 	}
 }
 
@@ -89,102 +89,102 @@
 type decision int
 
 const (
-	refused decision = iota
-	yielded          // refused since other teams have a better right to the room
-	granted
+	rejected decision = iota
+	yielded           // refused since other teams have a better right to the room
+	accepted
 )
 
-// lease grants room for one task, or refuses. A second start of a task that is
+// acceptAssignment grants room for one task, or refuses. A second start of a task that is
 // on the machine already is refused.
-func (t *State) lease(a *peer.Assignment, term uint64, now clock.Micros) decision {
-	m := t.machines[a.Machine]
-	if !t.mayLease(m, a, term, now) {
-		return refused
+func (s *State) acceptAssignment(a *peer.Assignment, term uint64, now clock.Micros) decision {
+	m := s.machines[a.Machine]
+	if !s.mayAccept(m, a, term, now) {
+		return rejected
 	}
-	if a.Hold > 0 && m.holdsRoom() || !t.admits(m, a, now) {
-		return refused
+	if a.Hold > 0 && m.hasReservation() || !s.zoneAdmits(m, a, now) {
+		return rejected
 	}
-	_, all := m.inUse()
-	free := m.cap.Minus(all)
-	if a.Need.Fits(free) && t.yields(m, a, free, now) {
+	_, all := m.resourcesInUse()
+	free := m.capacity.Minus(all)
+	if a.Need.Fits(free) && s.yieldsToOtherTeam(m, a, free, now) {
 		return yielded
 	}
 	var victims []*task
 	for _, v := range a.Victims {
-		k := m.tasks[v]
-		if k == nil || k.exited() || k.stop || (k.rank >= a.Rank && !a.Over) {
+		t := m.tasks[v]
+		if t == nil || t.exited() || t.stopping || (t.priority >= a.Rank && !a.Over) {
 			continue
 		}
 		if a.Need.Fits(free) {
 			break // room enough by now: nobody else need be stopped
 		}
-		victims = append(victims, k)
-		free = free.Plus(k.need)
+		victims = append(victims, t)
+		free = free.Plus(t.need)
 	}
 	if !a.Need.Fits(free) {
-		return refused
+		return rejected
 	}
 	for _, v := range victims {
-		t.end(m, v, t.graceOf(v))
+		s.stopTask(m, v, s.stopGraceOf(v))
 	}
-	k := &task{id: a.ID, made: a.Made, team: a.Team, rank: a.Rank, need: a.Need, covered: a.Covered, since: now,
-		held: a.Hold > 0, hold: min(a.Hold, longestHold)}
-	m.tasks[a.ID] = k
-	t.note(m, a.Image, a.ImageGB)
+	t := &task{id: a.ID, jobRevision: a.Made, team: a.Team, priority: a.Rank, need: a.Need, withinGuarantee: a.Covered, addedAt: now,
+		reserved: a.Hold > 0, reservedFor: min(a.Hold, maxReservation)}
+	m.tasks[a.ID] = t
+	s.recordImage(m, a.Image, a.ImageGB)
 	m.idleSince = now
-	t.show(m, k)
-	if t.arbiter != nil {
-		t.arbiter.Granted(shareAsk(a), m.id)
+	s.markTaskChanged(m, t)
+	if s.arbiter != nil {
+		s.arbiter.Granted(fairShareAsk(a), m.id)
 	}
-	if g := t.gates[m.Zone]; g != nil {
-		g.underWay++
+	if g := s.zoneGates[m.Zone]; g != nil {
+		g.startsUnderWay++
 	}
-	return granted
+	return accepted
 }
 
-// mayLease tells whether a task may be given room on a machine at all: who asks places its
+// mayAccept tells whether a task may be given room on a machine at all: who asks places its
 // team, the job is not over, the machine is ours and may be used, and no attempt of the
 // task is there.
-func (t *State) mayLease(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
-	if m == nil || term == 0 || term < t.teamTerms[a.Team] || a.ID.Attempt>>32 != term ||
-		t.parts[m.part] != a.Term || !m.usable(now) {
+func (s *State) mayAccept(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
+	if m == nil || term == 0 || term < s.teamTerms[a.Team] || a.ID.Attempt>>32 != term ||
+		s.terms[m.partition] != a.Term || !m.usable(now) {
 		return false
 	}
-	if t.jobs.Ended(a.ID.Job, a.Made) {
+	if s.jobs.Ended(a.ID.Job, a.Made) {
 		return false // by a former placer, or by a copy of an old round
 	}
-	if c, ok := t.cancelled[a.ID.Job]; ok {
+	if c, ok := s.cancellations[a.ID.Job]; ok {
 		if term <= c.term {
 			return false
 		}
 		// Under a later term: its placer knows all ends that were written under the
 		// earlier ones, and this job's is not among them. Whoever began to cancel it
 		// ended before it was told.
-		delete(t.cancelled, a.ID.Job)
+		delete(s.cancellations, a.ID.Job)
 	}
-	for id, k := range m.tasks {
-		if id.Job == a.ID.Job && id.N == a.ID.N && !k.exited() {
+	for id, t := range m.tasks {
+		if id.Job == a.ID.Job && id.N == a.ID.N && !t.exited() {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *State) graceOf(k *task) float64 {
-	if j, ok := t.jobs.Active(k.id.Job); ok {
+func (s *State) stopGraceOf(t *task) float64 {
+	if j, ok := s.jobs.Active(t.id.Job); ok {
 		return j.StopGraceS()
 	}
 	return 0
 }
 
-// end stops a task; a lease of which nothing was sent just ends.
-func (t *State) end(m *machine, k *task, grace float64) {
+// stopTask stops a task; a lease of which nothing was sent just ends.
+func (s *State) stopTask(m *machine, t *task, grace float64) {
 	switch {
-	case !k.sent:
-		t.remove(m, k)
-	case k.exited():
-	case !k.stop || grace < k.grace:
-		k.stop, k.grace, k.lastSend = true, grace, 0
-		t.show(m, k)
+	case !t.sent:
+		s.removeTask(m, t)
+	case t.exited():
+	case !t.stopping || grace < t.stopGraceS:
+		t.stopping, t.stopGraceS, t.deliveredAt = true, grace, 0
+		s.markTaskChanged(m, t)
 	}
 }
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -11,31 +11,31 @@
 )
 
 // Apply takes events of the replica: the records of machines.
-func (o *Server) Apply(evs []kvstore.Event) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (s *Server) Apply(evs []kvstore.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, e := range evs {
-		o.recorded(o.records.Apply(e))
+		s.applyRecordChanges(s.records.Apply(e))
 	}
-	o.notify()
+	s.notifyChange()
 }
 
-// recorded tells the table which machines are on record. The lock is held.
-func (o *Server) recorded(came inventory.Group, went []string) {
-	now := o.clock.Now()
+// applyRecordChanges tells the table which machines are on record. The lock is held.
+func (s *Server) applyRecordChanges(came inventory.Group, went []string) {
+	now := s.clock.Now()
 	for _, id := range went {
-		o.table.HandleMachineRecord(id, 0, inventory.Record{}, false, now)
+		s.state.HandleMachineRecord(id, 0, inventory.Record{}, false, now)
 	}
 	for id, r := range came {
-		o.table.HandleMachineRecord(id, o.split.PartitionOf(id, r.Zone), r, true, now)
+		s.state.HandleMachineRecord(id, s.partitioning.PartitionOf(id, r.Zone), r, true, now)
 	}
 }
 
 // RecordedBefore lists the machines that were recorded by a time of day, and are on record still.
-func (o *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.records.Each(func(id string, r inventory.Record) {
+func (s *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.records.Each(func(id string, r inventory.Record) {
 		if r.AtMS > 0 && r.AtMS < atMS {
 			out = append(out, peer.MachineRef{ID: id, Zone: r.Zone})
 		}
@@ -43,45 +43,45 @@
 	return out
 }
 
-// record writes the records of new machines, and drops those of machines that
+// writeMachineRecords writes the records of new machines, and drops those of machines that
 // are gone, each on the condition that the partition is still held.
-func (o *Server) record(ctx context.Context, fresh inventory.Group, drop []string) {
+func (s *Server) writeMachineRecords(ctx context.Context, fresh inventory.Group, drop []string) {
 	came, went := map[int]inventory.Group{}, map[int][]string{}
 	parts := map[int]bool{}
 	for id, r := range fresh {
-		r.AtMS = o.wall().UnixMilli()
-		p := o.split.PartitionOf(id, r.Zone)
+		r.AtMS = s.wallClock().UnixMilli()
+		p := s.partitioning.PartitionOf(id, r.Zone)
 		if came[p] == nil {
 			came[p] = inventory.Group{}
 		}
 		came[p][id], parts[p] = r, true
 	}
-	o.mu.Lock()
+	s.mu.Lock()
 	for _, id := range drop {
-		r, ok := o.records.Find(id)
+		r, ok := s.records.Find(id)
 		if !ok {
 			continue
 		}
-		p := o.split.PartitionOf(id, r.Zone)
+		p := s.partitioning.PartitionOf(id, r.Zone)
 		went[p], parts[p] = append(went[p], id), true
 	}
-	o.mu.Unlock()
+	s.mu.Unlock()
 	for p := range parts {
-		h, mine := o.claims.Leading(Duty(p))
+		h, mine := s.elections.Leading(Duty(p))
 		if !mine {
 			continue
 		}
-		o.mu.Lock()
-		list := o.records.PlanWrites(p, came[p], went[p], o.valueMost)
-		o.mu.Unlock()
+		s.mu.Lock()
+		list := s.records.PlanWrites(p, came[p], went[p], s.maxRecordBytes)
+		s.mu.Unlock()
 		for len(list) > 0 {
 			n, size := 0, 0
-			for n < min(len(list), o.txnOps) && (n == 0 || size+list[n].Size() < wire.MaxTxnBytes) {
+			for n < min(len(list), s.txnOps) && (n == 0 || size+list[n].Size() < wire.MaxTxnBytes) {
 				size += list[n].Size()
 				n++
 			}
-			if err := o.write(ctx, p, h, list[:n]); err != nil {
-				o.log.Debug("recording machines", "part", p, "err", err)
+			if err := s.commitRecords(ctx, p, h, list[:n]); err != nil {
+				s.log.Debug("recording machines", "part", p, "err", err)
 				break
 			}
 			list = list[n:]
@@ -89,20 +89,20 @@
 	}
 }
 
-func (o *Server) write(ctx context.Context, part int, h leaderelection.Leadership, list []inventory.Write) error {
+func (s *Server) commitRecords(ctx context.Context, part int, h leaderelection.Leadership, list []inventory.Write) error {
 	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
 	for _, w := range list {
 		w.AppendTo(&m)
 	}
-	rev, err := o.store.Commit(ctx, m)
+	rev, err := s.store.Commit(ctx, m)
 	if err != nil {
 		return err
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, w := range list {
-		o.recorded(o.records.Put(w.Key, w.Group, rev))
+		s.applyRecordChanges(s.records.Put(w.Key, w.Group, rev))
 	}
-	o.notify()
+	s.notifyChange()
 	return nil
 }
--- a/internal/partition/publication_test.go
+++ b/internal/partition/publication_test.go
@@ -16,7 +16,7 @@
 	for _, askers := range []int{1, 8} {
 		synctest.Test(t, func(t *testing.T) {
 			const span = 6 * time.Second
-			l := newLoadedOwner(t, 4)
+			l := newLoadedServer(t, 4)
 			time.Sleep(time.Second) // what was new at first is published
 			moments := map[time.Time]int{}
 			answers := make(chan time.Time, 10_000)
@@ -26,7 +26,7 @@
 				go func() {
 					cursor := l.poll(0).Cursor
 					for time.Now().Before(end) {
-						cursor = l.owner.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
+						cursor = l.server.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
 						answers <- time.Now()
 					}
 					last <- cursor
@@ -34,20 +34,20 @@
 			}
 			for time.Now().Before(end.Add(-100 * time.Millisecond)) {
 				time.Sleep(3 * time.Millisecond)
-				l.owner.mu.Lock()
-				l.owner.table.touch(l.owner.table.machines["m-000000"])
-				l.owner.notify()
-				l.owner.mu.Unlock()
+				l.server.mu.Lock()
+				l.server.state.markChanged(l.server.state.machines["m-000000"])
+				l.server.notifyChange()
+				l.server.mu.Unlock()
 			}
 			time.Sleep(3 * time.Second)
 			for len(answers) > 0 {
 				moments[<-answers]++
 			}
-			gap := pollGap(4, askers).Duration()
+			gap := publicationInterval(4, askers).Duration()
 			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are a gap apart")
 			require.Greater(t, len(moments), int(span/(2*gap)), "and no more than that")
 			for range askers {
-				require.Equal(t, l.owner.table.Version(), <-last)
+				require.Equal(t, l.server.state.Version(), <-last)
 			}
 		})
 	}
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -16,44 +16,44 @@
 // that get no answer try the next controller, which sends them back: whoever is
 // told by its peers that its silent machines are with them is cut off.
 
-// misdirectedFor is how long a machine that was sent to its owner counts as astray: one
+// misdirectedTTL is how long a machine that was sent to its owner counts as astray: one
 // that gets no answer there takes some five seconds for its round.
-const misdirectedFor = 6 * clock.Second
+const misdirectedTTL = 6 * clock.Second
 
-// misdirected are the machines that came here lately, by the controller that has them.
-type misdirected struct {
-	mu sync.Mutex
-	of map[string]map[string]clock.Micros
+// misdirectedMachines are the machines that came here lately, by the controller that has them.
+type misdirectedMachines struct {
+	mu       sync.Mutex
+	byLeader map[string]map[string]clock.Micros
 }
 
-func (s *misdirected) note(holder, machine string, now clock.Micros) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.of[holder] == nil {
-		s.of[holder] = map[string]clock.Micros{}
+func (m *misdirectedMachines) add(holder, machine string, now clock.Micros) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.byLeader[holder] == nil {
+		m.byLeader[holder] = map[string]clock.Micros{}
 	}
-	s.of[holder][machine] = now
+	m.byLeader[holder][machine] = now
 }
 
-func (s *misdirected) count(holder string, now clock.Micros) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id, at := range s.of[holder] {
-		if now > at+misdirectedFor {
-			delete(s.of[holder], id)
+func (m *misdirectedMachines) count(holder string, now clock.Micros) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for id, at := range m.byLeader[holder] {
+		if now > at+misdirectedTTL {
+			delete(m.byLeader[holder], id)
 		}
 	}
-	return len(s.of[holder])
+	return len(m.byLeader[holder])
 }
 
 // all lists the machines that came here lately, whoever has them.
-func (s *misdirected) all(now clock.Micros) map[string]bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (m *misdirectedMachines) all(now clock.Micros) map[string]bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	out := map[string]bool{}
-	for _, machines := range s.of {
+	for _, machines := range m.byLeader {
 		for id, at := range machines {
-			if now <= at+misdirectedFor {
+			if now <= at+misdirectedTTL {
 				out[id] = true
 			}
 		}
@@ -62,46 +62,46 @@
 }
 
 // MisdirectedMachines lists the machines of other controllers that have come to this one lately.
-func (o *Server) MisdirectedMachines() map[string]bool { return o.misdirected.all(o.clock.Now()) }
+func (s *Server) MisdirectedMachines() map[string]bool { return s.misdirected.all(s.clock.Now()) }
 
 // Misdirected is how many machines of a controller's have come to this one lately.
-func (o *Server) Misdirected(holder string) int { return o.misdirected.count(holder, o.clock.Now()) }
+func (s *Server) Misdirected(holder string) int { return s.misdirected.count(holder, s.clock.Now()) }
 
 // MissedHeartbeats tells how many machines should be reporting here, and how many of them
 // have left out a report.
-func (o *Server) MissedHeartbeats() (all, unheard int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.table.unheard(o.clock.Now())
+func (s *Server) MissedHeartbeats() (all, unheard int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.missedHeartbeats(s.clock.Now())
 }
 
-func (t *State) unheard(now clock.Micros) (all, unheard int) {
-	for _, m := range t.machines {
-		if m.silent || m.gone || !m.registered {
+func (s *State) missedHeartbeats(now clock.Micros) (all, unheard int) {
+	for _, m := range s.machines {
+		if m.silent || m.gone || !m.recorded {
 			continue
 		}
 		all++
-		if now > m.answered+t.timing.HeartbeatOverdue/2+clock.Second/5 {
+		if now > m.answeredAt+s.timing.HeartbeatOverdue/2+clock.Second/5 {
 			unheard++
 		}
 	}
 	return all, unheard
 }
 
-// probes is how many workers are asked whether this controller reaches them.
-const probes = 6
+// reachabilityProbes is how many workers are asked whether this controller reaches them.
+const reachabilityProbes = 6
 
 // ReachesWorkers asks some of the workers on record and tells whether most of them answer.
-func (o *Server) ReachesWorkers(ctx context.Context) bool {
+func (s *Server) ReachesWorkers(ctx context.Context) bool {
 	var addrs []string
-	o.mu.Lock()
-	o.records.Each(func(_ string, r inventory.Record) {
-		if len(addrs) < probes && r.Addr != "" {
+	s.mu.Lock()
+	s.records.Each(func(_ string, r inventory.Record) {
+		if len(addrs) < reachabilityProbes && r.Addr != "" {
 			addrs = append(addrs, r.Addr)
 		}
 	})
-	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	s.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	answers := make([]bool, len(addrs))
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -16,7 +16,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			l := newLoadedOwner(b, machines)
+			l := newLoadedServer(b, machines)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
@@ -26,9 +26,9 @@
 		})
 		b.Run(fmt.Sprintf("take-over/%d", machines), func(b *testing.B) { benchmarkTakeOver(b, machines) })
 		b.Run(fmt.Sprintf("page/%d", machines), func(b *testing.B) {
-			l := newLoadedOwner(b, machines)
+			l := newLoadedServer(b, machines)
 			for b.Loop() {
-				l.owner.HandlePoll(peer.PollRequest{Most: peer.PageMachines})
+				l.server.HandlePoll(peer.PollRequest{Most: peer.PageMachines})
 			}
 		})
 	}
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -33,28 +33,28 @@
 
 // Server serves the partitions that this process holds.
 type Server struct {
-	host        string
-	instance    string
-	split       Partitioning
-	txnOps      int
-	valueMost   int // bytes of a record
-	claims      Elections
-	store       Store
-	clock       clock.Clock
-	log         *slog.Logger
-	stopped     chan struct{} // closed when Run returns: polls that wait are answered
-	wall        func() time.Time
-	misdirected misdirected
-	reports     *telemetry.Duty // reports answered
-	polls       *telemetry.Duty // polls answered, without their waits
-	ticks       *telemetry.Duty // the loop's own rounds
+	controller     string
+	incarnation    string
+	partitioning   Partitioning
+	txnOps         int
+	maxRecordBytes int // bytes of a record
+	elections      Elections
+	store          Store
+	clock          clock.Clock
+	log            *slog.Logger
+	stopped        chan struct{} // closed when Run returns: polls that wait are answered
+	wallClock      func() time.Time
+	misdirected    misdirectedMachines
+	heartbeatDuty  *telemetry.Duty // reports answered
+	pollDuty       *telemetry.Duty // polls answered, without their waits
+	loopDuty       *telemetry.Duty // the loop's own rounds
 
-	mu      sync.Mutex
-	table   *State
-	records *inventory.Records
-	lines   *lines
-	feed    feed
-	wake    chan struct{}
+	mu          sync.Mutex
+	state       *State
+	records     *inventory.Records
+	connections *workerConnections
+	publisher   publisher
+	wake        chan struct{}
 }
 
 // Options of a server.
@@ -81,85 +81,85 @@
 // New makes a server that leads no partition yet.
 func New(opts Options) *Server {
 	o := &Server{
-		stopped: make(chan struct{}), host: opts.Host, instance: opts.Instance, split: opts.Partitioning,
-		txnOps: opts.TxnOps, valueMost: opts.MaxRecordBytes,
-		claims: opts.Elections, store: opts.Store, clock: opts.Clock, wall: opts.WallClock, log: opts.Log,
-		reports:     opts.Telemetry.Duty("owner_report"),
-		polls:       opts.Telemetry.Duty("owner_poll"),
-		ticks:       opts.Telemetry.Duty("owner_tick"),
-		table:       NewState(opts.Timing, opts.Jobs),
-		records:     inventory.NewRecords(),
-		lines:       newLines(opts.MaxWorkerConnections, opts.Telemetry.Traffic(telemetry.WorkerOrders)),
-		misdirected: misdirected{of: map[string]map[string]clock.Micros{}},
-		wake:        make(chan struct{}, 1),
+		stopped: make(chan struct{}), controller: opts.Host, incarnation: opts.Instance, partitioning: opts.Partitioning,
+		txnOps: opts.TxnOps, maxRecordBytes: opts.MaxRecordBytes,
+		elections: opts.Elections, store: opts.Store, clock: opts.Clock, wallClock: opts.WallClock, log: opts.Log,
+		heartbeatDuty: opts.Telemetry.Duty("owner_report"),
+		pollDuty:      opts.Telemetry.Duty("owner_poll"),
+		loopDuty:      opts.Telemetry.Duty("owner_tick"),
+		state:         NewState(opts.Timing, opts.Jobs),
+		records:       inventory.NewRecords(),
+		connections:   newWorkerConnections(opts.MaxWorkerConnections, opts.Telemetry.Traffic(telemetry.WorkerOrders)),
+		misdirected:   misdirectedMachines{byLeader: map[string]map[string]clock.Micros{}},
+		wake:          make(chan struct{}, 1),
 	}
-	o.table.arbiter, o.table.history = opts.Arbiter, opts.History
-	o.feed = newFeed(&o.mu, o.table.Version, opts.Clock)
+	o.state.arbiter, o.state.history = opts.Arbiter, opts.History
+	o.publisher = newPublisher(&o.mu, o.state.Version, opts.Clock)
 	return o
 }
 
 // SetTypes tells what the machine types offer, and how many GB of images they keep.
-func (o *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.table.SetCaches(caches)
-	o.table.SetTypes(types)
-	o.notify()
+func (s *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state.SetCaches(caches)
+	s.state.SetTypes(types)
+	s.notifyChange()
 }
 
-// notify has waiting polls and the loop that sends orders take note of a change. The lock is held.
-func (o *Server) notify() {
-	o.feed.changed(o.table.Version(), pollGap(o.table.MachineCount(), o.feed.waiting))
-	o.poke()
+// notifyChange has waiting polls and the loop that sends orders take note of a change. The lock is held.
+func (s *Server) notifyChange() {
+	s.publisher.schedule(s.state.Version(), publicationInterval(s.state.MachineCount(), s.publisher.waitingPolls))
+	s.wakeDelivery()
 }
 
-// poke has the loop that sends orders look for machines that want some.
-func (o *Server) poke() {
+// wakeDelivery has the loop that sends orders look for machines that want some.
+func (s *Server) wakeDelivery() {
 	select {
-	case o.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Reconcile takes over and gives up partitions as the claims now say.
-func (o *Server) Reconcile() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	now := o.clock.Now()
+func (s *Server) Reconcile() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
 	changed := false
-	for _, p := range o.split.all {
-		h, mine := o.claims.Leading(Duty(p))
-		term, have := o.table.PartitionTerm(p)
+	for _, p := range s.partitioning.all {
+		h, mine := s.elections.Leading(Duty(p))
+		term, have := s.state.PartitionTerm(p)
 		switch {
 		case mine && (!have || term != h.Term):
 			found := inventory.Group{}
-			o.records.Each(func(id string, r inventory.Record) {
-				if o.split.PartitionOf(id, r.Zone) == p {
+			s.records.Each(func(id string, r inventory.Record) {
+				if s.partitioning.PartitionOf(id, r.Zone) == p {
 					found[id] = r
 				}
 			})
-			o.table.AcquirePartition(p, h.Term, found, now)
-			o.log.Info("partition taken over", "part", p, "term", h.Term, "machines", len(found))
+			s.state.AcquirePartition(p, h.Term, found, now)
+			s.log.Info("partition taken over", "part", p, "term", h.Term, "machines", len(found))
 			changed = true
 		case !mine && have:
-			o.table.ReleasePartition(p)
-			o.log.Info("partition given up", "part", p, "term", term)
+			s.state.ReleasePartition(p)
+			s.log.Info("partition given up", "part", p, "term", term)
 			changed = true
 		}
 	}
 	if changed {
-		o.notify()
+		s.notifyChange()
 	}
 }
 
-func refuse(status int, text, steward string, retry int) httpx.Response {
+func errorResponse(status int, text, steward string, retry int) httpx.Response {
 	r := httpx.JSON(status, wire.Error{Error: text, Leader: steward})
 	r.RetryAfter = retry
 	return r
 }
 
-// validMachine tells whether a name can be part of a key of the state service.
-func validMachine(name string) bool {
+// validMachineName tells whether a name can be part of a key of the state service.
+func validMachineName(name string) bool {
 	if name == "" || len(name) > 150 {
 		return false
 	}
@@ -172,83 +172,83 @@
 }
 
 // HandleHeartbeat answers a worker's report.
-func (o *Server) HandleHeartbeat(body []byte) httpx.Response {
+func (s *Server) HandleHeartbeat(body []byte) httpx.Response {
 	began := time.Now()
-	defer func() { o.reports.Round(time.Since(began)) }()
+	defer func() { s.heartbeatDuty.Round(time.Since(began)) }()
 	var r wire.Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil || !validMachine(r.Machine) || r.Incarnation == 0 || r.Tick == 0 {
-		return refuse(400, "not a report", "", 0)
+	if err := json.Unmarshal(body, &r); err != nil || !validMachineName(r.Machine) || r.Incarnation == 0 || r.Tick == 0 {
+		return errorResponse(400, "not a report", "", 0)
 	}
-	part := o.split.PartitionOf(r.Machine, r.Zone)
-	h, mine := o.claims.Leading(Duty(part))
+	part := s.partitioning.PartitionOf(r.Machine, r.Zone)
+	h, mine := s.elections.Leading(Duty(part))
 	if !mine {
-		if holder, ok := o.claims.Leader(Duty(part)); ok && holder != o.host {
-			o.misdirected.note(holder, r.Machine, o.clock.Now())
-			return refuse(421, "another controller has this machine", holder, 0)
+		if holder, ok := s.elections.Leader(Duty(part)); ok && holder != s.controller {
+			s.misdirected.add(holder, r.Machine, s.clock.Now())
+			return errorResponse(421, "another controller has this machine", holder, 0)
 		}
-		return refuse(503, "no controller has this machine now", "", 1)
+		return errorResponse(503, "no controller has this machine now", "", 1)
 	}
-	o.mu.Lock()
-	term, have := o.table.PartitionTerm(part)
+	s.mu.Lock()
+	term, have := s.state.PartitionTerm(part)
 	if !have || term != h.Term {
-		o.mu.Unlock()
-		return refuse(503, "taking over", "", 1)
+		s.mu.Unlock()
+		return errorResponse(503, "taking over", "", 1)
 	}
-	before := o.table.Version()
-	ans, ok := o.table.HandleHeartbeat(&r, part, o.clock.Now())
-	if o.table.Version() != before {
-		o.notify()
+	before := s.state.Version()
+	ans, ok := s.state.HandleHeartbeat(&r, part, s.clock.Now())
+	if s.state.Version() != before {
+		s.notifyChange()
 	}
-	o.mu.Unlock()
+	s.mu.Unlock()
 	if !ok {
-		return refuse(503, "an old report", "", 0)
+		return errorResponse(503, "an old report", "", 0)
 	}
 	answer := httpx.JSON(200, ans)
-	if !o.holds(part, term) {
+	if !s.leads(part, term) {
 		// What is said now may not be true any more: this process was held up in between.
-		return refuse(503, "the partition's claim is over", "", 1)
+		return errorResponse(503, "the partition's claim is over", "", 1)
 	}
 	return answer
 }
 
-// holds tells that a partition is held under a term at this moment. It is asked
+// leads tells that a partition is held under a term at this moment. It is asked
 // before anything is sent, after all that may have taken long.
-func (o *Server) holds(part int, term uint64) bool {
-	h, mine := o.claims.Leading(Duty(part))
+func (s *Server) leads(part int, term uint64) bool {
+	h, mine := s.elections.Leading(Duty(part))
 	return mine && h.Term == term
 }
 
 // HandleBatch carries out a placing controller's round.
-func (o *Server) HandleBatch(in peer.Batch) peer.BatchResponse {
-	o.Reconcile()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	ans := o.table.HandleBatch(in, o.instance, o.clock.Now())
-	o.notify()
+func (s *Server) HandleBatch(in peer.Batch) peer.BatchResponse {
+	s.Reconcile()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ans := s.state.HandleBatch(in, s.incarnation, s.clock.Now())
+	s.notifyChange()
 	return ans
 }
 
 // Drain keeps machines free for their return.
-func (o *Server) Drain(list []peer.MachineRef) []string {
-	o.Reconcile()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	ready := o.table.Drain(list, o.split.PartitionOf, o.clock.Now())
-	o.notify()
+func (s *Server) Drain(list []peer.MachineRef) []string {
+	s.Reconcile()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ready := s.state.Drain(list, s.partitioning.PartitionOf, s.clock.Now())
+	s.notifyChange()
 	return ready
 }
 
 // HandleMachinesGone takes the word that machines are gone for certain.
-func (o *Server) HandleMachinesGone(list []peer.MachineRef) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.table.HandleMachinesGone(list, o.split.PartitionOf, o.clock.Now())
-	o.notify()
+func (s *Server) HandleMachinesGone(list []peer.MachineRef) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state.HandleMachinesGone(list, s.partitioning.PartitionOf, s.clock.Now())
+	s.notifyChange()
 }
 
 // Run does what is due until ctx ends: lapses, records of machines, orders.
-func (o *Server) Run(ctx context.Context) error {
-	defer close(o.stopped)
+func (s *Server) Run(ctx context.Context) error {
+	defer close(s.stopped)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	var recording sync.Mutex
@@ -257,34 +257,34 @@
 		case <-ctx.Done():
 			return nil
 		case due := <-tick.C:
-			o.ticks.Late(time.Since(due))
+			s.loopDuty.Late(time.Since(due))
 			// Silence is judged as of a moment at which the partitions were held for
 			// certain: who stood still in between must not take machines that others
 			// have answered since for silent.
-			now := o.clock.Now()
-			o.Reconcile()
-			o.mu.Lock()
-			before := o.table.Version()
+			now := s.clock.Now()
+			s.Reconcile()
+			s.mu.Lock()
+			before := s.state.Version()
 			var drop []string
 			if n++; n%2 == 0 { // it looks at every task, and none of what it finds is due at once
-				drop = o.table.Tick(now)
+				drop = s.state.Tick(now)
 			}
-			o.lines.keep(func(id string) bool { _, here := o.table.PartitionOf(id); return here })
-			if o.table.Version() != before {
-				o.notify()
+			s.connections.retain(func(id string) bool { _, here := s.state.PartitionOf(id); return here })
+			if s.state.Version() != before {
+				s.notifyChange()
 			}
-			fresh := o.table.UnrecordedMachines()
-			o.mu.Unlock()
+			fresh := s.state.UnrecordedMachines()
+			s.mu.Unlock()
 			if (len(drop) > 0 || len(fresh) > 0) && recording.TryLock() {
 				go func() {
 					defer recording.Unlock()
-					o.record(ctx, fresh, drop)
+					s.writeMachineRecords(ctx, fresh, drop)
 				}()
 			}
-		case <-o.wake:
+		case <-s.wake:
 		}
 		began := time.Now()
-		o.send(ctx)
-		o.ticks.Round(time.Since(began))
+		s.startDeliveries(ctx)
+		s.loopDuty.Round(time.Since(began))
 	}
 }
--- a/internal/partition/server_test.go
+++ b/internal/partition/server_test.go
@@ -14,26 +14,26 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// lapsing are claims that are held for so many looks more, and then over.
-type lapsing struct{ looks int }
+// expiringLeadership are claims that are held for so many looks more, and then over.
+type expiringLeadership struct{ remaining int }
 
-func (l *lapsing) Leading(string) (leaderelection.Leadership, bool) {
-	l.looks--
-	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 1}, l.looks >= 0
+func (l *expiringLeadership) Leading(string) (leaderelection.Leadership, bool) {
+	l.remaining--
+	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 1}, l.remaining >= 0
 }
 
-func (l *lapsing) Leader(string) (string, bool) { return "me", true }
+func (l *expiringLeadership) Leader(string) (string, bool) { return "me", true }
 
 // A process that was held up while it decided says nothing: whether it holds the
 // machine's partition is looked at once more when the answer is ready.
 func TestAReportIsNotAnsweredAfterTheClaimIsOver(t *testing.T) {
-	l := newLoadedOwner(t, 1)
+	l := newLoadedServer(t, 1)
 	for looks, want := range map[int]int{1: 503, 2: 200} {
-		l.owner.claims = &lapsing{looks: looks}
-		l.reports[0].Tick++
-		body, err := json.Marshal(&l.reports[0])
+		l.server.elections = &expiringLeadership{remaining: looks}
+		l.heartbeats[0].Tick++
+		body, err := json.Marshal(&l.heartbeats[0])
 		require.NoError(t, err)
-		require.Equal(t, want, l.owner.HandleHeartbeat(body).Status, "held for %d looks", looks)
+		require.Equal(t, want, l.server.HandleHeartbeat(body).Status, "held for %d looks", looks)
 	}
 }
 
@@ -43,15 +43,15 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	l := newLoadedOwner(t, 1)
-	l.owner.claims = &lapsing{}
+	l := newLoadedServer(t, 1)
+	l.server.elections = &expiringLeadership{}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	orders := &wire.Orders{FencingToken: baseToken(1) + 1, Incarnation: 1}
-	_, err = l.owner.post(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
-	require.ErrorIs(t, err, errNotHeld)
-	l.owner.claims = allHeld{}
-	orders.FencingToken = baseToken(2) + 1 // of a term that is not this process's
-	_, err = l.owner.post(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
-	require.ErrorIs(t, err, errNotHeld)
+	orders := &wire.Orders{FencingToken: firstToken(1) + 1, Incarnation: 1}
+	_, err = l.server.postCommands(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
+	require.ErrorIs(t, err, errNotLeader)
+	l.server.elections = allLeaderships{}
+	orders.FencingToken = firstToken(2) + 1 // of a term that is not this process's
+	_, err = l.server.postCommands(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
+	require.ErrorIs(t, err, errNotLeader)
 }
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -34,213 +34,213 @@
 
 // State holds the machines of the partitions that this controller owns.
 type State struct {
-	timing    Timing
-	jobs      JobLookup
-	types     map[string]resources.Amounts
-	caches    map[string]float64 // GB by machine type
-	sizes     map[string]float64 // GB by image
-	parts     map[int]uint64     // partitions held, with terms
-	machines  map[string]*machine
-	changes   *list.List          // machines, the latest changed last: a poll costs what changed
-	due       map[string]*machine // machines that may have something to be sent
-	version   uint64
-	teamTerms map[string]uint64
-	rounds    map[string]lastRound
-	cancelled map[string]cancel
-	failing   map[string]map[string]bool // job: machines on which it failed
-	arbiter   *fairshare.Arbiter         // divides contended room among teams; nil: whoever asks first has it
-	gates     map[string]*gate           // of zones to which work returns
-	history   *history.Ring              // nil: none is kept
+	timing             Timing
+	jobs               JobLookup
+	capacities         map[string]resources.Amounts
+	imageCacheGB       map[string]float64 // GB by machine type
+	imageSizeGB        map[string]float64 // GB by image
+	terms              map[int]uint64     // partitions held, with terms
+	machines           map[string]*machine
+	changes            *list.List          // machines, the latest changed last: a poll costs what changed
+	deliveryCandidates map[string]*machine // machines that may have something to be sent
+	version            uint64
+	teamTerms          map[string]uint64
+	lastBatches        map[string]lastBatch
+	cancellations      map[string]cancellation
+	failedOn           map[string]map[string]bool // job: machines on which it failed
+	arbiter            *fairshare.Arbiter         // divides contended room among teams; nil: whoever asks first has it
+	zoneGates          map[string]*zoneGate       // of zones to which work returns
+	history            *history.Ring              // nil: none is kept
 }
 
-// cancel is a job of which nothing may run any more, by the word of a placer.
-type cancel struct {
-	at   clock.Micros
-	term uint64 // of its team, as that placer held it
+// cancellation is a job of which nothing may run any more, by the word of a placer.
+type cancellation struct {
+	receivedAt clock.Micros
+	term       uint64 // of its team, as that placer held it
 }
 
 // NewState makes an empty table.
 func NewState(t Timing, j JobLookup) *State {
-	return &State{caches: map[string]float64{}, sizes: map[string]float64{}, timing: t, jobs: j, types: map[string]resources.Amounts{}, parts: map[int]uint64{},
-		machines: map[string]*machine{}, changes: list.New(), due: map[string]*machine{}, teamTerms: map[string]uint64{}, rounds: map[string]lastRound{},
-		cancelled: map[string]cancel{}, failing: map[string]map[string]bool{}, gates: map[string]*gate{}}
+	return &State{imageCacheGB: map[string]float64{}, imageSizeGB: map[string]float64{}, timing: t, jobs: j, capacities: map[string]resources.Amounts{}, terms: map[int]uint64{},
+		machines: map[string]*machine{}, changes: list.New(), deliveryCandidates: map[string]*machine{}, teamTerms: map[string]uint64{}, lastBatches: map[string]lastBatch{},
+		cancellations: map[string]cancellation{}, failedOn: map[string]map[string]bool{}, zoneGates: map[string]*zoneGate{}}
 }
 
 // SetTypes tells what the machine types offer.
-func (t *State) SetTypes(types map[string]resources.Amounts) {
-	t.types = types
-	for _, m := range t.machines {
-		m.cap = types[m.Type]
-		t.touch(m)
+func (s *State) SetTypes(types map[string]resources.Amounts) {
+	s.capacities = types
+	for _, m := range s.machines {
+		m.capacity = types[m.Type]
+		s.markChanged(m)
 	}
 }
 
-func (t *State) touch(m *machine) {
-	t.version++
-	m.version = t.version
-	t.changes.MoveToBack(m.place)
+func (s *State) markChanged(m *machine) {
+	s.version++
+	m.version = s.version
+	s.changes.MoveToBack(m.changeElement)
 }
 
-// show has the next views tell of a task.
-func (t *State) show(m *machine, k *task) {
-	t.touch(m)
-	k.version = t.version
-	t.due[m.id] = m
+// markTaskChanged has the next views tell of a task.
+func (s *State) markTaskChanged(m *machine, t *task) {
+	s.markChanged(m)
+	t.version = s.version
+	s.deliveryCandidates[m.id] = m
 }
 
-// remove takes a task off its machine.
-func (t *State) remove(m *machine, k *task) {
-	delete(m.tasks, k.id)
-	t.touch(m)
-	m.left = append(m.left, departed{k.id, t.version})
-	if len(m.left) > maxLeft {
-		m.floor = m.left[maxLeft/2-1].version
-		m.left = slices.Delete(m.left, 0, maxLeft/2)
+// removeTask takes a task off its machine.
+func (s *State) removeTask(m *machine, t *task) {
+	delete(m.tasks, t.id)
+	s.markChanged(m)
+	m.departed = append(m.departed, departedTask{t.id, s.version})
+	if len(m.departed) > maxDepartedTasks {
+		m.completeSince = m.departed[maxDepartedTasks/2-1].version
+		m.departed = slices.Delete(m.departed, 0, maxDepartedTasks/2)
 	}
 }
 
-// showAll has the next views tell of all tasks.
-func (t *State) showAll(m *machine) {
-	t.touch(m)
-	m.floor, m.left = t.version, nil
-	t.due[m.id] = m
+// markAllChanged has the next views tell of all tasks.
+func (s *State) markAllChanged(m *machine) {
+	s.markChanged(m)
+	m.completeSince, m.departed = s.version, nil
+	s.deliveryCandidates[m.id] = m
 }
 
-// drop takes a machine out of the table.
-func (t *State) drop(m *machine) {
-	t.changes.Remove(m.place)
-	delete(t.machines, m.id)
-	delete(t.due, m.id)
+// removeMachine takes a machine out of the table.
+func (s *State) removeMachine(m *machine) {
+	s.changes.Remove(m.changeElement)
+	delete(s.machines, m.id)
+	delete(s.deliveryCandidates, m.id)
 }
 
 // termShift is where the partition's term begins in a token; below it is the sequence.
 const termShift = 32
 
-// baseToken is the lowest token of a term.
-func baseToken(term uint64) uint64 { return term << termShift }
+// firstToken is the lowest token of a term.
+func firstToken(term uint64) uint64 { return term << termShift }
 
 // AcquirePartition takes a partition over. Every machine registered for it may hold tasks
 // of the former owner's until a report shows a token of this term, or it was
 // not answered by anybody for its lease, counted from now at the latest.
-func (t *State) AcquirePartition(part int, term uint64, recorded inventory.Group, now clock.Micros) {
-	t.ReleasePartition(part)
-	t.parts[part] = term
+func (s *State) AcquirePartition(part int, term uint64, recorded inventory.Group, now clock.Micros) {
+	s.ReleasePartition(part)
+	s.terms[part] = term
 	for id, r := range recorded {
-		m := t.add(id, part, r, now)
-		m.registered = true
+		m := s.addMachine(id, part, r, now)
+		m.recorded = true
 	}
-	t.version++
+	s.version++
 }
 
 // ReleasePartition gives a partition up.
-func (t *State) ReleasePartition(part int) {
-	if _, ok := t.parts[part]; !ok {
+func (s *State) ReleasePartition(part int) {
+	if _, ok := s.terms[part]; !ok {
 		return
 	}
-	delete(t.parts, part)
-	for _, m := range t.machines {
-		if m.part == part {
-			t.drop(m)
+	delete(s.terms, part)
+	for _, m := range s.machines {
+		if m.partition == part {
+			s.removeMachine(m)
 		}
 	}
-	t.version++
+	s.version++
 }
 
-func (t *State) add(id string, part int, r inventory.Record, now clock.Micros) *machine {
-	m := &machine{id: id, part: part, Record: r, cap: t.types[r.Type], token: baseToken(t.parts[part]) + 1,
-		answered: now, idleSince: now, tasks: map[peer.TaskID]*task{}, errJobs: map[string]bool{}, session: 1}
-	t.machines[id] = m
-	m.place = t.changes.PushBack(m)
-	t.showAll(m)
+func (s *State) addMachine(id string, part int, r inventory.Record, now clock.Micros) *machine {
+	m := &machine{id: id, partition: part, Record: r, capacity: s.capacities[r.Type], token: firstToken(s.terms[part]) + 1,
+		answeredAt: now, idleSince: now, tasks: map[peer.TaskID]*task{}, failedJobs: map[string]bool{}, incarnation: 1}
+	s.machines[id] = m
+	m.changeElement = s.changes.PushBack(m)
+	s.markAllChanged(m)
 	return m
 }
 
 // Tick lets leases lapse and machines fall silent. It gives the machines whose
 // record may be dropped: nothing can be on them any more.
-func (t *State) Tick(now clock.Micros) (drop []string) {
-	for id, m := range t.machines {
-		if !m.gone && !m.silent && now > m.answered+t.timing.Lease.PlusDrift()+500*clock.Millisecond {
+func (s *State) Tick(now clock.Micros) (drop []string) {
+	for id, m := range s.machines {
+		if !m.gone && !m.silent && now > m.answeredAt+s.timing.Lease.PlusDrift()+500*clock.Millisecond {
 			// Not answered 200 by any possible owner for its whole lease:
 			// the worker has killed and forgotten all that it had.
-			m.silent, m.accounted = true, m.accounted && m.heard
+			m.silent, m.accounted = true, m.accounted && m.contacted
 			clear(m.tasks)
-			t.showAll(m)
+			s.markAllChanged(m)
 		}
-		if quiet := t.timing.HeartbeatOverdue > 0 && now > m.answered+t.timing.HeartbeatOverdue; quiet && !m.reportsOverdue {
+		if quiet := s.timing.HeartbeatOverdue > 0 && now > m.answeredAt+s.timing.HeartbeatOverdue; quiet && !m.heartbeatsOverdue {
 			// Long before its lease is over: what is placed there now would be
 			// lost if it is gone, and others may be rented in its place.
-			m.reportsOverdue = true
-			t.touch(m)
+			m.heartbeatsOverdue = true
+			s.markChanged(m)
 		}
-		for _, k := range m.tasks {
-			if !k.sent && now > t.lapses(k) {
-				t.remove(m, k)
+		for _, t := range m.tasks {
+			if !t.sent && now > s.leaseExpiry(t) {
+				s.removeTask(m, t)
 			}
 		}
-		if m.setAsideUntil != 0 && now >= m.setAsideUntil {
-			m.setAsideUntil = 0
-			t.touch(m)
+		if m.cordonedUntil != 0 && now >= m.cordonedUntil {
+			m.cordonedUntil = 0
+			s.markChanged(m)
 		}
-		if (m.silent || m.gone) && (m.registered || m.dropping) {
+		if (m.silent || m.gone) && (m.recorded || m.removingRecord) {
 			// Should the machine be back before this is carried out, it gets nothing
 			// until it is recorded once more: that changes what a late drop is conditional on.
-			m.registered, m.dropping = false, true
+			m.recorded, m.removingRecord = false, true
 			drop = append(drop, id)
 		}
-		if m.gone && now > m.answered+600*clock.Second {
-			t.drop(m)
+		if m.gone && now > m.answeredAt+600*clock.Second {
+			s.removeMachine(m)
 		}
 	}
-	for from, r := range t.rounds {
-		if now > r.at+3600*clock.Second {
-			delete(t.rounds, from) // of a process long gone
+	for from, r := range s.lastBatches {
+		if now > r.handledAt+3600*clock.Second {
+			delete(s.lastBatches, from) // of a process long gone
 		}
 	}
-	for job, c := range t.cancelled {
+	for job, c := range s.cancellations {
 		// While the replica shows the job as active it may be behind, and this is all
 		// that is known of the withdrawal, however long ago it was.
-		if _, active := t.jobs.Active(job); !active && now > c.at+600*clock.Second {
-			delete(t.cancelled, job)
+		if _, active := s.jobs.Active(job); !active && now > c.receivedAt+600*clock.Second {
+			delete(s.cancellations, job)
 		}
 	}
 	return drop
 }
 
 // HandleMachinesGone takes the word that machines are gone for certain.
-func (t *State) HandleMachinesGone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
+func (s *State) HandleMachinesGone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
 	for _, x := range list {
-		m := t.machines[x.ID]
+		m := s.machines[x.ID]
 		if m == nil {
 			p := part(x.ID, x.Zone)
-			if _, ok := t.parts[p]; !ok {
+			if _, ok := s.terms[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, inventory.Record{Zone: x.Zone}, now)
+			m = s.addMachine(x.ID, p, inventory.Record{Zone: x.Zone}, now)
 		}
-		m.gone, m.answered = true, now
+		m.gone, m.answeredAt = true, now
 		clear(m.tasks)
-		t.showAll(m)
+		s.markAllChanged(m)
 	}
 }
 
 // Drain keeps machines free of new tasks and names those that hold nothing.
-func (t *State) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
+func (s *State) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, x := range list {
-		m := t.machines[x.ID]
+		m := s.machines[x.ID]
 		if m == nil {
 			p := part(x.ID, x.Zone)
-			if _, ok := t.parts[p]; !ok {
+			if _, ok := s.terms[p]; !ok {
 				continue
 			}
-			m = t.add(x.ID, p, inventory.Record{Zone: x.Zone}, now) // not up yet
+			m = s.addMachine(x.ID, p, inventory.Record{Zone: x.Zone}, now) // not up yet
 			m.draining = true
 			ready = append(ready, x.ID)
 			continue
 		}
-		if m.gone || m.silent || len(m.tasks) == 0 && (m.accounted || !m.registered) {
+		if m.gone || m.silent || len(m.tasks) == 0 && (m.accounted || !m.recorded) {
 			ready = append(ready, x.ID)
 			m.draining = true
-			t.touch(m)
+			s.markChanged(m)
 		}
 	}
 	return ready
@@ -249,25 +249,25 @@
 // HandleMachineRecord notes that a machine's record is in the state service, or gone from
 // it. A record without a machine, which a late copy of an old write brings back,
 // counts as a machine that nothing is known of: it falls silent, and its record goes.
-func (t *State) HandleMachineRecord(id string, part int, r inventory.Record, there bool, now clock.Micros) {
-	m := t.machines[id]
+func (s *State) HandleMachineRecord(id string, part int, r inventory.Record, there bool, now clock.Micros) {
+	m := s.machines[id]
 	if m == nil && there {
-		if _, ok := t.parts[part]; !ok {
+		if _, ok := s.terms[part]; !ok {
 			return
 		}
-		m = t.add(id, part, r, now)
+		m = s.addMachine(id, part, r, now)
 	}
-	if m != nil && (m.registered != there || m.dropping) {
-		m.registered, m.dropping = there, false
-		t.touch(m)
+	if m != nil && (m.recorded != there || m.removingRecord) {
+		m.recorded, m.removingRecord = there, false
+		s.markChanged(m)
 	}
 }
 
 // UnrecordedMachines lists machines that report and have no record yet.
-func (t *State) UnrecordedMachines() inventory.Group {
+func (s *State) UnrecordedMachines() inventory.Group {
 	var out inventory.Group
-	for id, m := range t.machines {
-		if m.heard && !m.registered && !m.silent && !m.gone {
+	for id, m := range s.machines {
+		if m.contacted && !m.recorded && !m.silent && !m.gone {
 			if out == nil {
 				out = inventory.Group{}
 			}
@@ -278,22 +278,22 @@
 }
 
 // PartitionTerm gives the term of a partition that is owned.
-func (t *State) PartitionTerm(part int) (term uint64, ok bool) {
-	term, ok = t.parts[part]
+func (s *State) PartitionTerm(part int) (term uint64, ok bool) {
+	term, ok = s.terms[part]
 	return term, ok
 }
 
 // PartitionTerms gives the partitions that are owned, with their terms.
-func (t *State) PartitionTerms() map[int]uint64 { return maps.Clone(t.parts) }
+func (s *State) PartitionTerms() map[int]uint64 { return maps.Clone(s.terms) }
 
 // PartitionOf gives the partition of a machine in the table.
-func (t *State) PartitionOf(id string) (int, bool) {
-	m := t.machines[id]
+func (s *State) PartitionOf(id string) (int, bool) {
+	m := s.machines[id]
 	if m == nil {
 		return 0, false
 	}
-	return m.part, true
+	return m.partition, true
 }
 
 // MachineCount is how many machines the table holds.
-func (t *State) MachineCount() int { return len(t.machines) }
+func (s *State) MachineCount() int { return len(s.machines) }
