--- a/internal/partition/cancellation_scenario_test.go
+++ b/internal/partition/cancellation_scenario_test.go
@@ -39,7 +39,7 @@
 
 // The state service has refused this owner alone for ten minutes and more: its replica
 // still shows the job as active. It goes on refusing what the withdrawal forbade.
-func TestAWithdrawalIsRememberedForAsLongAsTheViewIsOld(t *testing.T) {
+func TestCancellationIsKeptWhileReplicaIsBehind(t *testing.T) {
 	s := newRunningScene(t)
 	s.cancelJob()
 	s.heartbeat()
@@ -55,7 +55,7 @@
 
 // A round of a former placer, held up, tells of a withdrawal that its successor knows
 // nothing of: nobody was told, and the job has been placed anew.
-func TestAFormerPlacersWithdrawalChangesNothing(t *testing.T) {
+func TestCancellationOfFormerTeamLeaderIsIgnored(t *testing.T) {
 	s := newRunningScene(t)
 	s.state.fenceTeams(map[string]uint64{team: 2})
 	s.cancelJob()
@@ -66,7 +66,7 @@
 
 // The owner loses its partition while its stop is on the way. Whoever is next finds
 // the end in its replica, stops the task, and the old stop changes nothing more.
-func TestAStopInFlightAndTheNextOwner(t *testing.T) {
+func TestStopInFlightIsRejectedUnderNextTerm(t *testing.T) {
 	s := newRunningScene(t)
 	s.cancelJob()
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -89,7 +89,7 @@
 // The machine of a withdrawn job's task can't be reached in one way or another. The task
 // is gone soon after it can be again, or with the machine's lease, which nothing renews
 // that doesn't bring the stop as well.
-func TestAWithdrawnTaskOnAMachineInTrouble(t *testing.T) {
+func TestCancelledTaskOnFailingMachineEndsInTime(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		during func(s *scene) // a second of the trouble
@@ -138,7 +138,7 @@
 // A run and its answer are held up for seconds, and the job is withdrawn meanwhile. The
 // owner doesn't say that the run is over until it can't arrive any more; when it
 // does arrive, the next answer ends it.
-func TestARunHeldUpCountsUntilItCannotArrive(t *testing.T) {
+func TestDelayedRunCountsUntilItCannotArrive(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -161,7 +161,7 @@
 
 // Workers reach no controller, while direct orders reach them. Their leases end again and again;
 // what is sent to one while it counts as there is never taken to be there for longer.
-func TestAMachineThatReachesNobody(t *testing.T) {
+func TestMachineReachedByDeliveriesOnlyKeepsNoLostTasks(t *testing.T) {
 	s := newRunningScene(t)
 	ended := 0
 	session := s.worker.Session
--- a/internal/partition/connections_test.go
+++ b/internal/partition/connections_test.go
@@ -12,7 +12,7 @@
 // A controller that is left alone with 1,800 machines orders all of them about
 // and never has more lines to them than its sockets allow; deliveries that find
 // none wait for those that are out.
-func TestAFleetOfLinesStaysWithinItsSockets(t *testing.T) {
+func TestWorkerConnectionsOfLargeFleetStayWithinLimit(t *testing.T) {
 	l := newWorkerConnections(40, nil)
 	out := map[string]*httpx.Client{}
 	sent, waits := 0, 0
--- a/internal/partition/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -84,7 +84,7 @@
 // smallFleet is about as many machines as one controller of the smaller sites owns.
 const smallFleet = 410
 
-func BenchmarkReportUnchanged(b *testing.B) {
+func BenchmarkHeartbeatUnchanged(b *testing.B) {
 	l := newLoadedServer(b, smallFleet)
 	b.ReportAllocs()
 	next := 0
@@ -120,9 +120,9 @@
 }
 
 // A partition of machines with tasks is taken over and all of them report.
-func BenchmarkTakeOver(b *testing.B) { benchmarkTakeOver(b, smallFleet) }
+func BenchmarkFailover(b *testing.B) { benchmarkFailover(b, smallFleet) }
 
-func benchmarkTakeOver(b *testing.B, machines int) {
+func benchmarkFailover(b *testing.B, machines int) {
 	l := newLoadedServer(b, machines)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/partition/partitioning_test.go
+++ b/internal/partition/partitioning_test.go
@@ -9,7 +9,7 @@
 
 // A zone that is cut off keeps its machines with controllers that reach them; a
 // zone without controllers has its machines spread over all.
-func TestMachinesBelongToControllersOfTheirZone(t *testing.T) {
+func TestPartitionOfMachineIsInItsZone(t *testing.T) {
 	s := NewPartitioning([]string{"a", "a", "b", "a", "b"})
 	count := map[string]map[int]int{"a": {}, "b": {}, "c": {}}
 	for zone, c := range count {
--- a/internal/partition/reservations_test.go
+++ b/internal/partition/reservations_test.go
@@ -20,7 +20,7 @@
 
 // Room that is held for a task that is to move here takes part of the machine's, and nothing is
 // started before its placer says that it is gone from where it ran.
-func TestHeldRoomStartsNothingByItself(t *testing.T) {
+func TestHeldLeaseStartsOnlyByStartTask(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.reserve(0, 1))
 	for range 3 {
@@ -39,7 +39,7 @@
 }
 
 // Moves that several placers decide on at once don't meet on one machine.
-func TestOneTaskIsToMoveToAMachineAtATime(t *testing.T) {
+func TestMachineHasOneHeldLeaseAtATime(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.reserve(0, 1))
 	require.False(t, s.reserve(1, 2))
@@ -48,7 +48,7 @@
 	require.True(t, s.reserve(1, 4))
 }
 
-func TestHeldRoomThatIsNotUsed(t *testing.T) {
+func TestUnusedHeldLeaseEnds(t *testing.T) {
 	t.Run("lapses", func(t *testing.T) {
 		s := newScene(t)
 		s.reserve(0, 1)
@@ -81,7 +81,7 @@
 }
 
 // A former placer's word starts nothing: the task may have been placed anew since.
-func TestAFormerPlacersStartIsRefused(t *testing.T) {
+func TestReservedStartOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.reserve(0, 1)
 	s.state.fenceTeams(map[string]uint64{team: 2})
@@ -92,7 +92,7 @@
 }
 
 // A machine that was given a notice while room was held on it gets no task by it.
-func TestNothingMovesToAMachineThatIsToBeDrained(t *testing.T) {
+func TestReservedStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.reserve(0, 1)
 	notice := 30.0
@@ -104,7 +104,7 @@
 	require.Empty(t, s.tasks())
 }
 
-func TestNoticesAreToldWithTheTimeLeft(t *testing.T) {
+func TestEvictionNoticeIsShownWithTimeLeft(t *testing.T) {
 	s := newScene(t)
 	notice := 30.0
 	s.worker.NoticeS = &notice
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -24,7 +24,7 @@
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(machines), "held-B/machine")
 		})
-		b.Run(fmt.Sprintf("take-over/%d", machines), func(b *testing.B) { benchmarkTakeOver(b, machines) })
+		b.Run(fmt.Sprintf("take-over/%d", machines), func(b *testing.B) { benchmarkFailover(b, machines) })
 		b.Run(fmt.Sprintf("page/%d", machines), func(b *testing.B) {
 			l := newLoadedServer(b, machines)
 			for b.Loop() {
--- a/internal/partition/server_test.go
+++ b/internal/partition/server_test.go
@@ -26,7 +26,7 @@
 
 // A process that was held up while it decided says nothing: whether it holds the
 // machine's partition is looked at once more when the answer is ready.
-func TestAReportIsNotAnsweredAfterTheClaimIsOver(t *testing.T) {
+func TestHeartbeatAfterLeadershipExpiredIsRejected(t *testing.T) {
 	l := newLoadedServer(t, 1)
 	for looks, want := range map[int]int{1: 503, 2: 200} {
 		l.server.elections = &expiringLeadership{remaining: looks}
@@ -39,7 +39,7 @@
 
 // The same holds of orders: they are dropped where the claim is over by the time that
 // they are about to be sent.
-func TestOrdersAreNotSentAfterTheClaimIsOver(t *testing.T) {
+func TestCommandsAfterLeadershipExpiredAreNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
--- a/internal/partition/state_test.go
+++ b/internal/partition/state_test.go
@@ -98,7 +98,7 @@
 
 // A controller dies with /orders on their way; they arrive after its successor
 // has spoken to the worker. They must be dead.
-func TestLateOrdersOfAFormerOwnerAreDead(t *testing.T) {
+func TestCommandsOfFormerLeaderAreRejectedByWorker(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -119,7 +119,7 @@
 
 // /orders had no answer. Until a report shows a higher token the run may still
 // arrive, so neither the task's place is given up nor the attempt forgotten.
-func TestUnansweredRunCountsUntilAHigherTokenIsSeen(t *testing.T) {
+func TestUnansweredRunCountsUntilHigherTokenIsShown(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -142,7 +142,7 @@
 
 // A forget may only follow when no copy of the run can arrive: it would start
 // the attempt once more.
-func TestForgetWaitsForTheLastCopyOfTheRun(t *testing.T) {
+func TestForgetIsSentOnlyWhenNoCopyOfRunCanArrive(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -173,7 +173,7 @@
 }
 
 // A report that was held up by a cut comes after newer ones.
-func TestLateReportsChangeNothing(t *testing.T) {
+func TestHeartbeatOfFormerIncarnationIsRejected(t *testing.T) {
 	s := newScene(t)
 	held := s.worker.Report(s.now) // lists nothing
 	require.True(t, s.acquireLease(0, 1))
@@ -193,7 +193,7 @@
 
 // A machine that nobody answers is given up only when its worker has surely
 // killed all that it had.
-func TestSilenceIsCertainOnlyAfterTheWholeLease(t *testing.T) {
+func TestMachineIsSilentOnlyAfterWholeWorkerLease(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
@@ -209,7 +209,7 @@
 
 // A worker begins a new session, and the owner learns of it by the answer to
 // /orders only. The session lasts its lease from its beginning, not from the last report.
-func TestANewSessionHasItsWholeLease(t *testing.T) {
+func TestNewIncarnationHasWholeWorkerLease(t *testing.T) {
 	s := newScene(t)
 	s.now += workerLease + 200*clock.Millisecond
 	for n := range 2 { // the first orders name the former session and are refused
@@ -228,7 +228,7 @@
 
 // A machine gets no task before its record is in the state service: a later
 // owner would not know of it.
-func TestNoTaskBeforeTheRecord(t *testing.T) {
+func TestUnrecordedMachineGetsNoTask(t *testing.T) {
 	s := newScene(t)
 	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, false, s.now)
 	require.False(t, s.acquireLease(0, 1))
@@ -237,7 +237,7 @@
 }
 
 // A repeat of a round is answered alike; a second start of a task is refused.
-func TestRepeatsAreAnsweredAlike(t *testing.T) {
+func TestRepeatedBatchIsAnsweredAlike(t *testing.T) {
 	s := newScene(t)
 	in := peer.Batch{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{assignment(0, 1)}}
 	first := s.state.HandleBatch(in, "me", s.now)
@@ -250,14 +250,14 @@
 }
 
 // The ask of a team's former placer arrives after the new one has been heard.
-func TestAFormerPlacersAskIsRefused(t *testing.T) {
+func TestAssignmentOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.state.HandlePoll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
 	require.False(t, s.acquireLease(0, 1))
 }
 
 // An ask made to the former owner of a partition reaches the next one.
-func TestAnAskUnderAFormerTermIsRefused(t *testing.T) {
+func TestAssignmentUnderFormerPartitionTermIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.state.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.heartbeat()
@@ -267,7 +267,7 @@
 }
 
 // An unused lease lapses; one whose run was sent does not.
-func TestUnusedLeasesLapse(t *testing.T) {
+func TestUnusedLeaseExpires(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	s.now += 6 * sec
@@ -282,7 +282,7 @@
 }
 
 // Room of a stopping task is leased at once, and the lease starts after its end.
-func TestALeaseWaitsForTheEndOfItsVictim(t *testing.T) {
+func TestLeaseStartsAfterItsVictimExited(t *testing.T) {
 	s := newScene(t)
 	for n := range 4 {
 		require.True(t, s.acquireLease(n, uint64(n+1)))
@@ -304,7 +304,7 @@
 }
 
 // A job is withdrawn while its start is on the way; the stop reaches the task.
-func TestCancelInFlight(t *testing.T) {
+func TestCancellationStopsTaskWhoseRunIsInFlight(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
@@ -318,7 +318,7 @@
 }
 
 // A former owner's task of a job that is over is found and ended.
-func TestAFoundTaskOfAFinalJobIsEnded(t *testing.T) {
+func TestFoundTaskOfFinalJobIsStopped(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
@@ -333,7 +333,7 @@
 }
 
 // A task that was asked for is not ended because this owner's view of the jobs is old.
-func TestAnAskedTaskOutlivesAnOldView(t *testing.T) {
+func TestAssignedTaskIsKeptWhileReplicaIsBehind(t *testing.T) {
 	s := newScene(t)
 	delete(s.jobs.active, "job-1")
 	s.jobs.rev = jobRevision - 1
@@ -346,7 +346,7 @@
 // An owner that has heard of no withdrawal, but whose view of the jobs is newer than
 // the job and does not show it, starts nothing of it: who asks has lost its team, and
 // stood still while the job was cancelled. What it was asked for before is ended.
-func TestNothingStartsOfAJobThatIsOver(t *testing.T) {
+func TestNoTaskOfEndedJobStarts(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
@@ -363,7 +363,7 @@
 
 // A machine is set aside for its return only when it holds neither task nor
 // lease, and gets none after that.
-func TestDrainOnlyWhenEmpty(t *testing.T) {
+func TestMachineIsDrainedOnlyWhenEmpty(t *testing.T) {
 	s := newScene(t)
 	part := func(string, string) int { return 0 }
 	require.True(t, s.acquireLease(0, 1))
@@ -380,7 +380,7 @@
 }
 
 // Several jobs fail on a machine: it is sick. One job that fails on many is not its fault.
-func TestSickMachines(t *testing.T) {
+func TestMachineFailingSeveralJobsIsQuarantined(t *testing.T) {
 	s := newScene(t)
 	spec := wire.Job{ID: "job-2", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
 	s.jobs.active["job-2"] = jobs.New(jobs.Record{Job: spec}, 6)
@@ -400,7 +400,7 @@
 
 // Random losses: whatever is lost, late or repeated, no task ever runs twice
 // under one attempt, and what the owner holds covers what the worker runs.
-func TestWhateverIsLostTheTableCoversTheWorker(t *testing.T) {
+func TestStateCoversWorkerUnderRandomLosses(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		s := newScene(t)
 		rng := fakes.Rand(seed)
@@ -462,7 +462,7 @@
 
 // A machine whose reports stop gets no tasks long before its lease is over, and
 // gets them again when it is heard.
-func TestAQuietMachineGetsNoTasks(t *testing.T) {
+func TestMachineWithOverdueHeartbeatsGetsNoTasks(t *testing.T) {
 	s := newScene(t)
 	s.state.timing.HeartbeatOverdue = workerLease / 2
 	usable := func() bool { return s.state.view(s.state.machines["m-1"], 0, s.now).Usable }
@@ -477,7 +477,7 @@
 
 // Reports of a machine arrive, but no answer and no order reaches it. It gets one
 // task that it never hears of, and no more until it shows that it has heard.
-func TestADeafMachineGetsNoMoreTasks(t *testing.T) {
+func TestMachineWithUnconfirmedDeliveryGetsNoMoreTasks(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	_, o := s.state.NextDelivery("m-1", s.now)
@@ -502,7 +502,7 @@
 
 // Copies of a report come late, over and over, after its machine has died: they
 // do not keep the machine alive, nor change what later reports told.
-func TestLateCopiesKeepNoMachineAlive(t *testing.T) {
+func TestCopiesOfHeartbeatsKeepNoMachineAlive(t *testing.T) {
 	s := newScene(t)
 	early := s.worker.Report(s.now)
 	_, ok := s.state.HandleHeartbeat(&early, 0, s.now)
@@ -529,7 +529,7 @@
 
 // A worker's new session is learnt from an answer to /orders; its first report
 // is none that came before, though its ticks may begin anew.
-func TestTheFirstReportOfASessionIsAnswered(t *testing.T) {
+func TestFirstHeartbeatOfIncarnationIsAnswered(t *testing.T) {
 	s := newScene(t)
 	for range 20 {
 		s.heartbeat()
@@ -549,7 +549,7 @@
 // A worker begins anew within a moment, with the session that it had and its
 // ticks from the start. The task that it is given runs, and is given to nobody
 // else before that session is over for certain.
-func TestAWorkerThatBeginsAnewWithItsSession(t *testing.T) {
+func TestWorkerRestartedWithinIncarnationKeepsItsTaskAccounted(t *testing.T) {
 	s := newScene(t)
 	for range 9 {
 		s.heartbeat()
@@ -580,7 +580,7 @@
 
 // An answer to /orders overtakes a report that was sent before it: the report
 // tells nothing new, but its worker is answered, and its lease goes on.
-func TestAnOvertakenReportIsAnswered(t *testing.T) {
+func TestHeartbeatOvertakenByDeliveryResponseIsAnswered(t *testing.T) {
 	s := newScene(t)
 	r := s.worker.Report(s.now)
 	require.True(t, s.acquireLease(0, 1))
@@ -595,7 +595,7 @@
 
 // A machine is cut off for longer than its lease and comes back: nothing could be
 // given to it, so it has not been idle, and is not to be returned at once.
-func TestAMachineThatIsBackHasNotBeenIdle(t *testing.T) {
+func TestMachineThatReportsAgainIsNotIdle(t *testing.T) {
 	s := newScene(t)
 	s.heartbeat()
 	idle := func() clock.Micros {
--- a/internal/partition/zones_scenario_test.go
+++ b/internal/partition/zones_scenario_test.go
@@ -24,7 +24,7 @@
 
 // While work returns to a zone its owner admits what the stage does; a machine that was not seen at work yet
 // gets one trial task before more. All is admitted once it is over.
-func TestWorkReturnsToMachinesInStages(t *testing.T) {
+func TestReturningZoneAdmitsTasksInStages(t *testing.T) {
 	s := newScene(t)
 	s.returnZoneAt(recovery.Reconcile)
 	require.False(t, s.acquireLeaseAt(0, 1, recovery.Urgent), "nothing new")
@@ -43,7 +43,7 @@
 }
 
 // A machine that began anew is cold again, and what no placer names a stage for goes by its rank.
-func TestColdMachinesAndUnnamedStages(t *testing.T) {
+func TestColdMachineInReturningZoneGetsOneTrialTask(t *testing.T) {
 	s := newScene(t)
 	s.acquireLease(0, 1)
 	s.heartbeat()
@@ -63,7 +63,7 @@
 
 // A copy of a task that was done elsewhere meanwhile comes back with its machine: its owner ends it,
 // and its room counts until it is gone.
-func TestAReturningMachineHoldsWhatIsOver(t *testing.T) {
+func TestReturningMachineCountsEndedTasksUntilTheyAreGone(t *testing.T) {
 	s := newScene(t)
 	s.acquireLease(0, 1)
 	s.heartbeat()
