--- a/internal/partition/cancellation_scenario_test.go
+++ b/internal/partition/cancellation_scenario_test.go
@@ -57,7 +57,7 @@
 // nothing of: nobody was told, and the job has been placed anew.
 func TestCancellationOfFormerTeamLeaderIsIgnored(t *testing.T) {
 	s := newRunningScene(t)
-	s.state.fenceTeams(map[string]uint64{team: 2})
+	s.state.teamTerms.fence(map[string]uint64{team: 2})
 	s.cancelJob()
 	s.heartbeat()
 	s.heartbeat()
--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -1,48 +1,36 @@
 package partition
 
 import (
-	"slices"
-
 	"github.com/merlinlatch/merlinlatch/internal/clock"
-	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// jobEnded tells that nothing of a task's job may run any more. For a task that
-// was found, its job not being active is proof: the record was there before
-// the task's start, and the replica is as new as this owner's claim. For one that was
-// asked for, the replica must be as new as its record.
-func (s *State) jobEnded(t *task) bool {
-	if _, ok := s.cancellations[t.id.Job]; ok {
-		return true
-	}
-	return s.jobs.Ended(t.id.Job, t.jobRevision)
-}
-
-// maxCommands keeps an answer's line below the protocol's 64 KiB.
+// maxCommands keeps the line of an answer below the protocol's 64 KiB.
 const maxCommands = 400
 
-// mayResend tells whether an order may go to the worker's own address once more.
-func (t *task) mayResend(now clock.Micros) bool {
-	return t.deliveredAt == 0 || now > t.deliveredAt+clock.Second
+// jobEnded reports whether nothing of a task's job may run any more. For a task that was found, its job not
+// being active is proof: the record was there before the task's start, and the replica is as new as this leadership.
+// For one that was assigned here, the replica must be as new as its job's record (docs/design.md, argument 11).
+func (s *State) jobEnded(t *task) bool {
+	return s.cancellations.has(t.id.Job) || s.jobs.Ended(t.id.Job, t.jobRevision)
 }
 
-// dueCommands collects what the worker should do now.
-func (s *State) dueCommands(m *machine, inReport bool, now clock.Micros) []wire.Order {
+// dueCommands collects what the worker should do now, maxCommands at most.
+func (s *State) dueCommands(m *machine, by route, now clock.Micros) []wire.Order {
 	tasks := m.tasksByAge(0)
 	s.stopTasksOfEndedJobs(m, tasks)
-	out := stopCommands(tasks, inReport, now)
-	if !m.silent && !m.gone && m.recorded {
-		out = s.appendRunCommands(m, tasks, out, inReport, now)
+	out := stopCommands(tasks, by, now)
+	if !m.worker.lost() && m.record == recordPresent {
+		out = appendRunCommands(m, tasks, out, by, now)
 	}
-	if inReport {
+	if by == viaHeartbeat {
 		out = prependForgetCommands(m, tasks, out)
 	}
 	return out
 }
 
-// stopTasksOfEndedJobs decides to stop what runs of jobs that are over; their ends need
-// no placer's word to be forgotten.
+// stopTasksOfEndedJobs decides to stop what runs of ended jobs; their exits need no scheduler's acknowledgement to
+// be forgotten.
 func (s *State) stopTasksOfEndedJobs(m *machine, tasks []*task) {
 	for _, t := range tasks {
 		if !s.jobEnded(t) {
@@ -56,8 +44,8 @@
 	}
 }
 
-// stopCommands collects the stopCommands that are due.
-func stopCommands(tasks []*task, inReport bool, now clock.Micros) []wire.Order {
+// stopCommands collects the stops that are due.
+func stopCommands(tasks []*task, by route, now clock.Micros) []wire.Order {
 	out := []wire.Order{}
 	for _, t := range tasks {
 		if len(out) >= maxCommands {
@@ -67,58 +55,64 @@
 			continue
 		}
 		grace := t.stopGraceS
-		if t.phase == wire.TaskCheckpointing && grace > 0 || !inReport && !t.mayResend(now) {
-			continue
+		if t.phase == wire.TaskCheckpointing && grace > 0 {
+			continue // it is being stopped, and checkpoints before
 		}
-		if !inReport {
+		if by == viaDelivery {
+			if !t.mayRedeliver(now) {
+				continue
+			}
 			t.deliveredAt = now
 		}
-		out = append(out, wire.Order{Verb: wire.VerbStop, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt, GraceS: &grace})
+		c := command(wire.VerbStop, t)
+		c.GraceS = &grace
+		out = append(out, c)
 	}
 	return out
 }
 
-// appendRunCommands appends the starts that are due: of tasks whose worker has not shown them
-// yet, as far as the worker's own room suffices.
-func (s *State) appendRunCommands(m *machine, tasks []*task, out []wire.Order, inReport bool, now clock.Micros) []wire.Order {
+// appendRunCommands appends the runs that are due: of tasks that the worker has not listed yet, as far as its own
+// free resources suffice.
+func appendRunCommands(m *machine, tasks []*task, out []wire.Order, by route, now clock.Micros) []wire.Order {
 	started, _ := m.resourcesInUse()
 	for _, t := range tasks {
 		if len(out) >= maxCommands {
 			return out
 		}
-		if t.reported || t.stopping || t.reserved || t.exited() {
+		if t.state >= taskReported || t.stopping || t.reserved {
 			continue
 		}
-		if !t.sent {
+		if t.state == taskLeased {
 			if m.draining || !t.need.Fits(m.capacity.Minus(started)) {
 				continue
 			}
 			started = started.Plus(t.need)
-			t.sent = true
+			t.state = taskSent
 		}
-		if inReport {
-			t.runTick = m.tick
-		} else if t.mayResend(now) {
-			t.deliveredAt = now
+		if by == viaHeartbeat {
+			t.runTick = m.worker.tick
 		} else {
-			continue
+			if !t.mayRedeliver(now) {
+				continue
+			}
+			t.deliveredAt = now
 		}
-		out = append(out, wire.Order{Verb: wire.VerbRun, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt})
+		out = append(out, command(wire.VerbRun, t))
 	}
 	return out
 }
 
-// prependForgetCommands puts the prependForgetCommands that are due in front of other orders. They go only into
-// answers to reports: the worker takes those in sequence, so no run that was sent in an
-// earlier answer can arrive after the forget and start the attempt once more.
+// prependForgetCommands puts the forgets that are due in front of other commands. They go only into answers to
+// heartbeats, and only when no copy of the run can arrive: the worker takes those answers in sequence, so no run that
+// was sent in an earlier one can arrive after the forget and start the attempt once more (docs/design.md, argument 2).
 func prependForgetCommands(m *machine, tasks []*task, others []wire.Order) []wire.Order {
 	var out []wire.Order
 	for _, t := range tasks {
 		if len(out)+len(others) >= maxCommands {
 			break
 		}
-		if t.exited() && t.acknowledged && (t.unansweredToken == 0 || m.shownToken > t.unansweredToken) {
-			out = append(out, wire.Order{Verb: wire.VerbForget, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt})
+		if t.exited() && t.acknowledged && !m.delivery.runMayArrive(t) {
+			out = append(out, command(wire.VerbForget, t))
 		}
 	}
 	if len(out) == 0 {
@@ -127,117 +121,6 @@
 	return append(out, others...)
 }
 
-// NextDelivery gives what to send to a worker's own address now, nil for nothing.
-// Until it is answered, its runs count as possibly still on their way.
-func (s *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
-	m := s.machines[id]
-	if m == nil || m.deliveryInFlight || m.gone || m.silent || m.Addr == "" || now < m.deliveryPausedUntil {
-		return "", nil
-	}
-	o = &wire.Orders{FencingToken: m.token, Incarnation: m.incarnation, Orders: []wire.Order{}}
-	if m.accounted {
-		o.Orders = s.dueCommands(m, false, now)
-		if len(o.Orders) == 0 {
-			return "", nil
-		}
-		for _, or := range o.Orders {
-			if or.Verb != wire.VerbRun {
-				continue
-			}
-			job, n, _ := wire.SplitTask(or.Task)
-			m.tasks[peer.TaskID{Job: job, N: n, Attempt: or.Attempt}].unansweredToken = m.token
-		}
-	} else {
-		if now < m.probedAt+500*clock.Millisecond {
-			return "", nil
-		}
-		m.probedAt = now
-	}
-	m.deliveryInFlight, m.deliveryTick = true, m.tick
-	return m.Addr, o
-}
-
-// HandleDeliveryResponse takes the answer to /orders: the worker's report after it.
-func (s *State) HandleDeliveryResponse(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
-	m := s.machines[id]
-	if m == nil || !m.deliveryInFlight || sent.FencingToken>>termShift != s.terms[m.partition] {
-		return
-	}
-	m.deliveryInFlight = false
-	for _, t := range m.tasks {
-		if t.unansweredToken == sent.FencingToken {
-			t.unansweredToken = 0
-		}
-	}
-	if r.Machine != id {
-		m.deliveryPausedUntil = now + 5*clock.Second
-		return
-	}
-	if m.contacted && r.Incarnation == m.incarnation && r.Tick <= m.deliveryTick {
-		// This answer is no copy, and yet its tick is none that can follow those
-		// seen: the worker has begun anew without a new session. What it was just
-		// told may run there, for a lease from now at most, since its reports are
-		// taken for copies and not answered. It is told nothing more.
-		m.answeredAt, m.unconfirmed = now, true
-		m.deliveryPausedUntil = now + s.timing.Lease.PlusDrift() + clock.Second
-		s.markChanged(m)
-		return
-	}
-	if !m.contacted {
-		if m.incarnation != r.Incarnation {
-			m.incarnation, m.probedAt = r.Incarnation, 0 // the next try names the right one
-		}
-		if r.FencingToken < firstToken(s.terms[m.partition]) {
-			return
-		}
-	}
-	s.applyHeartbeat(m, r, false, now)
-}
-
-// HandleDeliveryTimeout notes that /orders had no answer: it may still be executed, until
-// the worker shows a higher token. Orders go with reports for a while.
-func (s *State) HandleDeliveryTimeout(id string, sent *wire.Orders, now clock.Micros) {
-	m := s.machines[id]
-	if m == nil || sent.FencingToken>>termShift != s.terms[m.partition] {
-		return
-	}
-	m.deliveryInFlight = false
-	m.token++
-	m.deliveryPausedUntil = now + 2*clock.Second
-	// Reports may come from a machine that no answer and no order reaches. It
-	// gets no more tasks until it shows that it has heard.
-	m.unconfirmed = true
-	s.markChanged(m)
-}
-
-// PendingDeliveries lists machines that should be sent to now, or probed. Those that want
-// nothing any more are looked at again when something about them changes.
-func (s *State) PendingDeliveries(now clock.Micros) []string {
-	var out []string
-	for id, m := range s.deliveryCandidates {
-		if m.deliveryInFlight || now < m.deliveryPausedUntil {
-			continue
-		}
-		if m.silent || m.gone || m.Addr == "" || !m.needsDelivery() {
-			delete(s.deliveryCandidates, id)
-			continue
-		}
-		out = append(out, id)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// needsDelivery tells that a machine is to be probed, or has a task whose start or stop
-// its worker has not shown yet.
-func (m *machine) needsDelivery() bool {
-	if !m.accounted && !m.draining {
-		return true
-	}
-	for _, t := range m.tasks {
-		if !t.reported && !t.reserved || t.stopping && !t.reserved && !t.exited() && t.phase != wire.TaskCheckpointing {
-			return true
-		}
-	}
-	return false
+func command(verb string, t *task) wire.Order {
+	return wire.Order{Verb: verb, Task: wire.TaskName(t.id.Job, t.id.N), Attempt: t.id.Attempt}
 }
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -7,63 +7,72 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// HandleHeartbeat takes a worker's report and decides the answer. ok is false when the
-// report is of a former session: it must not be answered with 200.
+// route is the way by which commands reach a worker and its status comes back.
+type route int
+
+const (
+	viaHeartbeat route = iota // the worker's heartbeat, and commands in its answer
+	viaDelivery               // commands delivered to the worker's own address, and its status in the answer
+)
+
+// HandleHeartbeat takes a worker's heartbeat and decides the answer. ok is false when it must not be answered
+// with 200.
 func (s *State) HandleHeartbeat(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
 	m := s.machines[r.Machine]
 	if m == nil {
 		m = s.addMachine(r.Machine, part, inventory.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
 	}
-	if m.partition != part {
-		return ans, false // it says now that it is of another zone: that is not understood
-	}
-	if m.gone || r.Incarnation < m.incarnation && m.contacted || m.silent && m.contacted && r.Incarnation <= m.incarnation {
+	if !s.mayAnswer(m, r, part) {
 		return ans, false
 	}
-	if r.FencingToken > m.token && r.FencingToken>>termShift > s.terms[part] {
-		return ans, false // a later term than ours: not ours to command
-	}
-	if m.contacted && r.Incarnation == m.lastHeartbeat[0] && r.Tick <= m.lastHeartbeat[1] {
-		// A copy that comes late, or a worker that began anew without telling:
-		// answering it would keep a machine alive of which nothing new is known.
-		return ans, false
-	}
-	// An answer to /orders may have overtaken this report: then it tells nothing
-	// new, but its worker waits for the answer.
-	fresh := !m.contacted || r.Incarnation > m.incarnation || r.Tick > m.tick
-	m.lastHeartbeat = [2]uint64{r.Incarnation, r.Tick}
+	// The answer to a delivery may have overtaken this heartbeat: then it says nothing new, but its worker waits
+	// for an answer.
+	fresh := m.worker.isNewer(r)
+	m.worker.lastHeartbeat = heartbeatID{r.Incarnation, r.Tick}
 	if fresh {
 		m.Addr = r.Addr
-		s.applyHeartbeat(m, r, true, now)
-		m.deliveryPausedUntil = 0
+		s.applyHeartbeat(m, r, viaHeartbeat, now)
+		m.delivery.pausedUntil = 0
 	}
-	m.answeredAt = now
+	m.worker.answeredAt = now
 	if g := s.zoneGates[m.Zone]; g != nil {
 		g.HeartbeatSeen(now)
 	}
-	if m.heartbeatsOverdue {
-		m.heartbeatsOverdue = false
+	if m.worker.overdue {
+		m.worker.overdue = false
 		s.resetIdle(m, now)
 	}
-	ans.FencingToken = m.token
+	ans.FencingToken = m.delivery.token
 	ans.Orders = []wire.Order{}
 	if fresh && m.accounted {
-		ans.Orders = s.dueCommands(m, true, now)
+		ans.Orders = s.dueCommands(m, viaHeartbeat, now)
 	}
 	return ans, true
 }
 
-// applyHeartbeat takes what a worker says of itself, from a report or from the answer
-// to /orders. Older words than the newest known are dropped.
-func (s *State) applyHeartbeat(m *machine, r *wire.Heartbeat, isReport bool, now clock.Micros) {
-	if m.contacted && (r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Tick <= m.tick) {
+// mayAnswer reports whether a heartbeat may be answered with 200, which extends its worker's lease.
+func (s *State) mayAnswer(m *machine, r *wire.Heartbeat, part int) bool {
+	switch {
+	case m.partition != part:
+		return false // it says now that it is in another zone: that is not understood
+	case m.worker.gone, m.worker.isFormerIncarnation(r):
+		return false
+	case r.FencingToken > m.delivery.token && r.FencingToken>>termShift > s.terms[part]:
+		return false // it has seen a later term: this process leads it no more
+	}
+	return !m.worker.isCopy(r)
+}
+
+// applyHeartbeat takes what a worker says of itself. Statuses that are older than the newest known change nothing.
+func (s *State) applyHeartbeat(m *machine, r *wire.Heartbeat, by route, now clock.Micros) {
+	if !m.worker.isNewer(r) {
 		return
 	}
 	changed := s.applyIncarnation(m, r, now)
 	changed = s.applyWorkerState(m, r, now) || changed
 	listed := s.applyTasks(m, r, now)
 	if len(listed) < len(m.tasks) {
-		s.removeUnlistedTasks(m, r, listed, isReport)
+		s.removeUnlistedTasks(m, r, listed, by)
 	}
 	if len(m.tasks) > 0 {
 		m.idleSince = now
@@ -74,82 +83,83 @@
 	}
 }
 
-// applyIncarnation takes a worker's session and tick; changed tells that something is different now.
+// applyIncarnation takes a worker's incarnation and tick. A later incarnation ends all attempts of earlier ones
+// (docs/design.md, argument 4).
 func (s *State) applyIncarnation(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
-	changed = !m.contacted
-	if !m.contacted || r.Incarnation > m.incarnation {
-		// A session lasts its whole lease from its own beginning, answered or
-		// not, and it may have begun as late as now.
-		m.answeredAt = now
-	}
-	if m.contacted && r.Incarnation > m.incarnation {
-		// A new session: whatever ran in an earlier one was killed, and no
-		// order that names an earlier one is executed.
+	changed = !m.worker.contacted
+	if !m.worker.contacted || r.Incarnation > m.worker.incarnation {
+		// An incarnation lasts its whole worker lease from its own beginning, answered or not, and it may have
+		// begun as late as now.
+		m.worker.answeredAt = now
+	}
+	if m.worker.contacted && r.Incarnation > m.worker.incarnation {
+		// Whatever ran in an earlier incarnation was killed, and no command that names an earlier one is executed.
 		for _, t := range m.tasks {
-			if t.sent || t.reported {
+			if t.state != taskLeased {
 				s.removeTask(m, t)
 			}
 		}
 		changed = true
 	}
-	if m.silent {
-		m.silent, changed = false, true
+	if m.worker.silent {
+		m.worker.silent, changed = false, true
 		s.resetIdle(m, now)
 	}
-	m.contacted, m.incarnation, m.tick = true, r.Incarnation, r.Tick
+	m.worker.contacted, m.worker.incarnation, m.worker.tick = true, r.Incarnation, r.Tick
 	return changed
 }
 
-// applyWorkerState takes which token a worker has seen, and its spot notice.
+// applyWorkerState takes the token that a worker shows, and its eviction notice. The first token of this term makes
+// the machine accounted (docs/design.md, argument 6).
 func (s *State) applyWorkerState(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
-	m.shownToken = max(m.shownToken, r.FencingToken)
-	if m.unconfirmed && r.FencingToken >= m.token {
-		m.unconfirmed, changed = false, true
+	m.delivery.shownToken = max(m.delivery.shownToken, r.FencingToken)
+	if m.delivery.unconfirmed && r.FencingToken >= m.delivery.token {
+		m.delivery.unconfirmed, changed = false, true
 		s.resetIdle(m, now)
 	}
 	if !m.accounted && r.FencingToken >= firstToken(s.terms[m.partition]) {
 		m.accounted = true
-		s.markAllChanged(m) // who did not believe its tasks so far looks at all of them now
+		s.markAllChanged(m) // schedulers that did not rely on its tasks so far look at all of them now
 	}
-	if n := r.EvictionNoticeS != nil; n != m.evictionNoticed {
-		m.evictionNoticed, changed = n, true
+	if given := r.EvictionNoticeS != nil; given != m.eviction.given {
+		m.eviction.given, changed = given, true
 	}
 	if r.EvictionNoticeS != nil {
-		m.evictionAt = now + clock.FromSeconds(*r.EvictionNoticeS)
+		m.eviction.at = now + clock.FromSeconds(*r.EvictionNoticeS)
 	}
 	return changed
 }
 
-// applyTasks takes the tasks that a worker shows, and gives their ids.
+// applyTasks takes the tasks that a worker lists, and gives their ids.
 func (s *State) applyTasks(m *machine, r *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
 	listed = make(map[peer.TaskID]bool, len(r.Tasks))
-	for _, tr := range r.Tasks {
-		job, n, ok := wire.SplitTask(tr.Task)
+	for _, status := range r.Tasks {
+		job, n, ok := wire.SplitTask(status.Task)
 		if !ok {
 			continue
 		}
-		id := peer.TaskID{Job: job, N: n, Attempt: tr.Attempt}
+		id := peer.TaskID{Job: job, N: n, Attempt: status.Attempt}
 		listed[id] = true
 		t := m.tasks[id]
 		if t == nil {
 			t = s.addFoundTask(m, id, now)
 		}
-		if !t.reported || t.phase != tr.Phase {
+		if t.state < taskReported || t.phase != status.Phase {
 			s.markTaskChanged(m, t)
-			s.recordHistory(m, id, tr.Phase, tr.Cause)
-			switch tr.Phase {
+			s.recordHistory(m, id, status.Phase, status.Cause)
+			switch status.Phase {
 			case wire.TaskExited:
-				s.recordExit(m, t, tr.Cause, now)
+				s.recordExit(m, t, status.Cause, now)
 			case wire.TaskRunning:
 				s.markWarm(m)
 			}
 		}
-		t.reported, t.sent, t.phase, t.cause = true, true, tr.Phase, tr.Cause
+		t.state, t.phase, t.cause = reportedState(status.Phase), status.Phase, status.Cause
 	}
 	return listed
 }
 
-// addFoundTask adds a task that a worker shows and nobody has asked for here.
+// addFoundTask adds a task that a worker lists and that was not assigned here.
 func (s *State) addFoundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
 	t := &task{id: id, addedAt: now}
 	if j, ok := s.jobs.Active(id.Job); ok {
@@ -160,53 +170,25 @@
 	return t
 }
 
-// removeUnlistedTasks takes off the tasks that a worker does not show any more, or never will.
-func (s *State) removeUnlistedTasks(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, isReport bool) {
+// removeUnlistedTasks removes the tasks that a worker lists no more, or never will.
+func (s *State) removeUnlistedTasks(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, by route) {
 	for id, t := range m.tasks {
-		if listed[id] || !t.sent {
+		if listed[id] || t.state == taskLeased {
 			continue
 		}
 		switch {
-		case t.reported:
+		case t.state >= taskReported:
 			s.removeTask(m, t) // forgotten
-		case t.stopping && isReport && r.Tick > t.runTick && (t.unansweredToken == 0 || m.shownToken > t.unansweredToken):
-			// Never started, and no copy of its run can arrive any more.
-			s.removeTask(m, t)
+		case t.stopping && by == viaHeartbeat && r.Tick > t.runTick && !m.delivery.runMayArrive(t):
+			s.removeTask(m, t) // never started
 		}
 	}
 }
 
-// resetIdle takes note that a machine may be used again: while it was cut off or hung it
-// was given nothing, so it has not been idle. Without this all machines of a cut
-// are returned in the moment they are resetIdle, and rented anew.
+// resetIdle notes that a machine may be used again: while it was cut off or hung it was given nothing, so it has not
+// been idle. Otherwise all machines of a network partition would be scaled in the moment they are back, and scaled
+// out anew.
 func (s *State) resetIdle(m *machine, now clock.Micros) {
 	m.idleSince = now
 	s.markChanged(m)
 }
-
-// recordExit keeps account of failures: a machine on which several jobs fail in a
-// row is sick, unless the jobs fail everywhere.
-func (s *State) recordExit(m *machine, t *task, cause string, now clock.Micros) {
-	switch cause {
-	case wire.CauseDone:
-		m.failures = 0
-		clear(m.failedJobs)
-		delete(s.failedOn, t.id.Job)
-	case wire.CauseError:
-		f := s.failedOn[t.id.Job]
-		if f == nil {
-			f = map[string]bool{}
-			s.failedOn[t.id.Job] = f
-		}
-		f[m.id] = true
-		if len(f) > 2 {
-			return // the job's own mistake
-		}
-		m.failures++
-		m.failedJobs[t.id.Job] = true
-		m.cordonedUntil = now + min(5*clock.Second<<min(m.failures, 4), 60*clock.Second)
-		if len(m.failedJobs) >= s.timing.QuarantineErrors || m.failures >= 8 {
-			m.quarantined = true
-		}
-	}
-}
--- a/internal/partition/machine.go
+++ b/internal/partition/machine.go
@@ -1,7 +1,9 @@
 package partition
 
 import (
+	"cmp"
 	"container/list"
+	"slices"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
@@ -10,101 +12,117 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// task is one attempt on a machine: a lease (nothing sent), sent, or seen.
-type task struct {
-	id              peer.TaskID
-	team            string
-	priority        int
-	need            resources.Amounts
-	addedAt         clock.Micros
-	sent            bool         // a run was sent, at least once
-	runTick         uint64       // report whose answer carried the last run
-	unansweredToken uint64       // token of an unanswered /orders that carried a run; 0: none
-	deliveredAt     clock.Micros // by /orders; not repeated at once
-	reported        bool
-	jobRevision     uint64 // revision of its job's record; 0: not asked for here, but found
-	phase           string
-	cause           string
-	stopping        bool
-	stopGraceS      float64
-	acknowledged    bool
-	withinGuarantee bool // its job is within its team's guarantee
-	reserved        bool // it runs elsewhere: nothing is sent before its placer's word
-	reservedFor     clock.Micros
-	version         uint64 // of the view that first shows it as it is
-}
+// recordState is whether a machine's record is in the key-value store (docs/design.md, argument 5).
+//
+//	           record seen                 removal decided
+//	unrecorded ----------> recordPresent ----------------> recordRemoving
+//	     ^                   |       ^                         |   |
+//	     +--- record gone ---+       +---- recorded anew ------+   |
+//	     +------------------------ record gone --------------------+
+//
+// From the decision on a machine counts as not recorded: a late removal must not follow a task's start.
+type recordState uint8
+
+const (
+	unrecorded     recordState = iota
+	recordPresent              // by a write that no removal of the record can follow
+	recordRemoving             // a removal was decided, and may be carried out at any later time
+)
 
-func (t *task) exited() bool { return t.phase == wire.TaskExited }
+// evictionNotice is a spot instance's notice that the cloud takes it back.
+type evictionNotice struct {
+	given bool
+	at    clock.Micros // when the instance is taken back
+}
 
+// machine is a machine of a partition that this process leads.
+//
+// Its tasks are every attempt that may be running on it, or for which its resources are leased: a task is
+// removed only when it is gone for certain (docs/design.md, argument 4) or nothing of it was ever sent.
 type machine struct {
 	id        string
 	partition int
 	inventory.Record
-	capacity            resources.Amounts
-	token               uint64 // what orders are sent with
-	shownToken          uint64 // highest that the worker showed
-	incarnation         uint64
-	tick                uint64
-	contacted           bool // a report of this term has come
-	answeredAt          clock.Micros
-	recorded            bool // on record, by a write that no drop of its record can follow
-	removingRecord      bool // a drop of its record was decided, and may be carried out at any later time
-	accounted           bool
-	silent              bool
-	gone                bool
-	draining            bool
-	evictionNoticed     bool
-	evictionAt          clock.Micros // by its notice
-	heartbeatsOverdue   bool         // its reports have stopped: perhaps it is gone
-	unconfirmed         bool         // an /orders had no answer, and no report has shown the raised token since
-	lastHeartbeat       [2]uint64    // session and tick of the last report
-	quarantined         bool
-	probedAt            clock.Micros
-	deliveryPausedUntil clock.Micros // no /orders until then: one had no answer
-	deliveryInFlight    bool
-	deliveryTick        uint64 // the worker's tick when the /orders on its way was sent
-	cordonedUntil       clock.Micros
-	failures            int
-	failedJobs          map[string]bool
-	images              []string // in its cache as far as is known, the latest used first
-	imagesVersion       uint64   // version since when they are so
-	idleSince           clock.Micros
-	version             uint64
-	tasks               map[peer.TaskID]*task
-	// warmIncarnation is the session in which a task was seen running here last.
+	capacity resources.Amounts
+	tasks    map[peer.TaskID]*task
+
+	worker   workerState
+	delivery deliveryState
+	failures failureRecord
+	images   imageCache
+	record   recordState
+
+	// accounted: a heartbeat showed a token of this term, so commands of former leaders change nothing any
+	// more (docs/design.md, argument 6).
+	accounted bool
+	draining  bool
+	eviction  evictionNotice
+	idleSince clock.Micros
+	// warmIncarnation is the worker's incarnation in which a task was last seen running.
 	warmIncarnation uint64
-	departed        []departedTask // tasks gone lately, the oldest first
-	completeSince   uint64         // who knows the machine as of an earlier version is told of all its tasks
-	changeElement   *list.Element
-}
 
-// departedTask is a task that is on its machine no more.
-type departedTask struct {
-	id      peer.TaskID
-	version uint64
+	version       uint64 // of its last change
+	departed      departedTasks
+	changeElement *list.Element // its place in the State's changeList
 }
 
-// maxDepartedTasks bounds how many departed tasks a machine remembers.
-const maxDepartedTasks = 256
-
-// resourcesInUse is what the machine's tasks take that are there, or may be, and what
-// is spoken for. A task that was told to stop is still there, but its room may
-// be leased already: the lease waits for its end.
-func (m *machine) resourcesInUse() (started, spoken resources.Amounts) {
+// resourcesInUse sums what the machine's tasks take. started is what may be running on it; leased is what is
+// promised: without the tasks that are being stopped, whose resources may be leased already (the lease waits for
+// their end), and with the leases of which nothing was sent.
+func (m *machine) resourcesInUse() (started, leased resources.Amounts) {
 	for _, t := range m.tasks {
 		if t.exited() {
 			continue
 		}
 		if !t.stopping {
-			spoken = spoken.Plus(t.need)
+			leased = leased.Plus(t.need)
 		}
-		if t.sent {
+		if t.state != taskLeased {
 			started = started.Plus(t.need)
 		}
 	}
-	return started, spoken
+	return started, leased
 }
 
+// usable reports whether the machine may get tasks now.
 func (m *machine) usable(now clock.Micros) bool {
-	return m.accounted && m.recorded && !m.silent && !m.gone && !m.draining && !m.evictionNoticed && !m.heartbeatsOverdue && !m.unconfirmed && !m.quarantined && now >= m.cordonedUntil
+	return m.accounted && m.record == recordPresent &&
+		!m.worker.lost() && !m.worker.overdue && !m.delivery.unconfirmed &&
+		!m.draining && !m.eviction.given &&
+		!m.failures.quarantined && now >= m.failures.cordonedUntil
+}
+
+// tasksByAge lists the machine's tasks that changed after a version, the oldest first.
+func (m *machine) tasksByAge(changedAfter uint64) []*task {
+	out := make([]*task, 0, len(m.tasks))
+	for _, t := range m.tasks {
+		if t.version > changedAfter {
+			out = append(out, t)
+		}
+	}
+	slices.SortFunc(out, func(a, b *task) int {
+		return cmp.Or(cmp.Compare(a.addedAt, b.addedAt), cmp.Compare(a.id.Attempt, b.id.Attempt),
+			cmp.Compare(a.id.Job, b.id.Job), cmp.Compare(a.id.N, b.id.N))
+	})
+	return out
+}
+
+// pendingStarts counts the machine's tasks that were accepted and not seen running yet.
+func (m *machine) pendingStarts() (n int) {
+	for _, t := range m.tasks {
+		if !t.stopping && (t.phase == "" || t.phase == wire.TaskFetching) {
+			n++
+		}
+	}
+	return n
+}
+
+// hasAttempt reports whether an attempt of a task is on the machine and has not exited.
+func (m *machine) hasAttempt(job string, n int) bool {
+	for id, t := range m.tasks {
+		if id.Job == job && id.N == n && !t.exited() {
+			return true
+		}
+	}
+	return false
 }
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -75,19 +75,6 @@
 	return s.state.missedHeartbeats(s.clock.Now())
 }
 
-func (s *State) missedHeartbeats(now clock.Micros) (all, unheard int) {
-	for _, m := range s.machines {
-		if m.silent || m.gone || !m.recorded {
-			continue
-		}
-		all++
-		if now > m.answeredAt+s.timing.HeartbeatOverdue/2+clock.Second/5 {
-			unheard++
-		}
-	}
-	return all, unheard
-}
-
 // reachabilityProbes is how many workers are asked whether this controller reaches them.
 const reachabilityProbes = 6
 
--- a/internal/partition/reservations_test.go
+++ b/internal/partition/reservations_test.go
@@ -84,7 +84,7 @@
 func TestReservedStartOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.reserve(0, 1)
-	s.state.fenceTeams(map[string]uint64{team: 2})
+	s.state.teamTerms.fence(map[string]uint64{team: 2})
 	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -15,8 +15,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/recovery"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
+	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -288,3 +290,29 @@
 		s.loopDuty.Round(time.Since(began))
 	}
 }
+
+// SetZoneState takes the state of a zone.
+func (s *Server) SetZoneState(name string, r zone.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state.SetZoneState(name, r, s.clock.Now())
+}
+
+// AdmittedStages tells the stages that this owner admits in zones to which work returns.
+func (s *Server) AdmittedStages() map[string]recovery.Stage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.AdmittedStages(s.clock.Now())
+}
+
+// Standings gives the teams' shares of the machines that are led, the capacity that they are of, and
+// how many assignments had to leave resources to other teams.
+func (s *Server) Standings() (capacity resources.Amounts, list []fairshare.Standing, yielded uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.state.arbiter == nil {
+		return resources.Amounts{}, nil, 0
+	}
+	capacity, list = s.state.Standings(s.clock.Now())
+	return capacity, list, s.state.arbiter.Yielded()
+}
--- a/internal/partition/shares.go
+++ b/internal/partition/shares.go
@@ -7,11 +7,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// SetArbiter has contended room divided among teams by fair shares.
+// SetArbiter has contended resources divided among teams by fair shares.
 func (s *State) SetArbiter(a *fairshare.Arbiter) { s.arbiter = a }
 
-// updateDemands takes what placers tell of their teams' demand. A former placer's word counts
-// for nothing.
+// updateDemands takes the teams' demands from their schedulers. Those of former team leaders are ignored.
 func (s *State) updateDemands(list []fairshare.Demand, now clock.Micros) {
 	if s.arbiter == nil {
 		return
@@ -24,7 +23,7 @@
 	s.updateUsage(now)
 }
 
-// updateUsage has the arbiter count anew what runs, where that is due.
+// updateUsage has the arbiter count anew what each team uses, where that is due.
 func (s *State) updateUsage(now clock.Micros) {
 	if !s.arbiter.UsageDue(now) {
 		return
@@ -32,7 +31,7 @@
 	var capacity resources.Amounts
 	used := map[string]fairshare.Use{}
 	for _, m := range s.machines {
-		if m.silent || m.gone {
+		if m.worker.lost() {
 			continue
 		}
 		if m.usable(now) {
@@ -53,7 +52,7 @@
 	s.arbiter.UpdateUsage(capacity, used, now)
 }
 
-// yieldsToOtherTeam tells that an ask must leave a machine's free room to another team.
+// yieldsToOtherTeam reports whether an assignment must leave a machine's free resources to another team.
 func (s *State) yieldsToOtherTeam(m *machine, a *peer.Assignment, free resources.Amounts, now clock.Micros) bool {
 	if s.arbiter == nil {
 		return false
@@ -67,19 +66,7 @@
 	return &fairshare.Ask{Team: a.Team, Rank: a.Rank, Need: a.Need, Owed: a.Covered}
 }
 
-// Standings gives the teams' shares of the machines held, the capacity that they are of, and
-// how many asks had to leave room to other teams.
-func (s *Server) Standings() (capacity resources.Amounts, list []fairshare.Standing, yielded uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.state.arbiter == nil {
-		return resources.Amounts{}, nil, 0
-	}
-	capacity, list = s.state.Standings(s.clock.Now())
-	return capacity, list, s.state.arbiter.Yielded()
-}
-
-// Standings gives the teams' shares of the machines held, and the capacity that they are of.
+// Standings gives the teams' shares of the machines that are led, and the capacity that they are of.
 func (s *State) Standings(now clock.Micros) (capacity resources.Amounts, list []fairshare.Standing) {
 	if s.arbiter == nil {
 		return resources.Amounts{}, nil
--- a/internal/partition/state_test.go
+++ b/internal/partition/state_test.go
@@ -154,7 +154,7 @@
 	s.worker.Token = old // as if the answer with the new token were still under way
 	s.now += sec
 	r := s.worker.Report(s.now)
-	s.state.machines["m-1"].shownToken = old
+	s.state.machines["m-1"].delivery.shownToken = old
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	s.sendBatch(peer.Batch{Settles: []peer.Acknowledgement{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
@@ -391,11 +391,11 @@
 	s.heartbeat()
 	s.worker.Finish("job-1/0", wire.CauseError)
 	s.heartbeat()
-	require.False(t, s.state.machines["m-1"].quarantined)
+	require.False(t, s.state.machines["m-1"].failures.quarantined)
 	require.False(t, s.state.machines["m-1"].usable(s.now), "shunned for a while")
 	s.worker.Finish("job-2/0", wire.CauseError)
 	s.heartbeat()
-	require.True(t, s.state.machines["m-1"].quarantined)
+	require.True(t, s.state.machines["m-1"].failures.quarantined)
 }
 
 // Random losses: whatever is lost, late or repeated, no task ever runs twice
@@ -470,7 +470,7 @@
 	s.now += workerLease/2 + sec
 	s.state.Tick(s.now)
 	require.False(t, usable())
-	require.False(t, s.state.machines["m-1"].silent, "its tasks may be running")
+	require.False(t, s.state.machines["m-1"].worker.silent, "its tasks may be running")
 	s.heartbeat()
 	require.True(t, usable())
 }
@@ -519,11 +519,11 @@
 			require.False(t, ok)
 		}
 		s.state.Tick(s.now)
-		if !s.state.machines["m-1"].silent {
+		if !s.state.machines["m-1"].worker.silent {
 			require.Len(t, s.tasks(), 1)
 		}
 	}
-	require.True(t, s.state.machines["m-1"].silent)
+	require.True(t, s.state.machines["m-1"].worker.silent)
 	require.Empty(t, s.tasks())
 }
 
