--- a/internal/partition/connections.go
+++ b/internal/partition/connections.go
@@ -7,15 +7,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
+// maxWorkerResponse bounds a worker's answer in bytes.
+const maxWorkerResponse = 256 << 10
+
 // workerConnections are the connections to workers' own addresses. Each machine has one at
-// most, and all of them together stay below a bound: a controller that is left
-// alone with a fleet has the workers' reports to hold as well. The one used
-// longest ago makes room for another.
+// most, and all of them together stay below a limit: a controller that is left alone with a fleet has the connections
+// of the workers' heartbeats to hold as well. At the limit the idle one that was used longest ago is closed.
+//
+// Guarded by the Server's lock.
 type workerConnections struct {
 	limit           int
 	byMachine       map[string]*workerConnection
-	idle            *list.List // of machines, the one used longest ago first
-	deliveryWaiting bool       // a delivery had to wait
+	idle            *list.List // of machine ids, the one used longest ago first
+	deliveryWaiting bool       // a delivery found none available
 
 	traffic *telemetry.Traffic
 }
@@ -25,64 +29,64 @@
 	idle   *list.Element // nil while a delivery has it
 }
 
-func newWorkerConnections(most int, traffic *telemetry.Traffic) *workerConnections {
-	return &workerConnections{limit: most, traffic: traffic, byMachine: map[string]*workerConnection{}, idle: list.New()}
+func newWorkerConnections(limit int, traffic *telemetry.Traffic) *workerConnections {
+	return &workerConnections{limit: limit, traffic: traffic, byMachine: map[string]*workerConnection{}, idle: list.New()}
 }
 
-// available tells whether a delivery may start for a machine now.
-func (l *workerConnections) available(id string) bool {
-	ok := len(l.byMachine) < l.limit || l.idle.Len() > 0 || l.byMachine[id] != nil
-	l.deliveryWaiting = l.deliveryWaiting || !ok
+// available reports whether a delivery to a machine may start now. One that may not is remembered: release reports it.
+func (c *workerConnections) available(id string) bool {
+	ok := len(c.byMachine) < c.limit || c.idle.Len() > 0 || c.byMachine[id] != nil
+	c.deliveryWaiting = c.deliveryWaiting || !ok
 	return ok
 }
 
-// acquire gives a machine's line to a delivery.
-func (l *workerConnections) acquire(id, addr string) *httpx.Client {
-	w := l.byMachine[id]
+// acquire gives a machine's connection to a delivery.
+func (c *workerConnections) acquire(id, addr string) *httpx.Client {
+	w := c.byMachine[id]
 	if w != nil && w.client.Addr() != addr {
-		l.close(id)
+		c.close(id)
 		w = nil
 	}
 	if w == nil {
-		if len(l.byMachine) >= l.limit && l.idle.Len() > 0 {
-			l.close(l.idle.Front().Value.(string))
+		if len(c.byMachine) >= c.limit && c.idle.Len() > 0 {
+			c.close(c.idle.Front().Value.(string))
 		}
-		w = &workerConnection{client: httpx.NewClient(addr, 1, 256<<10)}
-		w.client.Count(l.traffic)
-		l.byMachine[id] = w
+		w = &workerConnection{client: httpx.NewClient(addr, 1, maxWorkerResponse)}
+		w.client.Count(c.traffic)
+		c.byMachine[id] = w
 	}
 	if w.idle != nil {
-		l.idle.Remove(w.idle)
+		c.idle.Remove(w.idle)
 		w.idle = nil
 	}
 	return w.client
 }
 
-// release takes a line back from its delivery, and tells whether others wait for one.
-func (l *workerConnections) release(id string, c *httpx.Client) (wanted bool) {
-	if w := l.byMachine[id]; w != nil && w.client == c {
-		w.idle = l.idle.PushBack(id)
+// release takes a connection back from its delivery, and reports whether others wait for one.
+func (c *workerConnections) release(id string, client *httpx.Client) (deliveryWaiting bool) {
+	if w := c.byMachine[id]; w != nil && w.client == client {
+		w.idle = c.idle.PushBack(id)
 	} else {
-		c.Close() // dropped in the meantime
+		client.Close() // closed in the meantime
 	}
-	wanted, l.deliveryWaiting = l.deliveryWaiting, false
-	return wanted
+	deliveryWaiting, c.deliveryWaiting = c.deliveryWaiting, false
+	return deliveryWaiting
 }
 
-// retain closes the lines of machines that are no longer here.
-func (l *workerConnections) retain(here func(id string) bool) {
-	for id := range l.byMachine {
-		if !here(id) {
-			l.close(id)
+// retain closes the connections to machines that are not known any more.
+func (c *workerConnections) retain(known func(id string) bool) {
+	for id := range c.byMachine {
+		if !known(id) {
+			c.close(id)
 		}
 	}
 }
 
-func (l *workerConnections) close(id string) {
-	w := l.byMachine[id]
+func (c *workerConnections) close(id string) {
+	w := c.byMachine[id]
 	if w.idle != nil {
-		l.idle.Remove(w.idle)
+		c.idle.Remove(w.idle)
 	}
 	w.client.Close()
-	delete(l.byMachine, id)
+	delete(c.byMachine, id)
 }
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -12,7 +12,21 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// startDeliveries starts a delivery for each machine that has something to be sent.
+// deliveryTimeout is how long a delivery may take; without an answer by then it counts as unanswered.
+const deliveryTimeout = 1200 * time.Millisecond
+
+// Statuses with which a worker answers a delivery; both come with its status as a heartbeat.
+const (
+	statusOK       = 200
+	statusRejected = 409 // it has seen a higher token, or is of another incarnation
+)
+
+var (
+	errUnexpectedResponse = errors.New("unexpected response")
+	errNotLeader          = errors.New("partition not led under this term")
+)
+
+// startDeliveries starts a delivery for each machine that has something to be delivered.
 func (s *Server) startDeliveries(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,56 +43,52 @@
 		if orders == nil {
 			continue
 		}
-		go s.deliver(ctx, id, part, s.connections.acquire(id, addr), orders)
+		client := s.connections.acquire(id, addr)
+		s.background.Go(func() { s.deliver(ctx, id, part, client, orders) })
 	}
 }
 
-const deliveryTimeout = 1200 * time.Millisecond
-
-// deliver sends orders to one worker's own address and takes its answer.
+// deliver sends commands to one worker's own address and takes its answer.
 func (s *Server) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	r, err := s.postCommands(ctx, part, c, orders)
+	status, err := s.postCommands(ctx, part, c, orders)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connections.release(id, c) {
-		s.wakeDelivery()
+		s.wake.notify()
 	}
 	now := s.clock.Now()
 	if err != nil {
-		s.log.Debug("orders had no answer", "machine", id, "err", err)
+		s.log.Debug("command delivery unanswered", "machine", id, "error", err)
 		s.state.HandleDeliveryTimeout(id, orders, now)
 		return
 	}
-	s.state.HandleDeliveryResponse(id, orders, r, now)
+	s.state.HandleDeliveryResponse(id, orders, status, now)
 	s.notifyChange()
 }
 
-var (
-	errUnexpectedAnswer = errors.New("odd answer")
-	errNotLeader        = errors.New("the partition's claim is over")
-)
-
-// postCommands sends orders while their partition is held under the term of their token.
+// postCommands sends commands while their partition is led under the term of their token, and gives the worker's status.
+// After an error the commands may have been executed, or may
+// yet be, except after errNotLeader.
 func (s *Server) postCommands(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
-	b, err := json.Marshal(orders)
+	body, err := json.Marshal(orders)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("encoding commands: %w", err)
 	}
 	if !s.leads(part, orders.FencingToken>>termShift) {
 		return nil, errNotLeader
 	}
-	resp, err := c.Do(ctx, "POST", wire.PathOrders, b)
+	resp, err := c.Do(ctx, "POST", wire.PathOrders, body)
 	if err != nil {
 		return nil, err
 	}
-	if resp.Status != 200 && resp.Status != 409 {
-		return nil, fmt.Errorf("%w: status %d", errUnexpectedAnswer, resp.Status)
+	if resp.Status != statusOK && resp.Status != statusRejected {
+		return nil, fmt.Errorf("%w: status %d", errUnexpectedResponse, resp.Status)
 	}
 	var r wire.Heartbeat
 	if err := json.Unmarshal(resp.Body, &r); err != nil || r.Machine == "" {
-		return nil, fmt.Errorf("%w: %.80s", errUnexpectedAnswer, resp.Body)
+		return nil, fmt.Errorf("%w: %.80s", errUnexpectedResponse, resp.Body)
 	}
 	return &r, nil
 }
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
@@ -10,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Apply takes events of the replica: the records of machines.
+// Apply takes events of the replica: changes of machine records.
 func (s *Server) Apply(evs []kvstore.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,18 +21,29 @@
 	s.notifyChange()
 }
 
-// applyRecordChanges tells the table which machines are on record. The lock is held.
-func (s *Server) applyRecordChanges(came inventory.Group, went []string) {
+// applyRecordChanges tells the State which machines are on record, and which no more. mu is held.
+func (s *Server) applyRecordChanges(added inventory.Group, removed []string) {
 	now := s.clock.Now()
-	for _, id := range went {
+	for _, id := range removed {
 		s.state.HandleMachineRecord(id, 0, inventory.Record{}, false, now)
 	}
-	for id, r := range came {
+	for id, r := range added {
 		s.state.HandleMachineRecord(id, s.partitioning.PartitionOf(id, r.Zone), r, true, now)
 	}
 }
 
-// RecordedBefore lists the machines that were recorded by a time of day, and are on record still.
+// recordedIn gives the recorded machines of a partition. mu is held.
+func (s *Server) recordedIn(part int) inventory.Group {
+	found := inventory.Group{}
+	s.records.Each(func(id string, r inventory.Record) {
+		if s.partitioning.PartitionOf(id, r.Zone) == part {
+			found[id] = r
+		}
+	})
+	return found
+}
+
+// RecordedBefore lists the machines that were recorded by a time of day, in Unix milliseconds, and are on record still.
 func (s *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,64 +55,83 @@
 	return out
 }
 
-// writeMachineRecords writes the records of new machines, and drops those of machines that
-// are gone, each on the condition that the partition is still held.
-func (s *Server) writeMachineRecords(ctx context.Context, fresh inventory.Group, drop []string) {
-	came, went := map[int]inventory.Group{}, map[int][]string{}
-	parts := map[int]bool{}
-	for id, r := range fresh {
-		r.AtMS = s.wallClock().UnixMilli()
-		p := s.partitioning.PartitionOf(id, r.Zone)
-		if came[p] == nil {
-			came[p] = inventory.Group{}
+// recordChanges is what is to change in the machine records of one partition.
+type recordChanges struct {
+	add    inventory.Group
+	remove []string
+}
+
+// changesByPartition sorts machines that are to be recorded, and those whose records are to be removed, by partition.
+func (s *Server) changesByPartition(unrecorded inventory.Group, drop []string) map[int]*recordChanges {
+	out := map[int]*recordChanges{}
+	of := func(part int) *recordChanges {
+		if out[part] == nil {
+			out[part] = &recordChanges{add: inventory.Group{}}
 		}
-		came[p][id], parts[p] = r, true
+		return out[part]
+	}
+	for id, r := range unrecorded {
+		r.AtMS = s.wallClock().UnixMilli()
+		of(s.partitioning.PartitionOf(id, r.Zone)).add[id] = r
 	}
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, id := range drop {
 		r, ok := s.records.Find(id)
 		if !ok {
 			continue
 		}
-		p := s.partitioning.PartitionOf(id, r.Zone)
-		went[p], parts[p] = append(went[p], id), true
+		c := of(s.partitioning.PartitionOf(id, r.Zone))
+		c.remove = append(c.remove, id)
 	}
-	s.mu.Unlock()
-	for p := range parts {
-		h, mine := s.elections.Leading(Duty(p))
-		if !mine {
+	return out
+}
+
+// writeMachineRecords adds and removes machine records, each on the condition that the partition is still led and that
+// the key is as it was last known (docs/design.md, argument 5). What fails is tried again with a later tick.
+func (s *Server) writeMachineRecords(ctx context.Context, unrecorded inventory.Group, drop []string) {
+	for part, changes := range s.changesByPartition(unrecorded, drop) {
+		l, leading := s.elections.Leading(Duty(part))
+		if !leading {
 			continue
 		}
 		s.mu.Lock()
-		list := s.records.PlanWrites(p, came[p], went[p], s.maxRecordBytes)
+		writes := s.records.PlanWrites(part, changes.add, changes.remove, s.maxRecordBytes)
 		s.mu.Unlock()
-		for len(list) > 0 {
-			n, size := 0, 0
-			for n < min(len(list), s.txnOps) && (n == 0 || size+list[n].Size() < wire.MaxTxnBytes) {
-				size += list[n].Size()
-				n++
-			}
-			if err := s.commitRecords(ctx, p, h, list[:n]); err != nil {
-				s.log.Debug("recording machines", "part", p, "err", err)
+		for len(writes) > 0 {
+			n := s.fitTransaction(writes)
+			if err := s.commitRecords(ctx, part, l, writes[:n]); err != nil {
+				s.log.Warn("machine record write failed", "partition", part, "error", err)
 				break
 			}
-			list = list[n:]
+			writes = writes[n:]
 		}
 	}
 }
 
-func (s *Server) commitRecords(ctx context.Context, part int, h leaderelection.Leadership, list []inventory.Write) error {
-	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(part), ModRevision: h.ModRevision}}}
-	for _, w := range list {
+// fitTransaction is how many of the writes, one at least, fit into a transaction.
+func (s *Server) fitTransaction(writes []inventory.Write) (n int) {
+	size := 0
+	for n < min(len(writes), s.txnOps) && (n == 0 || size+writes[n].Size() < wire.MaxTxnBytes) {
+		size += writes[n].Size()
+		n++
+	}
+	return n
+}
+
+// commitRecords commits writes on the condition of the partition's leadership, and applies them.
+func (s *Server) commitRecords(ctx context.Context, part int, l leaderelection.Leadership, writes []inventory.Write) error {
+	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(part), ModRevision: l.ModRevision}}}
+	for _, w := range writes {
 		w.AppendTo(&m)
 	}
 	rev, err := s.store.Commit(ctx, m)
 	if err != nil {
-		return err
+		return fmt.Errorf("committing %d keys: %w", len(writes), err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range list {
+	for _, w := range writes {
 		s.applyRecordChanges(s.records.Put(w.Key, w.Group, rev))
 	}
 	s.notifyChange()
--- a/internal/partition/partitioning.go
+++ b/internal/partition/partitioning.go
@@ -5,33 +5,33 @@
 	"hash/fnv"
 )
 
-// Duty names the claim of a partition.
+// Duty names the leadership of a partition.
 func Duty(part int) string { return fmt.Sprintf("part-%03d", part) }
 
-// Partitioning tells which partition a machine belongs to. Those of a zone belong to
-// partitions whose preferred controllers are in that zone: when it is cut off from
-// the others, its machines stay with a controller that reaches them, and no other
-// machines lose theirs. Machines of a zone without controllers go anywhere.
+// Partitioning maps machines to partitions, by zone and a hash of the id. Machines of a zone belong to
+// partitions whose preferred leaders are in that zone: when it is cut off from the others, its machines stay with a
+// controller that reaches them, and no other machines lose theirs. Machines of a zone without controllers belong to
+// any partition.
 type Partitioning struct {
 	all    []int
 	byZone map[string][]int
 }
 
-// NewPartitioning splits the machines; zones holds the zone of each partition's preferred controller.
+// NewPartitioning makes a partitioning; zones holds the zone of each partition's preferred leader.
 func NewPartitioning(zones []string) Partitioning {
-	s := Partitioning{byZone: map[string][]int{}}
-	for p, z := range zones {
-		s.all = append(s.all, p)
-		s.byZone[z] = append(s.byZone[z], p)
+	p := Partitioning{byZone: map[string][]int{}}
+	for part, zone := range zones {
+		p.all = append(p.all, part)
+		p.byZone[zone] = append(p.byZone[zone], part)
 	}
-	return s
+	return p
 }
 
 // PartitionOf gives the partition of a machine.
-func (s Partitioning) PartitionOf(machine, zone string) int {
-	list := s.byZone[zone]
+func (p Partitioning) PartitionOf(machine, zone string) int {
+	list := p.byZone[zone]
 	if len(list) == 0 {
-		list = s.all
+		list = p.all
 	}
 	h := fnv.New32a()
 	h.Write([]byte(machine))
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -8,26 +8,28 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// Times between the changes of a table and the answers that tell of them.
+// Times between the changes of a State and the publications that show them.
 const (
 	publicationDelay           = 12 * clock.Millisecond // after a change, for others that come with it
-	minPublicationInterval     = 25 * clock.Millisecond // between two publications
+	minPublicationInterval     = 25 * clock.Millisecond
 	maxPublicationInterval     = 120 * clock.Millisecond
-	publicationIntervalPerPoll = clock.Millisecond / 8 // for each machine held and each poll that waits
+	publicationIntervalPerPoll = clock.Millisecond / 8 // for each machine known and each poll that waits
 )
 
 // publicationInterval is the least time between two publications. It widens with the machines
-// that are held and with the controllers that ask: each answer costs both sides, and
-// every controller asks every other. How often a process is woken, not how much it does
+// that are known and with the polls that wait: each answer costs both sides, and
+// every controller polls every other. How often a process is woken, not how much it does
 // then, is most of what it spends.
-func publicationInterval(machines, waiting int) clock.Micros {
-	return min(minPublicationInterval+clock.Micros(machines*waiting)*publicationIntervalPerPoll, maxPublicationInterval)
+func publicationInterval(machines, waitingPolls int) clock.Micros {
+	return min(minPublicationInterval+clock.Micros(machines*waitingPolls)*publicationIntervalPerPoll, maxPublicationInterval)
 }
 
-// publisher publishes the versions of a table: all polls that wait are answered at the same
-// moment, by one timer for all of them. Its fields are guarded by the owner's lock.
+// publisher publishes the versions of a State: all polls that wait are answered at the same
+// moment, by one timer for all of them. Its fields are guarded by the Server's lock.
+//
+// Its timer runs only while a publication is scheduled, for maxPublicationInterval at most.
 type publisher struct {
-	lock    *sync.Mutex
+	lock    *sync.Mutex // the Server's
 	version func() uint64
 	clock   clock.Clock
 
@@ -42,23 +44,23 @@
 	return publisher{lock: lock, version: version, clock: c, next: make(chan struct{})}
 }
 
-// schedule has a version published, no sooner than a gap after the last one. The lock is held.
-func (f *publisher) schedule(version uint64, gap clock.Micros) {
-	if f.scheduled || version == f.published {
+// schedule has a version published, no sooner than an interval after the last one. The lock is held.
+func (p *publisher) schedule(version uint64, interval clock.Micros) {
+	if p.scheduled || version == p.published {
 		return
 	}
-	f.scheduled = true
-	wait := max(publicationDelay, f.publishedAt+gap-f.clock.Now())
-	time.AfterFunc(wait.Duration(), f.publish)
+	p.scheduled = true
+	wait := max(publicationDelay, p.publishedAt+interval-p.clock.Now())
+	time.AfterFunc(wait.Duration(), p.publish)
 }
 
-func (f *publisher) publish() {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.scheduled = false
-	f.published, f.publishedAt = f.version(), f.clock.Now()
-	close(f.next)
-	f.next = make(chan struct{})
+func (p *publisher) publish() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.scheduled = false
+	p.published, p.publishedAt = p.version(), p.clock.Now()
+	close(p.next)
+	p.next = make(chan struct{})
 }
 
 // HandlePoll gives the machines that changed after a cursor, waiting for a change.
@@ -66,13 +68,14 @@
 	s.awaitPublication(in)
 	began := time.Now()
 	defer func() { s.pollDuty.Round(time.Since(began)) }()
-	s.Reconcile() // what is held no more is not told of
+	s.Reconcile() // partitions that are led no more are not shown
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.HandlePoll(in, s.incarnation, s.clock.Now())
 }
 
-// awaitPublication returns when a poll is to be answered: there is news for it, or its time is over.
+// awaitPublication returns when a poll is to be answered: a version after its cursor is published, its time is over,
+// or the server stops. A poll that knows another incarnation is answered immediately.
 func (s *Server) awaitPublication(in peer.PollRequest) {
 	deadline := time.NewTimer(in.Wait.Duration())
 	defer deadline.Stop()
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -10,43 +10,45 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A controller that the workers can't reach keeps its claims as long as it reaches
-// the state service, and its machines lose all their tasks when their leases end.
-// Its own silence proves nothing: all of its machines may be gone. But workers
-// that get no answer try the next controller, which sends them back: whoever is
-// told by its peers that its silent machines are with them is cut off.
+// A controller that the workers can't reach keeps its leaderships as long as it reaches
+// the key-value store, and its machines lose all their tasks when their worker leases expire.
+// Missing heartbeats alone prove nothing: all of its machines may be gone. But workers
+// that get no answer try the next controller, which redirects them: a controller whose peers
+// say that its silent machines report to them is unreachable.
 
-// misdirectedTTL is how long a machine that was sent to its owner counts as astray: one
-// that gets no answer there takes some five seconds for its round.
+// misdirectedTTL is how long a machine that was redirected counts as misdirected: one
+// that gets no answer from its leader takes some five seconds to come back.
 const misdirectedTTL = 6 * clock.Second
 
-// misdirectedMachines are the machines that came here lately, by the controller that has them.
+// misdirectedMachines are the machines of other controllers that reported here lately, by the controller that leads
+// their partition.
 type misdirectedMachines struct {
 	mu       sync.Mutex
-	byLeader map[string]map[string]clock.Micros
+	byLeader map[string]map[string]clock.Micros // leader: machine: when it last reported here
 }
 
-func (m *misdirectedMachines) add(holder, machine string, now clock.Micros) {
+func (m *misdirectedMachines) add(leader, machine string, now clock.Micros) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.byLeader[holder] == nil {
-		m.byLeader[holder] = map[string]clock.Micros{}
+	if m.byLeader[leader] == nil {
+		m.byLeader[leader] = map[string]clock.Micros{}
 	}
-	m.byLeader[holder][machine] = now
+	m.byLeader[leader][machine] = now
 }
 
-func (m *misdirectedMachines) count(holder string, now clock.Micros) int {
+// count counts the machines of a controller, and forgets those that reported too long ago.
+func (m *misdirectedMachines) count(leader string, now clock.Micros) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for id, at := range m.byLeader[holder] {
+	for id, at := range m.byLeader[leader] {
 		if now > at+misdirectedTTL {
-			delete(m.byLeader[holder], id)
+			delete(m.byLeader[leader], id)
 		}
 	}
-	return len(m.byLeader[holder])
+	return len(m.byLeader[leader])
 }
 
-// all lists the machines that came here lately, whoever has them.
+// all lists the machines of all controllers.
 func (m *misdirectedMachines) all(now clock.Micros) map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,14 +63,13 @@
 	return out
 }
 
-// MisdirectedMachines lists the machines of other controllers that have come to this one lately.
+// MisdirectedMachines lists the machines of other controllers that have reported to this one lately.
 func (s *Server) MisdirectedMachines() map[string]bool { return s.misdirected.all(s.clock.Now()) }
 
-// Misdirected is how many machines of a controller's have come to this one lately.
+// Misdirected is how many machines of a controller have reported to this one lately.
 func (s *Server) Misdirected(holder string) int { return s.misdirected.count(holder, s.clock.Now()) }
 
-// MissedHeartbeats tells how many machines should be reporting here, and how many of them
-// have left out a report.
+// MissedHeartbeats counts the machines that should be reporting here, and those of them that have missed a heartbeat.
 func (s *Server) MissedHeartbeats() (all, unheard int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,34 +79,39 @@
 // reachabilityProbes is how many workers are asked whether this controller reaches them.
 const reachabilityProbes = 6
 
-// ReachesWorkers asks some of the workers on record and tells whether most of them answer.
+// ReachesWorkers asks some of the recorded workers and reports whether most of them answer.
 func (s *Server) ReachesWorkers(ctx context.Context) bool {
-	var addrs []string
-	s.mu.Lock()
-	s.records.Each(func(_ string, r inventory.Record) {
-		if len(addrs) < reachabilityProbes && r.Addr != "" {
-			addrs = append(addrs, r.Addr)
-		}
-	})
-	s.mu.Unlock()
+	addrs := s.probeAddresses()
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	answers := make([]bool, len(addrs))
-	for i, a := range addrs {
+	answered := make([]bool, len(addrs))
+	for i, addr := range addrs {
 		wg.Go(func() {
-			c := httpx.NewClient(a, 1, 256<<10)
+			c := httpx.NewClient(addr, 1, maxWorkerResponse)
 			defer c.Close()
 			_, err := c.Do(ctx, "GET", wire.PathShow, nil)
-			answers[i] = err == nil
+			answered[i] = err == nil
 		})
 	}
 	wg.Wait()
 	n := 0
-	for _, ok := range answers {
+	for _, ok := range answered {
 		if ok {
 			n++
 		}
 	}
 	return 2*n > len(addrs)
 }
+
+// probeAddresses gives the addresses of some recorded workers.
+func (s *Server) probeAddresses() (addrs []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.records.Each(func(_ string, r inventory.Record) {
+		if len(addrs) < reachabilityProbes && r.Addr != "" {
+			addrs = append(addrs, r.Addr)
+		}
+	})
+	return addrs
+}
