--- a/internal/partition/reservations_test.go
+++ b/internal/partition/leases_test.go
@@ -5,17 +5,58 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-func (s *scene) reserve(n int, attempt uint64) bool {
-	a := assignment(n, attempt)
-	a.Hold = 20 * sec
-	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
+// A machine gets no task before its record is in the state service: a later
+// owner would not know of it.
+func TestUnrecordedMachineGetsNoTask(t *testing.T) {
+	s := newScene(t)
+	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, false, s.now)
+	require.False(t, s.acquireLease(0, 1))
+	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
+	require.True(t, s.acquireLease(0, 2))
 }
 
-func startTask(n int, attempt uint64) peer.StartTask {
-	return peer.StartTask{ID: assignment(n, attempt).ID, Machine: "m-1", Team: team}
+// The ask of a team's former placer arrives after the new one has been heard.
+func TestAssignmentOfFormerTeamLeaderIsRejected(t *testing.T) {
+	s := newScene(t)
+	s.state.HandlePoll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
+	require.False(t, s.acquireLease(0, 1))
+}
+
+// An ask made to the former owner of a partition reaches the next one.
+func TestAssignmentUnderFormerPartitionTermIsRejected(t *testing.T) {
+	s := newScene(t)
+	s.state.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	s.heartbeat()
+	s.heartbeat()
+	require.True(t, s.state.machines["m-1"].usable(s.now))
+	require.False(t, s.acquireLease(0, 1))
+}
+
+// Room of a stopping task is leased at once, and the lease starts after its end.
+func TestLeaseStartsAfterItsVictimExited(t *testing.T) {
+	s := newScene(t)
+	for n := range 4 {
+		require.True(t, s.acquireLease(n, uint64(n+1)))
+	}
+	s.heartbeat()
+	s.heartbeat()
+	a := assignment(4, 9)
+	a.Rank = 2
+	a.Victims = []peer.TaskID{assignment(0, 1).ID}
+	require.False(t, s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0])
+	_, o := s.state.NextDelivery("m-1", s.now)
+	require.Len(t, o.Orders, 1)
+	require.Equal(t, wire.VerbStop, o.Orders[0].Verb)
+	r, ok := s.worker.Orders(*o, s.now)
+	require.True(t, ok)
+	s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
+	_, o = s.state.NextDelivery("m-1", s.now)
+	require.Equal(t, wire.VerbRun, o.Orders[0].Verb)
 }
 
 // Room that is held for a task that is to move here takes part of the machine's, and nothing is
@@ -103,13 +144,3 @@
 	require.Empty(t, s.worker.Tasks)
 	require.Empty(t, s.tasks())
 }
-
-func TestEvictionNoticeIsShownWithTimeLeft(t *testing.T) {
-	s := newScene(t)
-	notice := 30.0
-	s.worker.NoticeS = &notice
-	s.heartbeat()
-	v := s.state.view(s.state.machines["m-1"], 0, s.now+10*sec)
-	require.True(t, v.Noticed)
-	require.Equal(t, 20*sec, v.NoticeLeft)
-}
--- a/internal/partition/zones_scenario_test.go
+++ b/internal/partition/zones_test.go
@@ -5,23 +5,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// acquireLeaseAt asks for room for a task that is admitted at a stage.
-func (s *scene) acquireLeaseAt(n int, attempt uint64, stage recovery.Stage) bool {
-	a := assignment(n, attempt)
-	a.Stage = int(stage) + 1
-	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
-}
-
-func (s *scene) returnZoneAt(stage recovery.Stage) {
-	s.state.SetZoneState("a", zone.Record{State: zone.Returning, Stage: stage}, s.now)
-}
-
 // While work returns to a zone its owner admits what the stage does; a machine that was not seen at work yet
 // gets one trial task before more. All is admitted once it is over.
 func TestReturningZoneAdmitsTasksInStages(t *testing.T) {
