--- a/internal/partition/acquisition_test.go
+++ b/internal/partition/acquisition_test.go
@@ -8,8 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// A machine is set aside for its return only when it holds neither task nor
-// lease, and gets none after that.
+// A machine is drained for its return only when it holds neither task nor lease, and gets none after that.
 func TestMachineIsDrainedOnlyWhenEmpty(t *testing.T) {
 	s := newScene(t)
 	part := func(string, string) int { return 0 }
@@ -23,5 +22,5 @@
 	s.state.HandleMachinesGone([]peer.MachineRef{{ID: "m-1"}}, part, s.now)
 	r := s.worker.Report(s.now)
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
-	require.False(t, ok, "a late report of a returned machine")
+	require.False(t, ok, "a late heartbeat of a returned machine")
 }
--- a/internal/partition/batches_test.go
+++ b/internal/partition/batches_test.go
@@ -8,7 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// A repeat of a round is answered alike; a second start of a task is refused.
+// A repeat of a batch is answered alike; a second start of a task is rejected.
 func TestRepeatedBatchIsAnsweredAlike(t *testing.T) {
 	s := newScene(t)
 	in := peer.Batch{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{assignment(0, 1)}}
--- a/internal/partition/cancellations_test.go
+++ b/internal/partition/cancellations_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job is withdrawn while its start is on the way; the stop reaches the task.
+// A job is cancelled while its run command is on its way; the stop reaches the task.
 func TestCancellationStopsTaskWhoseRunIsInFlight(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -24,7 +24,7 @@
 	require.False(t, s.worker.Running("job-1/0"))
 }
 
-// A former owner's task of a job that is over is found and ended.
+// A former leader's task of a job that is over is found and stopped.
 func TestFoundTaskOfFinalJobIsStopped(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -39,7 +39,7 @@
 	require.Empty(t, s.worker.Tasks)
 }
 
-// A task that was asked for is not ended because this owner's view of the jobs is old.
+// A task that was assigned is not stopped because this leader's replica is older than its job.
 func TestAssignedTaskIsKeptWhileReplicaIsBehind(t *testing.T) {
 	s := newScene(t)
 	delete(s.jobs.active, "job-1")
@@ -50,9 +50,9 @@
 	require.True(t, s.worker.Running("job-1/0"))
 }
 
-// An owner that has heard of no withdrawal, but whose view of the jobs is newer than
-// the job and does not show it, starts nothing of it: who asks has lost its team, and
-// stood still while the job was cancelled. What it was asked for before is ended.
+// A leader that has received no cancellation, but whose replica is newer than the job and does not show it, starts
+// nothing of it: the scheduler has lost its team, and was paused while the job was cancelled. What it assigned before
+// is stopped.
 func TestNoTaskOfEndedJobStarts(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -68,8 +68,8 @@
 	require.Len(t, s.worker.Starts, 1, "the lease was not used either")
 }
 
-// The state service has refused this owner alone for ten minutes and more: its replica
-// still shows the job as active. It goes on refusing what the withdrawal forbade.
+// The key-value store has rejected this leader alone for ten minutes and more: its replica still shows the job as
+// active. It goes on rejecting what the cancellation forbade.
 func TestCancellationIsKeptWhileReplicaIsBehind(t *testing.T) {
 	s := newRunningScene(t)
 	s.cancelJob()
@@ -78,14 +78,14 @@
 		s.heartbeat()
 		s.state.Tick(s.now)
 	}
-	require.False(t, s.acquireLease(1, 2), "under the term that it was withdrawn in")
+	require.False(t, s.acquireLease(1, 2), "under the term that it was cancelled in")
 	delete(s.jobs.active, "job-1")
 	s.state.Tick(s.now)
-	require.Empty(t, s.state.cancellations, "the view shows it now")
+	require.Empty(t, s.state.cancellations, "the replica shows it now")
 }
 
-// A round of a former placer, held up, tells of a withdrawal that its successor knows
-// nothing of: nobody was told, and the job has been placed anew.
+// A delayed batch of a former team leader carries a cancellation that its successor knows nothing of: it was never
+// confirmed, and the job has been assigned anew.
 func TestCancellationOfFormerTeamLeaderIsIgnored(t *testing.T) {
 	s := newRunningScene(t)
 	s.state.teamTerms.fence(map[string]uint64{team: 2})
@@ -95,8 +95,8 @@
 	require.True(t, s.worker.Running("job-1/0"))
 }
 
-// The owner loses its partition while its stop is on the way. Whoever is next finds
-// the end in its replica, stops the task, and the old stop changes nothing more.
+// The leader loses its partition while its stop is on its way. The next leader finds the end in its replica, stops
+// the task, and the old stop changes nothing more.
 func TestStopInFlightIsRejectedUnderNextTerm(t *testing.T) {
 	s := newRunningScene(t)
 	s.cancelJob()
@@ -109,7 +109,7 @@
 	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.now += sec
 	s.heartbeatTo(next)
-	require.True(t, s.worker.Running("job-1/0"), "its first answer brings the token, and no orders")
+	require.True(t, s.worker.Running("job-1/0"), "its first answer brings the token, and no commands")
 	s.now += sec
 	s.heartbeatTo(next)
 	require.False(t, s.worker.Running("job-1/0"))
@@ -117,9 +117,8 @@
 	require.False(t, ok, "under a former term")
 }
 
-// A run and its answer are held up for seconds, and the job is withdrawn meanwhile. The
-// owner doesn't say that the run is over until it can't arrive any more; when it
-// does arrive, the next answer ends it.
+// A run command and its answer are delayed for seconds, and the job is cancelled meanwhile. The leader doesn't say
+// that the attempt is gone until it can't arrive any more; when it does arrive, the next answer stops it.
 func TestDelayedRunCountsUntilItCannotArrive(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -130,7 +129,7 @@
 	require.Len(t, s.tasks(), 1, "it may still start")
 	s.now += 3 * sec
 	_, ok := s.worker.Orders(*late, s.now)
-	require.True(t, ok, "the worker has heard of no higher token")
+	require.True(t, ok, "the worker has seen no higher token")
 	require.True(t, s.worker.Running("job-1/0"))
 	s.heartbeat()
 	require.False(t, s.worker.Running("job-1/0"))
--- a/internal/partition/connections_test.go
+++ b/internal/partition/connections_test.go
@@ -9,9 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 )
 
-// A controller that is left alone with 1,800 machines orders all of them about
-// and never has more lines to them than its sockets allow; deliveries that find
-// none wait for those that are out.
+// A controller that is left alone with 1,800 machines delivers to all of them and never has more connections to them
+// than its limit; deliveries that find none available wait for those that are in use.
 func TestWorkerConnectionsOfLargeFleetStayWithinLimit(t *testing.T) {
 	l := newWorkerConnections(40, nil)
 	out := map[string]*httpx.Client{}
@@ -23,7 +22,7 @@
 		}
 		if !l.available(id) {
 			waits++
-			for id, c := range out { // one comes back, and is told that others wait
+			for id, c := range out { // one comes back: others wait
 				require.True(t, l.release(id, c))
 				delete(out, id)
 				break
--- a/internal/partition/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A partition of machines with tasks is taken over and all of them report.
+// The leadership of a partition of machines with tasks is acquired, and all of them report.
 func BenchmarkFailover(b *testing.B) { benchmarkFailover(b, smallFleet) }
 
 func benchmarkFailover(b *testing.B, machines int) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// A report, a poll and a tick of which nothing is new allocate the same whatever the size of the fleet.
+// A heartbeat, a poll and a tick of which nothing is new allocate the same whatever the size of the fleet.
 func TestUnchangedWorkDoesNotAllocateMoreOnALargerFleet(t *testing.T) {
 	type cost struct{ report, poll, tick float64 }
 	costs := map[int]cost{}
@@ -80,7 +80,7 @@
 			poll: testing.AllocsPerRun(100, func() { l.poll(cursor) }),
 			tick: testing.AllocsPerRun(100, l.idleTick),
 		}
-		require.Equal(t, cursor, l.poll(cursor).Cursor, "a report without news changes nothing")
+		require.Equal(t, cursor, l.poll(cursor).Cursor, "a heartbeat without news changes nothing")
 	}
 	require.Equal(t, costs[30], costs[600])
 	require.NotZero(t, costs[30].report)
--- a/internal/partition/delivery_state_test.go
+++ b/internal/partition/delivery_state_test.go
@@ -10,8 +10,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A controller dies with /orders on their way; they arrive after its successor
-// has spoken to the worker. They must be dead.
+// A controller dies with a delivery on its way; it arrives after its successor has answered the worker, and must be
+// rejected.
 func TestCommandsOfFormerLeaderAreRejectedByWorker(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -22,7 +22,7 @@
 	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "10.0.0.9:9000", Type: "big", Zone: "a"}}, s.now)
 	s.now += sec
 	s.heartbeatTo(next)
-	require.False(t, next.machines["m-1"].accounted, "the report was made before the new token was seen")
+	require.False(t, next.machines["m-1"].accounted, "the heartbeat was made before the new token was seen")
 	s.now += sec
 	s.heartbeatTo(next)
 	require.True(t, next.machines["m-1"].accounted)
@@ -31,8 +31,8 @@
 	require.False(t, s.worker.Running("job-1/0"))
 }
 
-// /orders had no answer. Until a report shows a higher token the run may still
-// arrive, so neither the task's place is given up nor the attempt forgotten.
+// A delivery had no answer. Until a heartbeat shows a higher token the run may still arrive, so neither the resources
+// of the task are free nor is the attempt forgotten.
 func TestUnansweredRunCountsUntilHigherTokenIsShown(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -54,8 +54,7 @@
 	require.Equal(t, wire.TaskExited, s.tasks()[0].Phase)
 }
 
-// A forget may only follow when no copy of the run can arrive: it would start
-// the attempt once more.
+// A forget may only follow when no copy of the run can arrive: it would start the attempt once more.
 func TestForgetIsSentOnlyWhenNoCopyOfRunCanArrive(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -86,8 +85,8 @@
 	require.Equal(t, 1, s.worker.Starts["job-1/0"])
 }
 
-// Reports of a machine arrive, but no answer and no order reaches it. It gets one
-// task that it never hears of, and no more until it shows that it has heard.
+// Heartbeats of a machine arrive, but no answer and no delivery reaches it. It gets one task that it never receives,
+// and no more until it shows the raised token.
 func TestMachineWithUnconfirmedDeliveryGetsNoMoreTasks(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -104,22 +103,21 @@
 	}
 	require.Len(t, s.tasks(), 1, "the first may have arrived: it counts")
 	s.now += 2 * workerLease
-	silence() // its lease is over, a new session has begun
+	silence() // its worker lease is over, a new incarnation has begun
 	require.Empty(t, s.tasks())
 	s.heartbeat() // now it is answered
 	s.heartbeat()
 	require.True(t, s.acquireLease(1, 3))
 }
 
-// A worker begins anew within a moment, with the session that it had and its
-// ticks from the start. The task that it is given runs, and is given to nobody
-// else before that session is over for certain.
+// A worker begins anew within a moment, with the incarnation that it had and its ticks from the start. The task that
+// it is given runs, and is given to nobody else before that incarnation is over for certain.
 func TestWorkerRestartedWithinIncarnationKeepsItsTaskAccounted(t *testing.T) {
 	s := newScene(t)
 	for range 9 {
 		s.heartbeat()
 	}
-	s.now += workerLease / 2 // a while after its last answered report
+	s.now += workerLease / 2 // a while after its last answered heartbeat
 	s.worker.Tick, s.worker.Token = 0, 0
 	s.worker.Renew(s.now)
 	require.True(t, s.acquireLease(0, 1))
@@ -127,7 +125,7 @@
 	after, done := s.worker.Orders(*o, s.now)
 	require.True(t, done)
 	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
-	require.False(t, s.acquireLease(1, 2), "nothing more for a worker that is not understood")
+	require.False(t, s.acquireLease(1, 2), "nothing more for a worker whose restart was not announced")
 	for range 30 {
 		s.now += sec / 2
 		s.worker.Check(s.now)
--- a/internal/partition/expiry_test.go
+++ b/internal/partition/expiry_test.go
@@ -6,8 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A machine that nobody answers is given up only when its worker has surely
-// killed all that it had.
+// A machine that nobody answers is silent only when its worker has surely killed all that it had.
 func TestMachineIsSilentOnlyAfterWholeWorkerLease(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -16,13 +15,13 @@
 	s.state.Tick(s.now)
 	require.Len(t, s.tasks(), 1)
 	s.now += sec
-	require.Equal(t, []string{"m-1"}, s.state.Tick(s.now), "its record may go")
+	require.Equal(t, []string{"m-1"}, s.state.Tick(s.now), "its record may be removed")
 	require.Empty(t, s.tasks())
 	s.worker.Check(s.now)
 	require.False(t, s.worker.Running("job-1/0"))
 }
 
-// An unused lease lapses; one whose run was sent does not.
+// An unused lease expires; one whose run was sent does not.
 func TestUnusedLeaseExpires(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
@@ -37,8 +36,8 @@
 	require.Len(t, s.tasks(), 1)
 }
 
-// A machine whose reports stop gets no tasks long before its lease is over, and
-// gets them again when it is heard.
+// A machine whose heartbeats stop gets no tasks long before its worker lease expires, and gets them again when it
+// reports.
 func TestMachineWithOverdueHeartbeatsGetsNoTasks(t *testing.T) {
 	s := newScene(t)
 	s.state.timing.HeartbeatOverdue = workerLease / 2
--- a/internal/partition/heartbeats_test.go
+++ b/internal/partition/heartbeats_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A report that was held up by a cut comes after newer ones.
+// A heartbeat that was delayed by a network partition comes after newer ones.
 func TestHeartbeatOfFormerIncarnationIsRejected(t *testing.T) {
 	s := newScene(t)
 	held := s.worker.Report(s.now) // lists nothing
@@ -26,15 +26,15 @@
 	s.worker.Tick = 0
 	s.heartbeat()
 	_, ok = s.state.HandleHeartbeat(&held, 0, s.now)
-	require.False(t, ok, "a report of a former session must not be answered with 200")
+	require.False(t, ok, "a heartbeat of a former incarnation must not be answered with 200")
 }
 
-// A worker begins a new session, and the owner learns of it by the answer to
-// /orders only. The session lasts its lease from its beginning, not from the last report.
+// A worker begins a new incarnation, and the leader learns of it by the answer to a delivery only. The incarnation
+// lasts its worker lease from its beginning, not from the last heartbeat.
 func TestNewIncarnationHasWholeWorkerLease(t *testing.T) {
 	s := newScene(t)
 	s.now += workerLease + 200*clock.Millisecond
-	for n := range 2 { // the first orders name the former session and are refused
+	for n := range 2 { // the first delivery names the former incarnation and is rejected
 		require.True(t, s.acquireLease(n, uint64(n+1)))
 		_, o := s.state.NextDelivery("m-1", s.now)
 		r, _ := s.worker.Orders(*o, s.now)
@@ -48,8 +48,8 @@
 	require.Len(t, s.tasks(), 1)
 }
 
-// Copies of a report come late, over and over, after its machine has died: they
-// do not keep the machine alive, nor change what later reports told.
+// Copies of a heartbeat come late, over and over, after its machine has died: they do not keep the machine alive, nor
+// change what later heartbeats said.
 func TestCopiesOfHeartbeatsKeepNoMachineAlive(t *testing.T) {
 	s := newScene(t)
 	early := s.worker.Report(s.now)
@@ -75,8 +75,8 @@
 	require.Empty(t, s.tasks())
 }
 
-// A worker's new session is learnt from an answer to /orders; its first report
-// is none that came before, though its ticks may begin anew.
+// A worker's new incarnation is learnt from an answer to a delivery; its first heartbeat is no copy, though its ticks
+// may begin anew.
 func TestFirstHeartbeatOfIncarnationIsAnswered(t *testing.T) {
 	s := newScene(t)
 	for range 20 {
@@ -94,8 +94,8 @@
 	require.True(t, ok)
 }
 
-// An answer to /orders overtakes a report that was sent before it: the report
-// tells nothing new, but its worker is answered, and its lease goes on.
+// The answer to a delivery overtakes a heartbeat that was sent before it: the heartbeat says nothing new, but its
+// worker is answered, and its worker lease goes on.
 func TestHeartbeatOvertakenByDeliveryResponseIsAnswered(t *testing.T) {
 	s := newScene(t)
 	r := s.worker.Report(s.now)
@@ -109,8 +109,8 @@
 	require.Len(t, s.tasks(), 1)
 }
 
-// A machine is cut off for longer than its lease and comes back: nothing could be
-// given to it, so it has not been idle, and is not to be returned at once.
+// A machine is cut off for longer than its worker lease and comes back: nothing could be given to it, so it has not
+// been idle, and is not to be returned immediately.
 func TestMachineThatReportsAgainIsNotIdle(t *testing.T) {
 	s := newScene(t)
 	s.heartbeat()
--- a/internal/partition/leases_test.go
+++ b/internal/partition/leases_test.go
@@ -10,8 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A machine gets no task before its record is in the state service: a later
-// owner would not know of it.
+// A machine gets no task before its record is in the key-value store: a later leader would not know of it.
 func TestUnrecordedMachineGetsNoTask(t *testing.T) {
 	s := newScene(t)
 	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, false, s.now)
@@ -20,14 +19,14 @@
 	require.True(t, s.acquireLease(0, 2))
 }
 
-// The ask of a team's former placer arrives after the new one has been heard.
+// The assignment of a team's former leader arrives after a poll of the new one.
 func TestAssignmentOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.state.HandlePoll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
 	require.False(t, s.acquireLease(0, 1))
 }
 
-// An ask made to the former owner of a partition reaches the next one.
+// An assignment sent to the former leader of a partition reaches the next one.
 func TestAssignmentUnderFormerPartitionTermIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.state.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
@@ -37,7 +36,7 @@
 	require.False(t, s.acquireLease(0, 1))
 }
 
-// Room of a stopping task is leased at once, and the lease starts after its end.
+// Resources of a stopping task are leased immediately, and the lease starts after its end.
 func TestLeaseStartsAfterItsVictimExited(t *testing.T) {
 	s := newScene(t)
 	for n := range 4 {
@@ -59,8 +58,8 @@
 	require.Equal(t, wire.VerbRun, o.Orders[0].Verb)
 }
 
-// Room that is held for a task that is to move here takes part of the machine's, and nothing is
-// started before its placer says that it is gone from where it ran.
+// A held lease, for a task that is to move here, takes resources of the machine, and nothing is started before its
+// scheduler says that the task is gone from where it ran.
 func TestHeldLeaseStartsOnlyByStartTask(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.reserve(0, 1))
@@ -72,25 +71,25 @@
 	require.Empty(t, s.worker.Tasks)
 	require.True(t, s.tasks()[0].Held)
 	require.True(t, s.acquireLease(1, 2) && s.acquireLease(2, 3) && s.acquireLease(3, 4))
-	require.False(t, s.acquireLease(4, 5), "the room is taken")
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
+	require.False(t, s.acquireLease(4, 5), "the resources are taken")
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 	require.False(t, s.tasks()[0].Held)
 }
 
-// Moves that several placers decide on at once don't meet on one machine.
+// Moves that several schedulers decide on at the same time don't meet on one machine.
 func TestMachineHasOneHeldLeaseAtATime(t *testing.T) {
 	s := newScene(t)
 	require.True(t, s.reserve(0, 1))
 	require.False(t, s.reserve(1, 2))
-	require.True(t, s.acquireLease(2, 3), "others find room")
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
+	require.True(t, s.acquireLease(2, 3), "others find resources")
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
 	require.True(t, s.reserve(1, 4))
 }
 
 func TestUnusedHeldLeaseEnds(t *testing.T) {
-	t.Run("lapses", func(t *testing.T) {
+	t.Run("expires", func(t *testing.T) {
 		s := newScene(t)
 		s.reserve(0, 1)
 		for range 19 {
@@ -101,45 +100,45 @@
 		s.now += 2 * sec
 		s.state.Tick(s.now)
 		require.Empty(t, s.tasks())
-		s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
+		s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
 		s.heartbeat()
-		require.Empty(t, s.worker.Tasks, "the word comes too late")
+		require.Empty(t, s.worker.Tasks, "the start comes too late")
 	})
-	t.Run("is given back", func(t *testing.T) {
+	t.Run("is stopped", func(t *testing.T) {
 		s := newScene(t)
 		s.reserve(0, 1)
 		s.sendBatch(peer.Batch{Stops: []peer.StopTask{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
 		require.Empty(t, s.tasks())
 	})
-	t.Run("is over with its job", func(t *testing.T) {
+	t.Run("ends with its job", func(t *testing.T) {
 		s := newScene(t)
 		s.reserve(0, 1)
-		s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{startTask(0, 1)}})
+		s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{startTask()}})
 		s.heartbeat()
 		require.Empty(t, s.tasks())
 		require.Empty(t, s.worker.Tasks)
 	})
 }
 
-// A former placer's word starts nothing: the task may have been placed anew since.
+// A former team leader's StartTask starts nothing: the task may have been assigned anew since.
 func TestReservedStartOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.reserve(0, 1)
 	s.state.teamTerms.fence(map[string]uint64{team: 2})
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
 	require.True(t, s.tasks()[0].Held)
 }
 
-// A machine that was given a notice while room was held on it gets no task by it.
+// A machine that was given an eviction notice while it had a held lease gets no task by it.
 func TestReservedStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
 	s := newScene(t)
 	s.reserve(0, 1)
 	notice := 30.0
 	s.worker.NoticeS = &notice
 	s.heartbeat()
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask(0, 1)}})
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
 	require.Empty(t, s.tasks())
--- a/internal/partition/loaded_server_test.go
+++ b/internal/partition/loaded_server_test.go
@@ -12,14 +12,13 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
-	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// allLeaderships are claims of a process that holds every duty.
+// allLeaderships are the elections of a process that has every leadership.
 type allLeaderships struct{}
 
 func (allLeaderships) Leading(string) (leaderelection.Leadership, bool) {
@@ -28,39 +27,57 @@
 
 func (allLeaderships) Leader(string) (string, bool) { return "me", true }
 
-// loadedServer is an owner of a fleet whose machines all run tasks and report.
+// loadedServer is the leader of a fleet whose machines all run tasks and report.
 type loadedServer struct {
 	tb         testing.TB
 	server     *Server
 	heartbeats []wire.Heartbeat
 }
 
-// tasksPerMachine is how many tasks each machine of a loaded owner runs.
+// tasksPerMachine is how many tasks each machine of a loadedServer runs.
 const tasksPerMachine = 6
 
 func newLoadedServer(tb testing.TB, count int) *loadedServer {
 	tb.Helper()
 	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: count * tasksPerMachine, CPUs: 1, MemGB: 1}
-	list := &jobList{map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, jobRevision)}, map[string]jobs.Final{}, jobRevision}
-	o := New(Options{Host: "me", Instance: "incarnation", Partitioning: NewPartitioning([]string{"a"}), TxnOps: 12, MaxRecordBytes: 7000, MaxWorkerConnections: 100,
-		Timing: Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, Jobs: list, Elections: allLeaderships{}, Clock: clock.NewSteady(), WallClock: time.Now,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	o.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
-	o.Reconcile()
-	l := &loadedServer{tb: tb, server: o}
+	s := New(Options{
+		Host:                 "me",
+		Instance:             "incarnation",
+		Partitioning:         NewPartitioning([]string{"a"}),
+		TxnOps:               12,
+		MaxRecordBytes:       7000,
+		MaxWorkerConnections: 100,
+		Timing:               Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2},
+		Jobs:                 newJobList(spec),
+		Elections:            allLeaderships{},
+		Clock:                clock.NewSteady(),
+		WallClock:            time.Now,
+		Log:                  slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	s.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
+	s.Reconcile()
+	l := &loadedServer{tb: tb, server: s}
 	for i := range count {
-		r := wire.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.0.0.9:9000", Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1<<32 + 1}
+		r := wire.Heartbeat{
+			Machine:      fmt.Sprintf("m-%06d", i),
+			Addr:         "10.0.0.9:9000",
+			Type:         "big",
+			Zone:         "a",
+			Incarnation:  1,
+			FencingToken: 1<<32 + 1,
+		}
 		for n := range tasksPerMachine {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(spec.ID, i*tasksPerMachine+n), Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
+			name := wire.TaskName(spec.ID, i*tasksPerMachine+n)
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: name, Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
 		}
 		l.heartbeats = append(l.heartbeats, r)
 		l.heartbeat(i)
-		o.state.HandleMachineRecord(r.Machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, o.clock.Now())
+		s.state.HandleMachineRecord(r.Machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, s.clock.Now())
 	}
 	return l
 }
 
-// heartbeat has a machine heartbeat that nothing has changed.
+// heartbeat has a machine report that nothing has changed.
 func (l *loadedServer) heartbeat(i int) {
 	r := &l.heartbeats[i]
 	r.Tick++
@@ -69,12 +86,12 @@
 	require.Equal(l.tb, 200, l.server.HandleHeartbeat(body).Status)
 }
 
-// poll asks for all that changed after a cursor.
+// poll requests all that changed after a cursor.
 func (l *loadedServer) poll(cursor uint64) peer.PollResponse {
 	return l.server.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
 }
 
-// idleTick is what the owner's loop does a few times a second while nothing happens.
+// idleTick is what Run's loop does a few times a second while nothing happens.
 func (l *loadedServer) idleTick() {
 	now := l.server.clock.Now()
 	l.server.state.Tick(now)
@@ -82,5 +99,5 @@
 	l.server.state.PendingDeliveries(now)
 }
 
-// smallFleet is about as many machines as one controller of the smaller sites owns.
+// smallFleet is about as many machines as one controller of the smaller sites leads.
 const smallFleet = 410
--- a/internal/partition/partitioning_test.go
+++ b/internal/partition/partitioning_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A zone that is cut off keeps its machines with controllers that reach them; a
-// zone without controllers has its machines spread over all.
+// A zone that is cut off keeps its machines with controllers that reach them; a zone without controllers has its
+// machines spread over all.
 func TestPartitionOfMachineIsInItsZone(t *testing.T) {
 	s := NewPartitioning([]string{"a", "a", "b", "a", "b"})
 	count := map[string]map[int]int{"a": {}, "b": {}, "c": {}}
--- a/internal/partition/publication_test.go
+++ b/internal/partition/publication_test.go
@@ -10,8 +10,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// However often a table changes and however many controllers ask, their polls are
-// answered together, a gap apart, and each tells of the last change.
+// However often a state changes and however many controllers poll, their polls are answered together, an interval
+// apart, and each shows the last change.
 func TestPollsAreAnsweredTogether(t *testing.T) {
 	for _, askers := range []int{1, 8} {
 		synctest.Test(t, func(t *testing.T) {
@@ -44,8 +44,8 @@
 				moments[<-answers]++
 			}
 			gap := publicationInterval(4, askers).Duration()
-			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are a gap apart")
-			require.Greater(t, len(moments), int(span/(2*gap)), "and no more than that")
+			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are an interval apart")
+			require.Greater(t, len(moments), int(span/(2*gap)), "and not more than an interval")
 			for range askers {
 				require.Equal(t, l.server.state.Version(), <-last)
 			}
--- a/internal/partition/quarantine_test.go
+++ b/internal/partition/quarantine_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Several jobs fail on a machine: it is sick. One job that fails on many is not its fault.
+// Several jobs fail on a machine: it is quarantined. One job that fails on many machines is not their fault.
 func TestMachineFailingSeveralJobsIsQuarantined(t *testing.T) {
 	s := newScene(t)
 	spec := wire.Job{ID: "job-2", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
@@ -23,7 +23,7 @@
 	s.worker.Finish("job-1/0", wire.CauseError)
 	s.heartbeat()
 	require.False(t, s.state.machines["m-1"].failures.quarantined)
-	require.False(t, s.state.machines["m-1"].usable(s.now), "shunned for a while")
+	require.False(t, s.state.machines["m-1"].usable(s.now), "cordoned for a while")
 	s.worker.Finish("job-2/0", wire.CauseError)
 	s.heartbeat()
 	require.True(t, s.state.machines["m-1"].failures.quarantined)
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -23,7 +23,7 @@
 	jobRevision = 5 // revision of the job's record
 )
 
-// jobList is a view of jobs for the table.
+// jobList is a JobLookup whose replica is as of a revision.
 type jobList struct {
 	active map[string]*jobs.Job
 	final  map[string]jobs.Final
@@ -37,9 +37,14 @@
 	return final || j.active[id] == nil && j.rev >= made
 }
 
-// scene is one owner and one machine that it has accounted for.
+// newJobList makes a replica that shows one active job.
+func newJobList(spec wire.Job) *jobList {
+	active := map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, jobRevision)}
+	return &jobList{active: active, final: map[string]jobs.Final{}, rev: jobRevision}
+}
+
+// scene is one partition leader and one machine that it has accounted for.
 type scene struct {
-	t      *testing.T
 	now    clock.Micros
 	jobs   *jobList
 	state  *State
@@ -47,15 +52,18 @@
 	seq    uint64
 }
 
+// newTestState makes a state that leads no partition, with one machine type.
 func newTestState(j *jobList) *State {
-	tb := NewState(Timing{Lease: workerLease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, j)
-	tb.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
-	return tb
+	s := NewState(Timing{Lease: workerLease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, j)
+	s.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
+	return s
 }
 
+// newScene makes a scene whose machine is recorded, accounted and usable.
 func newScene(t *testing.T) *scene {
+	t.Helper()
 	spec := wire.Job{ID: "job-1", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
-	s := &scene{t: t, now: 100 * sec, jobs: &jobList{map[string]*jobs.Job{"job-1": jobs.New(jobs.Record{Job: spec}, jobRevision)}, map[string]jobs.Final{}, jobRevision}}
+	s := &scene{now: 100 * sec, jobs: newJobList(spec)}
 	s.state = newTestState(s.jobs)
 	s.worker = fakes.NewWorker("m-1", workerLease, s.now)
 	s.state.AcquirePartition(0, 1, nil, s.now)
@@ -65,68 +73,75 @@
 	return s
 }
 
-// heartbeat lets the worker heartbeat to the owner and take the answer.
+// heartbeat lets the worker report to the leader a second later, and take the answer.
 func (s *scene) heartbeat() wire.HeartbeatResponse {
 	s.now += sec
 	return s.heartbeatTo(s.state)
 }
 
-func (s *scene) heartbeatTo(tb *State) wire.HeartbeatResponse {
+// heartbeatTo lets the worker report to a leader, and take the answer.
+func (s *scene) heartbeatTo(leader *State) wire.HeartbeatResponse {
 	r := s.worker.Report(s.now)
-	ans, ok := tb.HandleHeartbeat(&r, 0, s.now)
+	ans, ok := leader.HandleHeartbeat(&r, 0, s.now)
 	if ok {
 		s.worker.Take(ans, s.now)
 	}
 	return ans
 }
 
+// assignment is one of the job's tasks, assigned to the machine.
 func assignment(n int, attempt uint64) peer.Assignment {
 	return peer.Assignment{ID: peer.TaskID{Job: "job-1", N: n, Attempt: 1<<32 | attempt}, Made: jobRevision, Team: team, Rank: 1,
 		Need: resources.Request(2, 0, 1), Machine: "m-1", Term: 1}
 }
 
+// sendBatch has the team's leader send its next batch.
 func (s *scene) sendBatch(r peer.Batch) peer.BatchResponse {
 	s.seq++
 	r.From, r.Seq, r.Terms = "placer", s.seq, map[string]uint64{team: 1}
 	return s.state.HandleBatch(r, "me", s.now)
 }
 
+// acquireLease assigns a task and reports whether it was accepted.
 func (s *scene) acquireLease(n int, attempt uint64) bool {
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{assignment(n, attempt)}}).Refused[0]
 }
 
+// tasks lists what the machine's view shows.
 func (s *scene) tasks() []peer.TaskView {
 	return s.state.view(s.state.machines["m-1"], 0, s.now).Tasks
 }
 
+// reserve assigns a task with a held lease and reports whether it was accepted.
 func (s *scene) reserve(n int, attempt uint64) bool {
 	a := assignment(n, attempt)
 	a.Hold = 20 * sec
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
-func startTask(n int, attempt uint64) peer.StartTask {
-	return peer.StartTask{ID: assignment(n, attempt).ID, Machine: "m-1", Team: team}
+// startTask starts the first task, attempt 1, on its held lease.
+func startTask() peer.StartTask {
+	return peer.StartTask{ID: assignment(0, 1).ID, Machine: "m-1", Team: team}
 }
 
-// cancelJob has the owner told that nothing of the job may run any more.
+// cancelJob has the leader learn that nothing of the job may run any more.
 func (s *scene) cancelJob() {
 	s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}})
 }
 
-// deliver sends what is due to the worker's own address and brings the answer back.
-func (s *scene) deliver() (sent *wire.Orders, ok bool) {
-	_, sent = s.state.NextDelivery("m-1", s.now)
+// deliver delivers what is due to the worker's own address and brings the answer back.
+func (s *scene) deliver() {
+	_, sent := s.state.NextDelivery("m-1", s.now)
 	if sent == nil {
-		return nil, false
+		return
 	}
-	r, ok := s.worker.Orders(*sent, s.now)
+	r, _ := s.worker.Orders(*sent, s.now)
 	s.state.HandleDeliveryResponse("m-1", sent, &r, s.now)
-	return sent, ok
 }
 
 // newRunningScene starts the job's first task on the machine.
 func newRunningScene(t *testing.T) *scene {
+	t.Helper()
 	s := newScene(t)
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
@@ -135,13 +150,14 @@
 	return s
 }
 
-// acquireLeaseAt asks for room for a task that is admitted at a stage.
+// acquireLeaseAt assigns a task that is admitted at a stage, and reports whether it was accepted.
 func (s *scene) acquireLeaseAt(n int, attempt uint64, stage recovery.Stage) bool {
 	a := assignment(n, attempt)
 	a.Stage = int(stage) + 1
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
+// returnZoneAt has work return to the machine's zone, at a stage.
 func (s *scene) returnZoneAt(stage recovery.Stage) {
 	s.state.SetZoneState("a", zone.Record{State: zone.Returning, Stage: stage}, s.now)
 }
--- a/internal/partition/server_test.go
+++ b/internal/partition/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// expiringLeadership are claims that are held for so many looks more, and then over.
+// expiringLeadership is an election that is won for so many looks more, and then over.
 type expiringLeadership struct{ remaining int }
 
 func (l *expiringLeadership) Leading(string) (leaderelection.Leadership, bool) {
@@ -22,10 +22,10 @@
 	return leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: 1}, l.remaining >= 0
 }
 
-func (l *expiringLeadership) Leader(string) (string, bool) { return "me", true }
+func (*expiringLeadership) Leader(string) (string, bool) { return "me", true }
 
-// A process that was held up while it decided says nothing: whether it holds the
-// machine's partition is looked at once more when the answer is ready.
+// A process that was paused while it decided says nothing: whether it leads the machine's partition is looked at once
+// more when the answer is ready.
 func TestHeartbeatAfterLeadershipExpiredIsRejected(t *testing.T) {
 	l := newLoadedServer(t, 1)
 	for looks, want := range map[int]int{1: 503, 2: 200} {
@@ -33,12 +33,12 @@
 		l.heartbeats[0].Tick++
 		body, err := json.Marshal(&l.heartbeats[0])
 		require.NoError(t, err)
-		require.Equal(t, want, l.server.HandleHeartbeat(body).Status, "held for %d looks", looks)
+		require.Equal(t, want, l.server.HandleHeartbeat(body).Status, "led for %d looks", looks)
 	}
 }
 
-// The same holds of orders: they are dropped where the claim is over by the time that
-// they are about to be sent.
+// The same holds of commands: they are dropped where the leadership is over by the time that they are about to be
+// sent.
 func TestCommandsAfterLeadershipExpiredAreNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/partition/zones_test.go
+++ b/internal/partition/zones_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// While work returns to a zone its owner admits what the stage does; a machine that was not seen at work yet
+// While work returns to a zone its leader admits what the stage does; a machine on which no task was seen running yet
 // gets one trial task before more. All is admitted once it is over.
 func TestReturningZoneAdmitsTasksInStages(t *testing.T) {
 	s := newScene(t)
@@ -30,27 +30,27 @@
 	require.True(t, s.acquireLeaseAt(2, 7, recovery.Cold))
 }
 
-// A machine that began anew is cold again, and what no placer names a stage for goes by its rank.
+// A machine whose worker began anew is cold again, and an assignment without a stage goes by its priority.
 func TestColdMachineInReturningZoneGetsOneTrialTask(t *testing.T) {
 	s := newScene(t)
 	s.acquireLease(0, 1)
 	s.heartbeat()
 	s.heartbeat()
 	s.returnZoneAt(recovery.Services)
-	require.True(t, s.acquireLease(1, 2), "rank normal is of the services")
+	require.True(t, s.acquireLease(1, 2), "priority normal is of the services")
 	s.heartbeat()
 	s.heartbeat()
 	s.worker.Session++
 	clear(s.worker.Tasks)
 	s.heartbeat()
-	require.True(t, s.acquireLease(2, 3), "one trial task in a new session")
+	require.True(t, s.acquireLease(2, 3), "one trial task in a new incarnation")
 	require.False(t, s.acquireLease(3, 4), "no second one")
 	s.returnZoneAt(recovery.Urgent)
 	require.False(t, s.acquireLease(4, 5))
 }
 
-// A copy of a task that was done elsewhere meanwhile comes back with its machine: its owner ends it,
-// and its room counts until it is gone.
+// A copy of a task that was done elsewhere meanwhile comes back with its machine: its leader stops it, and its
+// resources count until it is gone.
 func TestReturningMachineCountsEndedTasksUntilTheyAreGone(t *testing.T) {
 	s := newScene(t)
 	s.acquireLease(0, 1)
