--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -9,23 +9,23 @@
 // AcquirePartition takes the leadership of a partition. Every recorded machine may hold tasks of former
 // leaders until a heartbeat shows a token of this term, or until nobody has answered it for its worker lease, counted
 // from now at the latest (docs/design.md, argument 6).
-func (s *State) AcquirePartition(part int, term uint64, recorded inventory.Group, now clock.Micros) {
-	s.ReleasePartition(part)
-	s.terms[part] = term
+func (s *State) AcquirePartition(partition int, term uint64, recorded inventory.Group, now clock.Micros) {
+	s.ReleasePartition(partition)
+	s.terms[partition] = term
 	for id, r := range recorded {
-		s.addMachine(id, part, r, now).record = recordPresent
+		s.addMachine(id, partition, r, now).record = recordPresent
 	}
 	s.changes.version++
 }
 
 // ReleasePartition gives the leadership of a partition up, with all that is known of its machines.
-func (s *State) ReleasePartition(part int) {
-	if _, ok := s.terms[part]; !ok {
+func (s *State) ReleasePartition(partition int) {
+	if _, ok := s.terms[partition]; !ok {
 		return
 	}
-	delete(s.terms, part)
+	delete(s.terms, partition)
 	for _, m := range s.machines {
-		if m.partition == part {
+		if m.partition == partition {
 			s.removeMachine(m)
 		}
 	}
@@ -33,15 +33,15 @@
 }
 
 // addMachine adds a machine of which nothing is known but its record.
-func (s *State) addMachine(id string, part int, r inventory.Record, now clock.Micros) *machine {
+func (s *State) addMachine(id string, partition int, r inventory.Record, now clock.Micros) *machine {
 	m := &machine{
 		id:        id,
-		partition: part,
+		partition: partition,
 		Record:    r,
 		capacity:  s.capacities[r.Type],
 		tasks:     map[peer.TaskID]*task{},
 		worker:    workerState{incarnation: 1, answeredAt: now},
-		delivery:  deliveryState{token: firstToken(s.terms[part]) + 1},
+		delivery:  deliveryState{token: firstToken(s.terms[partition]) + 1},
 		failures:  failureRecord{jobs: map[string]bool{}},
 		idleSince: now,
 	}
@@ -63,17 +63,17 @@
 	if m := s.machines[ref.ID]; m != nil {
 		return m, false
 	}
-	part := partitionOf(ref.ID, ref.Zone)
-	if _, ok := s.terms[part]; !ok {
+	partition := partitionOf(ref.ID, ref.Zone)
+	if _, ok := s.terms[partition]; !ok {
 		return nil, false
 	}
-	return s.addMachine(ref.ID, part, inventory.Record{Zone: ref.Zone}, now), true
+	return s.addMachine(ref.ID, partition, inventory.Record{Zone: ref.Zone}, now), true
 }
 
 // HandleMachinesGone takes the word that machines are gone for certain: no attempt can run on them any more.
-func (s *State) HandleMachinesGone(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) {
+func (s *State) HandleMachinesGone(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) {
 	for _, ref := range list {
-		m, _ := s.findOrAdd(ref, part, now)
+		m, _ := s.findOrAdd(ref, partitionOf, now)
 		if m == nil {
 			continue
 		}
@@ -84,9 +84,9 @@
 }
 
 // Drain keeps machines free of new tasks and names those that hold neither task nor lease: they may be returned.
-func (s *State) Drain(list []peer.MachineRef, part func(id, zone string) int, now clock.Micros) (ready []string) {
+func (s *State) Drain(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, ref := range list {
-		m, added := s.findOrAdd(ref, part, now)
+		m, added := s.findOrAdd(ref, partitionOf, now)
 		switch {
 		case m == nil:
 		case added: // it has not reported yet
@@ -104,13 +104,13 @@
 // HandleMachineRecord notes that a machine's record is in the key-value store, or gone from it. A record without a
 // machine, which a late copy of an old write brings back, counts as a machine that nothing is known of: it falls
 // silent, and its record is removed (docs/design.md, argument 5).
-func (s *State) HandleMachineRecord(id string, part int, r inventory.Record, there bool, now clock.Micros) {
+func (s *State) HandleMachineRecord(id string, partition int, r inventory.Record, there bool, now clock.Micros) {
 	m := s.machines[id]
 	if m == nil && there {
-		if _, ok := s.terms[part]; !ok {
+		if _, ok := s.terms[partition]; !ok {
 			return
 		}
-		m = s.addMachine(id, part, r, now)
+		m = s.addMachine(id, partition, r, now)
 	}
 	state := unrecorded
 	if there {
--- a/internal/partition/batches_test.go
+++ b/internal/partition/batches_test.go
@@ -11,7 +11,7 @@
 // A repeat of a batch is answered alike; a second start of a task is rejected.
 func TestRepeatedBatchIsAnsweredAlike(t *testing.T) {
 	s := newScene(t)
-	in := peer.Batch{From: "placer", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{assignment(0, 1)}}
+	in := peer.Batch{From: "scheduler", Seq: 7, Terms: map[string]uint64{team: 1}, Asks: []peer.Assignment{assignment(0, 1)}}
 	first := s.state.HandleBatch(in, "me", s.now)
 	again := s.state.HandleBatch(in, "me", s.now)
 	require.Equal(t, first, again)
--- a/internal/partition/connections_test.go
+++ b/internal/partition/connections_test.go
@@ -12,7 +12,7 @@
 // A controller that is left alone with 1,800 machines delivers to all of them and never has more connections to them
 // than its limit; deliveries that find none available wait for those that are in use.
 func TestWorkerConnectionsOfLargeFleetStayWithinLimit(t *testing.T) {
-	l := newWorkerConnections(40, nil)
+	conns := newWorkerConnections(40, nil)
 	out := map[string]*httpx.Client{}
 	sent, waits := 0, 0
 	for i := 0; sent < 1800; i++ {
@@ -20,25 +20,25 @@
 		if out[id] != nil {
 			continue
 		}
-		if !l.available(id) {
+		if !conns.available(id) {
 			waits++
 			for id, c := range out { // one comes back: others wait
-				require.True(t, l.release(id, c))
+				require.True(t, conns.release(id, c))
 				delete(out, id)
 				break
 			}
 			continue
 		}
-		out[id] = l.acquire(id, "10.0.0.1:1")
+		out[id] = conns.acquire(id, "10.0.0.1:1")
 		sent++
-		require.LessOrEqual(t, len(l.byMachine), 40)
+		require.LessOrEqual(t, len(conns.byMachine), 40)
 	}
 	require.Positive(t, waits)
 	for id, c := range out {
-		l.release(id, c)
+		conns.release(id, c)
 	}
-	require.Equal(t, 40, l.idle.Len())
-	l.retain(func(string) bool { return false })
-	require.Empty(t, l.byMachine)
-	require.Zero(t, l.idle.Len())
+	require.Equal(t, 40, conns.idle.Len())
+	conns.retain(func(string) bool { return false })
+	require.Empty(t, conns.byMachine)
+	require.Zero(t, conns.idle.Len())
 }
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -32,8 +32,8 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for _, id := range s.state.PendingDeliveries(now) {
-		part, _ := s.state.PartitionOf(id)
-		if term, _ := s.state.PartitionTerm(part); !s.leads(part, term) {
+		partition, _ := s.state.PartitionOf(id)
+		if term, _ := s.state.PartitionTerm(partition); !s.leads(partition, term) {
 			continue
 		}
 		if !s.connections.available(id) {
@@ -44,15 +44,15 @@
 			continue
 		}
 		client := s.connections.acquire(id, addr)
-		s.background.Go(func() { s.deliver(ctx, id, part, client, orders) })
+		s.background.Go(func() { s.deliver(ctx, id, partition, client, orders) })
 	}
 }
 
 // deliver sends commands to one worker's own address and takes its answer.
-func (s *Server) deliver(ctx context.Context, id string, part int, c *httpx.Client, orders *wire.Orders) {
+func (s *Server) deliver(ctx context.Context, id string, partition int, c *httpx.Client, orders *wire.Orders) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	status, err := s.postCommands(ctx, part, c, orders)
+	status, err := s.postCommands(ctx, partition, c, orders)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connections.release(id, c) {
@@ -71,12 +71,12 @@
 // postCommands sends commands while their partition is led under the term of their token, and gives the worker's status.
 // After an error the commands may have been executed, or may
 // yet be, except after errNotLeader.
-func (s *Server) postCommands(ctx context.Context, part int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
+func (s *Server) postCommands(ctx context.Context, partition int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(orders)
 	if err != nil {
 		return nil, fmt.Errorf("encoding commands: %w", err)
 	}
-	if !s.leads(part, orders.FencingToken>>termShift) {
+	if !s.leads(partition, orders.FencingToken>>termShift) {
 		return nil, errNotLeader
 	}
 	resp, err := c.Do(ctx, "POST", wire.PathOrders, body)
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -52,19 +52,19 @@
 	if !decodeHeartbeat(body, &r) {
 		return errorResponse(400, "not a report", "", 0)
 	}
-	part := s.partitioning.PartitionOf(r.Machine, r.Zone)
-	l, leading := s.elections.Leading(Duty(part))
+	partition := s.partitioning.PartitionOf(r.Machine, r.Zone)
+	l, leading := s.elections.Leading(Duty(partition))
 	if !leading {
-		return s.redirectHeartbeat(&r, part)
+		return s.redirectHeartbeat(&r, partition)
 	}
 	s.mu.Lock()
-	term, have := s.state.PartitionTerm(part)
+	term, have := s.state.PartitionTerm(partition)
 	if !have || term != l.Term {
 		s.mu.Unlock()
 		return errorResponse(503, "taking over", "", 1)
 	}
 	before := s.state.Version()
-	ans, ok := s.state.HandleHeartbeat(&r, part, s.clock.Now())
+	ans, ok := s.state.HandleHeartbeat(&r, partition, s.clock.Now())
 	if s.state.Version() != before {
 		s.notifyChange()
 	}
@@ -73,7 +73,7 @@
 		return errorResponse(503, "an old report", "", 0)
 	}
 	response := httpx.JSON(200, ans)
-	if !s.leads(part, term) {
+	if !s.leads(partition, term) {
 		// What is said now may not be true any more: this process was paused in between.
 		return errorResponse(503, "the partition's claim is over", "", 1)
 	}
@@ -81,8 +81,8 @@
 }
 
 // redirectHeartbeat answers a heartbeat of a machine whose partition this process doesn't lead.
-func (s *Server) redirectHeartbeat(r *wire.Heartbeat, part int) httpx.Response {
-	leader, ok := s.elections.Leader(Duty(part))
+func (s *Server) redirectHeartbeat(r *wire.Heartbeat, partition int) httpx.Response {
+	leader, ok := s.elections.Leader(Duty(partition))
 	if !ok || leader == s.controller {
 		return errorResponse(503, "no controller has this machine now", "", 1)
 	}
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -17,12 +17,12 @@
 
 // HandleHeartbeat takes a worker's heartbeat and decides the answer. ok is false when it must not be answered
 // with 200.
-func (s *State) HandleHeartbeat(r *wire.Heartbeat, part int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
+func (s *State) HandleHeartbeat(r *wire.Heartbeat, partition int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
 	m := s.machines[r.Machine]
 	if m == nil {
-		m = s.addMachine(r.Machine, part, inventory.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
+		m = s.addMachine(r.Machine, partition, inventory.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
 	}
-	if !s.mayAnswer(m, r, part) {
+	if !s.mayAnswer(m, r, partition) {
 		return ans, false
 	}
 	// The answer to a delivery may have overtaken this heartbeat: then it says nothing new, but its worker waits
@@ -51,13 +51,13 @@
 }
 
 // mayAnswer reports whether a heartbeat may be answered with 200, which extends its worker's lease.
-func (s *State) mayAnswer(m *machine, r *wire.Heartbeat, part int) bool {
+func (s *State) mayAnswer(m *machine, r *wire.Heartbeat, partition int) bool {
 	switch {
-	case m.partition != part:
+	case m.partition != partition:
 		return false // it says now that it is in another zone: that is not understood
 	case m.worker.gone, m.worker.isFormerIncarnation(r):
 		return false
-	case r.FencingToken > m.delivery.token && r.FencingToken>>termShift > s.terms[part]:
+	case r.FencingToken > m.delivery.token && r.FencingToken>>termShift > s.terms[partition]:
 		return false // it has seen a later term: this process leads it no more
 	}
 	return !m.worker.isCopy(r)
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -33,10 +33,10 @@
 }
 
 // recordedIn gives the recorded machines of a partition. mu is held.
-func (s *Server) recordedIn(part int) inventory.Group {
+func (s *Server) recordedIn(partition int) inventory.Group {
 	found := inventory.Group{}
 	s.records.Each(func(id string, r inventory.Record) {
-		if s.partitioning.PartitionOf(id, r.Zone) == part {
+		if s.partitioning.PartitionOf(id, r.Zone) == partition {
 			found[id] = r
 		}
 	})
@@ -64,11 +64,11 @@
 // changesByPartition sorts machines that are to be recorded, and those whose records are to be removed, by partition.
 func (s *Server) changesByPartition(unrecorded inventory.Group, drop []string) map[int]*recordChanges {
 	out := map[int]*recordChanges{}
-	of := func(part int) *recordChanges {
-		if out[part] == nil {
-			out[part] = &recordChanges{add: inventory.Group{}}
+	of := func(partition int) *recordChanges {
+		if out[partition] == nil {
+			out[partition] = &recordChanges{add: inventory.Group{}}
 		}
-		return out[part]
+		return out[partition]
 	}
 	for id, r := range unrecorded {
 		r.AtMS = s.wallClock().UnixMilli()
@@ -90,18 +90,18 @@
 // writeMachineRecords adds and removes machine records, each on the condition that the partition is still led and that
 // the key is as it was last known (docs/design.md, argument 5). What fails is tried again with a later tick.
 func (s *Server) writeMachineRecords(ctx context.Context, unrecorded inventory.Group, drop []string) {
-	for part, changes := range s.changesByPartition(unrecorded, drop) {
-		l, leading := s.elections.Leading(Duty(part))
+	for partition, changes := range s.changesByPartition(unrecorded, drop) {
+		l, leading := s.elections.Leading(Duty(partition))
 		if !leading {
 			continue
 		}
 		s.mu.Lock()
-		writes := s.records.PlanWrites(part, changes.add, changes.remove, s.maxRecordBytes)
+		writes := s.records.PlanWrites(partition, changes.add, changes.remove, s.maxRecordBytes)
 		s.mu.Unlock()
 		for len(writes) > 0 {
 			n := s.fitTransaction(writes)
-			if err := s.commitRecords(ctx, part, l, writes[:n]); err != nil {
-				s.log.Warn("machine record write failed", "partition", part, "error", err)
+			if err := s.commitRecords(ctx, partition, l, writes[:n]); err != nil {
+				s.log.Warn("machine record write failed", "partition", partition, "error", err)
 				break
 			}
 			writes = writes[n:]
@@ -120,8 +120,8 @@
 }
 
 // commitRecords commits writes on the condition of the partition's leadership, and applies them.
-func (s *Server) commitRecords(ctx context.Context, part int, l leaderelection.Leadership, writes []inventory.Write) error {
-	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(part), ModRevision: l.ModRevision}}}
+func (s *Server) commitRecords(ctx context.Context, partition int, l leaderelection.Leadership, writes []inventory.Write) error {
+	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(partition), ModRevision: l.ModRevision}}}
 	for _, w := range writes {
 		w.AppendTo(&m)
 	}
--- a/internal/partition/partitioning.go
+++ b/internal/partition/partitioning.go
@@ -6,7 +6,7 @@
 )
 
 // Duty names the leadership of a partition.
-func Duty(part int) string { return fmt.Sprintf("part-%03d", part) }
+func Duty(partition int) string { return fmt.Sprintf("part-%03d", partition) }
 
 // Partitioning maps machines to partitions, by zone and a hash of the id. Machines of a zone belong to
 // partitions whose preferred leaders are in that zone: when it is cut off from the others, its machines stay with a
@@ -20,9 +20,9 @@
 // NewPartitioning makes a partitioning; zones holds the zone of each partition's preferred leader.
 func NewPartitioning(zones []string) Partitioning {
 	p := Partitioning{byZone: map[string][]int{}}
-	for part, zone := range zones {
-		p.all = append(p.all, part)
-		p.byZone[zone] = append(p.byZone[zone], part)
+	for partition, zone := range zones {
+		p.all = append(p.all, partition)
+		p.byZone[zone] = append(p.byZone[zone], partition)
 	}
 	return p
 }
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -98,7 +98,7 @@
 // sendBatch has the team's leader send its next batch.
 func (s *scene) sendBatch(r peer.Batch) peer.BatchResponse {
 	s.seq++
-	r.From, r.Seq, r.Terms = "placer", s.seq, map[string]uint64{team: 1}
+	r.From, r.Seq, r.Terms = "scheduler", s.seq, map[string]uint64{team: 1}
 	return s.state.HandleBatch(r, "me", s.now)
 }
 
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -116,8 +116,8 @@
 
 // leads reports whether a partition is led under a term at this moment. It is asked before anything is sent, after all
 // that may have taken long.
-func (s *Server) leads(part int, term uint64) bool {
-	l, leading := s.elections.Leading(Duty(part))
+func (s *Server) leads(partition int, term uint64) bool {
+	l, leading := s.elections.Leading(Duty(partition))
 	return leading && l.Term == term
 }
 
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -97,8 +97,8 @@
 }
 
 // PartitionTerm gives the term of a partition that is led.
-func (s *State) PartitionTerm(part int) (term uint64, ok bool) {
-	term, ok = s.terms[part]
+func (s *State) PartitionTerm(partition int) (term uint64, ok bool) {
+	term, ok = s.terms[partition]
 	return term, ok
 }
 
