--- a/internal/partition/cancellations_test.go
+++ b/internal/partition/cancellations_test.go
@@ -139,3 +139,18 @@
 	_, ok = s.worker.Orders(*late, s.now)
 	require.False(t, ok, "a copy of it can't start the task once more")
 }
+
+// A scheduler of a later term assigns a task of a cancelled job: the cancellation was never confirmed, and is dropped.
+func TestAssignmentUnderLaterTeamTermDropsCancellation(t *testing.T) {
+	s := newScene(t)
+	s.cancelJob()
+	a := assignment(0, 1)
+	a.ID.Attempt = 2<<32 | 1
+	s.seq++
+	in := peer.Batch{From: "scheduler", Seq: s.seq, Terms: map[string]uint64{team: 2}, Asks: []peer.Assignment{a}}
+	require.False(t, s.state.HandleBatch(in, "me", s.now).Refused[0])
+	require.Empty(t, s.state.cancellations)
+	s.heartbeat()
+	s.heartbeat()
+	require.True(t, s.worker.Running("job-1/0"))
+}
