--- a/internal/partition/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -49,7 +49,7 @@
 	l := newLoadedServer(b, machines)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.server.state.ReleasePartition(0)
+		l.releasePartition()
 		l.server.Reconcile()
 		for i := range l.heartbeats {
 			l.heartbeat(i)
--- a/internal/partition/loaded_server_test.go
+++ b/internal/partition/loaded_server_test.go
@@ -72,11 +72,25 @@
 		}
 		l.heartbeats = append(l.heartbeats, r)
 		l.heartbeat(i)
-		s.state.HandleMachineRecord(r.Machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, s.clock.Now())
+		l.record(r.Machine)
 	}
 	return l
 }
 
+// record has a machine's record seen in the key-value store.
+func (l *loadedServer) record(machine string) {
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
+	l.server.state.HandleMachineRecord(machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, l.server.clock.Now())
+}
+
+// releasePartition has the server find its leadership lost.
+func (l *loadedServer) releasePartition() {
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
+	l.server.state.ReleasePartition(0)
+}
+
 // heartbeat has a machine report that nothing has changed.
 func (l *loadedServer) heartbeat(i int) {
 	r := &l.heartbeats[i]
@@ -93,6 +107,8 @@
 
 // idleTick is what Run's loop does a few times a second while nothing happens.
 func (l *loadedServer) idleTick() {
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
 	now := l.server.clock.Now()
 	l.server.state.Tick(now)
 	l.server.state.UnrecordedMachines()
--- a/internal/partition/publication_test.go
+++ b/internal/partition/publication_test.go
@@ -47,7 +47,10 @@
 			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are an interval apart")
 			require.Greater(t, len(moments), int(span/(2*gap)), "and not more than an interval")
 			for range askers {
-				require.Equal(t, l.server.state.Version(), <-last)
+				cursor := <-last
+				l.server.mu.Lock()
+				require.Equal(t, l.server.state.Version(), cursor)
+				l.server.mu.Unlock()
 			}
 		})
 	}
