--- /dev/null
+++ b/internal/partition/connections_test.go
@@ -0,0 +1,44 @@
+package partition
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/httpx"
+)
+
+// A controller that is left alone with 1,800 machines delivers to all of them and never has more connections to them
+// than its limit; deliveries that find none available wait for those that are in use.
+func TestWorkerConnectionsOfLargeFleetStayWithinLimit(t *testing.T) {
+	conns := newWorkerConnections(40, nil)
+	out := map[string]*httpx.Client{}
+	sent, waits := 0, 0
+	for i := 0; sent < 1800; i++ {
+		id := fmt.Sprintf("m-%d", i%1800)
+		if out[id] != nil {
+			continue
+		}
+		if !conns.available(id) {
+			waits++
+			for id, c := range out { // one comes back: others wait
+				require.True(t, conns.release(id, c))
+				delete(out, id)
+				break
+			}
+			continue
+		}
+		out[id] = conns.acquire(id, "10.0.0.1:1")
+		sent++
+		require.LessOrEqual(t, len(conns.byMachine), 40)
+	}
+	require.Positive(t, waits)
+	for id, c := range out {
+		conns.release(id, c)
+	}
+	require.Equal(t, 40, conns.idle.Len())
+	conns.retain(func(string) bool { return false })
+	require.Empty(t, conns.byMachine)
+	require.Zero(t, conns.idle.Len())
+}
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -3,188 +3,166 @@
 import (
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-type lastRound struct {
-	seq    uint64
-	answer peer.BatchResponse
-	at     clock.Micros
-}
+// maxReservation bounds for how long resources are held for a task that is to move here.
+const maxReservation = 60 * clock.Second
 
-// HandleBatch carries out what a placing controller has for this owner.
-func (t *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
-	last := t.rounds[in.From]
-	if in.Seq == last.seq && in.Seq != 0 {
-		return last.answer
-	}
-	ans := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
-	if in.Seq < last.seq {
-		for i := range ans.Refused {
-			ans.Refused[i] = true
-		}
-		return ans
-	}
-	t.fence(in.Terms)
-	for _, c := range in.Cancels {
-		term := in.Terms[c.Team]
-		if term == 0 || term < t.teamTerms[c.Team] {
-			continue // by a former placer of the team: the job may have been placed anew since
-		}
-		t.cancelled[c.Job] = cancel{now, term}
-		for _, m := range t.machines {
-			for id, k := range m.tasks {
-				if id.Job == c.Job {
-					t.end(m, k, 0)
-				}
-			}
-		}
-	}
-	for _, s := range in.Stops {
-		if m := t.machines[s.Machine]; m != nil {
-			if k := m.tasks[s.ID]; k != nil {
-				t.end(m, k, s.GraceS)
-			}
-		}
-	}
-	for i := range in.Starts {
-		t.startHeld(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
-	}
-	for _, s := range in.Settles {
-		if m := t.machines[s.Machine]; m != nil {
-			if k := m.tasks[s.ID]; k != nil && k.exited() {
-				k.settled = true
-			}
-		}
+// decision is what becomes of an assignment.
+type decision int
+
+const (
+	rejected decision = iota
+	yielded           // rejected in favour of other teams, with a better right to the resources
+	accepted
+)
+
+// acceptAssignment leases resources for one task, or rejects it. A second start of a task that is on the machine
+// already is rejected.
+func (s *State) acceptAssignment(a *peer.Assignment, term uint64, now clock.Micros) decision {
+	m := s.machines[a.Machine]
+	if !s.mayAccept(m, a, term, now) {
+		return rejected
+	}
+	if a.Hold > 0 && m.hasReservation() || !s.zoneAdmits(m, a, now) {
+		return rejected
+	}
+	_, leased := m.resourcesInUse()
+	free := m.capacity.Minus(leased)
+	if a.Need.Fits(free) && s.yieldsToOtherTeam(m, a, free, now) {
+		return yielded
 	}
-	for _, id := range in.Slow {
-		if m := t.machines[id]; m != nil && !m.sick {
-			m.sick = true
-			t.touch(m)
-		}
+	victims, free := m.chooseVictims(a, free)
+	if !a.Need.Fits(free) {
+		return rejected
 	}
-	for i := range in.Asks {
-		a := &in.Asks[i]
-		decision := t.lease(a, in.Terms[a.Team], now)
-		ans.Refused[i] = decision != granted
-		ans.Versions[i] = t.version
-		if decision == yielded && ans.Yielded == nil {
-			ans.Yielded = make([]bool, len(in.Asks))
-		}
-		if decision == yielded {
-			ans.Yielded[i] = true
-		}
+	for _, v := range victims {
+		s.stopTask(m, v, s.stopGraceOf(v))
 	}
-	t.rounds[in.From] = lastRound{in.Seq, ans, now}
-	return ans
+	s.addLease(m, a, now)
+	return accepted
 }
 
-// fence refuses, from now on, what comes under lower terms of these teams.
-func (t *State) fence(terms map[string]uint64) {
-	for team, term := range terms {
-		t.teamTerms[team] = max(t.teamTerms[team], term)
+// mayAccept reports whether a task may get resources of a machine at all: its scheduler leads the team, its job is
+// not over, the machine is led here under the term that the scheduler knows and may be used, and no attempt of the
+// task is on it.
+func (s *State) mayAccept(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
+	switch {
+	case !s.teamTerms.isCurrent(a.Team, term), a.ID.Attempt>>attemptTermShift != term:
+		return false
+	case m == nil, s.terms[m.partition] != a.Term, !m.usable(now):
+		return false
+	case s.jobs.Ended(a.ID.Job, a.Made):
+		return false // by a former team leader, or by a copy of an old batch
+	case !s.cancellations.admits(a.ID.Job, term):
+		return false
 	}
+	return !m.hasAttempt(a.ID.Job, a.ID.N)
 }
 
-// decision is what becomes of an ask.
-type decision int
-
-const (
-	refused decision = iota
-	yielded          // refused since other teams have a better right to the room
-	granted
-)
+// attemptTermShift is where the team's term begins in the number of an attempt (docs/design.md, argument 3).
+const attemptTermShift = 32
 
-// lease grants room for one task, or refuses. A second start of a task that is
-// on the machine already is refused.
-func (t *State) lease(a *peer.Assignment, term uint64, now clock.Micros) decision {
-	m := t.machines[a.Machine]
-	if !t.mayLease(m, a, term, now) {
-		return refused
-	}
-	if a.Hold > 0 && m.holdsRoom() || !t.admits(m, a, now) {
-		return refused
-	}
-	_, all := m.inUse()
-	free := m.cap.Minus(all)
-	if a.Need.Fits(free) && t.yields(m, a, free, now) {
-		return yielded
-	}
-	var victims []*task
-	for _, v := range a.Victims {
-		k := m.tasks[v]
-		if k == nil || k.exited() || k.stop || (k.rank >= a.Rank && !a.Over) {
+// chooseVictims picks the tasks to be stopped for an assignment, of those that it names, until its resources are
+// free. It gives them with what is free once they are stopped.
+func (m *machine) chooseVictims(a *peer.Assignment, free resources.Amounts) (victims []*task, freeAfter resources.Amounts) {
+	for _, id := range a.Victims {
+		t := m.tasks[id]
+		if t == nil || t.exited() || t.stopping || (t.priority >= a.Rank && !a.Over) {
 			continue
 		}
 		if a.Need.Fits(free) {
-			break // room enough by now: nobody else need be stopped
+			break
 		}
-		victims = append(victims, k)
-		free = free.Plus(k.need)
+		victims = append(victims, t)
+		free = free.Plus(t.need)
 	}
-	if !a.Need.Fits(free) {
-		return refused
-	}
-	for _, v := range victims {
-		t.end(m, v, t.graceOf(v))
-	}
-	k := &task{id: a.ID, made: a.Made, team: a.Team, rank: a.Rank, need: a.Need, covered: a.Covered, since: now,
-		held: a.Hold > 0, hold: min(a.Hold, longestHold)}
-	m.tasks[a.ID] = k
-	t.note(m, a.Image, a.ImageGB)
+	return victims, free
+}
+
+// addLease leases the resources of an accepted assignment.
+func (s *State) addLease(m *machine, a *peer.Assignment, now clock.Micros) {
+	t := &task{
+		id:              a.ID,
+		jobRevision:     a.Made,
+		team:            a.Team,
+		priority:        a.Rank,
+		need:            a.Need,
+		withinGuarantee: a.Covered,
+		addedAt:         now,
+		reserved:        a.Hold > 0,
+		reservedFor:     min(a.Hold, maxReservation),
+	}
+	m.tasks[a.ID] = t
+	s.recordImage(m, a.Image, a.ImageGB)
 	m.idleSince = now
-	t.show(m, k)
-	if t.arbiter != nil {
-		t.arbiter.Granted(shareAsk(a), m.id)
+	s.markTaskChanged(m, t)
+	if s.arbiter != nil {
+		s.arbiter.Granted(fairShareAsk(a), m.id)
 	}
-	if g := t.gates[m.Zone]; g != nil {
-		g.underWay++
+	if g := s.zoneGates[m.Zone]; g != nil {
+		g.startsUnderWay++
 	}
-	return granted
 }
 
-// mayLease tells whether a task may be given room on a machine at all: who asks places its
-// team, the job is not over, the machine is ours and may be used, and no attempt of the
-// task is there.
-func (t *State) mayLease(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
-	if m == nil || term == 0 || term < t.teamTerms[a.Team] || a.ID.Attempt>>32 != term ||
-		t.parts[m.part] != a.Term || !m.usable(now) {
-		return false
+// leaseExpiry is when a lease of which nothing was sent expires.
+func (s *State) leaseExpiry(t *task) clock.Micros {
+	if t.reserved {
+		return t.addedAt + t.reservedFor
 	}
-	if t.jobs.Ended(a.ID.Job, a.Made) {
-		return false // by a former placer, or by a copy of an old round
-	}
-	if c, ok := t.cancelled[a.ID.Job]; ok {
-		if term <= c.term {
-			return false
-		}
-		// Under a later term: its placer knows all ends that were written under the
-		// earlier ones, and this job's is not among them. Whoever began to cancel it
-		// ended before it was told.
-		delete(t.cancelled, a.ID.Job)
-	}
-	for id, k := range m.tasks {
-		if id.Job == a.ID.Job && id.N == a.ID.N && !k.exited() {
-			return false
+	return t.addedAt + s.timing.RoomLeaseTTL
+}
+
+// hasReservation reports whether the machine has a held lease, for a task that is to move there. It has one
+// at most: moves that several schedulers decide on at the same time must not meet on one machine.
+func (m *machine) hasReservation() bool {
+	for _, t := range m.tasks {
+		if t.reserved && !t.exited() {
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-func (t *State) graceOf(k *task) float64 {
-	if j, ok := t.jobs.Active(k.id.Job); ok {
-		return j.StopGraceS()
-	}
-	return 0
+// startReserved has a task start on its held lease: its team's present leader says that it is gone from where it
+// ran. Without that the lease expires. A machine that may get no tasks any more gets none by this way either.
+func (s *State) startReserved(start *peer.StartTask, term uint64, now clock.Micros) {
+	m := s.machines[start.Machine]
+	if m == nil {
+		return
+	}
+	t := m.tasks[start.ID]
+	if t == nil || !t.reserved || t.team != start.Team {
+		return
+	}
+	if !s.teamTerms.isCurrent(start.Team, term) || start.ID.Attempt>>attemptTermShift != term {
+		return // by a former team leader: the task may run elsewhere by now
+	}
+	if t.stopping || s.jobEnded(t) || !m.usable(now) {
+		s.removeTask(m, t)
+		return
+	}
+	t.reserved, t.addedAt = false, now
+	s.markTaskChanged(m, t)
 }
 
-// end stops a task; a lease of which nothing was sent just ends.
-func (t *State) end(m *machine, k *task, grace float64) {
+// stopTask stops a task; a lease of which nothing was sent just ends. A stop is repeated only with a shorter grace.
+func (s *State) stopTask(m *machine, t *task, graceS float64) {
 	switch {
-	case !k.sent:
-		t.remove(m, k)
-	case k.exited():
-	case !k.stop || grace < k.grace:
-		k.stop, k.grace, k.lastSend = true, grace, 0
-		t.show(m, k)
+	case t.state == taskLeased:
+		s.removeTask(m, t)
+	case t.exited():
+	case !t.stopping || graceS < t.stopGraceS:
+		t.stopping, t.stopGraceS, t.deliveredAt = true, graceS, 0
+		s.markTaskChanged(m, t)
+	}
+}
+
+// stopGraceOf is the time in seconds that a task has to checkpoint when it is stopped.
+func (s *State) stopGraceOf(t *task) float64 {
+	if j, ok := s.jobs.Active(t.id.Job); ok {
+		return j.StopGraceS()
 	}
+	return 0
 }
--- a/internal/partition/polls_test.go
+++ b/internal/partition/publication_test.go
@@ -10,13 +10,13 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// However often a table changes and however many controllers ask, their polls are
-// answered together, a gap apart, and each tells of the last change.
+// However often a state changes and however many controllers poll, their polls are answered together, an interval
+// apart, and each shows the last change.
 func TestPollsAreAnsweredTogether(t *testing.T) {
 	for _, askers := range []int{1, 8} {
 		synctest.Test(t, func(t *testing.T) {
 			const span = 6 * time.Second
-			l := newLoadedOwner(t, 4)
+			l := newLoadedServer(t, 4)
 			time.Sleep(time.Second) // what was new at first is published
 			moments := map[time.Time]int{}
 			answers := make(chan time.Time, 10_000)
@@ -26,7 +26,7 @@
 				go func() {
 					cursor := l.poll(0).Cursor
 					for time.Now().Before(end) {
-						cursor = l.owner.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
+						cursor = l.server.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
 						answers <- time.Now()
 					}
 					last <- cursor
@@ -34,20 +34,23 @@
 			}
 			for time.Now().Before(end.Add(-100 * time.Millisecond)) {
 				time.Sleep(3 * time.Millisecond)
-				l.owner.mu.Lock()
-				l.owner.table.touch(l.owner.table.machines["m-000000"])
-				l.owner.notify()
-				l.owner.mu.Unlock()
+				l.server.mu.Lock()
+				l.server.state.markChanged(l.server.state.machines["m-000000"])
+				l.server.notifyChange()
+				l.server.mu.Unlock()
 			}
 			time.Sleep(3 * time.Second)
 			for len(answers) > 0 {
 				moments[<-answers]++
 			}
-			gap := pollGap(4, askers).Duration()
-			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are a gap apart")
-			require.Greater(t, len(moments), int(span/(2*gap)), "and no more than that")
+			gap := publicationInterval(4, askers).Duration()
+			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are an interval apart")
+			require.Greater(t, len(moments), int(span/(2*gap)), "and not more than an interval")
 			for range askers {
-				require.Equal(t, l.owner.table.Version(), <-last)
+				cursor := <-last
+				l.server.mu.Lock()
+				require.Equal(t, l.server.state.Version(), cursor)
+				l.server.mu.Unlock()
 			}
 		})
 	}
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -8,15 +8,15 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// An owner of all machines of a fleet: its table's memory, its idle loop, a take-over, and
-// one page of its answer to a poll for everything.
+// The leader of all machines of a fleet: the memory of its state, its idle loop, a failover, and one page of its
+// answer to a poll for everything.
 func BenchmarkFleetSizes(b *testing.B) {
 	for _, machines := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("idle-tick/%d", machines), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			l := newLoadedOwner(b, machines)
+			l := newLoadedServer(b, machines)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
@@ -24,11 +24,11 @@
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(machines), "held-B/machine")
 		})
-		b.Run(fmt.Sprintf("take-over/%d", machines), func(b *testing.B) { benchmarkTakeOver(b, machines) })
+		b.Run(fmt.Sprintf("take-over/%d", machines), func(b *testing.B) { benchmarkFailover(b, machines) })
 		b.Run(fmt.Sprintf("page/%d", machines), func(b *testing.B) {
-			l := newLoadedOwner(b, machines)
+			l := newLoadedServer(b, machines)
 			for b.Loop() {
-				l.owner.HandlePoll(peer.PollRequest{Most: peer.PageMachines})
+				l.server.HandlePoll(peer.PollRequest{Most: peer.PageMachines})
 			}
 		})
 	}
