--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -36,8 +36,8 @@
 	Free    resources.Amounts
 }
 
-// takes tells whether a task of the shape could start in the room now.
-func (s *Shape) takes(r *Room) bool {
+// fitsRoom tells whether a task of the shape could start in the room now.
+func (s *Shape) fitsRoom(r *Room) bool {
 	return s.Tasks > 0 && s.Need.Fits(r.Free) && (!r.Spot || s.Spot) && (s.Zone == "" || s.Zone == r.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, r.Type))
 }
@@ -78,35 +78,35 @@
 	Open clock.Micros
 }
 
-// told is a team's demand and when it was told.
-type told struct {
+// receivedDemand is a team's demand and when it arrived.
+type receivedDemand struct {
 	Demand
-	at clock.Micros
+	receivedAt clock.Micros
 }
 
-// withheld is a machine whose room is kept for a team, and since when.
-type withheld struct {
+// withholding is a machine whose room is kept for a team, and since when.
+type withholding struct {
 	team  string
 	since clock.Micros
 }
 
 // Arbiter decides, for one owner of machines, who must leave free room to others.
 type Arbiter struct {
-	settings Settings
-	demands  map[string]told
-	capacity resources.Amounts
-	used     map[string]Use
-	shares   map[string]float64
-	counted  clock.Micros
-	withheld map[string]withheld     // by machine whose room is kept
-	open     map[string]clock.Micros // by machine: until when it is not
-	yields   uint64
+	settings     Settings
+	demands      map[string]receivedDemand
+	capacity     resources.Amounts
+	used         map[string]Use
+	shares       map[string]float64
+	countedAt    clock.Micros
+	withholdings map[string]withholding  // by machine whose room is kept
+	openUntil    map[string]clock.Micros // by machine: until when it is not
+	yielded      uint64
 }
 
 // NewArbiter makes an arbiter that knows of no demand, and so withholds nothing.
 func NewArbiter(s Settings) *Arbiter {
-	return &Arbiter{settings: s, demands: map[string]told{}, used: map[string]Use{}, shares: map[string]float64{},
-		withheld: map[string]withheld{}, open: map[string]clock.Micros{}}
+	return &Arbiter{settings: s, demands: map[string]receivedDemand{}, used: map[string]Use{}, shares: map[string]float64{},
+		withholdings: map[string]withholding{}, openUntil: map[string]clock.Micros{}}
 }
 
 // UpdateDemand takes what a placer tells of its teams' demand.
@@ -115,30 +115,30 @@
 		if old, ok := a.demands[d.Team]; ok && old.Term > d.Term {
 			continue
 		}
-		a.demands[d.Team] = told{d, now}
+		a.demands[d.Team] = receivedDemand{d, now}
 	}
 }
 
-// countEvery is how often what runs is counted anew, and shares are divided. Grants in
+// usageInterval is how often what runs is counted anew, and shares are divided. Grants in
 // between are added to the last count.
-const countEvery = clock.Second / 2
+const usageInterval = clock.Second / 2
 
 // UsageDue tells whether what runs should be counted: some demand is known, and the last count is old.
 func (a *Arbiter) UsageDue(now clock.Micros) bool {
-	return len(a.demands) > 0 && (a.counted == 0 || now >= a.counted+countEvery)
+	return len(a.demands) > 0 && (a.countedAt == 0 || now >= a.countedAt+usageInterval)
 }
 
 // UpdateUsage takes what the teams' tasks take of the owner's capacity, drops words that are too
 // old, and divides the capacity.
 func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
-	a.capacity, a.used, a.counted = capacity, used, now
-	maps.DeleteFunc(a.demands, func(_ string, d told) bool { return now > d.at+a.settings.Fresh })
-	maps.DeleteFunc(a.open, func(_ string, until clock.Micros) bool { return now >= until })
-	maps.DeleteFunc(a.withheld, func(_ string, w withheld) bool { return now >= w.since+a.settings.Withhold })
-	a.shares = Divide(capacity, a.claimants())
+	a.capacity, a.used, a.countedAt = capacity, used, now
+	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.Fresh })
+	maps.DeleteFunc(a.openUntil, func(_ string, until clock.Micros) bool { return now >= until })
+	maps.DeleteFunc(a.withholdings, func(_ string, w withholding) bool { return now >= w.since+a.settings.Withhold })
+	a.shares = Divide(capacity, a.demandByTeam())
 }
 
-func (a *Arbiter) claimants() map[string]Claimant {
+func (a *Arbiter) demandByTeam() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
 		out[team] = Claimant{Weight: a.weight(team), Used: u.All, Owed: u.Owed}
@@ -172,43 +172,43 @@
 // Room is kept for as many tasks as wait, one on a machine, and for a bounded time: what nobody
 // takes goes to whoever asks.
 func (a *Arbiter) Yields(ask *Ask, room *Room, now clock.Micros) bool {
-	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.above(ask) || now < a.open[room.Machine] {
+	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || now < a.openUntil[room.Machine] {
 		return false
 	}
-	team, ok := a.wanted(ask, room, now)
+	team, ok := a.waitingTeam(ask, room, now)
 	if !ok {
 		return false
 	}
-	w, kept := a.withheld[room.Machine]
+	w, kept := a.withholdings[room.Machine]
 	if !kept {
-		w = withheld{team, now}
-		a.withheld[room.Machine] = w
+		w = withholding{team, now}
+		a.withholdings[room.Machine] = w
 	}
 	if now >= w.since+a.settings.Withhold {
-		delete(a.withheld, room.Machine)
-		a.open[room.Machine] = now + a.settings.Open
+		delete(a.withholdings, room.Machine)
+		a.openUntil[room.Machine] = now + a.settings.Open
 		return false
 	}
-	a.yields++
+	a.yielded++
 	return true
 }
 
-// above tells that with a task more a team takes more than its share.
-func (a *Arbiter) above(ask *Ask) bool {
-	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+tolerance
+// exceedsShare tells that with a task more a team takes more than its share.
+func (a *Arbiter) exceedsShare(ask *Ask) bool {
+	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+roundingTolerance
 }
 
-// wanted names a team that is below its share and waits for just such room.
-func (a *Arbiter) wanted(ask *Ask, room *Room, now clock.Micros) (team string, ok bool) {
+// waitingTeam names a team that is below its share and waits for just such room.
+func (a *Arbiter) waitingTeam(ask *Ask, room *Room, now clock.Micros) (team string, ok bool) {
 	rest := *room
 	rest.Free = room.Free.Minus(ask.Need)
 	for _, team := range slices.Sorted(maps.Keys(a.demands)) {
 		d := a.demands[team]
-		if team == ask.Team || now > d.at+a.settings.Fresh || Dominant(a.used[team].All, a.capacity) >= a.shares[team]-tolerance {
+		if team == ask.Team || now > d.receivedAt+a.settings.Fresh || Dominant(a.used[team].All, a.capacity) >= a.shares[team]-roundingTolerance {
 			continue
 		}
 		for i := range d.Shapes {
-			if s := &d.Shapes[i]; s.Rank >= ask.Rank && s.takes(room) && !s.takes(&rest) && a.keeps(team, room.Machine) < s.Tasks {
+			if s := &d.Shapes[i]; s.Rank >= ask.Rank && s.fitsRoom(room) && !s.fitsRoom(&rest) && a.withheldMachines(team, room.Machine) < s.Tasks {
 				return team, true
 			}
 		}
@@ -216,9 +216,9 @@
 	return "", false
 }
 
-// keeps counts the machines whose room is kept for a team, one left out.
-func (a *Arbiter) keeps(team, besides string) (n int) {
-	for machine, w := range a.withheld {
+// withheldMachines counts the machines whose room is kept for a team, one left out.
+func (a *Arbiter) withheldMachines(team, besides string) (n int) {
+	for machine, w := range a.withholdings {
 		if w.team == team && machine != besides {
 			n++
 		}
@@ -234,7 +234,7 @@
 		u.Owed = u.Owed.Plus(ask.Need)
 	}
 	a.used[ask.Team] = u
-	delete(a.withheld, machine)
+	delete(a.withholdings, machine)
 	// What was granted waits no more, whatever its placer told before.
 	shapes := slices.Clone(a.demands[ask.Team].Shapes)
 	for i := range shapes {
@@ -249,17 +249,17 @@
 }
 
 // Yielded is how many asks had to leave room to others so far.
-func (a *Arbiter) Yielded() uint64 { return a.yields }
+func (a *Arbiter) Yielded() uint64 { return a.yielded }
 
 // Capacity is what the standings are fractions of.
 func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
 
 // Standings lists the teams that use room here or wait for it, in order of their names.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
-	claims := a.claimants()
+	claims := a.demandByTeam()
 	for _, team := range slices.Sorted(maps.Keys(claims)) {
 		s := Standing{Team: team, Weight: a.weight(team), Share: a.shares[team], Taken: Dominant(a.used[team].All, a.capacity)}
-		if d, ok := a.demands[team]; ok && now <= d.at+a.settings.Fresh {
+		if d, ok := a.demands[team]; ok && now <= d.receivedAt+a.settings.Fresh {
 			s.Waiting = claims[team].Waiting
 		}
 		out = append(out, s)
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -11,8 +11,8 @@
 
 const sec = clock.Second
 
-// room is enough for one task.
-var room = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: resources.Capacity(3, 0, 8)}
+// roomForOneTask is enough for one task.
+var roomForOneTask = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: resources.Capacity(3, 0, 8)}
 
 func ask(team string, rank int) *Ask {
 	return &Ask{Team: team, Rank: rank, Need: resources.Request(2, 0, 1)}
@@ -22,8 +22,8 @@
 	return Shape{Need: resources.Request(2, 0, 1), Rank: 1, Spot: true, Tasks: tasks}
 }
 
-// crowded is an arbiter of 100 CPUs that the hot team has nearly all of, while another waits.
-func crowded(waits Shape) *Arbiter {
+// arbiterUnderContention is an arbiter of 100 CPUs that the hot team has nearly all of, while another waits.
+func arbiterUnderContention(waits Shape) *Arbiter {
 	a := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec, Open: 5 * sec})
 	a.UpdateDemand([]Demand{{Team: "hot", Term: 1, Shapes: []Shape{shape(500)}}, {Team: "other", Term: 1, Shapes: []Shape{waits}}}, 10*sec)
 	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(96, 0, 50)}}, 10*sec)
@@ -51,19 +51,19 @@
 		{"what waits is of lower rank", low, ask("hot", 1), false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			require.Equal(t, x.want, crowded(x.waits).Yields(x.ask, room, 10*sec+1))
+			require.Equal(t, x.want, arbiterUnderContention(x.waits).Yields(x.ask, roomForOneTask, 10*sec+1))
 		})
 	}
 }
 
 // Room is withheld for a bounded time: who waits may not want it after all.
 func TestWithheldRoomIsOpenedAgain(t *testing.T) {
-	a := crowded(shape(5))
-	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
-	require.True(t, a.Yields(ask("hot", 1), room, 10*sec+900*clock.Millisecond))
-	require.False(t, a.Yields(ask("hot", 1), room, 11*sec), "nobody took it")
-	require.False(t, a.Yields(ask("hot", 1), room, 12*sec), "it stays open for a while")
-	other := *room
+	a := arbiterUnderContention(shape(5))
+	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
+	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec+900*clock.Millisecond))
+	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 11*sec), "nobody took it")
+	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 12*sec), "it stays open for a while")
+	other := *roomForOneTask
 	other.Machine = "m-2"
 	require.True(t, a.Yields(ask("hot", 1), &other, 12*sec), "other machines' room is withheld still")
 }
@@ -71,18 +71,18 @@
 // No more is withheld than what waits: room for both is shared, and one task that waits keeps one
 // machine's room.
 func TestNoMoreIsWithheldThanWaits(t *testing.T) {
-	both := *room
+	both := *roomForOneTask
 	both.Free = resources.Capacity(4, 0, 8)
-	require.False(t, crowded(shape(5)).Yields(ask("hot", 1), &both, 10*sec), "there is room for both")
-	a := crowded(shape(2))
+	require.False(t, arbiterUnderContention(shape(5)).Yields(ask("hot", 1), &both, 10*sec), "there is room for both")
+	a := arbiterUnderContention(shape(2))
 	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
 	for i, want := range []bool{true, true, false, false} {
-		next := *room
+		next := *roomForOneTask
 		next.Machine = string(rune('a' + i))
 		require.Equal(t, want, a.Yields(ask("hot", 1), &next, 10*sec), "machine %d", i)
 	}
 	a.Granted(ask("other", 1), "a")
-	third := *room
+	third := *roomForOneTask
 	third.Machine = "c"
 	require.False(t, a.Yields(ask("hot", 1), &third, 10*sec), "one waits still, and has b kept for it")
 }
@@ -90,31 +90,31 @@
 // A grant to the team that waited ends the withholding and counts at once, before anything
 // is counted anew.
 func TestGrantsCountAtOnce(t *testing.T) {
-	a := crowded(shape(1))
+	a := arbiterUnderContention(shape(1))
 	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
-	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
-	a.Granted(ask("other", 1), room.Machine)
-	require.False(t, a.Yields(ask("hot", 1), room, 10*sec+1), "the other team has its share")
+	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
+	a.Granted(ask("other", 1), roomForOneTask.Machine)
+	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec+1), "the other team has its share")
 }
 
 // An owner that hears nothing of a team's demand any more, since its placer is cut off or
 // ended, or since it is of a version that tells nothing, withholds nothing for it.
 func TestStaleDemandCountsForNothing(t *testing.T) {
-	a := crowded(shape(5))
-	require.True(t, a.Yields(ask("hot", 1), room, 13*sec))
-	require.False(t, a.Yields(ask("hot", 1), room, 13*sec+1))
-	fresh := crowded(shape(5))
+	a := arbiterUnderContention(shape(5))
+	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 13*sec))
+	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 13*sec+1))
+	fresh := arbiterUnderContention(shape(5))
 	fresh.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 11*sec)
-	require.False(t, fresh.Yields(ask("hot", 1), room, 11*sec), "nothing waits any more")
+	require.False(t, fresh.Yields(ask("hot", 1), roomForOneTask, 11*sec), "nothing waits any more")
 	none := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec})
 	require.False(t, none.UsageDue(sec), "without demand nothing is counted")
-	require.False(t, none.Yields(ask("hot", 1), room, sec))
+	require.False(t, none.Yields(ask("hot", 1), roomForOneTask, sec))
 }
 
 // A former placer's word, that arrives late, does not replace the present one's.
 func TestAFormerPlacersDemandCountsForNothing(t *testing.T) {
-	a := crowded(shape(5))
+	a := arbiterUnderContention(shape(5))
 	a.UpdateDemand([]Demand{{Team: "other", Term: 2, Shapes: []Shape{shape(5)}}}, 10*sec)
 	a.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 10*sec)
-	require.True(t, a.Yields(ask("hot", 1), room, 10*sec))
+	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
 }
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -41,52 +41,52 @@
 	return max(f[0], f[1], f[2])
 }
 
-// claim is a claimant in fractions of the capacity.
-type claim struct {
-	weight float64
-	demand [resourceCount]float64 // used and waiting
-	most   float64                // its dominant fraction if all of its demand were met
-	floor  float64                // its dominant fraction by its guarantee
-	share  float64
-	fixed  bool
+// teamShare is a claimant in fractions of the capacity.
+type teamShare struct {
+	weight           float64
+	demand           [resourceCount]float64 // used and waiting
+	maxDominantShare float64                // its dominant fraction if all of its demand were met
+	guaranteedShare  float64                // its dominant fraction by its guarantee
+	share            float64
+	final            bool
 }
 
-// at is a claim's dominant fraction at a level of the filling.
-func (c *claim) at(level float64) float64 {
-	return min(c.most, max(c.floor, level*c.weight))
+// shareAt is a dominant fraction at a level of the filling.
+func (c *teamShare) shareAt(level float64) float64 {
+	return min(c.maxDominantShare, max(c.guaranteedShare, level*c.weight))
 }
 
-// tolerance is how far a resource may seem overfull for the rounding of the sums.
-const tolerance = 1e-9
+// roundingTolerance is how far a resource may seem overfull for the rounding of the sums.
+const roundingTolerance = 1e-9
 
 // Divide gives each team's share of a capacity as a fraction of its dominant resource:
 // weighted max-min, no more than the team demands and no less than its guarantee covers of
 // that. The filling stops for a team once a resource that it demands is used up.
 func Divide(capacity resources.Amounts, teams map[string]Claimant) map[string]float64 {
-	claims := make(map[string]*claim, len(teams))
+	claims := make(map[string]*teamShare, len(teams))
 	for name, t := range teams {
-		c := &claim{weight: t.Weight, demand: fractions(t.Used.Plus(t.Waiting), capacity)}
+		c := &teamShare{weight: t.Weight, demand: fractions(t.Used.Plus(t.Waiting), capacity)}
 		if c.weight <= 0 {
 			c.weight = 1
 		}
-		c.most = max(c.demand[0], c.demand[1], c.demand[2])
-		c.floor = min(c.most, Dominant(t.Owed, capacity))
-		c.fixed = c.most == 0
+		c.maxDominantShare = max(c.demand[0], c.demand[1], c.demand[2])
+		c.guaranteedShare = min(c.maxDominantShare, Dominant(t.Owed, capacity))
+		c.final = c.maxDominantShare == 0
 		claims[name] = c
 	}
 	order := slices.Sorted(maps.Keys(claims))
-	list := make([]*claim, 0, len(order))
+	list := make([]*teamShare, 0, len(order))
 	for _, name := range order {
 		list = append(list, claims[name])
 	}
 	for range resourceCount {
-		level, full := fill(list)
+		level, full := raiseLevel(list)
 		for _, c := range list {
-			if c.fixed {
+			if c.final {
 				continue
 			}
-			c.share = c.at(level)
-			c.fixed = demandsAny(c, full)
+			c.share = c.shareAt(level)
+			c.final = demandsExhausted(c, full)
 		}
 	}
 	out := make(map[string]float64, len(claims))
@@ -96,8 +96,8 @@
 	return out
 }
 
-// demandsAny tells whether a claim demands one of the resources.
-func demandsAny(c *claim, full [resourceCount]bool) bool {
+// demandsExhausted tells whether a claim demands one of the resources.
+func demandsExhausted(c *teamShare, full [resourceCount]bool) bool {
 	for r := range resourceCount {
 		if full[r] && c.demand[r] > 0 {
 			return true
@@ -106,51 +106,51 @@
 	return false
 }
 
-// fill raises the level until a resource is used up or all demand is met, and tells which
+// raiseLevel raises the level until a resource is used up or all demand is met, and tells which
 // resources are used up.
-func fill(list []*claim) (level float64, full [resourceCount]bool) {
+func raiseLevel(list []*teamShare) (level float64, full [resourceCount]bool) {
 	high := 0.0
 	for _, c := range list {
-		if !c.fixed {
-			high = max(high, c.most/c.weight)
+		if !c.final {
+			high = max(high, c.maxDominantShare/c.weight)
 		}
 	}
-	if fits(use(list, high)) {
+	if withinCapacity(consumption(list, high)) {
 		return high, full
 	}
 	low := 0.0
 	for range 60 { // as exact as the numbers are
 		mid := (low + high) / 2
-		if fits(use(list, mid)) {
+		if withinCapacity(consumption(list, mid)) {
 			low = mid
 		} else {
 			high = mid
 		}
 	}
-	over := use(list, high)
+	over := consumption(list, high)
 	for r := range resourceCount {
-		full[r] = over[r] > 1+tolerance
+		full[r] = over[r] > 1+roundingTolerance
 	}
 	return low, full
 }
 
-// use sums what the claims take of each resource at a level.
-func use(list []*claim, level float64) (sum [resourceCount]float64) {
+// consumption sums what the claims take of each resource at a level.
+func consumption(list []*teamShare, level float64) (sum [resourceCount]float64) {
 	for _, c := range list {
-		if c.most == 0 {
+		if c.maxDominantShare == 0 {
 			continue
 		}
 		share := c.share
-		if !c.fixed {
-			share = c.at(level)
+		if !c.final {
+			share = c.shareAt(level)
 		}
 		for r := range resourceCount {
-			sum[r] += share / c.most * c.demand[r]
+			sum[r] += share / c.maxDominantShare * c.demand[r]
 		}
 	}
 	return sum
 }
 
-func fits(sum [resourceCount]float64) bool {
-	return max(sum[0], sum[1], sum[2]) <= 1+tolerance
+func withinCapacity(sum [resourceCount]float64) bool {
+	return max(sum[0], sum[1], sum[2]) <= 1+roundingTolerance
 }
