--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -13,19 +13,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// vetoHook is the function of a script that is asked before a task is moved. It takes the
+// vetoHookName is the function of a script that is asked before a task is moved. It takes the
 // move and tells whether it must not be made.
-const vetoHook = "veto_move"
+const vetoHookName = "veto_move"
 
-// stageHook is the function of a script that names the stage of a zone's return at which a job is
+// stageHookName is the function of a script that names the stage of a zone's return at which a job is
 // admitted: urgent, services or cold.
-const stageHook = "recovery_stage"
+const stageHookName = "recovery_stage"
 
-// hookSteps bounds what a hook may compute: it is asked while the placer decides.
-const hookSteps = 20_000
+// maxHookSteps bounds what a hook may compute: it is asked while the placer decides.
+const maxHookSteps = 20_000
 
-// hook finds a function of a script, nil where there is none.
-func hook(own starlark.StringDict, name string, params int) (*starlark.Function, error) {
+// findHook finds a function of a script, nil where there is none.
+func findHook(own starlark.StringDict, name string, params int) (*starlark.Function, error) {
 	v, ok := own[name]
 	if !ok {
 		return nil, nil
@@ -41,10 +41,10 @@
 	return f, nil
 }
 
-// call asks a hook, within its bound of steps.
-func call(f *starlark.Function, argument starlark.Value) (starlark.Value, error) {
+// callHook asks a hook, within its bound of steps.
+func callHook(f *starlark.Function, argument starlark.Value) (starlark.Value, error) {
 	thread := &starlark.Thread{Name: f.Name()}
-	thread.SetMaxExecutionSteps(hookSteps)
+	thread.SetMaxExecutionSteps(maxHookSteps)
 	v, err := starlark.Call(thread, f, starlark.Tuple{argument}, nil)
 	if err != nil {
 		return nil, located(err)
@@ -52,72 +52,72 @@
 	return v, nil
 }
 
-var errNoAnswer = errors.New("the answer must be True or False")
+var errNotBool = errors.New("the answer must be True or False")
 
 // Veto gives the script's word on moves, nil where the script has no hook for them. A hook that
 // fails or computes for too long counts as a veto and is logged: it never stops the service.
-func (k *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
-	if k.veto == nil {
+func (p *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
+	if p.vetoHook == nil {
 		return nil
 	}
 	return func(r rebalance.Record) bool {
-		vetoed, err := k.askVeto(r)
+		vetoed, err := p.callVetoHook(r)
 		if err != nil {
-			log.Error("the policy script's hook failed; the move is not made", "hook", vetoHook, "err", err)
+			log.Error("the policy script's hook failed; the move is not made", "hook", vetoHookName, "err", err)
 			return true
 		}
 		return vetoed
 	}
 }
 
-func (k *Parameters) askVeto(r rebalance.Record) (vetoed bool, err error) {
+func (p *Parameters) callVetoHook(r rebalance.Record) (vetoed bool, err error) {
 	move := starlarkstruct.FromStringDict(starlark.String("move"), starlark.StringDict{
 		"team": starlark.String(r.Team), "job": starlark.String(r.Key.Job), "task": starlark.MakeInt(r.Key.N),
 		"source": starlark.String(r.From), "destination": starlark.String(r.To), "reason": starlark.String(r.Reason),
 		"gain_s": starlark.Float(r.Gain.Seconds()), "cost_s": starlark.Float(r.Cost.Seconds()),
 	})
-	v, err := call(k.veto, move)
+	v, err := callHook(p.vetoHook, move)
 	if err != nil {
 		return false, err
 	}
 	answer, ok := v.(starlark.Bool)
 	if !ok {
-		return false, fmt.Errorf("%s: %w", k.veto.Position(), errNoAnswer)
+		return false, fmt.Errorf("%s: %w", p.vetoHook.Position(), errNotBool)
 	}
 	return bool(answer), nil
 }
 
 // Stages gives the script's word on stages, nil where the script has no hook for them. A hook that
 // fails is logged, and the job is admitted by its rank and deadline.
-func (k *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
-	if k.stage == nil {
+func (p *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
+	if p.stageHook == nil {
 		return nil
 	}
 	return func(j *jobs.Job) recovery.Stage {
-		s, err := k.askStage(j)
+		s, err := p.callStageHook(j)
 		if err != nil {
-			log.Error("the policy script's hook failed; the job goes by its rank", "hook", stageHook, "job", j.ID, "err", err)
+			log.Error("the policy script's hook failed; the job goes by its rank", "hook", stageHookName, "job", j.ID, "err", err)
 			return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 		}
 		return s
 	}
 }
 
-var errNoStage = errors.New("the answer must be urgent, services or cold")
+var errUnknownStage = errors.New("the answer must be urgent, services or cold")
 
-func (k *Parameters) askStage(j *jobs.Job) (recovery.Stage, error) {
+func (p *Parameters) callStageHook(j *jobs.Job) (recovery.Stage, error) {
 	job := starlarkstruct.FromStringDict(starlark.String("job"), starlark.StringDict{
 		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Priority),
 		"deadline": starlark.Bool(j.DeadlineS != nil), "tasks": starlark.MakeInt(j.Tasks),
 	})
-	v, err := call(k.stage, job)
+	v, err := callHook(p.stageHook, job)
 	if err != nil {
 		return 0, err
 	}
 	name, _ := starlark.AsString(v)
 	s, ok := recovery.StageOf(name)
 	if !ok || s < recovery.Urgent || s > recovery.Cold {
-		return 0, fmt.Errorf("%s: %w", k.stage.Position(), errNoStage)
+		return 0, fmt.Errorf("%s: %w", p.stageHook.Position(), errUnknownStage)
 	}
 	return s, nil
 }
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -7,23 +7,23 @@
 
 // String lists the parameters as the check command prints them. The names are part of that
 // command's output and stay as they are, whatever the fields are called here.
-func (k *Parameters) String() string {
+func (p *Parameters) String() string {
 	fields := []struct {
 		name  string
 		value any
 	}{
-		{"HoldTTL", k.LeaderLeaseTTL}, {"HoldRenew", k.LeaderRenewInterval}, {"ResignAfter", k.ResignAfter}, {"HoldGrace", k.TakeoverGrace},
-		{"HandOver", k.TransferDelay}, {"Sample", k.Sample}, {"Batch", k.Batch}, {"LeaseTTL", k.RoomLeaseTTL},
-		{"ProgressEvery", k.ProgressEvery}, {"PreemptAfter", k.PreemptAfter}, {"IdleReturn", k.IdleScaleInDelay},
-		{"RentalBackoff", k.ScaleOutBackoff}, {"Catchup", k.Catchup}, {"CatchupOrdinary", k.CatchupOrdinary},
-		{"SpareShare", k.SpareShare}, {"BootPatience", k.BootPatience}, {"SickErrors", k.QuarantineErrors},
-		{"Economy", k.Economy}, {"FairShares", k.FairShares}, {"ShareFresh", k.ShareFresh},
-		{"ShareWithhold", k.ShareWithhold}, {"TeamWeights", k.TeamWeights}, {"PlacementCosts", k.PlacementCosts},
-		{"DataWeight", k.DataWeight}, {"EvenWeight", k.EvenWeight}, {"PriceWeight", k.PriceWeight},
-		{"ImageWait", k.ImageWait}, {"Moves", k.Moves}, {"MoveMargin", k.MoveMargin}, {"MoveCoolDown", k.MoveCoolDown},
-		{"TeamMoves", k.TeamMoves}, {"MachineMoves", k.MachineMoves}, {"veto", address(k.veto)},
-		{"ZoneReturn", k.ZoneReturn}, {"History", k.History}, {"ZoneSuspect", k.ZoneSuspectAfter},
-		{"ZoneLost", k.ZoneLostAfter}, {"ZoneBack", k.ZoneReturnAfter}, {"stage", address(k.stage)}, {"Renamed", k.Renamed},
+		{"HoldTTL", p.LeaderLeaseTTL}, {"HoldRenew", p.LeaderRenewInterval}, {"ResignAfter", p.ResignAfter}, {"HoldGrace", p.TakeoverGrace},
+		{"HandOver", p.TransferDelay}, {"Sample", p.Sample}, {"Batch", p.Batch}, {"LeaseTTL", p.RoomLeaseTTL},
+		{"ProgressEvery", p.ProgressEvery}, {"PreemptAfter", p.PreemptAfter}, {"IdleReturn", p.IdleScaleInDelay},
+		{"RentalBackoff", p.ScaleOutBackoff}, {"Catchup", p.Catchup}, {"CatchupOrdinary", p.CatchupOrdinary},
+		{"SpareShare", p.SpareShare}, {"BootPatience", p.BootPatience}, {"SickErrors", p.QuarantineErrors},
+		{"Economy", p.Economy}, {"FairShares", p.FairShares}, {"ShareFresh", p.ShareFresh},
+		{"ShareWithhold", p.ShareWithhold}, {"TeamWeights", p.TeamWeights}, {"PlacementCosts", p.PlacementCosts},
+		{"DataWeight", p.DataWeight}, {"EvenWeight", p.EvenWeight}, {"PriceWeight", p.PriceWeight},
+		{"ImageWait", p.ImageWait}, {"Moves", p.Moves}, {"MoveMargin", p.MoveMargin}, {"MoveCoolDown", p.MoveCoolDown},
+		{"TeamMoves", p.TeamMoves}, {"MachineMoves", p.MachineMoves}, {"veto", address(p.vetoHook)},
+		{"ZoneReturn", p.ZoneReturn}, {"History", p.History}, {"ZoneSuspect", p.ZoneSuspectAfter},
+		{"ZoneLost", p.ZoneLostAfter}, {"ZoneBack", p.ZoneReturnAfter}, {"stage", address(p.stageHook)}, {"Renamed", p.Renamed},
 	}
 	var out strings.Builder
 	for i, f := range fields {
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -16,7 +16,7 @@
 )
 
 //go:embed default.star
-var defaults string
+var defaultScript string
 
 // Parameters is what the script sets.
 type Parameters struct {
@@ -42,11 +42,11 @@
 	MoveMargin              float64
 	MoveCoolDown            clock.Micros
 	TeamMoves, MachineMoves int
-	veto                    *starlark.Function
+	vetoHook                *starlark.Function
 	// ZoneReturn has work return to zones in stages; History has what happens noted.
 	ZoneReturn, History                              bool
 	ZoneSuspectAfter, ZoneLostAfter, ZoneReturnAfter clock.Micros
-	stage                                            *starlark.Function
+	stageHook                                        *starlark.Function
 	// Renamed are the knobs that the script set by a former name.
 	Renamed []RenamedParameter
 }
@@ -54,13 +54,13 @@
 // RenamedParameter is a knob's former name and the one that it has now.
 type RenamedParameter struct{ Old, New string }
 
-// renames are the former names that are accepted still.
-var renames = []RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
+// formerNames are the former names that are accepted still.
+var formerNames = []RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
 
-// longFinish is from how many of the workers' leases on a time to be finished
+// minLongFinishLeases is from how many of the workers' leases on a time to be finished
 // within is one more deadline, also for work that has none: it leaves time to wait
 // for room, and to notice that a machine is gone and begin anew.
-const longFinish = 8
+const minLongFinishLeases = 8
 
 // Economy tells whether economy is in order: work need be no earlier than its
 // deadline. It is not where an objective asks for work without deadlines to be
@@ -72,7 +72,7 @@
 		due[o.Class] = due[o.Class] || o.Kind == "deadline"
 	}
 	for _, o := range s.Params.Objectives {
-		if o.Kind == "finished" && !due[o.Class] && o.WithinS < longFinish*s.Params.Workers.LeaseS {
+		if o.Kind == "finished" && !due[o.Class] && o.WithinS < minLongFinishLeases*s.Params.Workers.LeaseS {
 			return false
 		}
 	}
@@ -94,22 +94,22 @@
 
 // Parse runs the embedded default and then the given script.
 func Parse(text string, s *config.Settings) (*Parameters, error) {
-	k := &Parameters{Economy: Economy(s)}
-	given := starlark.StringDict{"economy": starlark.Bool(k.Economy), "controllers": starlark.MakeInt(s.Params.Count)}
-	vals, err := run("default.star", defaults, given)
+	p := &Parameters{Economy: Economy(s)}
+	given := starlark.StringDict{"economy": starlark.Bool(p.Economy), "controllers": starlark.MakeInt(s.Params.Count)}
+	vals, err := runScript("default.star", defaultScript, given)
 	if err != nil {
 		return nil, err
 	}
 	if text != "" {
-		own, err := run("policy", text, given)
+		own, err := runScript("policy", text, given)
 		if err != nil {
 			return nil, err
 		}
-		k.rename(own)
-		if k.veto, err = hook(own, vetoHook, 1); err != nil {
+		p.acceptFormerNames(own)
+		if p.vetoHook, err = findHook(own, vetoHookName, 1); err != nil {
 			return nil, err
 		}
-		if k.stage, err = hook(own, stageHook, 1); err != nil {
+		if p.stageHook, err = findHook(own, stageHookName, 1); err != nil {
 			return nil, err
 		}
 		names := make([]string, 0, len(own))
@@ -127,23 +127,23 @@
 			vals[n] = own[n]
 		}
 	}
-	if err := k.read(vals); err != nil {
+	if err := p.read(vals); err != nil {
 		return nil, err
 	}
-	if k.TeamWeights, err = weights(vals["team_weights"], s); err != nil {
+	if p.TeamWeights, err = readTeamWeights(vals["team_weights"], s); err != nil {
 		return nil, err
 	}
-	return k, nil
+	return p, nil
 }
 
 // Bounds of a team's weight.
 const (
-	leastWeight = 0.01
-	mostWeight  = 1000
+	minWeight = 0.01
+	maxWeight = 1000
 )
 
-// weights reads the teams' weights.
-func weights(v starlark.Value, s *config.Settings) (map[string]float64, error) {
+// readTeamWeights reads the teams' weights.
+func readTeamWeights(v starlark.Value, s *config.Settings) (map[string]float64, error) {
 	dict, ok := v.(*starlark.Dict)
 	if !ok {
 		return nil, errors.New("policy: knob team_weights must be a dict from teams to numbers")
@@ -159,18 +159,18 @@
 			return nil, fmt.Errorf("policy: knob team_weights: there is no team %s", item[0])
 		}
 		weight, ok := starlark.AsFloat(item[1])
-		if !ok || !(weight >= leastWeight && weight <= mostWeight) {
-			return nil, fmt.Errorf("policy: knob team_weights: the weight of %s must be a number from %g to %g", name, leastWeight, float64(mostWeight))
+		if !ok || !(weight >= minWeight && weight <= maxWeight) {
+			return nil, fmt.Errorf("policy: knob team_weights: the weight of %s must be a number from %g to %g", name, minWeight, float64(maxWeight))
 		}
 		out[name] = weight
 	}
 	return out, nil
 }
 
-// rename gives the knobs that a script set by a former name their present one, unless
+// acceptFormerNames gives the knobs that a script set by a former name their present one, unless
 // the script sets that too.
-func (k *Parameters) rename(own starlark.StringDict) {
-	for _, r := range renames {
+func (p *Parameters) acceptFormerNames(own starlark.StringDict) {
+	for _, r := range formerNames {
 		v, ok := own[r.Old]
 		if !ok {
 			continue
@@ -179,14 +179,14 @@
 			own[r.New] = v
 		}
 		delete(own, r.Old)
-		k.Renamed = append(k.Renamed, r)
+		p.Renamed = append(p.Renamed, r)
 	}
 }
 
 // maxSteps bounds what a script or a hook may compute, so that it can't hang the service.
 const maxSteps = 1_000_000
 
-func run(name, text string, given starlark.StringDict) (starlark.StringDict, error) {
+func runScript(name, text string, given starlark.StringDict) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: name}
 	thread.SetMaxExecutionSteps(maxSteps)
 	vals, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, name, text, given)
@@ -210,7 +210,7 @@
 	return err
 }
 
-func (k *Parameters) read(vals starlark.StringDict) error {
+func (p *Parameters) read(vals starlark.StringDict) error {
 	num := func(name string, lo, hi float64) (float64, error) {
 		v, ok := starlark.AsFloat(vals[name])
 		if !ok || !(v >= lo && v <= hi) {
@@ -223,36 +223,36 @@
 		lo, hi float64
 		set    func(v float64)
 	}{
-		{"hold_ttl_s", 1, 600, func(v float64) { k.LeaderLeaseTTL = clock.FromSeconds(v) }},
-		{"hold_renew_s", 0.1, 60, func(v float64) { k.LeaderRenewInterval = clock.FromSeconds(v) }},
-		{"resign_after_s", 0.5, 600, func(v float64) { k.ResignAfter = clock.FromSeconds(v) }},
-		{"hold_grace_s", 0, 60, func(v float64) { k.TakeoverGrace = clock.FromSeconds(v) }},
-		{"hand_over_s", 0, 86400, func(v float64) { k.TransferDelay = clock.FromSeconds(v) }},
-		{"sample", 1, 1000, func(v float64) { k.Sample = int(v) }},
-		{"batch", 1, 10000, func(v float64) { k.Batch = int(v) }},
-		{"lease_ttl_s", 1, 600, func(v float64) { k.RoomLeaseTTL = clock.FromSeconds(v) }},
-		{"progress_every_s", 0.1, 60, func(v float64) { k.ProgressEvery = clock.FromSeconds(v) }},
-		{"preempt_after_s", 0, 3600, func(v float64) { k.PreemptAfter = clock.FromSeconds(v) }},
-		{"idle_return_s", 0, 86400, func(v float64) { k.IdleScaleInDelay = clock.FromSeconds(v) }},
-		{"spare_share", 0, 10, func(v float64) { k.SpareShare = v }},
-		{"boot_patience", 1, 100, func(v float64) { k.BootPatience = v }},
-		{"catchup_s", 1, 3600, func(v float64) { k.Catchup = clock.FromSeconds(v) }},
-		{"catchup_ordinary_s", 1, 3600, func(v float64) { k.CatchupOrdinary = clock.FromSeconds(v) }},
-		{"rental_backoff_s", 0, 3600, func(v float64) { k.ScaleOutBackoff = clock.FromSeconds(v) }},
-		{"share_fresh_s", 1.5, 60, func(v float64) { k.ShareFresh = clock.FromSeconds(v) }},
-		{"share_withhold_s", 0, 30, func(v float64) { k.ShareWithhold = clock.FromSeconds(v) }},
-		{"data_weight", 0, 100, func(v float64) { k.DataWeight = v }},
-		{"even_weight_s", 0, 3600, func(v float64) { k.EvenWeight = v }},
-		{"price_weight_s", 0, 3600, func(v float64) { k.PriceWeight = v }},
-		{"image_wait_s", 0, 60, func(v float64) { k.ImageWait = clock.FromSeconds(v) }},
-		{"move_margin", 1, 100, func(v float64) { k.MoveMargin = v }},
-		{"move_cool_down_s", 0, 86400, func(v float64) { k.MoveCoolDown = clock.FromSeconds(v) }},
-		{"moves_per_team", 0, 10000, func(v float64) { k.TeamMoves = int(v) }},
-		{"moves_per_machine", 0, 10000, func(v float64) { k.MachineMoves = int(v) }},
-		{"zone_suspect_s", 1, 600, func(v float64) { k.ZoneSuspectAfter = clock.FromSeconds(v) }},
-		{"zone_lost_s", 1, 600, func(v float64) { k.ZoneLostAfter = clock.FromSeconds(v) }},
-		{"zone_back_s", 0, 600, func(v float64) { k.ZoneReturnAfter = clock.FromSeconds(v) }},
-		{"sick_errors", 1, 1000, func(v float64) { k.QuarantineErrors = int(v) }},
+		{"hold_ttl_s", 1, 600, func(v float64) { p.LeaderLeaseTTL = clock.FromSeconds(v) }},
+		{"hold_renew_s", 0.1, 60, func(v float64) { p.LeaderRenewInterval = clock.FromSeconds(v) }},
+		{"resign_after_s", 0.5, 600, func(v float64) { p.ResignAfter = clock.FromSeconds(v) }},
+		{"hold_grace_s", 0, 60, func(v float64) { p.TakeoverGrace = clock.FromSeconds(v) }},
+		{"hand_over_s", 0, 86400, func(v float64) { p.TransferDelay = clock.FromSeconds(v) }},
+		{"sample", 1, 1000, func(v float64) { p.Sample = int(v) }},
+		{"batch", 1, 10000, func(v float64) { p.Batch = int(v) }},
+		{"lease_ttl_s", 1, 600, func(v float64) { p.RoomLeaseTTL = clock.FromSeconds(v) }},
+		{"progress_every_s", 0.1, 60, func(v float64) { p.ProgressEvery = clock.FromSeconds(v) }},
+		{"preempt_after_s", 0, 3600, func(v float64) { p.PreemptAfter = clock.FromSeconds(v) }},
+		{"idle_return_s", 0, 86400, func(v float64) { p.IdleScaleInDelay = clock.FromSeconds(v) }},
+		{"spare_share", 0, 10, func(v float64) { p.SpareShare = v }},
+		{"boot_patience", 1, 100, func(v float64) { p.BootPatience = v }},
+		{"catchup_s", 1, 3600, func(v float64) { p.Catchup = clock.FromSeconds(v) }},
+		{"catchup_ordinary_s", 1, 3600, func(v float64) { p.CatchupOrdinary = clock.FromSeconds(v) }},
+		{"rental_backoff_s", 0, 3600, func(v float64) { p.ScaleOutBackoff = clock.FromSeconds(v) }},
+		{"share_fresh_s", 1.5, 60, func(v float64) { p.ShareFresh = clock.FromSeconds(v) }},
+		{"share_withhold_s", 0, 30, func(v float64) { p.ShareWithhold = clock.FromSeconds(v) }},
+		{"data_weight", 0, 100, func(v float64) { p.DataWeight = v }},
+		{"even_weight_s", 0, 3600, func(v float64) { p.EvenWeight = v }},
+		{"price_weight_s", 0, 3600, func(v float64) { p.PriceWeight = v }},
+		{"image_wait_s", 0, 60, func(v float64) { p.ImageWait = clock.FromSeconds(v) }},
+		{"move_margin", 1, 100, func(v float64) { p.MoveMargin = v }},
+		{"move_cool_down_s", 0, 86400, func(v float64) { p.MoveCoolDown = clock.FromSeconds(v) }},
+		{"moves_per_team", 0, 10000, func(v float64) { p.TeamMoves = int(v) }},
+		{"moves_per_machine", 0, 10000, func(v float64) { p.MachineMoves = int(v) }},
+		{"zone_suspect_s", 1, 600, func(v float64) { p.ZoneSuspectAfter = clock.FromSeconds(v) }},
+		{"zone_lost_s", 1, 600, func(v float64) { p.ZoneLostAfter = clock.FromSeconds(v) }},
+		{"zone_back_s", 0, 600, func(v float64) { p.ZoneReturnAfter = clock.FromSeconds(v) }},
+		{"sick_errors", 1, 1000, func(v float64) { p.QuarantineErrors = int(v) }},
 	} {
 		v, err := num(f.name, f.lo, f.hi)
 		if err != nil {
@@ -260,15 +260,15 @@
 		}
 		f.set(v)
 	}
-	for name, flag := range map[string]*bool{"fair_shares": &k.FairShares, "placement_costs": &k.PlacementCosts, "moves": &k.Moves,
-		"zone_return": &k.ZoneReturn, "history": &k.History} {
+	for name, flag := range map[string]*bool{"fair_shares": &p.FairShares, "placement_costs": &p.PlacementCosts, "moves": &p.Moves,
+		"zone_return": &p.ZoneReturn, "history": &p.History} {
 		v, ok := vals[name].(starlark.Bool)
 		if !ok {
 			return fmt.Errorf("policy: knob %s must be True or False", name)
 		}
 		*flag = bool(v)
 	}
-	if k.LeaderRenewInterval*3 > k.LeaderLeaseTTL {
+	if p.LeaderRenewInterval*3 > p.LeaderLeaseTTL {
 		return fmt.Errorf("policy: knob hold_renew_s must be at most a third of hold_ttl_s")
 	}
 	return nil
--- a/internal/policy/parameters_test.go
+++ b/internal/policy/parameters_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-var aMove = rebalance.Record{Team: "red", From: "m-1", To: "m-2", Key: rebalance.Key{Job: "job-1", N: 3}, Reason: rebalance.SlowMachine,
+var sampleMove = rebalance.Record{Team: "red", From: "m-1", To: "m-2", Key: rebalance.Key{Job: "job-1", N: 3}, Reason: rebalance.SlowMachine,
 	Gain: 20 * clock.Second, Cost: 8 * clock.Second}
 
 // A script may veto moves. A hook that fails, runs too long or gives no proper answer counts as a
@@ -103,7 +103,7 @@
 			k, err := Parse(x.script, settings())
 			require.NoError(t, err)
 			var out bytes.Buffer
-			require.Equal(t, x.veto, k.Veto(slog.New(slog.NewTextHandler(&out, nil)))(aMove))
+			require.Equal(t, x.veto, k.Veto(slog.New(slog.NewTextHandler(&out, nil)))(sampleMove))
 			if x.logged == "" {
 				require.Empty(t, out.String())
 			} else {
