--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -85,19 +85,19 @@
 }
 
 const (
-	// leastRun is how long a task runs before it is moved.
-	leastRun = 30 * clock.Second
-	// leastLeft is how much of its run must be left.
-	leastLeft = 10 * clock.Second
-	// freshView is how old the view of a machine may be.
-	freshView = 5 * clock.Second
-	// handOver is what a move takes beside saving and fetching: reports and answers.
-	handOver = 2 * clock.Second
-	// noticeShort is the part of a notice that is there for certain.
-	noticeShort = 0.5
-	minute      = 60 * clock.Second
-	// recentMoves is how many moves are remembered for operators.
-	recentMoves = 32
+	// minRunTime is how long a task runs before it is moved.
+	minRunTime = 30 * clock.Second
+	// minTimeLeft is how much of its run must be left.
+	minTimeLeft = 10 * clock.Second
+	// maxViewAge is how old the view of a machine may be.
+	maxViewAge = 5 * clock.Second
+	// messageOverhead is what a move takes beside saving and fetching: reports and answers.
+	messageOverhead = 2 * clock.Second
+	// reliableNoticeShare is the part of a notice that is there for certain.
+	reliableNoticeShare = 0.5
+	budgetPeriod        = 60 * clock.Second
+	// maxRecentMoves is how many moves are remembered for operators.
+	maxRecentMoves = 32
 )
 
 // Record is a move as operators are told of it.
@@ -112,37 +112,37 @@
 
 // Planner decides on moves and keeps their budgets.
 type Planner struct {
-	limits   Limits
-	moved    map[Key]clock.Micros
-	team     map[string][]clock.Micros
-	machine  map[string][]clock.Micros
-	declined map[string]map[DeclineReason]int
-	recent   []*Record
+	limits       Limits
+	lastMoved    map[Key]clock.Micros
+	teamMoves    map[string][]clock.Micros
+	machineMoves map[string][]clock.Micros
+	declines     map[string]map[DeclineReason]int
+	recent       []*Record
 }
 
 // NewPlanner makes an empty book.
 func NewPlanner(l Limits) *Planner {
-	return &Planner{limits: l, moved: map[Key]clock.Micros{}, team: map[string][]clock.Micros{}, machine: map[string][]clock.Micros{},
-		declined: map[string]map[DeclineReason]int{}}
+	return &Planner{limits: l, lastMoved: map[Key]clock.Micros{}, teamMoves: map[string][]clock.Micros{}, machineMoves: map[string][]clock.Micros{},
+		declines: map[string]map[DeclineReason]int{}}
 }
 
 // Evaluate tells whether a task may be moved at all, before a destination is looked for.
-func (b *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
-	at, moved := b.moved[c.Key]
+func (p *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
+	at, moved := p.lastMoved[c.Key]
 	switch {
-	case c.ViewAge > freshView:
+	case c.ViewAge > maxViewAge:
 		return StaleView
 	case !c.CanSave:
 		return CannotSave
-	case c.Ran < leastRun:
+	case c.Ran < minRunTime:
 		return JustStarted
-	case c.Left < leastLeft:
+	case c.Left < minTimeLeft:
 		return NearlyDone
-	case moved && now < at+b.limits.CoolDown:
+	case moved && now < at+p.limits.CoolDown:
 		return MovedLately
-	case spent(b.team, c.Team, now) >= b.limits.PerTeam:
+	case movesInLastMinute(p.teamMoves, c.Team, now) >= p.limits.PerTeam:
 		return TeamBudget
-	case spent(b.machine, c.Machine, now) >= b.limits.PerMachine:
+	case movesInLastMinute(p.machineMoves, c.Machine, now) >= p.limits.PerMachine:
 		return MachineBudget
 	}
 	return NotDeclined
@@ -150,16 +150,16 @@
 
 // Weigh tells whether a move to a destination is worth it: its gain exceeds its cost with a
 // margin, and the destination is cooler with the task than the source is now.
-func (b *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
-	if to.ViewAge > freshView {
+func (p *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
+	if to.ViewAge > maxViewAge {
 		return 0, 0, StaleView
 	}
-	if spent(b.machine, to.Machine, now) >= b.limits.PerMachine {
+	if movesInLastMinute(p.machineMoves, to.Machine, now) >= p.limits.PerMachine {
 		return 0, 0, MachineBudget
 	}
-	cost = c.SaveFor + to.Fetch + handOver
-	gain = b.gain(c, to)
-	if gain.Seconds() <= cost.Seconds()*b.limits.Margin {
+	cost = c.SaveFor + to.Fetch + messageOverhead
+	gain = p.gain(c, to)
+	if gain.Seconds() <= cost.Seconds()*p.limits.Margin {
 		return gain, cost, NoGain
 	}
 	if to.Heat >= c.Heat {
@@ -169,7 +169,7 @@
 }
 
 // gain is how much earlier a task is done by a move, its cost left out.
-func (b *Planner) gain(c *Candidate, to *Destination) clock.Micros {
+func (p *Planner) gain(c *Candidate, to *Destination) clock.Micros {
 	pace := func(p float64) float64 {
 		if p <= 0 {
 			return 1
@@ -181,58 +181,58 @@
 	case SlowMachine:
 		return c.Left - left
 	case SpotNotice:
-		certain := clock.Micros(float64(c.NoticeLeft) * noticeShort)
+		certain := clock.Micros(float64(c.NoticeLeft) * reliableNoticeShare)
 		if c.Left <= certain || c.SaveFor >= certain {
 			return 0 // it is done before, or can't be saved in time
 		}
-		return c.Unsaved + b.limits.Detect + c.Left - left
+		return c.Unsaved + p.limits.Detect + c.Left - left
 	}
 	return 0
 }
 
 // Decline takes note of why a task was not moved.
-func (b *Planner) Decline(team string, why DeclineReason) {
-	if b.declined[team] == nil {
-		b.declined[team] = map[DeclineReason]int{}
+func (p *Planner) Decline(team string, why DeclineReason) {
+	if p.declines[team] == nil {
+		p.declines[team] = map[DeclineReason]int{}
 	}
-	b.declined[team][why]++
+	p.declines[team][why]++
 }
 
 // StartMove takes a move on: it counts against the budgets, whatever becomes of it.
-func (b *Planner) StartMove(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
-	b.moved[c.Key] = now
-	b.team[c.Team] = append(b.team[c.Team], now)
+func (p *Planner) StartMove(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
+	p.lastMoved[c.Key] = now
+	p.teamMoves[c.Team] = append(p.teamMoves[c.Team], now)
 	for _, m := range []string{c.Machine, to.Machine} {
-		b.machine[m] = append(b.machine[m], now)
+		p.machineMoves[m] = append(p.machineMoves[m], now)
 	}
 	r := &Record{Team: c.Team, From: c.Machine, To: to.Machine, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now, Outcome: UnderWay}
-	b.recent = append(b.recent, r)
-	if len(b.recent) > recentMoves {
-		b.recent = slices.Delete(b.recent, 0, 1)
+	p.recent = append(p.recent, r)
+	if len(p.recent) > maxRecentMoves {
+		p.recent = slices.Delete(p.recent, 0, 1)
 	}
-	return &Move{Record: r, book: b, stage: reserving, until: now + HoldFor}
+	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HoldFor}
 }
 
 // Forget drops what no budget looks at any more.
-func (b *Planner) Forget(now clock.Micros) {
-	for key, at := range b.moved {
-		if now >= at+b.limits.CoolDown {
-			delete(b.moved, key)
+func (p *Planner) Forget(now clock.Micros) {
+	for key, at := range p.lastMoved {
+		if now >= at+p.limits.CoolDown {
+			delete(p.lastMoved, key)
 		}
 	}
-	for _, spending := range []map[string][]clock.Micros{b.team, b.machine} {
+	for _, spending := range []map[string][]clock.Micros{p.teamMoves, p.machineMoves} {
 		for name := range spending {
-			if spent(spending, name, now) == 0 {
+			if movesInLastMinute(spending, name, now) == 0 {
 				delete(spending, name)
 			}
 		}
 	}
 }
 
-// spent counts the moves of the last minute.
-func spent(list map[string][]clock.Micros, name string, now clock.Micros) (n int) {
+// movesInLastMinute counts the moves of the last minute.
+func movesInLastMinute(list map[string][]clock.Micros, name string, now clock.Micros) (n int) {
 	for _, at := range list[name] {
-		if now < at+minute {
+		if now < at+budgetPeriod {
 			n++
 		}
 	}
@@ -240,8 +240,8 @@
 }
 
 // Recent gives the latest moves of a team, the last one first.
-func (b *Planner) Recent(team string) (out []Record) {
-	for _, r := range slices.Backward(b.recent) {
+func (p *Planner) Recent(team string) (out []Record) {
+	for _, r := range slices.Backward(p.recent) {
 		if r.Team == team {
 			out = append(out, *r)
 		}
@@ -250,4 +250,4 @@
 }
 
 // DeclinedOf counts why tasks of a team were not moved.
-func (b *Planner) DeclinedOf(team string) map[DeclineReason]int { return b.declined[team] }
+func (p *Planner) DeclinedOf(team string) map[DeclineReason]int { return p.declines[team] }
--- a/internal/rebalance/planner_test.go
+++ b/internal/rebalance/planner_test.go
@@ -13,13 +13,13 @@
 
 var limits = Limits{Margin: 1.5, CoolDown: 120 * sec, PerTeam: 3, PerMachine: 2, Detect: 20 * sec}
 
-// slow is a task with 60 s to go on a machine that takes twice as long as others.
-func slow() *Candidate {
+// slowMachineCandidate is a task with 60 s to go on a machine that takes twice as long as others.
+func slowMachineCandidate() *Candidate {
 	return &Candidate{Key: Key{"job-1", 0}, Team: "red", Machine: "m-1", Reason: SlowMachine, Ran: 40 * sec, Left: 60 * sec,
 		Unsaved: 5 * sec, CanSave: true, SaveFor: 2 * sec, Pace: 2, Heat: 1}
 }
 
-func cool() *Destination { return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5} }
+func coolDestination() *Destination { return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5} }
 
 func TestWhichTasksAreNotMoved(t *testing.T) {
 	for _, x := range []struct {
@@ -38,7 +38,7 @@
 		{NoGain, func(c *Candidate, _ *Destination) { c.Pace = 0 }},
 		{NotCooler, func(_ *Candidate, to *Destination) { to.Heat = 1 }},
 	} {
-		c, to := slow(), cool()
+		c, to := slowMachineCandidate(), coolDestination()
 		x.change(c, to)
 		b := NewPlanner(limits)
 		why := b.Evaluate(c, 100*sec)
@@ -60,9 +60,9 @@
 		{60 * sec, 40 * sec, 20 * sec, NoGain},
 		{60 * sec, 0, 2 * sec, NoGain},
 	} {
-		c := slow()
+		c := slowMachineCandidate()
 		c.Reason, c.Left, c.NoticeLeft, c.SaveFor, c.Pace = SpotNotice, x.left, x.notice, x.save, 0
-		_, _, why := NewPlanner(limits).Weigh(c, cool(), 100*sec)
+		_, _, why := NewPlanner(limits).Weigh(c, coolDestination(), 100*sec)
 		require.Equal(t, x.want, why, "%+v", x)
 	}
 }
@@ -73,18 +73,18 @@
 	b := NewPlanner(limits)
 	now := 100 * sec
 	task := func(n int, machine string) *Candidate {
-		c := slow()
+		c := slowMachineCandidate()
 		c.Key.N, c.Machine = n, machine
 		return c
 	}
 	begin := func(n int, from, to string) {
-		d := cool()
+		d := coolDestination()
 		d.Machine = to
 		b.StartMove(task(n, from), d, 20*sec, 8*sec, now)
 	}
 	begin(0, "m-1", "m-2")
 	require.Equal(t, MovedLately, b.Evaluate(task(0, "m-2"), now+sec))
-	refused := b.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-minute)
+	refused := b.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-budgetPeriod)
 	refused.Refused()
 	require.Equal(t, NotDeclined, b.Evaluate(task(9, "m-8"), now), "nothing was moved")
 	begin(1, "m-1", "m-3")
@@ -94,26 +94,26 @@
 	other := task(4, "m-6")
 	other.Team = "blue"
 	require.Equal(t, NotDeclined, b.Evaluate(other, now))
-	_, _, why := b.Weigh(other, cool(), now)
+	_, _, why := b.Weigh(other, coolDestination(), now)
 	require.Equal(t, MachineBudget, why, "m-2 has had two")
-	require.Equal(t, NotDeclined, b.Evaluate(task(3, "m-1"), now+minute))
+	require.Equal(t, NotDeclined, b.Evaluate(task(3, "m-1"), now+budgetPeriod))
 	require.Equal(t, MovedLately, b.Evaluate(task(0, "m-2"), now+119*sec))
 	require.Equal(t, NotDeclined, b.Evaluate(task(0, "m-2"), now+120*sec))
 	b.Forget(now + 120*sec)
-	require.Empty(t, b.moved)
-	require.Empty(t, b.team)
-	require.Empty(t, b.machine)
+	require.Empty(t, b.lastMoved)
+	require.Empty(t, b.teamMoves)
+	require.Empty(t, b.machineMoves)
 	require.Len(t, b.Recent("red"), 4)
 	require.Equal(t, Key{"job-1", 2}, b.Recent("red")[0].Key)
 }
 
-// event is something that a move is told of; name is for failures.
-type event struct {
-	name string
-	tell func(m *Move) Action
+// moveEvent is something that a move is told of; name is for failures.
+type moveEvent struct {
+	name  string
+	apply func(m *Move) Action
 }
 
-var events = []event{
+var events = []moveEvent{
 	{"granted", (*Move).Granted},
 	{"refused", (*Move).Refused},
 	{"destination lost", (*Move).DestinationLost},
@@ -136,14 +136,14 @@
 	}
 	outcomes := map[Outcome]int{}
 	for n := range total {
-		m := NewPlanner(limits).StartMove(slow(), cool(), 20*sec, 8*sec, 100*sec)
+		m := NewPlanner(limits).StartMove(slowMachineCandidate(), coolDestination(), 20*sec, 8*sec, 100*sec)
 		var told []string
 		granted, lost, over := false, false, false
 		stops, starts, releases := 0, 0, 0
 		for rest, step := n, 0; step < steps; step, rest = step+1, rest/len(events) {
 			e := events[rest%len(events)]
 			told = append(told, e.name)
-			a := e.tell(m)
+			a := e.apply(m)
 			switch a {
 			case StopSource:
 				stops++
