--- /dev/null
+++ b/internal/rebalance/move_test.go
@@ -0,0 +1,73 @@
+package rebalance
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// moveEvent is an event of a move; name is for the messages of failures.
+type moveEvent struct {
+	name  string
+	apply func(m *Move) Action
+}
+
+var events = []moveEvent{
+	{"granted", (*Move).Granted},
+	{"refused", (*Move).Refused},
+	{"destination lost", (*Move).DestinationLost},
+	{"source gone", func(m *Move) Action { return m.SourceGone(true) }},
+	{"source done", func(m *Move) Action { return m.SourceGone(false) }},
+	{"abandoned", (*Move).Abandon},
+	{"expired", func(m *Move) Action { return m.Expire(100*sec + HoldFor) }},
+	{"time passes", func(m *Move) Action { return m.Expire(100*sec + HoldFor - 1) }},
+}
+
+// In every order of events: the destination is started at most once, only
+// after its lease was granted and only at the moment at which the task is gone from the source and
+// still wanted; the source is stopped at most once, and only while the lease is held; a lease
+// that isn't used is released unless it is gone.
+func TestMoveInAnyOrderOfEventsStartsTaskOnlyOnceGoneFromSource(t *testing.T) {
+	const steps = 6
+	total := 1
+	for range steps {
+		total *= len(events)
+	}
+	outcomes := map[Outcome]int{}
+	for n := range total {
+		m := NewPlanner(limits).StartMove(slowMachineCandidate(), coolDestination(), 20*sec, 8*sec, 100*sec)
+		var applied []string
+		granted, lost, over := false, false, false
+		stops, starts, releases := 0, 0, 0
+		for rest, step := n, 0; step < steps; step, rest = step+1, rest/len(events) {
+			e := events[rest%len(events)]
+			applied = append(applied, e.name)
+			a := e.apply(m)
+			switch a {
+			case StopSource:
+				stops++
+				require.False(t, lost || over, "%v", applied)
+				granted = true
+			case StartDestination:
+				starts++
+				require.True(t, granted && e.name == "source gone" && !lost && !over, "%v", applied)
+			case ReleaseDestination:
+				releases++
+				require.False(t, lost, "%v", applied)
+			}
+			lost = lost || e.name == "refused" || e.name == "destination lost"
+			over = over || m.Ended()
+		}
+		require.LessOrEqual(t, stops, 1, "%v", applied)
+		require.LessOrEqual(t, starts+releases, 1, "%v", applied)
+		if m.Ended() {
+			require.True(t, starts+releases == 1 || lost, "%v: a lease is left behind", applied)
+			require.NotEqual(t, UnderWay, m.Outcome)
+		}
+		outcomes[m.Outcome]++
+	}
+	for _, o := range []Outcome{UnderWay, Moved, NoLease, DestinationGone, SourceEnded, TaskOver, TookTooLong} {
+		require.Positive(t, outcomes[o], fmt.Sprint(o))
+	}
+}
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -1,10 +1,10 @@
 // Package rebalance decides which running tasks are moved to another machine, and what each
 // step of a move is.
 //
-// Book decides on moves, within budgets; Move is the state machine of one of them. Both are
-// plain code that takes the time. A move never starts a task: it only tells when a lease that
-// was granted at the destination may be used, which is once the task is gone from the
-// source for certain.
+// Planner decides on moves, within budgets; Move is the state machine of one of them. Both are
+// decisions without I/O that take the time as a parameter. A move never starts a task: it only says
+// when a resource lease that was granted at the destination may be used, which is once the task is
+// gone from the source for certain.
 package rebalance
 
 import (
@@ -20,7 +20,7 @@
 // Reasons for moves.
 const (
 	SpotNotice  Reason = "spot notice"  // the cloud takes the machine away
-	SlowMachine Reason = "slow machine" // it was set aside for return, since its tasks take much longer
+	SlowMachine Reason = "slow machine" // it is quarantined, since its tasks take much longer
 )
 
 // DeclineReason is why a task was not moved.
@@ -43,7 +43,7 @@
 	Vetoed        DeclineReason = "the policy script vetoed it"
 )
 
-// Key names a task, whatever its attempt.
+// Key identifies a task, whatever its attempt.
 type Key struct {
 	Job string
 	N   int
@@ -55,30 +55,30 @@
 	Team       string
 	Machine    string
 	Reason     Reason
-	Ran        clock.Micros // so far
-	Left       clock.Micros // of its run there, as far as is known
-	Unsaved    clock.Micros // progress that is lost on average if the machine goes
-	CanSave    bool
-	SaveFor    clock.Micros // how long it takes to save
-	NoticeLeft clock.Micros // until the machine is taken, with a spot notice
-	Pace       float64      // how long tasks take on the machine against elsewhere
-	Heat       float64      // of the machine
-	ViewAge    clock.Micros
+	Ran        clock.Micros // run time so far
+	Left       clock.Micros // estimated run time left on this machine
+	Unsaved    clock.Micros // progress that is lost on average if the machine is lost
+	CanSave    bool         // the task writes checkpoints
+	SaveFor    clock.Micros // checkpoint duration
+	NoticeLeft clock.Micros // until the machine is taken, with an eviction notice
+	Pace       float64      // run times on the machine relative to those elsewhere; 0: unknown
+	Heat       float64      // utilization of the machine
+	ViewAge    clock.Micros // age of the scheduler's view of the machine
 }
 
 // Destination is a machine that has room for a candidate.
 type Destination struct {
 	Machine string
-	Fetch   clock.Micros // of the image, until the task can start
-	Pace    float64
-	Heat    float64 // of the machine with the task on it
+	Fetch   clock.Micros // time to fetch the image, until the task can start
+	Pace    float64      // as in Candidate
+	Heat    float64      // utilization of the machine with the task on it
 	ViewAge clock.Micros
 }
 
 // Limits of moves.
 type Limits struct {
-	Margin     float64 // the gain must be so many times the cost
-	CoolDown   clock.Micros
+	Margin     float64      // the gain must be so many times the cost
+	CoolDown   clock.Micros // a task is not moved again for so long
 	PerTeam    int          // moves in a minute
 	PerMachine int          // moves from or to it in a minute
 	Detect     clock.Micros // how long it takes to notice that a machine is gone
@@ -89,18 +89,19 @@
 	minRunTime = 30 * clock.Second
 	// minTimeLeft is how much of its run must be left.
 	minTimeLeft = 10 * clock.Second
-	// maxViewAge is how old the view of a machine may be.
+	// maxViewAge is how old the view of a machine may be for a decision on it.
 	maxViewAge = 5 * clock.Second
-	// messageOverhead is what a move takes beside saving and fetching: reports and answers.
+	// messageOverhead is what a move takes beside checkpointing and fetching: heartbeats and responses.
 	messageOverhead = 2 * clock.Second
-	// reliableNoticeShare is the part of a notice that is there for certain.
+	// reliableNoticeShare is the part of an eviction notice that can be relied on.
 	reliableNoticeShare = 0.5
-	budgetPeriod        = 60 * clock.Second
-	// maxRecentMoves is how many moves are remembered for operators.
+	// budgetPeriod is the period of the limits PerTeam and PerMachine.
+	budgetPeriod = 60 * clock.Second
+	// maxRecentMoves is how many moves are kept for the operators' commands.
 	maxRecentMoves = 32
 )
 
-// Record is a move as operators are told of it.
+// Record is a move as the operators' commands show it.
 type Record struct {
 	Team, From, To string
 	Key            Key
@@ -110,25 +111,30 @@
 	Outcome        Outcome
 }
 
-// Planner decides on moves and keeps their budgets.
+// Planner decides on moves and keeps their budgets. It is not safe for concurrent use.
 type Planner struct {
 	limits       Limits
-	lastMoved    map[Key]clock.Micros
-	teamMoves    map[string][]clock.Micros
-	machineMoves map[string][]clock.Micros
-	declines     map[string]map[DeclineReason]int
-	recent       []*Record
+	lastMoved    map[Key]clock.Micros             // start of the latest move, for the cool-down
+	teamMoves    map[string][]clock.Micros        // starts of moves, by team
+	machineMoves map[string][]clock.Micros        // starts of moves from or to a machine, by machine
+	declines     map[string]map[DeclineReason]int // since the start, by team
+	recent       []*Record                        // the latest maxRecentMoves, oldest first
 }
 
-// NewPlanner makes an empty book.
+// NewPlanner makes a planner without moves.
 func NewPlanner(l Limits) *Planner {
-	return &Planner{limits: l, lastMoved: map[Key]clock.Micros{}, teamMoves: map[string][]clock.Micros{}, machineMoves: map[string][]clock.Micros{},
-		declines: map[string]map[DeclineReason]int{}}
+	return &Planner{
+		limits:       l,
+		lastMoved:    map[Key]clock.Micros{},
+		teamMoves:    map[string][]clock.Micros{},
+		machineMoves: map[string][]clock.Micros{},
+		declines:     map[string]map[DeclineReason]int{},
+	}
 }
 
-// Evaluate tells whether a task may be moved at all, before a destination is looked for.
+// Evaluate tells whether a task may be moved at all, before a destination is chosen.
 func (p *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
-	at, moved := p.lastMoved[c.Key]
+	movedAt, moved := p.lastMoved[c.Key]
 	switch {
 	case c.ViewAge > maxViewAge:
 		return StaleView
@@ -138,7 +144,7 @@
 		return JustStarted
 	case c.Left < minTimeLeft:
 		return NearlyDone
-	case moved && now < at+p.limits.CoolDown:
+	case moved && now < movedAt+p.limits.CoolDown:
 		return MovedLately
 	case movesInLastMinute(p.teamMoves, c.Team, now) >= p.limits.PerTeam:
 		return TeamBudget
@@ -168,29 +174,31 @@
 	return gain, cost, NotDeclined
 }
 
-// gain is how much earlier a task is done by a move, its cost left out.
+// gain is how much earlier a task completes by a move, the move's cost left out.
 func (p *Planner) gain(c *Candidate, to *Destination) clock.Micros {
-	pace := func(p float64) float64 {
-		if p <= 0 {
-			return 1
-		}
-		return p
-	}
-	left := clock.Micros(float64(c.Left) / pace(c.Pace) * pace(to.Pace)) // elsewhere
+	leftAtDestination := clock.Micros(float64(c.Left) / paceOrDefault(c.Pace) * paceOrDefault(to.Pace))
 	switch c.Reason {
 	case SlowMachine:
-		return c.Left - left
+		return c.Left - leftAtDestination
 	case SpotNotice:
-		certain := clock.Micros(float64(c.NoticeLeft) * reliableNoticeShare)
-		if c.Left <= certain || c.SaveFor >= certain {
-			return 0 // it is done before, or can't be saved in time
+		reliable := clock.Micros(float64(c.NoticeLeft) * reliableNoticeShare)
+		if c.Left <= reliable || c.SaveFor >= reliable {
+			return 0 // it completes before, or can't checkpoint in time
 		}
-		return c.Unsaved + p.limits.Detect + c.Left - left
+		return c.Unsaved + p.limits.Detect + c.Left - leftAtDestination
 	}
 	return 0
 }
 
-// Decline takes note of why a task was not moved.
+// paceOrDefault is a machine's pace, 1 where it is unknown.
+func paceOrDefault(pace float64) float64 {
+	if pace <= 0 {
+		return 1
+	}
+	return pace
+}
+
+// Decline counts why a task was not moved.
 func (p *Planner) Decline(team string, why DeclineReason) {
 	if p.declines[team] == nil {
 		p.declines[team] = map[DeclineReason]int{}
@@ -198,14 +206,17 @@
 	p.declines[team][why]++
 }
 
-// StartMove takes a move on: it counts against the budgets, whatever becomes of it.
+// StartMove starts a move: it counts against the budgets, whatever its outcome.
 func (p *Planner) StartMove(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
 	p.lastMoved[c.Key] = now
 	p.teamMoves[c.Team] = append(p.teamMoves[c.Team], now)
 	for _, m := range []string{c.Machine, to.Machine} {
 		p.machineMoves[m] = append(p.machineMoves[m], now)
 	}
-	r := &Record{Team: c.Team, From: c.Machine, To: to.Machine, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now, Outcome: UnderWay}
+	r := &Record{
+		Team: c.Team, From: c.Machine, To: to.Machine, Key: c.Key, Reason: c.Reason,
+		Gain: gain, Cost: cost, Began: now, Outcome: UnderWay,
+	}
 	p.recent = append(p.recent, r)
 	if len(p.recent) > maxRecentMoves {
 		p.recent = slices.Delete(p.recent, 0, 1)
@@ -213,30 +224,31 @@
 	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HoldFor}
 }
 
-// Forget drops what no budget looks at any more.
+// Forget drops the starts of moves that no budget and no cool-down counts any more.
 func (p *Planner) Forget(now clock.Micros) {
-	for key, at := range p.lastMoved {
-		if now >= at+p.limits.CoolDown {
+	for key, movedAt := range p.lastMoved {
+		if now >= movedAt+p.limits.CoolDown {
 			delete(p.lastMoved, key)
 		}
 	}
-	for _, spending := range []map[string][]clock.Micros{p.teamMoves, p.machineMoves} {
-		for name := range spending {
-			if movesInLastMinute(spending, name, now) == 0 {
-				delete(spending, name)
+	for _, starts := range []map[string][]clock.Micros{p.teamMoves, p.machineMoves} {
+		for name := range starts {
+			if movesInLastMinute(starts, name, now) == 0 {
+				delete(starts, name)
 			}
 		}
 	}
 }
 
-// movesInLastMinute counts the moves of the last minute.
-func movesInLastMinute(list map[string][]clock.Micros, name string, now clock.Micros) (n int) {
-	for _, at := range list[name] {
-		if now < at+budgetPeriod {
-			n++
+// movesInLastMinute counts the moves of a team or machine that started within the budget period.
+func movesInLastMinute(starts map[string][]clock.Micros, name string, now clock.Micros) int {
+	count := 0
+	for _, startedAt := range starts[name] {
+		if now < startedAt+budgetPeriod {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Recent gives the latest moves of a team, the last one first.
