--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -8,7 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Shape is work of a team that waits, of one shape: what each task takes and where it may go.
+// Shape is waiting work of a team with equal requirements: what each task takes and where it may go.
+// Part of the message peer.Demand: the fields are wire format.
 type Shape struct {
 	Need  resources.Amounts
 	Types []string // allowed machine types; none: any
@@ -19,15 +20,15 @@
 	Tasks int
 }
 
-// Demand is what waits of a team, as the team's placer sees it. It is told again with
-// each poll, also when nothing waits.
+// Demand is a team's waiting work, as the team's scheduler sees it. Schedulers send it with each poll,
+// also when nothing waits. The fields are wire format.
 type Demand struct {
 	Team   string
-	Term   uint64 // of the team's claim: a former placer's word does not replace a later one's
+	Term   uint64 // of the team's leadership: a former scheduler's demand does not replace a later one's
 	Shapes []Shape
 }
 
-// Room is free room on one machine.
+// Room is the free resources of one machine.
 type Room struct {
 	Machine string
 	Type    string
@@ -36,13 +37,13 @@
 	Free    resources.Amounts
 }
 
-// fitsRoom tells whether a task of the shape could start in the room now.
+// fitsRoom tells whether a task of the shape could start on the machine now.
 func (s *Shape) fitsRoom(r *Room) bool {
 	return s.Tasks > 0 && s.Need.Fits(r.Free) && (!r.Spot || s.Spot) && (s.Zone == "" || s.Zone == r.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, r.Type))
 }
 
-// Ask is a task for which room is asked.
+// Ask is a task for which a scheduler requests a resource lease.
 type Ask struct {
 	Team string
 	Rank int
@@ -50,31 +51,30 @@
 	Owed bool // within its team's guarantee
 }
 
-// Use is what a team's tasks take at an owner, and the part that its guarantee covers.
+// Use is what a team's tasks take at a partition leader, and the part that its guarantee covers.
 type Use struct {
 	All  resources.Amounts
 	Owed resources.Amounts
 }
 
-// Standing is a team's share, its use and its demand at one owner.
+// Standing is a team's share, its use and its demand at one partition leader. The fields are wire format.
 type Standing struct {
 	Team    string
 	Weight  float64
-	Share   float64           // of the owner's capacity, by the team's dominant resource
+	Share   float64           // of the leader's capacity, by the team's dominant resource
 	Taken   float64           // the same of what its tasks take
-	Waiting resources.Amounts // anywhere, as its placer last told
+	Waiting resources.Amounts // anywhere, by its scheduler's latest demand
 }
 
 // Settings of an arbiter.
 type Settings struct {
 	Weights map[string]float64 // by team; 1 where none is given
-	// Fresh is how old a placer's word of its team's demand may be. An older one counts
-	// for nothing, as if nothing of the team waited.
+	// Fresh is how old a demand may be. An older one counts as if nothing of the team waited.
 	Fresh clock.Micros
-	// Withhold is for how long free room on a machine is kept from a team that is above its
-	// share. Who is below it and waits has asked by then, or can't use the room.
+	// Withhold is for how long free resources of a machine are withheld from a team that exceeds its
+	// share. A team below its share that waits has requested them by then, or can't use them.
 	Withhold clock.Micros
-	// Open is for how long a machine whose room was withheld in vain goes to whoever asks.
+	// Open is for how long a machine whose resources were withheld in vain is open to every team.
 	Open clock.Micros
 }
 
@@ -84,34 +84,41 @@
 	receivedAt clock.Micros
 }
 
-// withholding is a machine whose room is kept for a team, and since when.
+// withholding is that a machine's free resources are withheld in favour of a team.
 type withholding struct {
-	team  string
+	team  string // in whose favour
 	since clock.Micros
 }
 
-// Arbiter decides, for one owner of machines, who must leave free room to others.
+// Arbiter decides, for one partition leader, which assignments must yield to teams below their share.
+// It is not safe for concurrent use.
 type Arbiter struct {
 	settings     Settings
-	demands      map[string]receivedDemand
-	capacity     resources.Amounts
-	used         map[string]Use
-	shares       map[string]float64
-	countedAt    clock.Micros
-	withholdings map[string]withholding  // by machine whose room is kept
-	openUntil    map[string]clock.Micros // by machine: until when it is not
-	yielded      uint64
+	demands      map[string]receivedDemand // by team
+	capacity     resources.Amounts         // of the leader's machines, as of countedAt
+	used         map[string]Use            // by team: as of countedAt, and what was granted since
+	shares       map[string]float64        // by team, as of countedAt
+	countedAt    clock.Micros              // latest UpdateUsage; 0: none yet
+	withholdings map[string]withholding    // by machine
+	openUntil    map[string]clock.Micros   // by machine: nothing is withheld there until then
+	yielded      uint64                    // assignments that yielded, since the start
 }
 
 // NewArbiter makes an arbiter that knows of no demand, and so withholds nothing.
 func NewArbiter(s Settings) *Arbiter {
-	return &Arbiter{settings: s, demands: map[string]receivedDemand{}, used: map[string]Use{}, shares: map[string]float64{},
-		withholdings: map[string]withholding{}, openUntil: map[string]clock.Micros{}}
+	return &Arbiter{
+		settings:     s,
+		demands:      map[string]receivedDemand{},
+		used:         map[string]Use{},
+		shares:       map[string]float64{},
+		withholdings: map[string]withholding{},
+		openUntil:    map[string]clock.Micros{},
+	}
 }
 
-// UpdateDemand takes what a placer tells of its teams' demand.
-func (a *Arbiter) UpdateDemand(list []Demand, now clock.Micros) {
-	for _, d := range list {
+// UpdateDemand handles the demand of a scheduler's teams. Demand of an earlier term is ignored.
+func (a *Arbiter) UpdateDemand(demands []Demand, now clock.Micros) {
+	for _, d := range demands {
 		if old, ok := a.demands[d.Team]; ok && old.Term > d.Term {
 			continue
 		}
@@ -119,17 +126,17 @@
 	}
 }
 
-// usageInterval is how often what runs is counted anew, and shares are divided. Grants in
-// between are added to the last count.
+// usageInterval is how often usage is counted anew and shares are divided. Grants in between are added
+// to the last count.
 const usageInterval = clock.Second / 2
 
-// UsageDue tells whether what runs should be counted: some demand is known, and the last count is old.
+// UsageDue tells whether usage should be counted: some demand is known, and the last count is old.
 func (a *Arbiter) UsageDue(now clock.Micros) bool {
 	return len(a.demands) > 0 && (a.countedAt == 0 || now >= a.countedAt+usageInterval)
 }
 
-// UpdateUsage takes what the teams' tasks take of the owner's capacity, drops words that are too
-// old, and divides the capacity.
+// UpdateUsage sets what the teams' tasks take of the leader's capacity, drops demand that is too old and
+// withholdings that are over, and divides the capacity.
 func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.countedAt = capacity, used, now
 	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.Fresh })
@@ -138,6 +145,7 @@
 	a.shares = Divide(capacity, a.demandByTeam())
 }
 
+// demandByTeam gives the division's input: use and fresh demand of each team.
 func (a *Arbiter) demandByTeam() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
@@ -159,6 +167,7 @@
 	return out
 }
 
+// weight is a team's weight, 1 where the settings give none.
 func (a *Arbiter) weight(team string) float64 {
 	if w, ok := a.settings.Weights[team]; ok {
 		return w
@@ -166,11 +175,10 @@
 	return 1
 }
 
-// Yields tells that an ask must leave the room to somebody else: its team is above its share,
-// and a team below its own has work of the same rank or a higher one that waits, could
-// start right there, and could not once the ask had its part. Work within a guarantee never yields.
-// Room is kept for as many tasks as wait, one on a machine, and for a bounded time: what nobody
-// takes goes to whoever asks.
+// Yields tells that an assignment must yield: its team exceeds its share, and a team below its own has
+// waiting work of the same priority or a higher one that could start on the machine, and could not once
+// the assignment had its part. Work within a guarantee never yields. Resources are withheld for as many
+// tasks as wait, one on a machine, and for a bounded time: what nobody takes is open to every team.
 func (a *Arbiter) Yields(ask *Ask, room *Room, now clock.Micros) bool {
 	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || now < a.openUntil[room.Machine] {
 		return false
@@ -179,8 +187,8 @@
 	if !ok {
 		return false
 	}
-	w, kept := a.withholdings[room.Machine]
-	if !kept {
+	w, withheld := a.withholdings[room.Machine]
+	if !withheld {
 		w = withholding{team, now}
 		a.withholdings[room.Machine] = w
 	}
@@ -193,22 +201,29 @@
 	return true
 }
 
-// exceedsShare tells that with a task more a team takes more than its share.
+// exceedsShare tells that a team takes more than its share once it is granted the task:
+// dominant(used + need) > share.
 func (a *Arbiter) exceedsShare(ask *Ask) bool {
 	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+roundingTolerance
 }
 
-// waitingTeam names a team that is below its share and waits for just such room.
+// waitingTeam finds a team below its share with waiting work that only fits the machine without the
+// asked task. Teams are looked at in order of their names, so that the answer is always the same.
 func (a *Arbiter) waitingTeam(ask *Ask, room *Room, now clock.Micros) (team string, ok bool) {
-	rest := *room
-	rest.Free = room.Free.Minus(ask.Need)
+	remaining := *room
+	remaining.Free = room.Free.Minus(ask.Need)
 	for _, team := range slices.Sorted(maps.Keys(a.demands)) {
 		d := a.demands[team]
-		if team == ask.Team || now > d.receivedAt+a.settings.Fresh || Dominant(a.used[team].All, a.capacity) >= a.shares[team]-roundingTolerance {
+		if team == ask.Team || now > d.receivedAt+a.settings.Fresh || !a.belowShare(team) {
 			continue
 		}
 		for i := range d.Shapes {
-			if s := &d.Shapes[i]; s.Rank >= ask.Rank && s.fitsRoom(room) && !s.fitsRoom(&rest) && a.withheldMachines(team, room.Machine) < s.Tasks {
+			s := &d.Shapes[i]
+			if s.Rank < ask.Rank {
+				continue
+			}
+			onlyWithoutAsked := s.fitsRoom(room) && !s.fitsRoom(&remaining)
+			if onlyWithoutAsked && a.withheldMachines(team, room.Machine) < s.Tasks {
 				return team, true
 			}
 		}
@@ -216,17 +231,23 @@
 	return "", false
 }
 
-// withheldMachines counts the machines whose room is kept for a team, one left out.
-func (a *Arbiter) withheldMachines(team, besides string) (n int) {
+// belowShare tells that a team takes less than its share: dominant(used) < share.
+func (a *Arbiter) belowShare(team string) bool {
+	return Dominant(a.used[team].All, a.capacity) < a.shares[team]-roundingTolerance
+}
+
+// withheldMachines counts the machines withheld in favour of a team, one left out.
+func (a *Arbiter) withheldMachines(team, except string) int {
+	count := 0
 	for machine, w := range a.withholdings {
-		if w.team == team && machine != besides {
-			n++
+		if w.team == team && machine != except {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Granted takes note of a lease.
+// Granted adds a granted resource lease to the team's use, and takes its task off the team's demand.
 func (a *Arbiter) Granted(ask *Ask, machine string) {
 	u := a.used[ask.Team]
 	u.All = u.All.Plus(ask.Need)
@@ -235,12 +256,17 @@
 	}
 	a.used[ask.Team] = u
 	delete(a.withholdings, machine)
-	// What was granted waits no more, whatever its placer told before.
-	shapes := slices.Clone(a.demands[ask.Team].Shapes)
+	a.reduceDemand(ask)
+}
+
+// reduceDemand takes a granted task off its team's demand: it doesn't wait any more, whatever its
+// scheduler has sent before. The shapes are cloned since they belong to the message.
+func (a *Arbiter) reduceDemand(ask *Ask) {
+	d := a.demands[ask.Team]
+	shapes := slices.Clone(d.Shapes)
 	for i := range shapes {
 		if s := &shapes[i]; s.Need == ask.Need && s.Rank == ask.Rank && s.Owed == ask.Owed && s.Tasks > 0 {
 			s.Tasks--
-			d := a.demands[ask.Team]
 			d.Shapes = shapes
 			a.demands[ask.Team] = d
 			return
@@ -248,19 +274,22 @@
 	}
 }
 
-// Yielded is how many asks had to leave room to others so far.
+// Yielded is how many assignments have yielded since the start.
 func (a *Arbiter) Yielded() uint64 { return a.yielded }
 
 // Capacity is what the standings are fractions of.
 func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
 
-// Standings lists the teams that use room here or wait for it, in order of their names.
+// Standings lists the teams that use resources here or wait for them, in order of their names.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
-	claims := a.demandByTeam()
-	for _, team := range slices.Sorted(maps.Keys(claims)) {
-		s := Standing{Team: team, Weight: a.weight(team), Share: a.shares[team], Taken: Dominant(a.used[team].All, a.capacity)}
+	claimants := a.demandByTeam()
+	for _, team := range slices.Sorted(maps.Keys(claimants)) {
+		s := Standing{
+			Team: team, Weight: a.weight(team), Share: a.shares[team],
+			Taken: Dominant(a.used[team].All, a.capacity),
+		}
 		if d, ok := a.demands[team]; ok && now <= d.receivedAt+a.settings.Fresh {
-			s.Waiting = claims[team].Waiting
+			s.Waiting = claimants[team].Waiting
 		}
 		out = append(out, s)
 	}
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -30,12 +30,12 @@
 	return a
 }
 
-func TestWhoYields(t *testing.T) {
+func TestAssignmentYieldsOnlyToTeamBelowItsShare(t *testing.T) {
 	zoned, large, low := shape(5), shape(5), shape(5)
 	zoned.Zone, large.Need, low.Rank = "b", resources.Request(8, 0, 1), 0
 	owed := ask("hot", 1)
 	owed.Owed = true
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		waits Shape
 		ask   *Ask
@@ -50,14 +50,14 @@
 		{"what waits doesn't fit there now", large, ask("hot", 1), false},
 		{"what waits is of lower rank", low, ask("hot", 1), false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			require.Equal(t, x.want, arbiterUnderContention(x.waits).Yields(x.ask, roomForOneTask, 10*sec+1))
+		t.Run(test.name, func(t *testing.T) {
+			require.Equal(t, test.want, arbiterUnderContention(test.waits).Yields(test.ask, roomForOneTask, 10*sec+1))
 		})
 	}
 }
 
-// Room is withheld for a bounded time: who waits may not want it after all.
-func TestWithheldRoomIsOpenedAgain(t *testing.T) {
+// A machine is withheld for a bounded time: the waiting team may not use it after all.
+func TestWithheldMachineIsOpenedAfterTimeout(t *testing.T) {
 	a := arbiterUnderContention(shape(5))
 	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
 	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec+900*clock.Millisecond))
@@ -68,9 +68,9 @@
 	require.True(t, a.Yields(ask("hot", 1), &other, 12*sec), "other machines' room is withheld still")
 }
 
-// No more is withheld than what waits: room for both is shared, and one task that waits keeps one
-// machine's room.
-func TestNoMoreIsWithheldThanWaits(t *testing.T) {
+// No more is withheld than what waits: a machine with room for both is shared, and one waiting task
+// withholds one machine.
+func TestWithholdingIsBoundedByWaitingTasks(t *testing.T) {
 	both := *roomForOneTask
 	both.Free = resources.Capacity(4, 0, 8)
 	require.False(t, arbiterUnderContention(shape(5)).Yields(ask("hot", 1), &both, 10*sec), "there is room for both")
@@ -87,9 +87,8 @@
 	require.False(t, a.Yields(ask("hot", 1), &third, 10*sec), "one waits still, and has b kept for it")
 }
 
-// A grant to the team that waited ends the withholding and counts at once, before anything
-// is counted anew.
-func TestGrantsCountAtOnce(t *testing.T) {
+// A grant to the waiting team ends the withholding and counts before usage is counted anew.
+func TestGrantCountsBeforeNextUsageUpdate(t *testing.T) {
 	a := arbiterUnderContention(shape(1))
 	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
 	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
@@ -97,9 +96,9 @@
 	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec+1), "the other team has its share")
 }
 
-// An owner that hears nothing of a team's demand any more, since its placer is cut off or
-// ended, or since it is of a version that tells nothing, withholds nothing for it.
-func TestStaleDemandCountsForNothing(t *testing.T) {
+// A partition leader that receives no demand of a team any more, since its scheduler is cut off or has
+// ended, or since it is of a version that sends none, withholds nothing for it.
+func TestStaleDemandIsIgnored(t *testing.T) {
 	a := arbiterUnderContention(shape(5))
 	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 13*sec))
 	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 13*sec+1))
@@ -111,8 +110,8 @@
 	require.False(t, none.Yields(ask("hot", 1), roomForOneTask, sec))
 }
 
-// A former placer's word, that arrives late, does not replace the present one's.
-func TestAFormerPlacersDemandCountsForNothing(t *testing.T) {
+// A former scheduler's demand that arrives late does not replace the current one's.
+func TestDemandOfFormerSchedulerIsIgnored(t *testing.T) {
 	a := arbiterUnderContention(shape(5))
 	a.UpdateDemand([]Demand{{Team: "other", Term: 2, Shapes: []Shape{shape(5)}}}, 10*sec)
 	a.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 10*sec)
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -1,9 +1,9 @@
-// Package fairshare divides contended room among teams.
+// Package fairshare divides contended resources among teams.
 //
-// Divide computes weighted max-min shares of the dominant resource. Arbiter applies them
-// where leases on room are granted: at each owner of machines, from what runs there and
-// from what the placers last told of their teams' demand. Both are plain code that takes
-// the time.
+// Divide computes the shares: weighted max-min fairness of the dominant resource. Arbiter applies them
+// where resource leases are granted: at each partition leader, from what runs there and from the
+// schedulers' latest demand of their teams. Both are decisions without I/O that take the time as a
+// parameter; neither is safe for concurrent use.
 package fairshare
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Claimant is a team that uses room or waits for it.
+// Claimant is a team that uses resources or waits for them.
 type Claimant struct {
 	Weight  float64           // its part of what is divided, relative to the others'
 	Used    resources.Amounts // by its tasks
-	Waiting resources.Amounts // what its tasks that wait would use
+	Waiting resources.Amounts // what its waiting tasks would use
 	Owed    resources.Amounts // the part of both that its guarantee covers
 }
 
-// resourceCount is how many kinds of resources there are.
+// resourceCount is how many kinds of resources there are: CPU, GPU, memory.
 const resourceCount = 3
 
-// fractions gives amounts as fractions of a capacity. What there is none of counts for
-// nothing: work that takes it can't be placed here.
+// fractions gives amounts as fractions of a capacity. A resource that the capacity has none of counts
+// as 0: work that needs it can't be placed here.
 func fractions(a, capacity resources.Amounts) (out [resourceCount]float64) {
 	for i, pair := range [resourceCount][2]int64{{a.CPU, capacity.CPU}, {a.GPU, capacity.GPU}, {a.Mem, capacity.Mem}} {
 		if pair[1] > 0 {
@@ -35,122 +35,134 @@
 	return out
 }
 
-// Dominant is the largest fraction of a capacity's resources that amounts take.
+// Dominant is the dominant share of amounts: the largest fraction that they take of any resource of a
+// capacity (Dominant Resource Fairness, Ghodsi et al., NSDI 2011).
 func Dominant(a, capacity resources.Amounts) float64 {
 	f := fractions(a, capacity)
 	return max(f[0], f[1], f[2])
 }
 
-// teamShare is a claimant in fractions of the capacity.
+// teamShare is a team's demand and share while shares are divided, in fractions of the capacity.
 type teamShare struct {
 	weight           float64
-	demand           [resourceCount]float64 // used and waiting
-	maxDominantShare float64                // its dominant fraction if all of its demand were met
-	guaranteedShare  float64                // its dominant fraction by its guarantee
-	share            float64
-	final            bool
+	demand           [resourceCount]float64 // used and waiting, by resource
+	maxDominantShare float64                // its dominant share if all of its demand were met
+	guaranteedShare  float64                // its dominant share by its guarantee, at most maxDominantShare
+	share            float64                // its dominant share
+	final            bool                   // the share is not raised any more
 }
 
-// shareAt is a dominant fraction at a level of the filling.
-func (c *teamShare) shareAt(level float64) float64 {
-	return min(c.maxDominantShare, max(c.guaranteedShare, level*c.weight))
+// newTeamShare is a claimant before the division. A weight that is not above 0 counts as 1.
+func newTeamShare(c Claimant, capacity resources.Amounts) *teamShare {
+	t := &teamShare{weight: c.Weight, demand: fractions(c.Used.Plus(c.Waiting), capacity)}
+	if t.weight <= 0 {
+		t.weight = 1
+	}
+	t.maxDominantShare = max(t.demand[0], t.demand[1], t.demand[2])
+	t.guaranteedShare = min(t.maxDominantShare, Dominant(c.Owed, capacity))
+	t.final = t.maxDominantShare == 0
+	return t
 }
 
-// roundingTolerance is how far a resource may seem overfull for the rounding of the sums.
-const roundingTolerance = 1e-9
+// shareAt is the team's dominant share at a water level: level * weight, at least what its guarantee
+// covers and at most its demand.
+func (t *teamShare) shareAt(level float64) float64 {
+	return min(t.maxDominantShare, max(t.guaranteedShare, level*t.weight))
+}
 
-// Divide gives each team's share of a capacity as a fraction of its dominant resource:
-// weighted max-min, no more than the team demands and no less than its guarantee covers of
-// that. The filling stops for a team once a resource that it demands is used up.
-func Divide(capacity resources.Amounts, teams map[string]Claimant) map[string]float64 {
-	claims := make(map[string]*teamShare, len(teams))
-	for name, t := range teams {
-		c := &teamShare{weight: t.Weight, demand: fractions(t.Used.Plus(t.Waiting), capacity)}
-		if c.weight <= 0 {
-			c.weight = 1
+// demandsExhausted tells whether the team demands one of the exhausted resources.
+func (t *teamShare) demandsExhausted(exhausted [resourceCount]bool) bool {
+	for r := range resourceCount {
+		if exhausted[r] && t.demand[r] > 0 {
+			return true
 		}
-		c.maxDominantShare = max(c.demand[0], c.demand[1], c.demand[2])
-		c.guaranteedShare = min(c.maxDominantShare, Dominant(t.Owed, capacity))
-		c.final = c.maxDominantShare == 0
-		claims[name] = c
 	}
-	order := slices.Sorted(maps.Keys(claims))
-	list := make([]*teamShare, 0, len(order))
-	for _, name := range order {
-		list = append(list, claims[name])
+	return false
+}
+
+// roundingTolerance is how far the sum of a resource may exceed its capacity, as a fraction, by rounding.
+const roundingTolerance = 1e-9
+
+// Divide gives each team's share of a capacity as a fraction of its dominant resource: weighted max-min
+// fairness (progressive filling, as in Bertsekas and Gallager, Data Networks) of dominant shares. A team
+// gets no more than it demands and no less than its guarantee covers of that.
+//
+// One level rises for all teams until a resource is exhausted; teams that demand it keep their share, the
+// level rises on for the others. Unless guarantees exceed the capacity, each pass meets all demand or
+// exhausts one resource more, hence resourceCount passes.
+func Divide(capacity resources.Amounts, teams map[string]Claimant) map[string]float64 {
+	names := slices.Sorted(maps.Keys(teams)) // a fixed order, so that sums round alike everywhere
+	shares := make([]*teamShare, 0, len(names))
+	for _, name := range names {
+		shares = append(shares, newTeamShare(teams[name], capacity))
 	}
 	for range resourceCount {
-		level, full := raiseLevel(list)
-		for _, c := range list {
-			if c.final {
+		level, exhausted := raiseLevel(shares)
+		for _, t := range shares {
+			if t.final {
 				continue
 			}
-			c.share = c.shareAt(level)
-			c.final = demandsExhausted(c, full)
+			t.share = t.shareAt(level)
+			t.final = t.demandsExhausted(exhausted)
 		}
 	}
-	out := make(map[string]float64, len(claims))
-	for name, c := range claims {
-		out[name] = c.share
+	out := make(map[string]float64, len(names))
+	for i, name := range names {
+		out[name] = shares[i].share
 	}
 	return out
 }
 
-// demandsExhausted tells whether a claim demands one of the resources.
-func demandsExhausted(c *teamShare, full [resourceCount]bool) bool {
-	for r := range resourceCount {
-		if full[r] && c.demand[r] > 0 {
-			return true
-		}
-	}
-	return false
-}
+// levelBisections is how often the interval of the level is halved: more than the 53 bits of a float64.
+const levelBisections = 60
 
-// raiseLevel raises the level until a resource is used up or all demand is met, and tells which
-// resources are used up.
-func raiseLevel(list []*teamShare) (level float64, full [resourceCount]bool) {
+// raiseLevel raises the level until a resource is exhausted or all demand is met, and returns the
+// resources that are exhausted.
+func raiseLevel(shares []*teamShare) (level float64, exhausted [resourceCount]bool) {
 	high := 0.0
-	for _, c := range list {
-		if !c.final {
-			high = max(high, c.maxDominantShare/c.weight)
+	for _, t := range shares {
+		if !t.final {
+			high = max(high, t.maxDominantShare/t.weight)
 		}
 	}
-	if withinCapacity(consumption(list, high)) {
-		return high, full
+	if withinCapacity(consumption(shares, high)) {
+		return high, exhausted
 	}
 	low := 0.0
-	for range 60 { // as exact as the numbers are
-		mid := (low + high) / 2
-		if withinCapacity(consumption(list, mid)) {
-			low = mid
+	for range levelBisections {
+		middle := (low + high) / 2
+		if withinCapacity(consumption(shares, middle)) {
+			low = middle
 		} else {
-			high = mid
+			high = middle
 		}
 	}
-	over := consumption(list, high)
+	consumed := consumption(shares, high)
 	for r := range resourceCount {
-		full[r] = over[r] > 1+roundingTolerance
+		exhausted[r] = consumed[r] > 1+roundingTolerance
 	}
-	return low, full
+	return low, exhausted
 }
 
-// consumption sums what the claims take of each resource at a level.
-func consumption(list []*teamShare, level float64) (sum [resourceCount]float64) {
-	for _, c := range list {
-		if c.maxDominantShare == 0 {
+// consumption sums what the teams take of each resource at a level, as fractions of the capacity: a
+// team takes of each resource in proportion to its demand.
+func consumption(shares []*teamShare, level float64) (sum [resourceCount]float64) {
+	for _, t := range shares {
+		if t.maxDominantShare == 0 {
 			continue
 		}
-		share := c.share
-		if !c.final {
-			share = c.shareAt(level)
+		share := t.share
+		if !t.final {
+			share = t.shareAt(level)
 		}
 		for r := range resourceCount {
-			sum[r] += share / c.maxDominantShare * c.demand[r]
+			sum[r] += share / t.maxDominantShare * t.demand[r]
 		}
 	}
 	return sum
 }
 
+// withinCapacity tells whether no resource is taken beyond its capacity.
 func withinCapacity(sum [resourceCount]float64) bool {
 	return max(sum[0], sum[1], sum[2]) <= 1+roundingTolerance
 }
--- a/internal/fairshare/divide_test.go
+++ b/internal/fairshare/divide_test.go
@@ -12,8 +12,8 @@
 
 func cpus(n float64) resources.Amounts { return resources.Capacity(n, 0, 0) }
 
-func TestShares(t *testing.T) {
-	for _, x := range []struct {
+func TestDivideGivesWeightedMaxMinShares(t *testing.T) {
+	for _, test := range []struct {
 		name     string
 		capacity resources.Amounts
 		teams    map[string]Claimant
@@ -37,26 +37,26 @@
 			map[string]Claimant{"a": {Waiting: resources.Capacity(100, 0, 400)}, "b": {Waiting: resources.Capacity(300, 0, 100)}},
 			map[string]float64{"a": 2.0 / 3, "b": 2.0 / 3}},
 		{"one resource is used up, who needs another goes on", resources.Capacity(100, 10, 0),
-			map[string]Claimant{"a": {Waiting: resources.Capacity(500, 0, 0)}, "b": {Waiting: resources.Capacity(500, 0, 0)}, "g": {Waiting: resources.Capacity(0, 50, 0)}},
+			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(500)}, "g": {Waiting: resources.Capacity(0, 50, 0)}},
 			map[string]float64{"a": 0.5, "b": 0.5, "g": 1}},
 		{"without capacity there are no shares", resources.Amounts{},
 			map[string]Claimant{"a": {Waiting: cpus(5)}}, map[string]float64{"a": 0}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			got := Divide(x.capacity, x.teams)
-			require.Len(t, got, len(x.want))
-			for team, want := range x.want {
+		t.Run(test.name, func(t *testing.T) {
+			got := Divide(test.capacity, test.teams)
+			require.Len(t, got, len(test.want))
+			for team, want := range test.want {
 				require.InDelta(t, want, got[team], 1e-6, team)
 			}
 		})
 	}
 }
 
-// Whatever the demand: nothing is overfull unless guarantees are, nobody has more than it
+// With any demand: no resource is exceeded unless guarantees are, no team has more than it
 // demands or less than its guarantee, no room is left while a demand for it isn't met, and of
 // two teams that both want more the one with the smaller share by weight has a guarantee or
 // lacks a resource that the other doesn't need.
-func TestSharesWhateverTheDemand(t *testing.T) {
+func TestDivideOfRandomDemandKeepsInvariants(t *testing.T) {
 	rng := fakes.Rand(7)
 	for range 2000 {
 		capacity := resources.Capacity(float64(50+rng.IntN(200)), 0, float64(50+rng.IntN(400)))
@@ -66,7 +66,11 @@
 			if rng.IntN(4) == 0 {
 				mem = 0
 			}
-			c := Claimant{Weight: float64(1 + rng.IntN(3)), Used: resources.Capacity(cpu/4, 0, mem/4), Waiting: resources.Capacity(cpu, 0, mem)}
+			c := Claimant{
+				Weight:  float64(1 + rng.IntN(3)),
+				Used:    resources.Capacity(cpu/4, 0, mem/4),
+				Waiting: resources.Capacity(cpu, 0, mem),
+			}
 			if rng.IntN(4) == 0 {
 				c.Owed = resources.Capacity(float64(rng.IntN(10)), 0, 0)
 			}
@@ -76,12 +80,12 @@
 		var used [resourceCount]float64
 		for name, c := range teams {
 			demand := fractions(c.Used.Plus(c.Waiting), capacity)
-			most := max(demand[0], demand[1], demand[2])
-			require.LessOrEqual(t, shares[name], most+1e-6)
-			require.GreaterOrEqual(t, shares[name], min(most, Dominant(c.Owed, capacity))-1e-6)
-			if most > 0 {
+			maxShare := max(demand[0], demand[1], demand[2])
+			require.LessOrEqual(t, shares[name], maxShare+1e-6)
+			require.GreaterOrEqual(t, shares[name], min(maxShare, Dominant(c.Owed, capacity))-1e-6)
+			if maxShare > 0 {
 				for r := range resourceCount {
-					used[r] += shares[name] / most * demand[r]
+					used[r] += shares[name] / maxShare * demand[r]
 				}
 			}
 		}
@@ -93,11 +97,11 @@
 			if shares[name] >= max(demand[0], demand[1], demand[2])-1e-6 {
 				continue
 			}
-			full := false
+			exhausted := false
 			for r := range resourceCount {
-				full = full || demand[r] > 0 && used[r] > 1-1e-6
+				exhausted = exhausted || demand[r] > 0 && used[r] > 1-1e-6
 			}
-			require.True(t, full, "room is left, and %s wants more", name)
+			require.True(t, exhausted, "room is left, and %s wants more", name)
 		}
 	}
 }
