--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -13,19 +13,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// vetoHookName is the function of a script that is asked before a task is moved. It takes the
-// move and tells whether it must not be made.
-const vetoHookName = "veto_move"
+// Names of hooks: functions that a script may define.
+const (
+	// vetoHookName takes a move and returns whether it must not be made.
+	vetoHookName = "veto_move"
+	// stageHookName takes a job and returns the stage of a zone's return at which it is admitted:
+	// urgent, services or cold.
+	stageHookName = "recovery_stage"
+)
 
-// stageHookName is the function of a script that names the stage of a zone's return at which a job is
-// admitted: urgent, services or cold.
-const stageHookName = "recovery_stage"
+// hookParameters is how many parameters a hook takes.
+const hookParameters = 1
 
-// maxHookSteps bounds what a hook may compute: it is asked while the placer decides.
+// maxHookSteps bounds what a hook may compute, in Starlark's execution steps: it is called while the
+// scheduler decides.
 const maxHookSteps = 20_000
 
-// findHook finds a function of a script, nil where there is none.
-func findHook(own starlark.StringDict, name string, params int) (*starlark.Function, error) {
+// readHooks finds the hooks that a script defines.
+func (p *Parameters) readHooks(own starlark.StringDict) (err error) {
+	if p.vetoHook, err = findHook(own, vetoHookName); err != nil {
+		return err
+	}
+	p.stageHook, err = findHook(own, stageHookName)
+	return err
+}
+
+// findHook returns a function of a script, nil where there is none.
+func findHook(own starlark.StringDict, name string) (*starlark.Function, error) {
 	v, ok := own[name]
 	if !ok {
 		return nil, nil
@@ -34,14 +48,14 @@
 	if !ok {
 		return nil, fmt.Errorf("policy: %s must be a function", name)
 	}
-	if f.NumParams() != params {
-		return nil, fmt.Errorf("policy: %s: %s must take %d argument", f.Position(), name, params)
+	if f.NumParams() != hookParameters {
+		return nil, fmt.Errorf("policy: %s: %s must take %d argument", f.Position(), name, hookParameters)
 	}
-	own.Freeze() // it is called from other goroutines than the one that read the script
+	own.Freeze() // it is called by other goroutines than the one that read the script
 	return f, nil
 }
 
-// callHook asks a hook, within its bound of steps.
+// callHook calls a hook, within its bound of steps.
 func callHook(f *starlark.Function, argument starlark.Value) (starlark.Value, error) {
 	thread := &starlark.Thread{Name: f.Name()}
 	thread.SetMaxExecutionSteps(maxHookSteps)
@@ -52,10 +66,14 @@
 	return v, nil
 }
 
-var errNotBool = errors.New("the answer must be True or False")
+// Errors of hooks.
+var (
+	errNotBool      = errors.New("the answer must be True or False")
+	errUnknownStage = errors.New("the answer must be urgent, services or cold")
+)
 
-// Veto gives the script's word on moves, nil where the script has no hook for them. A hook that
-// fails or computes for too long counts as a veto and is logged: it never stops the service.
+// Veto returns the script's hook on moves, nil where the script defines none. A hook that fails or
+// computes for too long vetoes the move and is logged: it never stops the service.
 func (p *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
 	if p.vetoHook == nil {
 		return nil
@@ -63,13 +81,14 @@
 	return func(r rebalance.Record) bool {
 		vetoed, err := p.callVetoHook(r)
 		if err != nil {
-			log.Error("the policy script's hook failed; the move is not made", "hook", vetoHookName, "err", err)
+			log.Error("policy hook failed", "hook", vetoHookName, "error", err, "consequence", "move vetoed")
 			return true
 		}
 		return vetoed
 	}
 }
 
+// callVetoHook calls the hook with the fields of a move.
 func (p *Parameters) callVetoHook(r rebalance.Record) (vetoed bool, err error) {
 	move := starlarkstruct.FromStringDict(starlark.String("move"), starlark.StringDict{
 		"team": starlark.String(r.Team), "job": starlark.String(r.Key.Job), "task": starlark.MakeInt(r.Key.N),
@@ -87,8 +106,8 @@
 	return bool(answer), nil
 }
 
-// Stages gives the script's word on stages, nil where the script has no hook for them. A hook that
-// fails is logged, and the job is admitted by its rank and deadline.
+// Stages returns the script's hook on stages, nil where the script defines none. A hook that fails is
+// logged, and the job is admitted by its priority and deadline.
 func (p *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
 	if p.stageHook == nil {
 		return nil
@@ -96,15 +115,14 @@
 	return func(j *jobs.Job) recovery.Stage {
 		s, err := p.callStageHook(j)
 		if err != nil {
-			log.Error("the policy script's hook failed; the job goes by its rank", "hook", stageHookName, "job", j.ID, "err", err)
+			log.Error("policy hook failed", "hook", stageHookName, "job", j.ID, "error", err, "consequence", "default stage used")
 			return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 		}
 		return s
 	}
 }
 
-var errUnknownStage = errors.New("the answer must be urgent, services or cold")
-
+// callStageHook calls the hook with the fields of a job.
 func (p *Parameters) callStageHook(j *jobs.Job) (recovery.Stage, error) {
 	job := starlarkstruct.FromStringDict(starlark.String("job"), starlark.StringDict{
 		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Priority),
