--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,8 @@
-// Package config reads and checks the settings file that the platform hands over.
+// Package config reads and checks the settings file that the platform provides.
+//
+// Parse turns its JSON into Settings, assumes limits that are not given, and rejects a file that can't be
+// used with one line that names the field. Degradations and Insufficient tell what the service does without
+// under limits that are small. The names in the tags are the platform's and never change.
 package config
 
 import (
@@ -11,14 +15,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Peer is another controller.
+// Peer is another controller, as the settings name it.
 type Peer struct {
 	Host string `json:"host_name"`
 	Zone string `json:"location"`
 	Addr string `json:"addr"`
 }
 
-// Team is a team's guarantee and limit; a limit of 0 means none.
+// Team is a team's guarantee and quota (the fields that end in Max); a quota of 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -27,7 +31,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective restates an aim.
+// Objective is an SLO that the settings restate.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -39,7 +43,7 @@
 
 // Settings is the settings file. Unknown fields are ignored.
 type Settings struct {
-	// Assumed tells, for the log, which limits are not given and what stands in for them.
+	// Assumed says, for the log, which limits are not given and what is assumed instead.
 	Assumed []string `json:"-"`
 
 	Host       string `json:"host_name"`
@@ -80,44 +84,38 @@
 	} `json:"params"`
 }
 
-// Lease is the workers' lease.
+// Lease is the worker lease: a worker without an answer for so long ends all its tasks.
 func (s *Settings) Lease() clock.Micros { return clock.FromSeconds(s.Params.Workers.LeaseS) }
 
-// Sockets splits the limit: so many connections of users and workers, so many to
-// workers' own addresses; the rest is for the peers, the services and listening.
-func (s *Settings) Sockets() (inbound, orders int) {
-	rest := s.Params.Limits.Sockets - 24 - 6*s.Params.Count
-	return max(8, rest*6/7), max(2, rest/7)
-}
+const (
+	// ownSockets are for the services and listening.
+	ownSockets = 24
+	// peerSockets are for each controller of the cluster.
+	peerSockets = 6
+	// minInboundSockets and minDeliverySockets are used under any limit: the controller starts all the same.
+	minInboundSockets  = 8
+	minDeliverySockets = 2
+	// deliveryPart: one in so many of the rest is for deliveries, the others are for inbound connections.
+	deliveryPart = 7
+)
 
-// Degradations tells what the service does without under limits that are very small:
-// it starts and serves all the same.
-func (s *Settings) Degradations() (out []string) {
-	p := &s.Params
-	say := func(small bool, format string, args ...any) {
-		if small {
-			out = append(out, fmt.Sprintf(format, args...))
-		}
-	}
-	n := float64(max(p.Count, 1))
-	in, lines := s.Sockets()
-	say(p.State.TxnOps < 2, "params.state.txn_ops is %d: ends of jobs stay in their own records, which are read at every start", p.State.TxnOps)
-	say(p.State.ValueKB < 2, "params.state.value_kb is %g: jobs whose record takes more are refused, progress is written in many small records", p.State.ValueKB)
-	say(p.State.RPS/n < 3 || p.State.WriteRPS/n < 1, "params.state.rps and write_rps leave %.2g requests and %.2g changes a second to each controller: take-overs and submissions are slow",
-		p.State.RPS/n, p.State.WriteRPS/n)
-	say(in+lines+24+6*p.Count > p.Limits.Sockets, "params.machine_limits.fd_limit is %d: fewer than the peers, the services and %d other connections take", p.Limits.Sockets, in+lines)
-	say(p.Limits.MemoryMB < 48, "params.machine_limits.memory_mb is %g: the collector runs often, long requests are cut off", p.Limits.MemoryMB)
-	say(p.Limits.CoreShare > 0 && p.Limits.CoreShare < 0.02, "params.machine_limits.core_share is %g: rounds of decisions are far apart", p.Limits.CoreShare)
-	return out
+// Sockets divides the limit of file descriptors: so many for connections of users and workers, so many
+// for deliveries to workers' own addresses; the rest is for the peers, the services and listening.
+func (s *Settings) Sockets() (inbound, deliveries int) {
+	rest := s.Params.Limits.Sockets - s.reservedSockets()
+	return max(minInboundSockets, rest*(deliveryPart-1)/deliveryPart), max(minDeliverySockets, rest/deliveryPart)
 }
 
+// reservedSockets are those that are neither for users and workers nor for deliveries.
+func (s *Settings) reservedSockets() int { return ownSockets + peerSockets*s.Params.Count }
+
 // Limits that are assumed where the settings give none.
 const (
-	assumedSockets  = 1000
+	assumedSockets  = 1000 // file descriptors
 	assumedMemoryMB = 256
 )
 
-// assumeLimits fills in the limits that are not given.
+// assumeLimits fills in the limits that are not given, and records so in Assumed.
 func (s *Settings) assumeLimits() {
 	limits := &s.Params.Limits
 	if limits.Sockets == 0 {
@@ -146,9 +144,9 @@
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(b, &s); err != nil {
-		var typ *json.UnmarshalTypeError
-		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("settings: field %s: a %s is not allowed here", typ.Field, typ.Value)
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &mismatch) {
+			return nil, fmt.Errorf("settings: field %s: a %s is not allowed here", mismatch.Field, mismatch.Value)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -158,56 +156,117 @@
 	return &s, nil
 }
 
+// check rejects settings that can't be used. It fills in the count of controllers and the limits that are
+// not given, since later fields are checked against them.
 func (s *Settings) check() error {
 	if s.Host == "" {
-		return errors.New("field host_name is missing")
+		return errNoHost
+	}
+	if err := s.checkPeers(); err != nil {
+		return err
+	}
+	if err := s.checkAddresses(); err != nil {
+		return err
+	}
+	if s.Params.Count == 0 {
+		s.Params.Count = len(s.Peers) + 1
 	}
-	addrs := map[string]string{"listen": s.Listen, "cluster_listen": s.PeerListen,
-		"services.cloud": s.Services.Cloud, "services.state": s.Services.State}
+	if err := s.checkLimits(); err != nil {
+		return err
+	}
+	s.assumeLimits()
+	if err := s.checkPositive(); err != nil {
+		return err
+	}
+	return s.checkTeams()
+}
+
+var errNoHost = errors.New("field host_name is missing")
+
+// checkPeers checks that the controllers have names of their own.
+func (s *Settings) checkPeers() error {
 	hosts := map[string]bool{s.Host: true}
 	for i, p := range s.Peers {
-		addrs[fmt.Sprintf("others[%d].addr", i)] = p.Addr
 		if p.Host == "" || hosts[p.Host] {
 			return fmt.Errorf("field others[%d].host_name is missing or repeated", i)
 		}
 		hosts[p.Host] = true
 	}
-	for field, a := range addrs {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			return fmt.Errorf("field %s: %q is not an address with a port", field, a)
-		}
+	return nil
+}
+
+// checkAddresses checks the controller's own addresses, those of the services and those of the peers.
+func (s *Settings) checkAddresses() error {
+	addresses := map[string]string{
+		"listen":         s.Listen,
+		"cluster_listen": s.PeerListen,
+		"services.cloud": s.Services.Cloud,
+		"services.state": s.Services.State,
 	}
-	p := &s.Params
-	if p.Count == 0 {
-		p.Count = len(s.Peers) + 1
+	for i, p := range s.Peers {
+		addresses[fmt.Sprintf("others[%d].addr", i)] = p.Addr
 	}
-	for field, v := range map[string]float64{"core_share": p.Limits.CoreShare, "memory_mb": p.Limits.MemoryMB, "fd_limit": float64(p.Limits.Sockets)} {
+	for field, address := range addresses {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			return fmt.Errorf("field %s: %q is not an address with a port", field, address)
+		}
+	}
+	return nil
+}
+
+// checkLimits checks the limits of the machine that the controller runs on; 0 means not given.
+func (s *Settings) checkLimits() error {
+	limits := &s.Params.Limits
+	for field, v := range map[string]float64{
+		"core_share": limits.CoreShare,
+		"memory_mb":  limits.MemoryMB,
+		"fd_limit":   float64(limits.Sockets),
+	} {
 		if v < 0 {
 			return fmt.Errorf("field params.machine_limits.%s must not be below 0", field)
 		}
 	}
-	s.assumeLimits()
+	return nil
+}
+
+// checkPositive checks the numbers without which the service can't run.
+func (s *Settings) checkPositive() error {
+	p := &s.Params
 	for field, v := range map[string]float64{
-		"params.count": float64(p.Count), "params.workers.report_s": p.Workers.ReportS, "params.workers.lease_s": p.Workers.LeaseS,
-		"params.workers.cancel_s": p.Workers.CancelS, "params.state.rps": p.State.RPS, "params.state.write_rps": p.State.WriteRPS,
-		"params.state.value_kb": p.State.ValueKB, "params.state.txn_ops": float64(p.State.TxnOps), "params.cloud.rps": p.Cloud.RPS,
+		"params.count":            float64(p.Count),
+		"params.workers.report_s": p.Workers.ReportS,
+		"params.workers.lease_s":  p.Workers.LeaseS,
+		"params.workers.cancel_s": p.Workers.CancelS,
+		"params.state.rps":        p.State.RPS,
+		"params.state.write_rps":  p.State.WriteRPS,
+		"params.state.value_kb":   p.State.ValueKB,
+		"params.state.txn_ops":    float64(p.State.TxnOps),
+		"params.cloud.rps":        p.Cloud.RPS,
 	} {
 		if !(v > 0) {
 			return fmt.Errorf("field %s must be more than 0", field)
 		}
 	}
-	seen := map[string]bool{}
-	for i, t := range p.Teams {
-		if t.Name == "" || seen[t.Name] {
+	return nil
+}
+
+// checkTeams checks the teams' names, guarantees and quotas.
+func (s *Settings) checkTeams() error {
+	names := map[string]bool{}
+	for i, t := range s.Params.Teams {
+		if t.Name == "" || names[t.Name] {
 			return fmt.Errorf("field params.teams[%d].name is missing or repeated", i)
 		}
-		seen[t.Name] = true
+		names[t.Name] = true
 		if t.CPUs < 0 || t.GPUs < 0 || t.CPUsMax < 0 || t.GPUsMax < 0 {
 			return fmt.Errorf("field params.teams[%d]: an amount is below 0", i)
 		}
-		if (t.CPUsMax > 0 && t.CPUsMax < t.CPUs) || (t.GPUsMax > 0 && t.GPUsMax < t.GPUs) {
+		if exceeds(t.CPUs, t.CPUsMax) || exceeds(t.GPUs, t.GPUsMax) {
 			return fmt.Errorf("field params.teams[%d]: the limit is below the guarantee", i)
 		}
 	}
 	return nil
 }
+
+// exceeds tells whether a guarantee is above a quota; a quota of 0 means none.
+func exceeds(guarantee, quota float64) bool { return quota > 0 && quota < guarantee }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,14 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sample(t *testing.T) string {
+// settingsText is the settings file of the tests.
+func settingsText(t *testing.T) string {
+	t.Helper()
 	b, err := os.ReadFile("testdata/settings.json")
 	require.NoError(t, err)
 	return string(b)
 }
 
-func TestSettingsAreReadAndUnknownFieldsIgnored(t *testing.T) {
-	s, err := Parse([]byte(strings.Replace(sample(t), "{", `{"new_field": {"x": 1},`, 1)))
+func TestSettingsWithUnknownFieldAreRead(t *testing.T) {
+	s, err := Parse([]byte(strings.Replace(settingsText(t), "{", `{"new_field": {"x": 1},`, 1)))
 	require.NoError(t, err)
 	require.Equal(t, "alpha", s.Host)
 	require.Equal(t, 2, len(s.Params.Teams))
@@ -23,7 +25,7 @@
 }
 
 // A bad settings file gives one clear line that names the field.
-func TestBadSettingsNameTheField(t *testing.T) {
+func TestBadSettingsAreRejectedWithFieldName(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"host_name": "alpha"`, `"host_name": ""`, "host_name"},
 		{`"listen": "127.0.0.1:8080"`, `"listen": "nowhere"`, "field listen"},
@@ -39,17 +41,17 @@
 		{`"fd_limit": 1000`, `"fd_limit": -5`, "params.machine_limits.fd_limit"},
 		{`{`, ``, "settings"},
 	} {
-		text := strings.Replace(sample(t), c.old, c.new, 1)
-		require.NotEqual(t, sample(t), text, c.old)
+		text := strings.Replace(settingsText(t), c.old, c.new, 1)
+		require.NotEqual(t, settingsText(t), text, c.old)
 		_, err := Parse([]byte(text))
 		require.ErrorContains(t, err, c.want)
 		require.NotContains(t, err.Error(), "\n")
 	}
 }
 
-// A limit that is very small keeps nobody from starting: what is done without is told.
-func TestVerySmallLimitsAreTold(t *testing.T) {
-	s, err := Parse([]byte(sample(t)))
+// A limit that is very small doesn't prevent the start: what the service does without is reported.
+func TestVerySmallLimitsAreReportedAsDegradations(t *testing.T) {
+	s, err := Parse([]byte(settingsText(t)))
 	require.NoError(t, err)
 	require.Empty(t, s.Degradations())
 	for _, c := range []struct{ old, new, want string }{
@@ -57,8 +59,8 @@
 		{`"value_kb": 8`, `"value_kb": 0.5`, "value_kb is 0.5"},
 		{`"rps": 100`, `"rps": 1`, "params.state.rps"},
 	} {
-		text := strings.Replace(sample(t), c.old, c.new, 1)
-		require.NotEqual(t, sample(t), text, c.old)
+		text := strings.Replace(settingsText(t), c.old, c.new, 1)
+		require.NotEqual(t, settingsText(t), text, c.old)
 		s, err := Parse([]byte(text))
 		require.NoError(t, err)
 		require.Len(t, s.Degradations(), 1)
@@ -66,15 +68,15 @@
 	}
 }
 
-// Connections of workers and users, lines to workers and what the services take
-// stay within the limit; one controller alone can hold the reports of 1,800 machines.
-func TestSocketsAreSplit(t *testing.T) {
-	for limit, least := range map[int]int{2993: 1800 + 600, 4190: 1800, 1200: 800} {
+// Connections of workers and users, deliveries to workers and what the services take stay within the
+// limit; one controller alone can serve the heartbeats of 1,800 machines.
+func TestSocketsAreDividedWithinLimit(t *testing.T) {
+	for limit, minInbound := range map[int]int{2993: 1800 + 600, 4190: 1800, 1200: 800} {
 		s := Settings{}
 		s.Params.Count, s.Params.Limits.Sockets = 3, limit
-		in, lines := s.Sockets()
-		require.LessOrEqual(t, in+lines+24, limit)
-		require.GreaterOrEqual(t, in, least)
-		require.GreaterOrEqual(t, lines, limit/10)
+		in, deliveries := s.Sockets()
+		require.LessOrEqual(t, in+deliveries+24, limit)
+		require.GreaterOrEqual(t, in, minInbound)
+		require.GreaterOrEqual(t, deliveries, limit/10)
 	}
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings that are too small for a large fleet are told of one by one.
-func TestInsufficientSettingsForALargeFleet(t *testing.T) {
+// Settings that are too small for a large fleet are reported one by one.
+func TestInsufficientSettingsForLargeFleetAreReportedOneByOne(t *testing.T) {
 	s := &Settings{}
 	s.Params.Count = 5
 	s.Params.Limits.Sockets, s.Params.Limits.MemoryMB, s.Params.Cloud.RPS = 1200, 120, 3
