--- a/cmd/merlinlatch/golden_test.go
+++ b/cmd/merlinlatch/golden_test.go
@@ -15,7 +15,10 @@
 
 var writeGolden = flag.Bool("update", false, "write the golden files that do not exist yet")
 
-// goldenCommands are the command lines; the settings are those of the golden tests.
+// goldenSettings are the settings of the golden tests.
+const goldenSettings = "../../internal/golden/testdata/settings/full.json"
+
+// goldenCommands are the command lines.
 var goldenCommands = []struct {
 	name string
 	args []string
@@ -30,10 +33,10 @@
 	{"help_history_export", []string{"history", "export", "--help"}},
 	{"help_history_check", []string{"history", "check", "--help"}},
 	{"version", []string{"--version"}},
-	{"check", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json"}},
-	{"check_policy", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json", "--policy", "../../deploy/policy.star"}},
+	{"check", []string{"check", "--config", goldenSettings}},
+	{"check_policy", []string{"check", "--config", goldenSettings, "--policy", "../../deploy/policy.star"}},
 	{"check_bad", []string{"check", "--config", "testdata/golden/bad.json"}},
-	{"check_bad_policy", []string{"check", "--config", "../../internal/golden/testdata/settings/full.json", "--policy", "testdata/golden/bad.star"}},
+	{"check_bad_policy", []string{"check", "--config", goldenSettings, "--policy", "testdata/golden/bad.star"}},
 	{"check_absent", []string{"check", "--config", "testdata/golden/absent.json"}},
 	{"no_config", []string{}},
 	{"unknown_flag", []string{"--other"}},
@@ -43,7 +46,7 @@
 
 // Operators and the platform read the commands' help, answers, errors and exit codes. The text of
 // an error and the code are found as main does it.
-func TestCommandsKeepOutput(t *testing.T) {
+func TestCommandsOutputMatchesGoldenFiles(t *testing.T) {
 	for _, c := range goldenCommands {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -53,9 +56,9 @@
 			cmd.SetArgs(c.args)
 			code := 0
 			if err := cmd.Execute(); err != nil {
-				code = 1
+				code = exitFailure
 				if errors.Is(err, errUsage) {
-					code = 2
+					code = exitUsage
 				}
 				fmt.Fprintf(&out, "merlinlatch: %v\n", err)
 			}
--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -1,4 +1,7 @@
-// Command merlinlatch is a controller of a merlinlatch cluster.
+// Command merlinlatch is a controller of a merlinlatch cluster, and the operators' commands.
+//
+// root is the controller itself, operatorCommands are the commands that ask running controllers. Exit codes:
+// 0 for success, 1 for a failure, 2 for a mistake of the operator or the settings (errUsage).
 package main
 
 import (
@@ -23,21 +26,35 @@
 // version is the release; see CHANGELOG.md.
 const version = "0.1.0"
 
-// errUsage marks mistakes of the operator, which end the program with code 2.
+// errUsage marks mistakes of the operator or the settings, which end the program with code 2. Its text is
+// empty, so that wrapping it leaves the message as it is.
 var errUsage = errors.New("")
 
+// Exit codes.
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
+
 func main() {
 	if err := root().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "merlinlatch:", strings.TrimSuffix(err.Error(), "\n"))
 		if errors.Is(err, errUsage) {
-			os.Exit(2)
+			os.Exit(exitUsage)
 		}
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
+// options are the flags of all commands.
+type options struct {
+	settingsPath string
+	policyPath   string
+}
+
+// root is the command that runs a controller, with the operators' commands below it.
 func root() *cobra.Command {
-	var settings, script string
+	var opts options
 	cmd := &cobra.Command{
 		Use:           "merlinlatch --config FILE",
 		Short:         "A cluster scheduler: takes jobs, rents machines, runs tasks",
@@ -46,47 +63,66 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, knobs, err := load(settings, script)
+			settings, parameters, err := opts.load()
 			if err != nil {
 				return err
 			}
-			return serve(cmd.Context(), set, knobs)
+			return serve(cmd.Context(), settings, parameters)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&settings, "config", "", "settings file of the platform (JSON)")
-	cmd.PersistentFlags().StringVar(&script, "policy", "", "the operators' own settings, a Starlark script")
+	cmd.PersistentFlags().StringVar(&opts.settingsPath, "config", "", "settings file of the platform (JSON)")
+	cmd.PersistentFlags().StringVar(&opts.policyPath, "policy", "", "the operators' own settings, a Starlark script")
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w%w", errUsage, err) })
-	cmd.AddCommand(&cobra.Command{
+	cmd.AddCommand(checkCommand(&opts))
+	cmd.AddCommand(operatorCommands(&opts)...)
+	return cmd
+}
+
+// checkCommand checks what a controller would be started with.
+func checkCommand(opts *options) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and the policy script, and end",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, knobs, err := load(settings, script)
+			settings, parameters, err := opts.load()
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are good: %d peers, %d teams; policy: %s\n",
-				set.Host, len(set.Peers), len(set.Params.Teams), knobs)
+				settings.Host, len(settings.Peers), len(settings.Params.Teams), parameters)
 			return nil
 		},
-	})
-	cmd.AddCommand(operators(&settings)...)
-	return cmd
+	}
 }
 
-func load(settings, script string) (*config.Settings, *policy.Parameters, error) {
-	set, err := readSettings(settings)
+// load reads the settings and the policy script.
+func (o *options) load() (*config.Settings, *policy.Parameters, error) {
+	settings, err := o.loadSettings()
 	if err != nil {
 		return nil, nil, err
 	}
-	knobs, err := policy.Load(script, set)
+	parameters, err := policy.Load(o.policyPath, settings)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w%w", errUsage, err)
 	}
-	return set, knobs, nil
+	return settings, parameters, nil
+}
+
+// loadSettings reads the settings.
+func (o *options) loadSettings() (*config.Settings, error) {
+	if o.settingsPath == "" {
+		return nil, fmt.Errorf("%w--config FILE is needed; see --help", errUsage)
+	}
+	settings, err := config.Load(o.settingsPath)
+	if err != nil {
+		return nil, fmt.Errorf("%w%w", errUsage, err)
+	}
+	return settings, nil
 }
 
-func logger() (*slog.Logger, error) {
+// newLogger logs to standard error at the level that the environment's LOG_LEVEL names.
+func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch v := os.Getenv("LOG_LEVEL"); v {
 	case "", "info":
@@ -100,26 +136,35 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-func serve(ctx context.Context, set *config.Settings, knobs *policy.Parameters) error {
-	log, err := logger()
+const (
+	// gcPercent makes the collector run seldom, which costs less time: live data are a small part of
+	// the memory, and the memory limit makes it run more often when there is need.
+	gcPercent = 400
+	// memoryLimitShare is the part of the process's memory limit that the Go runtime is to stay below.
+	memoryLimitShare = 0.6
+	// maxProcs is how many threads run Go code: a controller has a small share of one core, more threads
+	// only cost switches.
+	maxProcs = 1
+)
+
+// serve runs a controller until ctx ends or the process is told to by a signal.
+func serve(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	for _, r := range knobs.Renamed {
-		log.Info("a knob of the policy script has a new name", "old", r.Old, "new", r.New)
+	for _, r := range parameters.Renamed {
+		log.Warn("policy parameter renamed", "old", r.Old, "new", r.New)
 	}
-	// A controller has a small share of one core: more threads only cost switches.
-	runtime.GOMAXPROCS(1)
-	// Live data are a small part of the memory: collecting seldom costs less time,
-	// and the limit makes it collect more often when there is need.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(set.Params.Limits.MemoryMB * 0.6 * (1 << 20)))
+	runtime.GOMAXPROCS(maxProcs)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	err = controller.New(set, knobs, log.With("host", set.Host)).Run(ctx)
+	err = controller.New(settings, parameters, log.With("controller", settings.Host)).Run(ctx)
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/cmd/merlinlatch/operators.go
+++ b/cmd/merlinlatch/operators.go
@@ -5,16 +5,15 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/console"
 )
 
-// operators gives the commands that ask running controllers over their cluster ports.
-func operators(settings *string) []*cobra.Command {
-	return []*cobra.Command{teamsCommand(settings), zonesCommand(settings), historyCommand(settings)}
+// operatorCommands are the commands that ask running controllers over their cluster ports.
+func operatorCommands(opts *options) []*cobra.Command {
+	return []*cobra.Command{teamsCommand(opts), zonesCommand(opts), historyCommand(opts)}
 }
 
-func teamsCommand(settings *string) *cobra.Command {
+func teamsCommand(opts *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "teams [TEAM]",
 		Short: "Tell how the teams stand: shares, use, what waits and for how long",
@@ -22,7 +21,7 @@
 			"counted since the team's placer started.",
 		Args: arguments(0, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := readSettings(*settings)
+			settings, err := opts.loadSettings()
 			if err != nil {
 				return err
 			}
@@ -30,86 +29,91 @@
 			if len(args) == 1 {
 				team = args[0]
 			}
-			return console.Teams(cmd.OutOrStdout(), set, console.Controllers(set), team)
+			return console.Teams(cmd.OutOrStdout(), settings, console.Controllers(settings), team)
 		},
 	}
 }
 
-func zonesCommand(settings *string) *cobra.Command {
+func zonesCommand(opts *options) *cobra.Command {
 	zones := &cobra.Command{
 		Use:   "zones",
 		Short: "Tell in which state the zones are, and what waits while work returns to one",
 		Args:  arguments(0, 0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := readSettings(*settings)
+			settings, err := opts.loadSettings()
 			if err != nil {
 				return err
 			}
-			return console.Zones(cmd.OutOrStdout(), console.Controllers(set))
+			return console.Zones(cmd.OutOrStdout(), console.Controllers(settings))
 		},
 	}
-	hold := func(use, short string, held bool) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: arguments(1, 1), RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := readSettings(*settings)
+	zones.AddCommand(
+		zoneHoldCommand(opts, "hold ZONE", "Stop the return of work to a zone at its stage", true),
+		zoneHoldCommand(opts, "resume ZONE", "Let the return of work to a zone go on", false),
+	)
+	return zones
+}
+
+// zoneHoldCommand holds the return of work to a zone, or lets it go on.
+func zoneHoldCommand(opts *options, use, short string, held bool) *cobra.Command {
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  arguments(1, 1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			settings, err := opts.loadSettings()
 			if err != nil {
 				return err
 			}
-			return console.HoldZone(cmd.OutOrStdout(), set, console.Controllers(set), args[0], held)
-		}}
+			return console.HoldZone(cmd.OutOrStdout(), settings, console.Controllers(settings), args[0], held)
+		},
 	}
-	zones.AddCommand(hold("hold ZONE", "Stop the return of work to a zone at its stage", true),
-		hold("resume ZONE", "Let the return of work to a zone go on", false))
-	return zones
 }
 
-// defaultSkewMS is by how much the clocks of controllers are taken to differ.
+// defaultSkewMS is by how many milliseconds the clocks of controllers are assumed to differ at most.
 const defaultSkewMS = 1000
 
-func historyCommand(settings *string) *cobra.Command {
+func historyCommand(opts *options) *cobra.Command {
 	cmd := &cobra.Command{Use: "history", Short: "What the controllers have seen happen"}
-	cmd.AddCommand(&cobra.Command{
+	cmd.AddCommand(historyExportCommand(opts), historyCheckCommand())
+	return cmd
+}
+
+func historyExportCommand(opts *options) *cobra.Command {
+	return &cobra.Command{
 		Use:   "export FILE",
 		Short: "Gather the history of all controllers that are reached into one Parquet file",
 		Args:  arguments(1, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := readSettings(*settings)
+			settings, err := opts.loadSettings()
 			if err != nil {
 				return err
 			}
-			return console.ExportHistory(cmd.OutOrStdout(), console.Controllers(set), args[0])
+			return console.ExportHistory(cmd.OutOrStdout(), console.Controllers(settings), args[0])
 		},
-	})
-	skew := int64(0)
+	}
+}
+
+func historyCheckCommand() *cobra.Command {
+	skewMS := int64(0)
 	check := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Hold the rules against an exported history: no task on two machines, one end for each job",
 		Args:  arguments(1, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return console.CheckHistory(cmd.OutOrStdout(), args[0], skew)
+			return console.CheckHistory(cmd.OutOrStdout(), args[0], skewMS)
 		},
 	}
-	check.Flags().Int64Var(&skew, "skew-ms", defaultSkewMS, "by how much the controllers' clocks may differ")
-	cmd.AddCommand(check)
-	return cmd
+	check.Flags().Int64Var(&skewMS, "skew-ms", defaultSkewMS, "by how much the controllers' clocks may differ")
+	return check
 }
 
 // arguments checks how many arguments a command is given.
-func arguments(least, most int) cobra.PositionalArgs {
+func arguments(minimum, maximum int) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
-		if len(args) < least || len(args) > most {
+		if len(args) < minimum || len(args) > maximum {
 			return fmt.Errorf("%wwrong number of arguments; see --help", errUsage)
 		}
 		return nil
 	}
 }
-
-func readSettings(path string) (*config.Settings, error) {
-	if path == "" {
-		return nil, fmt.Errorf("%w--config FILE is needed; see --help", errUsage)
-	}
-	set, err := config.Load(path)
-	if err != nil {
-		return nil, fmt.Errorf("%w%w", errUsage, err)
-	}
-	return set, nil
-}
