--- a/internal/telemetry/distribution.go
+++ b/internal/telemetry/distribution.go
@@ -8,9 +8,9 @@
 
 // Bounds of what a distribution tells apart: a millisecond to six hours, two digits.
 const (
-	distributionUnit   = clock.Millisecond
-	distributionMost   = 6 * 3600 * clock.Second
-	distributionDigits = 2
+	spanUnit          = clock.Millisecond
+	maxSpan           = 6 * 3600 * clock.Second
+	significantDigits = 2
 )
 
 // Distribution counts spans in a histogram of some 20 kB. It is not safe for use by several
@@ -19,7 +19,7 @@
 
 // NewDistribution makes an empty distribution.
 func NewDistribution() *Distribution {
-	return &Distribution{hdrhistogram.New(1, int64(distributionMost/distributionUnit), distributionDigits)}
+	return &Distribution{hdrhistogram.New(1, int64(maxSpan/spanUnit), significantDigits)}
 }
 
 // Record counts a span. What is below a millisecond counts as none, what is above six
@@ -28,8 +28,8 @@
 	if d == nil {
 		return
 	}
-	span = min(max(span, 0), distributionMost)
-	if err := d.histogram.RecordValue(int64(span / distributionUnit)); err != nil {
+	span = min(max(span, 0), maxSpan)
+	if err := d.histogram.RecordValue(int64(span / spanUnit)); err != nil {
 		panic(err) // the bounds above are the histogram's own
 	}
 }
@@ -53,7 +53,7 @@
 		return Quantiles{}
 	}
 	at := func(percent float64) clock.Micros {
-		return clock.Micros(d.histogram.ValueAtQuantile(percent)) * distributionUnit
+		return clock.Micros(d.histogram.ValueAtQuantile(percent)) * spanUnit
 	}
-	return Quantiles{Count: d.histogram.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: clock.Micros(d.histogram.Max()) * distributionUnit}
+	return Quantiles{Count: d.histogram.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: clock.Micros(d.histogram.Max()) * spanUnit}
 }
--- a/internal/telemetry/distribution_test.go
+++ b/internal/telemetry/distribution_test.go
@@ -30,5 +30,5 @@
 	require.Equal(t, q.P95, sum.Quantiles().P95)
 	d.Record(-clock.Second)
 	d.Record(1000 * 3600 * clock.Second)
-	require.InEpsilon(t, float64(distributionMost), float64(d.Quantiles().Max), 0.01, "what is out of bounds is counted at them")
+	require.InEpsilon(t, float64(maxSpan), float64(d.Quantiles().Max), 0.01, "what is out of bounds is counted at them")
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -51,18 +51,18 @@
 	return d
 }
 
-// reading is what the counters stood at when they were last logged.
-type reading struct {
+// snapshot is what the counters stood at when they were last logged.
+type snapshot struct {
 	at      time.Time
 	runtime Runtime
 	process time.Duration
-	traffic [kindCount]totals
+	traffic [kindCount]trafficTotals
 }
 
-func (r *Reporter) read() reading {
-	out := reading{at: time.Now(), runtime: r.runtime.read(), process: processTime()}
+func (r *Reporter) snapshot() snapshot {
+	out := snapshot{at: time.Now(), runtime: r.runtime.snapshot(), process: processTime()}
 	for k := range r.traffic {
-		out.traffic[k] = r.traffic[k].totals()
+		out.traffic[k] = r.traffic[k].readTotals()
 	}
 	return out
 }
@@ -81,21 +81,21 @@
 func (r *Reporter) Run(ctx context.Context) error {
 	tick := time.NewTicker(Interval)
 	defer tick.Stop()
-	last := r.read()
+	last := r.snapshot()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
 		}
-		now := r.read()
-		r.tell(ctx, last, now)
+		now := r.snapshot()
+		r.logProcess(ctx, last, now)
 		last = now
 	}
 }
 
-// tell logs what happened between two readings.
-func (r *Reporter) tell(ctx context.Context, last, now reading) {
+// logProcess logs what happened between two readings.
+func (r *Reporter) logProcess(ctx context.Context, last, now snapshot) {
 	const mb = 1 << 20
 	span := now.at.Sub(last.at).Seconds()
 	attrs := []slog.Attr{
@@ -121,12 +121,12 @@
 	}
 	r.log.LogAttrs(ctx, slog.LevelInfo, "process", attrs...)
 	if r.log.Enabled(ctx, slog.LevelDebug) {
-		r.tellDuties(ctx)
+		r.logDuties(ctx)
 	}
 }
 
-// tellDuties logs one line for all duties that did something.
-func (r *Reporter) tellDuties(ctx context.Context) {
+// logDuties logs one line for all duties that did something.
+func (r *Reporter) logDuties(ctx context.Context) {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.duties))
 	for name := range r.duties {
@@ -136,7 +136,7 @@
 	sort.Strings(names)
 	var attrs []slog.Attr
 	for _, name := range names {
-		s := r.Duty(name).take()
+		s := r.Duty(name).readAndReset()
 		if s.rounds > 0 {
 			attrs = append(attrs, slog.Group(name, slog.Int64("rounds", s.rounds), slog.Int64("busy_us", s.busy.Microseconds()),
 				slog.Int64("longest_us", s.longest.Microseconds()), slog.Int64("late_us", s.late.Microseconds())))
--- a/internal/telemetry/runtime.go
+++ b/internal/telemetry/runtime.go
@@ -13,8 +13,8 @@
 	metricGCCycles   = "/gc/cycles/total:gc-cycles"
 	metricAllocBytes = "/gc/heap/allocs:bytes"
 	metricAllocs     = "/gc/heap/allocs:objects"
-	metricLive       = "/gc/heap/live:bytes"
-	metricGoal       = "/gc/heap/goal:bytes"
+	metricHeapLive   = "/gc/heap/live:bytes"
+	metricHeapGoal   = "/gc/heap/goal:bytes"
 	metricMapped     = "/memory/classes/total:bytes"
 	metricReleased   = "/memory/classes/heap/released:bytes"
 	metricStacks     = "/memory/classes/heap/stacks:bytes"
@@ -42,7 +42,7 @@
 
 func newRuntimeReader() *runtimeReader {
 	names := []string{metricTotalCPU, metricIdleCPU, metricGCCPU, metricGCCycles, metricAllocBytes, metricAllocs,
-		metricLive, metricGoal, metricMapped, metricReleased, metricStacks, metricGoroutines}
+		metricHeapLive, metricHeapGoal, metricMapped, metricReleased, metricStacks, metricGoroutines}
 	r := &runtimeReader{samples: make([]metrics.Sample, len(names)), index: make(map[string]int, len(names))}
 	for i, name := range names {
 		r.samples[i].Name = name
@@ -51,7 +51,7 @@
 	return r
 }
 
-func (r *runtimeReader) count(name string) uint64 {
+func (r *runtimeReader) readUint(name string) uint64 {
 	v := r.samples[r.index[name]].Value
 	if v.Kind() != metrics.KindUint64 {
 		return 0
@@ -59,7 +59,7 @@
 	return v.Uint64()
 }
 
-func (r *runtimeReader) span(name string) time.Duration {
+func (r *runtimeReader) readDuration(name string) time.Duration {
 	v := r.samples[r.index[name]].Value
 	if v.Kind() != metrics.KindFloat64 {
 		return 0
@@ -67,18 +67,18 @@
 	return time.Duration(v.Float64() * float64(time.Second))
 }
 
-func (r *runtimeReader) read() Runtime {
+func (r *runtimeReader) snapshot() Runtime {
 	metrics.Read(r.samples)
 	return Runtime{
-		BusyCPU:    r.span(metricTotalCPU) - r.span(metricIdleCPU),
-		GCCPU:      r.span(metricGCCPU),
-		GCCycles:   r.count(metricGCCycles),
-		AllocBytes: r.count(metricAllocBytes),
-		Allocs:     r.count(metricAllocs),
-		HeapLive:   r.count(metricLive),
-		HeapGoal:   r.count(metricGoal),
-		Held:       r.count(metricMapped) - r.count(metricReleased),
-		Stacks:     r.count(metricStacks),
-		Goroutines: r.count(metricGoroutines),
+		BusyCPU:    r.readDuration(metricTotalCPU) - r.readDuration(metricIdleCPU),
+		GCCPU:      r.readDuration(metricGCCPU),
+		GCCycles:   r.readUint(metricGCCycles),
+		AllocBytes: r.readUint(metricAllocBytes),
+		Allocs:     r.readUint(metricAllocs),
+		HeapLive:   r.readUint(metricHeapLive),
+		HeapGoal:   r.readUint(metricHeapGoal),
+		Held:       r.readUint(metricMapped) - r.readUint(metricReleased),
+		Stacks:     r.readUint(metricStacks),
+		Goroutines: r.readUint(metricGoroutines),
 	}
 }
--- a/internal/telemetry/traffic.go
+++ b/internal/telemetry/traffic.go
@@ -72,13 +72,13 @@
 	return n, err
 }
 
-// totals is a reading of one kind's counters.
-type totals struct{ messages, received, sent int64 }
+// trafficTotals is a reading of one kind's counters.
+type trafficTotals struct{ messages, received, sent int64 }
 
-func (t *Traffic) totals() totals {
-	return totals{t.messages.Load(), t.received.Load(), t.sent.Load()}
+func (t *Traffic) readTotals() trafficTotals {
+	return trafficTotals{t.messages.Load(), t.received.Load(), t.sent.Load()}
 }
 
-func (a totals) minus(b totals) totals {
-	return totals{a.messages - b.messages, a.received - b.received, a.sent - b.sent}
+func (a trafficTotals) minus(b trafficTotals) trafficTotals {
+	return trafficTotals{a.messages - b.messages, a.received - b.received, a.sent - b.sent}
 }
