--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -22,12 +22,12 @@
 func Check(events []Event, skewMS int64) []Violation {
 	list := slices.Clone(events)
 	slices.SortStableFunc(list, func(a, b Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
-	out := checkEnds(list)
-	return append(out, checkRuns(list, skewMS)...)
+	out := checkFinalStates(list)
+	return append(out, checkConcurrentRuns(list, skewMS)...)
 }
 
-// checkEnds finds jobs with more than one final answer.
-func checkEnds(list []Event) (out []Violation) {
+// checkFinalStates finds jobs with more than one final answer.
+func checkFinalStates(list []Event) (out []Violation) {
 	phases := map[string]string{}
 	for _, e := range list {
 		if e.Kind != JobOver {
@@ -46,39 +46,39 @@
 	task int32
 }
 
-type runKey struct {
+type attemptKey struct {
 	taskKey
 	attempt uint64
 	machine string
 }
 
-// run is one attempt on one machine.
-type run struct {
-	runKey
-	began, ended int64 // 0: not seen
+// attemptRun is one attempt on one machine.
+type attemptRun struct {
+	attemptKey
+	startedMS, endedMS int64 // 0: not seen
 }
 
-// checkRuns finds tasks that ran on two machines at a time.
-func checkRuns(list []Event, skewMS int64) (out []Violation) {
-	runs := map[runKey]*run{}
-	byTask := map[taskKey][]*run{}
+// checkConcurrentRuns finds tasks that ran on two machines at a time.
+func checkConcurrentRuns(list []Event, skewMS int64) (out []Violation) {
+	runs := map[attemptKey]*attemptRun{}
+	byTask := map[taskKey][]*attemptRun{}
 	for _, e := range list {
 		if e.Kind != TaskRunning && e.Kind != TaskEnded {
 			continue
 		}
 		task := taskKey{e.Job, e.Task}
-		key := runKey{task, e.Attempt, e.Machine}
+		key := attemptKey{task, e.Attempt, e.Machine}
 		r := runs[key]
 		if r == nil {
-			r = &run{runKey: key}
+			r = &attemptRun{attemptKey: key}
 			runs[key] = r
 			byTask[task] = append(byTask[task], r)
 		}
-		if e.Kind == TaskRunning && r.began == 0 {
-			r.began = e.AtMS
+		if e.Kind == TaskRunning && r.startedMS == 0 {
+			r.startedMS = e.AtMS
 		}
 		if e.Kind == TaskEnded {
-			r.ended = e.AtMS
+			r.endedMS = e.AtMS
 		}
 	}
 	for task, all := range byTask {
@@ -99,9 +99,9 @@
 
 // overlaps tells that two runs on different machines ran at the same time for longer than
 // the clocks may differ. What has no end is not judged: its machine's end may not have been seen.
-func (r *run) overlaps(other *run, skewMS int64) bool {
-	if r.machine == other.machine || r.began == 0 || other.began == 0 || r.ended == 0 || other.ended == 0 {
+func (r *attemptRun) overlaps(other *attemptRun, skewMS int64) bool {
+	if r.machine == other.machine || r.startedMS == 0 || other.startedMS == 0 || r.endedMS == 0 || other.endedMS == 0 {
 		return false
 	}
-	return min(r.ended, other.ended)-max(r.began, other.began) > skewMS
+	return min(r.endedMS, other.endedMS)-max(r.startedMS, other.startedMS) > skewMS
 }
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -33,23 +33,23 @@
 
 // Ring keeps the latest events. A nil ring keeps none.
 type Ring struct {
-	mu     sync.Mutex
-	now    func() int64 // time of day in ms
-	host   string
-	events []Event
-	next   uint64 // number of the next event; the ring holds the last len(events) before it
-	most   int
+	mu         sync.Mutex
+	now        func() int64 // time of day in ms
+	host       string
+	events     []Event
+	nextNumber uint64 // number of the next event; the ring holds the last len(events) before it
+	capacity   int
 }
 
-// eventBytes is about what an event holds of memory, its strings shared.
-const eventBytes = 200
+// approxEventBytes is about what an event holds of memory, its strings shared.
+const approxEventBytes = 200
 
 // Entries is how many events a ring keeps that may take so much memory.
-func Entries(bytes int) int { return max(64, bytes/eventBytes) }
+func Entries(bytes int) int { return max(64, bytes/approxEventBytes) }
 
 // NewRing makes a ring of so many events.
 func NewRing(host string, most int, now func() int64) *Ring {
-	return &Ring{host: host, most: most, now: now}
+	return &Ring{host: host, capacity: most, now: now}
 }
 
 // Add takes an event; its time and controller are filled in.
@@ -60,12 +60,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.AtMS, e.Controller = r.now(), r.host
-	if len(r.events) < r.most {
+	if len(r.events) < r.capacity {
 		r.events = append(r.events, e)
 	} else {
-		r.events[r.next%uint64(r.most)] = e
+		r.events[r.nextNumber%uint64(r.capacity)] = e
 	}
-	r.next++
+	r.nextNumber++
 }
 
 // Page is a part of a controller's history.
@@ -84,14 +84,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	oldest := r.next - uint64(len(r.events))
+	oldest := r.nextNumber - uint64(len(r.events))
 	out := Page{Host: r.host}
 	if from < oldest {
 		out.Lost, from = oldest-from, oldest
 	}
-	for ; from < r.next && len(out.Events) < most; from++ {
-		out.Events = append(out.Events, r.events[from%uint64(r.most)])
+	for ; from < r.nextNumber && len(out.Events) < most; from++ {
+		out.Events = append(out.Events, r.events[from%uint64(r.capacity)])
 	}
-	out.Next, out.More = from, from < r.next
+	out.Next, out.More = from, from < r.nextNumber
 	return out
 }
