--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -28,8 +28,8 @@
 	Price float64 // seconds that a machine of the dearest kind costs more than one for nothing
 }
 
-// fetchingLeft is the part of a fetch that is left on average of one that has begun.
-const fetchingLeft = 0.5
+// remainingFetchShare is the part of a fetch that is left on average of one that has begun.
+const remainingFetchShare = 0.5
 
 // Known tells whether enough is known of the data to weigh machines for a task at all.
 func (t *Task) Known() bool { return t.Fetch > 0 }
@@ -41,7 +41,7 @@
 	if !m.HasImage {
 		fetch := t.Fetch.Seconds() * float64(1+m.Others)
 		if m.Fetching {
-			fetch *= fetchingLeft
+			fetch *= remainingFetchShare
 		}
 		cost += w.Data * fetch
 	}
