--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -19,9 +19,9 @@
 
 // Errors of the parser. After any of them the framing is lost.
 var (
-	ErrMalformed = errors.New("malformed HTTP message")
-	ErrTooLarge  = errors.New("HTTP message too large")
-	errMore      = errors.New("more bytes needed")
+	ErrMalformed  = errors.New("malformed HTTP message")
+	ErrTooLarge   = errors.New("HTTP message too large")
+	errIncomplete = errors.New("more bytes needed")
 )
 
 // Request is one parsed request.
@@ -48,32 +48,32 @@
 	return Response{Status: status, Body: b}
 }
 
-type head struct {
-	first   string
-	length  int
-	chunked bool
-	close   bool
-	retry   int
-	size    int
+type messageHead struct {
+	startLine     string
+	contentLength int
+	chunked       bool
+	close         bool
+	retryAfter    int
+	bytes         int
 }
 
 // parseHead reads the start line and the headers of the message in b.
-func parseHead(b []byte) (head, error) {
-	h := head{length: -1}
+func parseHead(b []byte) (messageHead, error) {
+	h := messageHead{contentLength: -1}
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
 		if len(b) > maxHead {
 			return h, ErrTooLarge
 		}
-		return h, errMore
+		return h, errIncomplete
 	}
 	if end > maxHead {
 		return h, ErrTooLarge
 	}
-	h.size = end + 4
+	h.bytes = end + 4
 	text := string(b[:end])
 	line, rest, _ := strings.Cut(text, "\r\n")
-	h.first = line
+	h.startLine = line
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
@@ -84,10 +84,10 @@
 		switch {
 		case strings.EqualFold(name, "content-length"):
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || (h.length >= 0 && h.length != int(n)) || value[0] == '+' {
+			if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) || value[0] == '+' {
 				return h, fmt.Errorf("%w: content-length", ErrMalformed)
 			}
-			h.length = int(n)
+			h.contentLength = int(n)
 		case strings.EqualFold(name, "transfer-encoding"):
 			if !strings.EqualFold(value, "chunked") {
 				return h, fmt.Errorf("%w: transfer-encoding", ErrMalformed)
@@ -98,10 +98,10 @@
 				h.close = true
 			}
 		case strings.EqualFold(name, "retry-after"):
-			h.retry, _ = strconv.Atoi(value)
+			h.retryAfter, _ = strconv.Atoi(value)
 		}
 	}
-	if h.chunked && h.length >= 0 {
+	if h.chunked && h.contentLength >= 0 {
 		return h, fmt.Errorf("%w: two framings", ErrMalformed)
 	}
 	return h, nil
@@ -115,7 +115,7 @@
 			if len(b)-used > 256 {
 				return nil, 0, ErrMalformed
 			}
-			return nil, 0, errMore
+			return nil, 0, errIncomplete
 		}
 		size, _, _ := strings.Cut(string(b[used:used+i]), ";")
 		n, perr := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
@@ -133,7 +133,7 @@
 					if len(b)-used > maxHead {
 						return nil, 0, ErrTooLarge
 					}
-					return nil, 0, errMore
+					return nil, 0, errIncomplete
 				}
 				used += j + 2
 				if j == 0 {
@@ -142,7 +142,7 @@
 			}
 		}
 		if len(b) < used+int(n)+2 {
-			return nil, 0, errMore
+			return nil, 0, errIncomplete
 		}
 		body = append(body, b[used:used+int(n)]...)
 		used += int(n)
@@ -153,32 +153,32 @@
 	}
 }
 
-func parseBody(h head, b []byte, limit int) (body []byte, used int, err error) {
+func parseBody(h messageHead, b []byte, limit int) (body []byte, used int, err error) {
 	if h.chunked {
-		body, used, err = parseChunks(b[h.size:], limit)
-		return body, used + h.size, err
+		body, used, err = parseChunks(b[h.bytes:], limit)
+		return body, used + h.bytes, err
 	}
-	if h.length > limit {
+	if h.contentLength > limit {
 		return nil, 0, ErrTooLarge
 	}
-	n := max(h.length, 0)
-	if len(b) < h.size+n {
-		return nil, 0, errMore
+	n := max(h.contentLength, 0)
+	if len(b) < h.bytes+n {
+		return nil, 0, errIncomplete
 	}
-	return bytes.Clone(b[h.size : h.size+n]), h.size + n, nil
+	return bytes.Clone(b[h.bytes : h.bytes+n]), h.bytes + n, nil
 }
 
 // ParseRequest reads one request from b. It returns errMore as (nil, 0, nil)
 // while the request is not complete.
 func ParseRequest(b []byte, limit int) (*Request, int, error) {
 	h, err := parseHead(b)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	method, rest, ok := strings.Cut(h.first, " ")
+	method, rest, ok := strings.Cut(h.startLine, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || method == "" || !strings.HasPrefix(target, "/") ||
 		(proto != "HTTP/1.1" && proto != "HTTP/1.0") {
@@ -190,7 +190,7 @@
 		}
 	}
 	body, used, err := parseBody(h, b, limit)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
@@ -205,41 +205,41 @@
 // as its head tells; 0 when it does not.
 func responseSize(b []byte) int {
 	h, err := parseHead(b)
-	if err != nil || h.length < 0 || h.chunked {
+	if err != nil || h.contentLength < 0 || h.chunked {
 		return 0
 	}
-	return h.size + h.length
+	return h.bytes + h.contentLength
 }
 
 // ParseResponse reads one response from b; (nil, 0, nil) while it is not complete.
 func ParseResponse(b []byte, limit int) (*Response, int, error) {
 	h, err := parseHead(b)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	proto, rest, _ := strings.Cut(h.first, " ")
+	proto, rest, _ := strings.Cut(h.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 599 {
 		return nil, 0, fmt.Errorf("%w: status line", ErrMalformed)
 	}
-	if h.length < 0 && !h.chunked && status != 204 && status != 304 {
+	if h.contentLength < 0 && !h.chunked && status != 204 && status != 304 {
 		return nil, 0, fmt.Errorf("%w: no length", ErrMalformed)
 	}
 	body, used, err := parseBody(h, b, limit)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	return &Response{Status: status, Body: body, RetryAfter: h.retry, Close: h.close}, used, nil
+	return &Response{Status: status, Body: body, RetryAfter: h.retryAfter, Close: h.close}, used, nil
 }
 
-var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
 	429: "Too Many Requests", 503: "Service Unavailable"}
 
@@ -248,7 +248,7 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[r.Status]...)
+	b = append(b, reasonPhrases[r.Status]...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	if r.RetryAfter > 0 {
--- a/internal/httpx/parse_bench_test.go
+++ b/internal/httpx/parse_bench_test.go
@@ -16,7 +16,7 @@
 	answer := Response{Status: 200, Body: []byte(`{"id":"job-000412","phase":"running","done":3,"running":13}`)}
 	b.ReportAllocs()
 	for b.Loop() {
-		if r, _, err := ParseRequest(raw, bodyLimit); r == nil || err != nil {
+		if r, _, err := ParseRequest(raw, maxBody); r == nil || err != nil {
 			b.Fatal(err)
 		}
 		AppendResponse(nil, answer)
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -22,20 +22,20 @@
 type Server struct {
 	gnet.BuiltinEventEngine
 	handler Handler
-	// prompt tells which requests the handler answers without waiting for anything.
-	prompt func(*Request) bool
-	max    int64
-	budget int64
-	idle   time.Duration
-	log    *slog.Logger
+	// isPrompt tells which requests the handler answers without waiting for anything.
+	isPrompt        func(*Request) bool
+	maxConnections  int64
+	maxPendingBytes int64
+	idleTimeout     time.Duration
+	log             *slog.Logger
 
-	ctx   context.Context
-	open  atomic.Int64
-	held  atomic.Int64 // bytes of requests that are not answered yet
-	used  *list.List   // connections, the latest used last; the event loop's own
-	eng   gnet.Engine
-	ready chan struct{}
-	wg    sync.WaitGroup
+	ctx              context.Context
+	connectionCount  atomic.Int64
+	pendingBytes     atomic.Int64 // bytes of requests that are not answered yet
+	connectionsByUse *list.List   // connections, the latest used last; the event loop's own
+	engine           gnet.Engine
+	ready            chan struct{}
+	wg               sync.WaitGroup
 }
 
 // NewServer makes a server that holds at most max connections and budget bytes
@@ -43,24 +43,24 @@
 // a while, or when others come and there is no room for more. Requests that prompt
 // picks are answered by the event loop.
 func NewServer(handler Handler, prompt func(*Request) bool, max int, budget int64, idle time.Duration, log *slog.Logger) *Server {
-	return &Server{handler: handler, prompt: prompt, max: int64(max), budget: budget, idle: idle, log: log, ready: make(chan struct{}), used: list.New()}
+	return &Server{handler: handler, isPrompt: prompt, maxConnections: int64(max), maxPendingBytes: budget, idleTimeout: idle, log: log, ready: make(chan struct{}), connectionsByUse: list.New()}
 }
 
-// conn is the inbox between the event loop and the connection's goroutine.
-type conn struct {
-	c    gnet.Conn
-	mu   sync.Mutex
-	buf  []byte
-	wake chan struct{}
-	gone bool
-	busy bool // a request of it is being answered
+// connection is the inbox between the event loop and the connection's goroutine.
+type connection struct {
+	raw       gnet.Conn
+	mu        sync.Mutex
+	buffer    []byte
+	wake      chan struct{}
+	closed    bool
+	answering bool // a request of it is being answered
 
-	answering int // bytes of that request
+	answeringBytes int // bytes of that request
 
 	// The event loop's own.
-	served bool          // it has its goroutine
-	usedAt time.Time     // when its last request began
-	at     *list.Element // its place among those that the event loop knows
+	hasGoroutine bool          // it has its goroutine
+	lastUsed     time.Time     // when its last request began
+	element      *list.Element // its place among those that the event loop knows
 }
 
 // Run serves on addr until ctx ends.
@@ -75,7 +75,7 @@
 		<-ctx.Done()
 		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer cancel()
-		if err := s.eng.Stop(stop); err != nil {
+		if err := s.engine.Stop(stop); err != nil {
 			s.log.Debug("stopping the server", "err", err)
 		}
 	}()
@@ -87,7 +87,7 @@
 
 // OnBoot notes the engine.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
-	s.eng = eng
+	s.engine = eng
 	close(s.ready)
 	return gnet.None
 }
@@ -96,14 +96,14 @@
 // longest makes room: a controller that is left alone with a fleet
 // holds the connections of workers that have given up on it, too.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if s.open.Add(1) > s.max && !s.closeIdle() {
+	if s.connectionCount.Add(1) > s.maxConnections && !s.closeIdle() {
 		return AppendResponse(nil, Response{Status: 503, RetryAfter: 1, Close: true,
 			Body: []byte(`{"error":"too many connections"}`)}), gnet.Close
 	}
 	now := time.Now()
 	s.closeExpired(now)
-	k := &conn{c: c, wake: make(chan struct{}, 1), usedAt: now}
-	k.at = s.used.PushBack(k)
+	k := &connection{raw: c, wake: make(chan struct{}, 1), lastUsed: now}
+	k.element = s.connectionsByUse.PushBack(k)
 	c.SetContext(k)
 	return nil, gnet.None
 }
@@ -112,23 +112,23 @@
 // being answered: it was answered since, or has not come as a whole, however often a
 // piece of it comes.
 func (s *Server) closeExpired(now time.Time) {
-	for e := s.used.Front(); e != nil; e = s.used.Front() {
-		k := e.Value.(*conn)
+	for e := s.connectionsByUse.Front(); e != nil; e = s.connectionsByUse.Front() {
+		k := e.Value.(*connection)
 		k.mu.Lock()
-		busy := k.busy
+		busy := k.answering
 		k.mu.Unlock()
-		if busy || now.Sub(k.usedAt) < s.idle {
+		if busy || now.Sub(k.lastUsed) < s.idleTimeout {
 			return
 		}
-		s.close(k)
+		s.closeConnection(k)
 	}
 }
 
-// close closes a connection that the event loop knows.
-func (s *Server) close(k *conn) {
-	s.used.Remove(k.at)
-	k.at = nil
-	if err := k.c.Close(); err != nil {
+// closeConnection closes a connection that the event loop knows.
+func (s *Server) closeConnection(k *connection) {
+	s.connectionsByUse.Remove(k.element)
+	k.element = nil
+	if err := k.raw.Close(); err != nil {
 		s.log.Debug("closing an idle connection", "err", err)
 	}
 }
@@ -136,15 +136,15 @@
 // closeIdle closes the connection that was used longest ago and has no request
 // under way; false when there is none.
 func (s *Server) closeIdle() bool {
-	for e := s.used.Front(); e != nil; e = e.Next() {
-		k := e.Value.(*conn)
+	for e := s.connectionsByUse.Front(); e != nil; e = e.Next() {
+		k := e.Value.(*connection)
 		k.mu.Lock()
-		idle := !k.busy && len(k.buf) == 0
+		idle := !k.answering && len(k.buffer) == 0
 		k.mu.Unlock()
 		if !idle {
 			continue
 		}
-		s.close(k)
+		s.closeConnection(k)
 		return true
 	}
 	return false
@@ -152,18 +152,18 @@
 
 // OnClose tells the goroutine that its peer is gone.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	s.open.Add(-1)
-	if k, ok := c.Context().(*conn); ok {
-		if k.at != nil {
-			s.used.Remove(k.at)
-			k.at = nil
+	s.connectionCount.Add(-1)
+	if k, ok := c.Context().(*connection); ok {
+		if k.element != nil {
+			s.connectionsByUse.Remove(k.element)
+			k.element = nil
 		}
 		k.mu.Lock()
-		k.gone = true
-		s.held.Add(-int64(len(k.buf)))
-		k.buf = nil
+		k.closed = true
+		s.pendingBytes.Add(-int64(len(k.buffer)))
+		k.buffer = nil
 		k.mu.Unlock()
-		k.poke()
+		k.notify()
 	}
 	return gnet.None
 }
@@ -171,7 +171,7 @@
 // OnTraffic hands bytes to the connection's goroutine. A peer that sends far
 // more than one request may hold is cut off here: it can't fill the memory.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	k, ok := c.Context().(*conn)
+	k, ok := c.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
@@ -180,26 +180,26 @@
 		return gnet.Close
 	}
 	k.mu.Lock()
-	begins := !k.busy && len(k.buf) == 0
+	begins := !k.answering && len(k.buffer) == 0
 	k.mu.Unlock()
-	if begins && k.at != nil {
-		k.usedAt = time.Now()
-		s.used.MoveToBack(k.at)
-		s.closeExpired(k.usedAt)
+	if begins && k.element != nil {
+		k.lastUsed = time.Now()
+		s.connectionsByUse.MoveToBack(k.element)
+		s.closeExpired(k.lastUsed)
 	}
 	if begins && s.answerPromptly(c, b) {
 		return gnet.None
 	}
-	return s.handOver(k, b)
+	return s.enqueue(k, b)
 }
 
 // answerPromptly answers a whole request of a kind that needs no waiting.
 func (s *Server) answerPromptly(c gnet.Conn, b []byte) bool {
-	if s.prompt == nil || c.OutboundBuffered() > maxUnread {
+	if s.isPrompt == nil || c.OutboundBuffered() > maxUnreadBytes {
 		return false // a peer that reads no answers is cut off
 	}
-	r, used, err := ParseRequest(b, bodyLimit)
-	if r == nil || err != nil || used < len(b) || r.Close || !s.prompt(r) {
+	r, used, err := ParseRequest(b, maxBody)
+	if r == nil || err != nil || used < len(b) || r.Close || !s.isPrompt(r) {
 		return false
 	}
 	answer := s.handler(s.ctx, r)
@@ -209,70 +209,70 @@
 	return true
 }
 
-// handOver gives bytes to the connection's goroutine, which begins with the first
+// enqueue gives bytes to the connection's goroutine, which begins with the first
 // request that it is needed for.
-func (s *Server) handOver(k *conn, b []byte) gnet.Action {
-	if !k.served {
-		k.served = true
-		s.wg.Go(func() { s.serve(k) })
+func (s *Server) enqueue(k *connection, b []byte) gnet.Action {
+	if !k.hasGoroutine {
+		k.hasGoroutine = true
+		s.wg.Go(func() { s.serveConnection(k) })
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.buf = append(k.buf, b...)
-	held := s.held.Add(int64(len(b)))
+	k.buffer = append(k.buffer, b...)
+	held := s.pendingBytes.Add(int64(len(b)))
 	// One request at a time: whoever sends much more, or reads no answers, is cut off.
-	if len(k.buf) > bodyLimit+maxHead+1024 || k.c.OutboundBuffered() > maxUnread {
+	if len(k.buffer) > maxBody+maxHead+1024 || k.raw.OutboundBuffered() > maxUnreadBytes {
 		return gnet.Close
 	}
-	if held > s.budget {
+	if held > s.maxPendingBytes {
 		// Whoever adds to what can't be held is told at once to come back.
-		if _, err := k.c.Write(AppendResponse(nil, overloaded)); err != nil {
+		if _, err := k.raw.Write(AppendResponse(nil, overloadedResponse)); err != nil {
 			s.log.Debug("writing a response", "err", err)
 		}
 		return gnet.Close
 	}
-	k.poke()
+	k.notify()
 	return gnet.None
 }
 
-// overloaded is the answer to a request for which there is no memory.
-var overloaded = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many requests at a time"}`)}
+// overloadedResponse is the answer to a request for which there is no memory.
+var overloadedResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many requests at a time"}`)}
 
 // Limits of a connection.
 const (
-	bodyLimit = 64 << 10
-	maxUnread = 256 << 10 // bytes of answers that the peer has not read
+	maxBody        = 64 << 10
+	maxUnreadBytes = 256 << 10 // bytes of answers that the peer has not read
 )
 
-func (k *conn) poke() {
+func (k *connection) notify() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// next waits for a whole request; nil when the connection is over. The bytes that the
+// nextRequest waits for a whole request; nil when the connection is over. The bytes that the
 // request took are held until it is answered.
-func (s *Server) next(k *conn) (*Request, error) {
+func (s *Server) nextRequest(k *connection) (*Request, error) {
 	for {
 		k.mu.Lock()
-		if k.gone {
+		if k.closed {
 			k.mu.Unlock()
 			return nil, nil
 		}
-		k.busy = false
+		k.answering = false
 		var r *Request
 		var used int
 		var err error
-		if len(k.buf) > 0 {
-			r, used, err = ParseRequest(k.buf, bodyLimit)
+		if len(k.buffer) > 0 {
+			r, used, err = ParseRequest(k.buffer, maxBody)
 		}
 		if r != nil {
-			k.busy = true
-			k.answering = used
-			k.buf = append(k.buf[:0], k.buf[used:]...)
-			if len(k.buf) == 0 && cap(k.buf) > 16<<10 {
-				k.buf = nil
+			k.answering = true
+			k.answeringBytes = used
+			k.buffer = append(k.buffer[:0], k.buffer[used:]...)
+			if len(k.buffer) == 0 && cap(k.buffer) > 16<<10 {
+				k.buffer = nil
 			}
 		}
 		k.mu.Unlock()
@@ -287,52 +287,52 @@
 	}
 }
 
-// serve answers a connection's requests, one after the other, until it is over.
-func (s *Server) serve(k *conn) {
+// serveConnection answers a connection's requests, one after the other, until it is over.
+func (s *Server) serveConnection(k *connection) {
 	for {
-		r, err := s.next(k)
+		r, err := s.nextRequest(k)
 		if err != nil {
-			s.write(k, refusal(err))
+			s.writeResponse(k, errorResponse(err))
 			return
 		}
 		if r == nil {
-			if err := k.c.Close(); err != nil {
+			if err := k.raw.Close(); err != nil {
 				s.log.Debug("closing a connection", "err", err)
 			}
 			return
 		}
 		resp := s.handler(s.ctx, r)
-		s.release(k)
+		s.releaseBytes(k)
 		resp.Close = resp.Close || r.Close
-		s.write(k, resp)
+		s.writeResponse(k, resp)
 		if resp.Close {
 			return
 		}
 	}
 }
 
-// release lets go of the bytes of the last request.
-func (s *Server) release(k *conn) {
+// releaseBytes lets go of the bytes of the last request.
+func (s *Server) releaseBytes(k *connection) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s.held.Add(-int64(k.answering))
-	k.answering = 0
+	s.pendingBytes.Add(-int64(k.answeringBytes))
+	k.answeringBytes = 0
 }
 
-// refusal is the answer to what is not a request.
-func refusal(err error) Response {
+// errorResponse is the answer to what is not a request.
+func errorResponse(err error) Response {
 	if errors.Is(err, ErrTooLarge) {
 		return Response{Status: 413, Body: []byte(`{"error":"request too large"}`), Close: true}
 	}
 	return Response{Status: 400, Body: []byte(`{"error":"malformed request"}`), Close: true}
 }
 
-func (s *Server) write(k *conn, r Response) {
+func (s *Server) writeResponse(k *connection, r Response) {
 	var done gnet.AsyncCallback
 	if r.Close {
 		done = func(c gnet.Conn, _ error) error { return c.Close() }
 	}
-	if err := k.c.AsyncWrite(AppendResponse(nil, r), done); err != nil {
+	if err := k.raw.AsyncWrite(AppendResponse(nil, r), done); err != nil {
 		s.log.Debug("writing a response", "err", err)
 	}
 }
--- a/internal/httpx/server_test.go
+++ b/internal/httpx/server_test.go
@@ -20,15 +20,15 @@
 	})
 }
 
-// promptly picks the requests that the tests' servers answer in their event loop.
-func promptly(r *Request) bool { return r.Path == "/prompt" }
+// isPromptRequest picks the requests that the tests' servers answer in their event loop.
+func isPromptRequest(r *Request) bool { return r.Path == "/prompt" }
 
 func serveWith(t *testing.T, budget int64, handler Handler) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	srv := NewServer(handler, promptly, 8, budget, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	srv := NewServer(handler, isPromptRequest, 8, budget, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	go func() { over <- srv.Run(ctx, addr) }()
@@ -138,13 +138,13 @@
 	require.Equal(t, 7, served)
 }
 
-// closing is a connection that only remembers whether it was closed.
-type closing struct {
+// fakeConn is a connection that only remembers whether it was closed.
+type fakeConn struct {
 	gnet.Conn
 	closed bool
 }
 
-func (c *closing) Close() error {
+func (c *fakeConn) Close() error {
 	c.closed = true
 	return nil
 }
@@ -153,14 +153,14 @@
 // under way; when all have one, none is closed.
 func TestTheConnectionIdleForLongestIsClosed(t *testing.T) {
 	s := NewServer(nil, nil, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	var conns []*closing
+	var conns []*fakeConn
 	for i := range 4 {
-		c := &closing{}
-		k := &conn{c: c, busy: i == 0}
+		c := &fakeConn{}
+		k := &connection{raw: c, answering: i == 0}
 		if i == 1 {
-			k.buf = []byte("GET /x")
+			k.buffer = []byte("GET /x")
 		}
-		k.at = s.used.PushBack(k)
+		k.element = s.connectionsByUse.PushBack(k)
 		conns = append(conns, c)
 	}
 	for _, next := range []int{2, 3} {
@@ -212,18 +212,18 @@
 // A connection is closed when its last request began too long ago, also when pieces of
 // that request keep coming, but not while it is being answered.
 func TestConnectionsExpire(t *testing.T) {
-	s := NewServer(nil, promptly, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := NewServer(nil, isPromptRequest, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	begun := time.Unix(1000, 0)
-	add := func(k *conn) *closing {
-		c := &closing{}
-		k.c = c
-		k.at = s.used.PushBack(k)
+	add := func(k *connection) *fakeConn {
+		c := &fakeConn{}
+		k.raw = c
+		k.element = s.connectionsByUse.PushBack(k)
 		return c
 	}
-	idle := add(&conn{usedAt: begun})
-	half := add(&conn{usedAt: begun.Add(time.Second), buf: []byte("GET /x")})
-	busy := add(&conn{usedAt: begun.Add(2 * time.Second), busy: true})
-	recent := add(&conn{usedAt: begun.Add(time.Minute)})
+	idle := add(&connection{lastUsed: begun})
+	half := add(&connection{lastUsed: begun.Add(time.Second), buffer: []byte("GET /x")})
+	busy := add(&connection{lastUsed: begun.Add(2 * time.Second), answering: true})
+	recent := add(&connection{lastUsed: begun.Add(time.Minute)})
 	s.closeExpired(begun.Add(59 * time.Second))
 	require.False(t, idle.closed)
 	s.closeExpired(begun.Add(90 * time.Second))
