--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -30,8 +30,8 @@
 	Zones   map[string]string // of the controllers; none: all are in zone a. Workers are spread over the zones
 }
 
-// zoneNames lists the zones.
-func (s *Setup) zoneNames() []string {
+// allZones lists the zones.
+func (s *Setup) allZones() []string {
 	names := []string{"a"}
 	for _, z := range s.Zones {
 		if !slices.Contains(names, z) {
@@ -54,33 +54,33 @@
 type cluster struct {
 	Setup
 	*fleet
-	settings map[string]string // files, by host
-	running  map[string]*exec.Cmd
-	store    *fakes.KVStore
-	views    map[string]*fakes.KVClient // ways to the state service, by host
-	links    []peerLink
-	workers  []*worker
+	settingsFiles map[string]string // files, by host
+	processes     map[string]*exec.Cmd
+	kvStore       *fakes.KVStore
+	kvClients     map[string]*fakes.KVClient // ways to the state service, by host
+	links         []peerLink
+	workers       []*worker
 }
 
 // peerLink is the way from one controller to another.
 type peerLink struct {
-	*link
+	*peerProxy
 	from, to string
 }
 
-// leaseS is the workers' lease.
-const leaseS = 16
+// workerLeaseS is the workers' lease.
+const workerLeaseS = 16
 
 // newCluster starts a cluster, and gives it back once it is ready. Everything ends with ctx.
 func newCluster(ctx context.Context, s Setup, done func(task string)) (*cluster, error) {
-	c := &cluster{Setup: s, settings: map[string]string{}, running: map[string]*exec.Cmd{},
-		store: fakes.NewKVStore(), views: map[string]*fakes.KVClient{},
+	c := &cluster{Setup: s, settingsFiles: map[string]string{}, processes: map[string]*exec.Cmd{},
+		kvStore: fakes.NewKVStore(), kvClients: map[string]*fakes.KVClient{},
 		fleet: &fleet{clock: clock.NewSteady(), runFor: s.RunFor, controllers: map[string]string{}, hosts: []string{"a", "b", "c"},
-			began: map[string]clock.Micros{}, on: map[string]string{}, done: done}}
+			startedAt: map[string]clock.Micros{}, machineOf: map[string]string{}, taskDone: done}}
 	var machines []wire.Instance
-	zones := s.zoneNames()
+	zones := s.allZones()
 	for i := range s.Workers {
-		w, err := newWorker(c.fleet, fmt.Sprintf("m-%06d", i), leaseS*clock.Second, i%len(c.hosts))
+		w, err := newWorker(c.fleet, fmt.Sprintf("m-%06d", i), workerLeaseS*clock.Second, i%len(c.hosts))
 		if err != nil {
 			return nil, err
 		}
@@ -89,7 +89,7 @@
 		machines = append(machines, wire.Instance{ID: w.ID, Addr: w.addr, Type: "big", Zone: w.Zone, Phase: wire.MachineRunning, AgeS: 60})
 	}
 	types := []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: zones}}
-	cloudAddr, err := serve(cloud(machines, types))
+	cloudAddr, err := serve(newCloud(machines, types))
 	if err != nil {
 		return nil, err
 	}
@@ -104,35 +104,35 @@
 	for _, w := range c.workers {
 		go w.run(ctx)
 	}
-	return c, c.ready(ctx)
+	return c, c.awaitReady(ctx)
 }
 
-// clusters counts the clusters of this process.
-var clusters atomic.Uint32
+// clusterCount counts the clusters of this process.
+var clusterCount atomic.Uint32
 
-// hostIP gives the i-th controller of the n-th cluster an address of its own in the loopback
+// controllerIP gives the i-th controller of the n-th cluster an address of its own in the loopback
 // range, so that clusters that run side by side don't take each other's ports.
-func hostIP(n uint32, i int) string {
+func controllerIP(n uint32, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, n%250, i+1)
 }
 
 // Ports of the controllers.
 const (
-	usersPort   = 8080
+	apiPort     = 8080
 	clusterPort = 8081
 )
 
 // writeSettings writes the controllers' settings and the policy.
 func (c *cluster) writeSettings(cloudAddr string) error {
 	cluster := map[string]string{}
-	n := clusters.Add(1)
+	n := clusterCount.Add(1)
 	for i, h := range c.hosts {
-		ip := hostIP(n, i)
-		c.controllers[h] = fmt.Sprintf("%s:%d", ip, usersPort)
+		ip := controllerIP(n, i)
+		c.controllers[h] = fmt.Sprintf("%s:%d", ip, apiPort)
 		cluster[h] = fmt.Sprintf("%s:%d", ip, clusterPort)
 	}
 	for _, h := range c.hosts {
-		set, err := c.settingsOf(h, cluster)
+		set, err := c.newSettings(h, cluster)
 		if err != nil {
 			return err
 		}
@@ -141,27 +141,27 @@
 		if err != nil {
 			return err
 		}
-		c.settings[h] = filepath.Join(c.LogDir, h+".json")
-		if err := os.WriteFile(c.settings[h], b, 0o600); err != nil {
+		c.settingsFiles[h] = filepath.Join(c.LogDir, h+".json")
+		if err := os.WriteFile(c.settingsFiles[h], b, 0o600); err != nil {
 			return err
 		}
 	}
 	return os.WriteFile(filepath.Join(c.LogDir, "policy.star"), []byte(c.Policy), 0o600)
 }
 
-// settingsOf makes a controller's settings: its ways to the state service and to the others are its own.
-func (c *cluster) settingsOf(host string, cluster map[string]string) (*config.Settings, error) {
+// newSettings makes a controller's settings: its ways to the state service and to the others are its own.
+func (c *cluster) newSettings(host string, cluster map[string]string) (*config.Settings, error) {
 	set := &config.Settings{Host: host, Zone: c.zoneOf(host), Listen: c.controllers[host], PeerListen: cluster[host]}
 	var err error
-	c.views[host] = &fakes.KVClient{KVStore: c.store}
-	if set.Services.State, err = serve(stateService(c.views[host])); err != nil {
+	c.kvClients[host] = &fakes.KVClient{KVStore: c.kvStore}
+	if set.Services.State, err = serve(stateService(c.kvClients[host])); err != nil {
 		return nil, err
 	}
 	for _, other := range c.hosts {
 		if other == host {
 			continue
 		}
-		l, addr, err := newLink(cluster[other])
+		l, addr, err := newPeerProxy(cluster[other])
 		if err != nil {
 			return nil, err
 		}
@@ -169,8 +169,8 @@
 		set.Peers = append(set.Peers, config.Peer{Host: other, Zone: c.zoneOf(other), Addr: addr})
 	}
 	p := &set.Params
-	p.Count, p.Zones, p.Teams = len(c.hosts), c.zoneNames(), c.Teams
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = reportEvery.Seconds(), leaseS, 36
+	p.Count, p.Zones, p.Teams = len(c.hosts), c.allZones(), c.Teams
+	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = heartbeatInterval.Seconds(), workerLeaseS, 36
 	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = 300, 120, 8, 12
 	p.Cloud.RPS, p.Cloud.ListLagS = 5, 1
 	p.Limits.CoreShare, p.Limits.MemoryMB, p.Limits.Sockets = 1, 256, 1000
@@ -178,17 +178,17 @@
 	return set, nil
 }
 
-// cutZone cuts a zone off, or joins it again: its controllers reach neither the state service nor the
+// setZoneCut cuts a zone off, or joins it again: its controllers reach neither the state service nor the
 // others, its workers reach its controllers only, and no direct orders reach them.
-func (c *cluster) cutZone(zone string, cut bool) {
+func (c *cluster) setZoneCut(zone string, cut bool) {
 	for _, h := range c.hosts {
 		if c.zoneOf(h) == zone {
-			c.views[h].SetCut(cut)
+			c.kvClients[h].SetCut(cut)
 		}
 	}
 	for _, l := range c.links {
 		if (c.zoneOf(l.from) == zone) != (c.zoneOf(l.to) == zone) {
-			l.set(cut)
+			l.setCut(cut)
 		}
 	}
 	c.fleet.mu.Lock()
@@ -214,25 +214,25 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.CommandContext(ctx, c.Program, "--policy", filepath.Join(c.LogDir, "policy.star"), "--config", c.settings[host])
+	cmd := exec.CommandContext(ctx, c.Program, "--policy", filepath.Join(c.LogDir, "policy.star"), "--config", c.settingsFiles[host])
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=info")
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	c.running[host] = cmd
+	c.processes[host] = cmd
 	return nil
 }
 
 // kill ends a controller without a warning.
 func (c *cluster) kill(host string) {
-	c.running[host].Process.Kill() //nolint:errcheck // it may have ended
-	c.running[host].Wait()         //nolint:errcheck // killed
+	c.processes[host].Process.Kill() //nolint:errcheck // it may have ended
+	c.processes[host].Wait()         //nolint:errcheck // killed
 }
 
-// stand has a controller stand still for a while.
-func (c *cluster) stand(host string, d time.Duration) error {
-	p := c.running[host].Process
+// pause stops a controller for a while and lets it go on.
+func (c *cluster) pause(host string, d time.Duration) error {
+	p := c.processes[host].Process
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -247,12 +247,12 @@
 	}
 }
 
-// readyWithin bounds how long a cluster may take to be ready.
-const readyWithin = 20 * time.Second
+// readyTimeout bounds how long a cluster may take to be ready.
+const readyTimeout = 20 * time.Second
 
-func (c *cluster) ready(ctx context.Context) error {
+func (c *cluster) awaitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
 		up := 0
 		for _, h := range c.hosts {
 			resp, err := client.Get("http://" + c.controllers[h] + wire.PathReady)
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -27,19 +27,19 @@
 
 // The load of a run: as in the test of internal/node, twenty workers run 80 tasks at a time.
 const (
-	hotWorkers = 20
-	hotTeams   = 5
-	hotTasks   = 6
-	hotTimes   = 10
-	hotRunFor  = 4 * time.Second
-	hotOnTime  = 10 * time.Second
-	hotBurst   = time.Minute
-	hotDrain   = 75 * time.Second // at most
-	hotRate    = 0.25             // jobs a second and team
-	hotTeam    = "team-0"
-	standFor   = 10 * time.Second
-	backAfter  = 3 * time.Second
-	failAfter  = hotBurst / 2
+	hotWorkers   = 20
+	hotTeams     = 5
+	hotTasks     = 6
+	burstFactor  = 10
+	hotRunFor    = 4 * time.Second
+	hotOnTime    = 10 * time.Second
+	hotBurst     = time.Minute
+	hotDrain     = 75 * time.Second // at most
+	hotRate      = 0.25             // jobs a second and team
+	hotTeam      = "team-0"
+	pauseFor     = 10 * time.Second
+	restartAfter = 3 * time.Second
+	failAfter    = hotBurst / 2
 )
 
 // Failure is what happens in the middle of a run.
@@ -62,8 +62,8 @@
 	Failure Failure
 }
 
-// runKey names one of the four runs of a seed.
-type runKey struct{ shares, burst bool }
+// runVariant names one of the four runs of a seed.
+type runVariant struct{ shares, burst bool }
 
 // Run writes what came of the runs, fair shares off and on, with all seeds pooled. An error tells that
 // a run failed or a rule broke.
@@ -71,21 +71,21 @@
 	if !slices.Contains([]Failure{NoFailure, PlacerKilled, OwnerStands}, h.Failure) {
 		return ErrFailure
 	}
-	pooled := map[runKey]*result{}
+	pooled := map[runVariant]*hotTeamsResult{}
 	for seed := range uint64(h.Seeds) {
 		// The four runs of a seed go side by side: their clusters share nothing but this machine.
 		var mu sync.Mutex
 		g, ctx := errgroup.WithContext(ctx)
-		for _, key := range []runKey{{false, false}, {false, true}, {true, false}, {true, true}} {
+		for _, key := range []runVariant{{false, false}, {false, true}, {true, false}, {true, true}} {
 			g.Go(func() error {
-				r, err := h.play(ctx, seed, key)
+				r, err := h.runOnce(ctx, seed, key)
 				if err != nil {
 					return err
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if pooled[key] == nil {
-					pooled[key] = newResult()
+					pooled[key] = newHotTeamsResult()
 				}
 				pooled[key].add(r)
 				return nil
@@ -97,25 +97,25 @@
 		fmt.Fprintf(out, "%d of %d seeds played\n", seed+1, h.Seeds)
 	}
 	for _, shares := range []bool{false, true} {
-		h.tell(out, shares, pooled[runKey{shares, false}], pooled[runKey{shares, true}])
+		h.writeResult(out, shares, pooled[runVariant{shares, false}], pooled[runVariant{shares, true}])
 	}
 	return nil
 }
 
-// tell writes what the burst did.
-func (h *HotTeams) tell(out io.Writer, shares bool, calm, burst *result) {
+// writeResult writes what the burst did.
+func (h *HotTeams) writeResult(out io.Writer, shares bool, calm, burst *hotTeamsResult) {
 	worst := 0.0
-	for team := range calm.all {
+	for team := range calm.submitted {
 		if team != hotTeam {
-			worst = max(worst, calm.share(team)-burst.share(team))
+			worst = max(worst, calm.onTimeShare(team)-burst.onTimeShare(team))
 		}
 	}
 	fmt.Fprintf(out, "fair shares %v, failure %s, %d seeds: worst loss of another team's on-time share %.3f\n", shares, h.Failure, h.Seeds, worst)
-	for _, team := range slices.Sorted(maps.Keys(calm.all)) {
-		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n", team, calm.share(team),
-			calm.all[team], burst.share(team), burst.all[team], quantiles(calm.took[team]), quantiles(burst.took[team]))
+	for _, team := range slices.Sorted(maps.Keys(calm.submitted)) {
+		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n", team, calm.onTimeShare(team),
+			calm.submitted[team], burst.onTimeShare(team), burst.submitted[team], quantiles(calm.durations[team]), quantiles(burst.durations[team]))
 	}
-	fmt.Fprint(out, burst.table)
+	fmt.Fprint(out, burst.teamsOutput)
 }
 
 func quantiles(d *telemetry.Distribution) string {
@@ -123,37 +123,37 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// result of one run, or of several that are pooled.
-type result struct {
-	onTime, all map[string]int // jobs, by team
-	took        map[string]*telemetry.Distribution
-	table       string // merlinlatch teams at the end of the burst
+// hotTeamsResult of one run, or of several that are pooled.
+type hotTeamsResult struct {
+	onTime, submitted map[string]int // jobs, by team
+	durations         map[string]*telemetry.Distribution
+	teamsOutput       string // merlinlatch teams at the end of the burst
 }
 
-func newResult() *result {
-	return &result{onTime: map[string]int{}, all: map[string]int{}, took: map[string]*telemetry.Distribution{}}
+func newHotTeamsResult() *hotTeamsResult {
+	return &hotTeamsResult{onTime: map[string]int{}, submitted: map[string]int{}, durations: map[string]*telemetry.Distribution{}}
 }
 
-func (r *result) share(team string) float64 {
-	return float64(r.onTime[team]) / float64(max(r.all[team], 1))
+func (r *hotTeamsResult) onTimeShare(team string) float64 {
+	return float64(r.onTime[team]) / float64(max(r.submitted[team], 1))
 }
 
 // add pools another run.
-func (r *result) add(other *result) {
-	for team, n := range other.all {
-		r.all[team] += n
+func (r *hotTeamsResult) add(other *hotTeamsResult) {
+	for team, n := range other.submitted {
+		r.submitted[team] += n
 		r.onTime[team] += other.onTime[team]
-		if r.took[team] == nil {
-			r.took[team] = telemetry.NewDistribution()
+		if r.durations[team] == nil {
+			r.durations[team] = telemetry.NewDistribution()
 		}
-		r.took[team].Add(other.took[team])
+		r.durations[team].Add(other.durations[team])
 	}
-	r.table = other.table
+	r.teamsOutput = other.teamsOutput
 }
 
-// play runs a cluster under the teams' load.
-func (h *HotTeams) play(ctx context.Context, seed uint64, key runKey) (*result, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin+hotBurst+hotDrain+30*time.Second)
+// runOnce runs a cluster under the teams' load.
+func (h *HotTeams) runOnce(ctx context.Context, seed uint64, key runVariant) (*hotTeamsResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout+hotBurst+hotDrain+30*time.Second)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "merlinlatch-loopback-")
 	if err != nil {
@@ -176,59 +176,59 @@
 	for i, t := range setup.Teams {
 		rate := hotRate
 		if key.burst && t.Name == hotTeam {
-			rate *= hotTimes
+			rate *= burstFactor
 		}
 		users.Go(func() { l.submit(ctx, c, seed*100+uint64(i), i, t.Name, rate) })
 	}
 	failed := make(chan error, 1)
-	time.AfterFunc(failAfter, func() { failed <- h.fail(ctx, c) })
+	time.AfterFunc(failAfter, func() { failed <- h.injectFailure(ctx, c) })
 	users.Wait()
-	out := newResult()
-	out.table = c.teams()
+	out := newHotTeamsResult()
+	out.teamsOutput = c.teams()
 	if err := <-failed; err != nil {
 		return nil, err
 	}
-	if err := l.drain(ctx, hotDrain); err != nil {
+	if err := l.awaitFinished(ctx, hotDrain); err != nil {
 		return nil, fmt.Errorf("%w; logs are in %s", err, dir)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.twice) > 0 {
-		return nil, fmt.Errorf("tasks ran on two machines: %v; logs are in %s", c.twice, dir)
+	if len(c.duplicates) > 0 {
+		return nil, fmt.Errorf("tasks ran on two machines: %v; logs are in %s", c.duplicates, dir)
 	}
 	l.sumUp(out)
 	return out, os.RemoveAll(dir)
 }
 
-func (l *load) sumUp(out *result) {
+func (l *load) sumUp(out *hotTeamsResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, j := range l.jobs {
-		if out.took[j.group] == nil {
-			out.took[j.group] = telemetry.NewDistribution()
+		if out.durations[j.group] == nil {
+			out.durations[j.group] = telemetry.NewDistribution()
 		}
 		took := j.ended.Sub(j.submitted)
-		out.took[j.group].Record(clock.FromDuration(took))
-		out.all[j.group]++
+		out.durations[j.group].Record(clock.FromDuration(took))
+		out.submitted[j.group]++
 		if took <= hotOnTime {
 			out.onTime[j.group]++
 		}
 	}
 }
 
-// fail brings the failure about.
-func (h *HotTeams) fail(ctx context.Context, c *cluster) error {
+// injectFailure brings the failure about.
+func (h *HotTeams) injectFailure(ctx context.Context, c *cluster) error {
 	switch h.Failure {
 	case PlacerKilled:
-		host := c.placerOf(hotTeam)
+		host := c.schedulerOf(hotTeam)
 		if host == "" {
 			return errors.New("nobody places the hot team")
 		}
 		c.kill(host)
-		time.Sleep(backAfter)
+		time.Sleep(restartAfter)
 		return c.start(ctx, host)
 	case OwnerStands:
-		return c.stand("b", standFor)
+		return c.pause("b", pauseFor)
 	}
 	return nil
 }
@@ -245,21 +245,21 @@
 		}
 		time.Sleep(time.Until(start.Add(at)))
 		id := fmt.Sprintf("job-%d%05d", team, n)
-		l.add(id, name)
-		for !c.submit(ctx, client, job{id: id, team: name, rank: "normal", tasks: hotTasks, host: c.hosts[rng.IntN(len(c.hosts))]}) && ctx.Err() == nil {
+		l.addJob(id, name)
+		for !c.submit(ctx, client, submission{id: id, team: name, rank: "normal", tasks: hotTasks, host: c.hosts[rng.IntN(len(c.hosts))]}) && ctx.Err() == nil {
 			time.Sleep(time.Second)
 		}
 	}
 }
 
-// job is what a user submits, and where.
-type job struct {
+// submission is what a user submits, and where.
+type submission struct {
 	id, team, rank, host string
 	tasks                int
 }
 
 // submit sends a submission to a controller.
-func (c *cluster) submit(ctx context.Context, client *http.Client, j job) (accepted bool) {
+func (c *cluster) submit(ctx context.Context, client *http.Client, j submission) (accepted bool) {
 	body, err := json.Marshal(map[string]any{"id": j.id, "jobclass": "x", "owner": j.team, "shape": "array", "rank": j.rank, "shards": j.tasks,
 		"cpus": 2, "accelerators": 0, "mem_gb": 1, "bundle": "img", "size_gb": 1, "one_zone": false, "spread": false, "loaners": true,
 		"guess_s": c.RunFor.Seconds(), "snap_every_s": 0, "snap_s": 0})
@@ -297,8 +297,8 @@
 	return out.String()
 }
 
-// placerOf is the controller that places a team, empty where none says so.
-func (c *cluster) placerOf(team string) string {
+// schedulerOf is the controller that places a team, empty where none says so.
+func (c *cluster) schedulerOf(team string) string {
 	set, err := c.controllerSettings()
 	if err != nil {
 		return ""
--- a/internal/loopback/kvstore.go
+++ b/internal/loopback/kvstore.go
@@ -17,8 +17,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// answer writes a value as JSON.
-func answer(w http.ResponseWriter, status int, v any) {
+// writeJSON writes a value as JSON.
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		status, b = http.StatusInternalServerError, nil
@@ -38,8 +38,8 @@
 	return l.Addr().String(), nil
 }
 
-// keysMost is how many keys a page has at most.
-const keysMost = 1000
+// maxPageKeys is how many keys a page has at most.
+const maxPageKeys = 1000
 
 // stateService answers one controller as the state service, over a store in memory.
 func stateService(view *fakes.KVClient) http.Handler {
@@ -48,12 +48,12 @@
 		q := r.URL.Query()
 		items, rev, err := view.List(r.Context(), q.Get("prefix"))
 		if err != nil {
-			answer(w, 503, nil)
+			writeJSON(w, 503, nil)
 			return
 		}
 		most, _ := strconv.Atoi(q.Get("most"))
-		if most <= 0 || most > keysMost {
-			most = keysMost
+		if most <= 0 || most > maxPageKeys {
+			most = maxPageKeys
 		}
 		out := wire.ItemPage{Revision: rev}
 		for _, it := range items {
@@ -66,35 +66,35 @@
 			}
 			out.Items = append(out.Items, it)
 		}
-		answer(w, 200, out)
+		writeJSON(w, 200, out)
 	})
 	mux.HandleFunc("GET /keys/{key...}", func(w http.ResponseWriter, r *http.Request) {
 		it, found, err := view.Get(r.Context(), r.PathValue("key"))
 		switch {
 		case err != nil:
-			answer(w, 503, nil)
+			writeJSON(w, 503, nil)
 		case !found:
-			answer(w, 404, wire.TxnResponse{})
+			writeJSON(w, 404, wire.TxnResponse{})
 		default:
-			answer(w, 200, it)
+			writeJSON(w, 200, it)
 		}
 	})
 	mux.HandleFunc("POST /multi", func(w http.ResponseWriter, r *http.Request) {
 		var m wire.Txn
 		if json.NewDecoder(r.Body).Decode(&m) != nil {
-			answer(w, 400, nil)
+			writeJSON(w, 400, nil)
 			return
 		}
 		rev, err := view.Commit(r.Context(), m)
 		switch {
 		case errors.Is(err, kvstore.ErrRefused) && !strings.Contains(err.Error(), "no such lease"):
-			answer(w, 503, nil)
+			writeJSON(w, 503, nil)
 		case errors.Is(err, kvstore.ErrConflict):
-			answer(w, 409, wire.TxnResponse{Revision: rev})
+			writeJSON(w, 409, wire.TxnResponse{Revision: rev})
 		case err != nil:
-			answer(w, 400, wire.Error{Error: "no such lease"})
+			writeJSON(w, 400, wire.Error{Error: "no such lease"})
 		default:
-			answer(w, 200, wire.TxnResponse{Revision: rev})
+			writeJSON(w, 200, wire.TxnResponse{Revision: rev})
 		}
 	})
 	mux.HandleFunc("POST /holds", func(w http.ResponseWriter, r *http.Request) {
@@ -102,23 +102,23 @@
 			TTL int64 `json:"ttl_ms"`
 		}
 		if json.NewDecoder(r.Body).Decode(&in) != nil {
-			answer(w, 400, nil)
+			writeJSON(w, 400, nil)
 			return
 		}
 		id, err := view.GrantLease(r.Context(), time.Duration(in.TTL)*time.Millisecond)
 		if err != nil {
-			answer(w, 503, nil)
+			writeJSON(w, 503, nil)
 			return
 		}
-		answer(w, 200, wire.LeaseResponse{LeaseID: id})
+		writeJSON(w, 200, wire.LeaseResponse{LeaseID: id})
 	})
 	mux.HandleFunc("POST /holds/{id}/extend", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 		if err := view.KeepAlive(r.Context(), id, 0); err != nil {
-			answer(w, 404, nil)
+			writeJSON(w, 404, nil)
 			return
 		}
-		answer(w, 200, struct{}{})
+		writeJSON(w, 200, struct{}{})
 	})
 	mux.HandleFunc("GET /changes", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
@@ -126,18 +126,18 @@
 		block, _ := strconv.Atoi(q.Get("block_ms"))
 		out, err := view.Watch(r.Context(), q.Get("prefix"), after, time.Duration(block)*time.Millisecond)
 		if err != nil {
-			answer(w, 503, nil)
+			writeJSON(w, 503, nil)
 			return
 		}
-		answer(w, 200, out)
+		writeJSON(w, 200, out)
 	})
 	return mux
 }
 
-// cloud answers as a cloud that has rented the workers' machines and has no more.
-func cloud(machines []wire.Instance, types []wire.MachineType) http.Handler {
+// newCloud answers as a cloud that has rented the workers' machines and has no more.
+func newCloud(machines []wire.Instance, types []wire.MachineType) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { answer(w, 200, wire.Catalog{Types: types}) })
+	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, wire.Catalog{Types: types}) })
 	mux.HandleFunc("GET /rentals", func(w http.ResponseWriter, r *http.Request) {
 		out := wire.InstancePage{}
 		for _, m := range machines {
@@ -145,9 +145,9 @@
 				out.Instances = append(out.Instances, m)
 			}
 		}
-		answer(w, 200, out)
+		writeJSON(w, 200, out)
 	})
-	mux.HandleFunc("POST /rentals", func(w http.ResponseWriter, _ *http.Request) { answer(w, 503, wire.Error{Error: "no capacity"}) })
-	mux.HandleFunc("POST /rentals/return", func(w http.ResponseWriter, _ *http.Request) { answer(w, 200, struct{}{}) })
+	mux.HandleFunc("POST /rentals", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 503, wire.Error{Error: "no capacity"}) })
+	mux.HandleFunc("POST /rentals/return", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, struct{}{}) })
 	return mux
 }
--- a/internal/loopback/load.go
+++ b/internal/loopback/load.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// progress is a job's way to its end.
-type progress struct {
+// jobProgress is a job's way to its end.
+type jobProgress struct {
 	group     string // by which jobs are summed up
 	submitted time.Time
 	done      map[string]bool // tasks
@@ -22,16 +22,16 @@
 	tasks int // of each job
 
 	mu   sync.Mutex
-	jobs map[string]*progress
+	jobs map[string]*jobProgress
 }
 
-func newLoad(tasks int) *load { return &load{tasks: tasks, jobs: map[string]*progress{}} }
+func newLoad(tasks int) *load { return &load{tasks: tasks, jobs: map[string]*jobProgress{}} }
 
-// add notes a job that is about to be submitted.
-func (l *load) add(id, group string) {
+// addJob notes a job that is about to be submitted.
+func (l *load) addJob(id, group string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.jobs[id] = &progress{group: group, submitted: time.Now(), done: map[string]bool{}}
+	l.jobs[id] = &jobProgress{group: group, submitted: time.Now(), done: map[string]bool{}}
 }
 
 // taskDone takes the end of a task.
@@ -48,8 +48,8 @@
 	}
 }
 
-// left counts the jobs that are not done.
-func (l *load) left() (n int) {
+// unfinished counts the jobs that are not done.
+func (l *load) unfinished() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, j := range l.jobs {
@@ -60,12 +60,12 @@
 	return n
 }
 
-// drain waits until all jobs are done, for so long at most.
-func (l *load) drain(ctx context.Context, most time.Duration) error {
-	for end := time.Now().Add(most); l.left() > 0 && time.Now().Before(end) && ctx.Err() == nil; {
+// awaitFinished waits until all jobs are done, for so long at most.
+func (l *load) awaitFinished(ctx context.Context, most time.Duration) error {
+	for end := time.Now().Add(most); l.unfinished() > 0 && time.Now().Before(end) && ctx.Err() == nil; {
 		time.Sleep(200 * time.Millisecond)
 	}
-	if n := l.left(); n > 0 {
+	if n := l.unfinished(); n > 0 {
 		return fmt.Errorf("%d jobs are not done", n)
 	}
 	return nil
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -14,8 +14,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// reportEvery is how often a worker reports, and how often it looks for the ends of its tasks.
-const reportEvery = 500 * time.Millisecond
+// heartbeatInterval is how often a worker reports, and how often it looks for the ends of its tasks.
+const heartbeatInterval = 500 * time.Millisecond
 
 // fleet is all workers of a run. Their lock guards what runs where, so that a task on two
 // machines is seen.
@@ -25,16 +25,16 @@
 	runFor      time.Duration
 	controllers map[string]string // addresses for users and workers, by host
 	hosts       []string
-	began       map[string]clock.Micros // by attempt on its machine
-	on          map[string]string       // by task: where it runs
-	twice       []string                // tasks that ran on two machines
-	started     []start
+	startedAt   map[string]clock.Micros // by attempt on its machine
+	machineOf   map[string]string       // by task: where it runs
+	duplicates  []string                // tasks that ran on two machines
+	starts      []taskStart
 	cutFrom     map[string]bool // controllers that workers of a zone which is cut off don't reach
-	done        func(task string)
+	taskDone    func(task string)
 }
 
-// start is a task's start on a machine.
-type start struct {
+// taskStart is the start of a task on a machine.
+type taskStart struct {
 	task, zone string
 	at         clock.Micros
 }
@@ -42,45 +42,45 @@
 // worker is a stand-in worker that reports to one controller at a time.
 type worker struct {
 	*fakes.Worker
-	fleet *fleet
-	addr  string // its own
-	cut   bool   // its zone is cut off
-	at    int    // the controller that it reports to
+	fleet      *fleet
+	addr       string // its own
+	cut        bool   // its zone is cut off
+	controller int    // the controller that it reports to
 }
 
 // newWorker makes a worker that takes orders at an address of its own.
 func newWorker(f *fleet, id string, lease clock.Micros, at int) (*worker, error) {
-	w := &worker{Worker: fakes.NewWorker(id, lease, f.clock.Now()), fleet: f, at: at}
+	w := &worker{Worker: fakes.NewWorker(id, lease, f.clock.Now()), fleet: f, controller: at}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(rw http.ResponseWriter, r *http.Request) {
 		var o wire.Orders
 		if json.NewDecoder(r.Body).Decode(&o) != nil {
-			answer(rw, 400, nil)
+			writeJSON(rw, 400, nil)
 			return
 		}
 		f.mu.Lock()
 		if w.cut {
 			f.mu.Unlock()
-			answer(rw, 504, nil) // a proxy's word: the worker has not heard
+			writeJSON(rw, 504, nil) // a proxy's word: the worker has not heard
 			return
 		}
 		report, ok := w.Orders(o, f.clock.Now())
-		f.look(w)
+		f.updateTasks(w)
 		f.mu.Unlock()
 		report.Addr = w.addr
-		answer(rw, map[bool]int{true: 200, false: 409}[ok], report)
+		writeJSON(rw, map[bool]int{true: 200, false: 409}[ok], report)
 	})
 	addr, err := serve(mux)
 	w.addr = addr
 	return w, err
 }
 
-// look ends the worker's tasks whose time is over, and notes what runs. The lock is held.
-func (f *fleet) look(w *worker) {
+// updateTasks ends the worker's tasks whose time is over, and notes what runs. The lock is held.
+func (f *fleet) updateTasks(w *worker) {
 	now := f.clock.Now()
-	for task, machine := range f.on {
+	for task, machine := range f.machineOf {
 		if machine == w.ID && !w.Running(task) {
-			delete(f.on, task)
+			delete(f.machineOf, task)
 		}
 	}
 	for _, k := range w.InOrder() {
@@ -88,20 +88,20 @@
 			continue
 		}
 		attempt := fmt.Sprint(w.ID, k.Task, k.Attempt, w.Session)
-		if f.began[attempt] == 0 {
-			f.began[attempt] = now
-			f.started = append(f.started, start{k.Task, w.Zone, now})
+		if f.startedAt[attempt] == 0 {
+			f.startedAt[attempt] = now
+			f.starts = append(f.starts, taskStart{k.Task, w.Zone, now})
 		}
-		if now >= f.began[attempt]+clock.FromDuration(f.runFor) {
+		if now >= f.startedAt[attempt]+clock.FromDuration(f.runFor) {
 			k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-			delete(f.on, k.Task)
-			f.done(k.Task)
+			delete(f.machineOf, k.Task)
+			f.taskDone(k.Task)
 			continue
 		}
-		if other := f.on[k.Task]; other != "" && other != w.ID {
-			f.twice = append(f.twice, k.Task)
+		if other := f.machineOf[k.Task]; other != "" && other != w.ID {
+			f.duplicates = append(f.duplicates, k.Task)
 		}
-		f.on[k.Task] = w.ID
+		f.machineOf[k.Task] = w.ID
 	}
 }
 
@@ -109,25 +109,25 @@
 func (w *worker) run(ctx context.Context) {
 	client := &http.Client{Timeout: 4 * time.Second}
 	for ctx.Err() == nil {
-		w.report(client)
+		w.sendHeartbeat(client)
 		select {
-		case <-time.After(reportEvery):
+		case <-time.After(heartbeatInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (w *worker) report(client *http.Client) {
+func (w *worker) sendHeartbeat(client *http.Client) {
 	f := w.fleet
 	f.mu.Lock()
 	sent := f.clock.Now()
 	w.Check(sent)
-	f.look(w)
+	f.updateTasks(w)
 	r := w.Report(sent)
-	unreachable := w.cut && f.cutFrom[f.hosts[w.at]]
+	unreachable := w.cut && f.cutFrom[f.hosts[w.controller]]
 	f.mu.Unlock()
 	if unreachable {
-		w.at = (w.at + 1) % len(f.hosts)
+		w.controller = (w.controller + 1) % len(f.hosts)
 		return
 	}
 	r.Addr = w.addr
@@ -135,10 +135,10 @@
 	if err != nil {
 		return
 	}
-	host := f.hosts[w.at]
+	host := f.hosts[w.controller]
 	resp, err := client.Post("http://"+f.controllers[host]+wire.PathHeartbeat, "application/json", bytes.NewReader(body))
 	if err != nil {
-		w.at = (w.at + 1) % len(f.hosts)
+		w.controller = (w.controller + 1) % len(f.hosts)
 		return
 	}
 	defer resp.Body.Close()
@@ -149,7 +149,7 @@
 		if json.NewDecoder(resp.Body).Decode(&a) == nil {
 			f.mu.Lock()
 			w.Take(a, sent)
-			f.look(w)
+			f.updateTasks(w)
 			f.mu.Unlock()
 		}
 		return
@@ -157,11 +157,11 @@
 		if json.NewDecoder(resp.Body).Decode(&e) == nil && e.Leader != "" && e.Leader != host {
 			for i, h := range f.hosts {
 				if h == e.Leader {
-					w.at = i
+					w.controller = i
 					return
 				}
 			}
 		}
 	}
-	w.at = (w.at + 1) % len(f.hosts)
+	w.controller = (w.controller + 1) % len(f.hosts)
 }
--- a/internal/loopback/zonereturn.go
+++ b/internal/loopback/zonereturn.go
@@ -34,8 +34,8 @@
 	zoneRate    = 0.35              // jobs a second and rank
 )
 
-// ranks are the ranks of the teams' jobs, by what returns first.
-var ranks = []string{"high", "normal", "idle"}
+// priorities are the priorities of the teams' jobs, by what returns first.
+var priorities = []string{"high", "normal", "idle"}
 
 // ZoneReturn plays runs in which one of two zones is cut off and joined again.
 type ZoneReturn struct {
@@ -45,11 +45,11 @@
 
 // zoneResult is what came of runs.
 type zoneResult struct {
-	first  [3]*telemetry.Distribution // by rank: from the return until a task starts in the zone
-	waits  [3]*telemetry.Distribution // by rank: of the jobs submitted after the return, until their end
-	jobs   int
-	redone int // starts beyond one for each task
-	peak   int // starts in the zone in the busiest second after the return
+	firstStarts [3]*telemetry.Distribution // by rank: from the return until a task starts in the zone
+	durations   [3]*telemetry.Distribution // by rank: of the jobs submitted after the return, until their end
+	jobs        int
+	restarts    int // starts beyond one for each task
+	peakStarts  int // starts in the zone in the busiest second after the return
 }
 
 // Run writes what came of the runs, zone return off and on. An error tells that a run failed, that a job
@@ -57,19 +57,19 @@
 func (z *ZoneReturn) Run(ctx context.Context, out io.Writer) error {
 	for _, on := range []bool{false, true} {
 		sum := zoneResult{}
-		for i := range ranks {
-			sum.first[i], sum.waits[i] = telemetry.NewDistribution(), telemetry.NewDistribution()
+		for i := range priorities {
+			sum.firstStarts[i], sum.durations[i] = telemetry.NewDistribution(), telemetry.NewDistribution()
 		}
 		for seed := range uint64(z.Seeds) {
-			if err := z.play(ctx, seed, on, &sum); err != nil {
+			if err := z.runOnce(ctx, seed, on, &sum); err != nil {
 				return err
 			}
 		}
 		fmt.Fprintf(out, "zone return %v, %d seeds, %d jobs: each has one final answer at every controller; %d tasks started again; at most %d starts a second in the zone\n",
-			on, z.Seeds, sum.jobs, sum.redone, sum.peak)
-		for i, rank := range ranks {
+			on, z.Seeds, sum.jobs, sum.restarts, sum.peakStarts)
+		for i, rank := range priorities {
 			fmt.Fprintf(out, "  %s: first start in the zone after the return p50/p95/p99 %s; submitted afterwards, until done %s\n", rank,
-				quantiles(sum.first[i]), quantiles(sum.waits[i]))
+				quantiles(sum.firstStarts[i]), quantiles(sum.durations[i]))
 		}
 	}
 	return nil
@@ -79,11 +79,11 @@
 type zoneRun struct {
 	*cluster
 	*load
-	returned time.Time
+	returnedAt time.Time
 }
 
-func (z *ZoneReturn) play(ctx context.Context, seed uint64, on bool, sum *zoneResult) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin+zoneBefore+zoneCut+zoneAfter+zoneDrain+30*time.Second)
+func (z *ZoneReturn) runOnce(ctx context.Context, seed uint64, on bool, sum *zoneResult) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout+zoneBefore+zoneCut+zoneAfter+zoneDrain+30*time.Second)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "merlinlatch-loopback-")
 	if err != nil {
@@ -100,17 +100,17 @@
 	}
 	defer r.stop()
 	var users sync.WaitGroup
-	for i := range ranks {
-		users.Go(func() { r.submitRank(ctx, seed*10+uint64(i), i) })
+	for i := range priorities {
+		users.Go(func() { r.submitPriority(ctx, seed*10+uint64(i), i) })
 	}
 	time.Sleep(zoneBefore)
-	r.cutZone("b", true)
+	r.setZoneCut("b", true)
 	time.Sleep(zoneCut)
-	r.cutZone("b", false)
-	r.returned = time.Now()
+	r.setZoneCut("b", false)
+	r.returnedAt = time.Now()
 	returned := r.clock.Now()
 	users.Wait()
-	if err := r.drain(ctx, zoneDrain); err != nil {
+	if err := r.awaitFinished(ctx, zoneDrain); err != nil {
 		return fmt.Errorf("%w; logs are in %s", err, dir)
 	}
 	time.Sleep(4 * time.Second) // answers may be three seconds behind
@@ -121,8 +121,8 @@
 	return os.RemoveAll(dir)
 }
 
-// submitRank submits jobs of one rank, at controllers that are not cut off.
-func (r *zoneRun) submitRank(ctx context.Context, seed uint64, rank int) {
+// submitPriority submits jobs of one rank, at controllers that are not cut off.
+func (r *zoneRun) submitPriority(ctx context.Context, seed uint64, rank int) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	rng := fakes.Rand(seed)
 	start, at := time.Now(), time.Duration(0)
@@ -132,8 +132,8 @@
 		}
 		time.Sleep(time.Until(start.Add(at)))
 		id := fmt.Sprintf("job-%d%05d", rank, n)
-		r.add(id, ranks[rank])
-		for !r.cluster.submit(ctx, client, job{id: id, team: "team", rank: ranks[rank], tasks: zoneTasks, host: r.hosts[rng.IntN(2)]}) && ctx.Err() == nil {
+		r.addJob(id, priorities[rank])
+		for !r.cluster.submit(ctx, client, submission{id: id, team: "team", rank: priorities[rank], tasks: zoneTasks, host: r.hosts[rng.IntN(2)]}) && ctx.Err() == nil {
 			time.Sleep(time.Second)
 		}
 	}
@@ -161,7 +161,7 @@
 		}
 	}
 	r.fleet.mu.Lock()
-	twice := r.twice
+	twice := r.duplicates
 	r.fleet.mu.Unlock()
 	if len(twice) > 0 {
 		return fmt.Errorf("tasks ran on two machines: %v", twice)
@@ -185,7 +185,7 @@
 	first := [3]clock.Micros{}
 	starts := map[string]int{}
 	second := map[clock.Micros]int{}
-	for _, s := range r.started {
+	for _, s := range r.starts {
 		starts[s.task]++
 		if s.zone != "b" || s.at < returned {
 			continue
@@ -193,7 +193,7 @@
 		second[(s.at-returned)/clock.Second]++
 		id, _, _ := wire.SplitTask(s.task)
 		if j := r.jobs[id]; j != nil {
-			rank := slices.Index(ranks, j.group)
+			rank := slices.Index(priorities, j.group)
 			if first[rank] == 0 || s.at < first[rank] {
 				first[rank] = s.at
 			}
@@ -201,19 +201,19 @@
 	}
 	for rank, at := range first {
 		if at != 0 {
-			sum.first[rank].Record(at - returned)
+			sum.firstStarts[rank].Record(at - returned)
 		}
 	}
 	for _, n := range second {
-		sum.peak = max(sum.peak, n)
+		sum.peakStarts = max(sum.peakStarts, n)
 	}
 	for _, n := range starts {
-		sum.redone += n - 1
+		sum.restarts += n - 1
 	}
 	sum.jobs += len(r.jobs)
 	for _, j := range r.jobs {
-		if j.submitted.After(r.returned) {
-			sum.waits[slices.Index(ranks, j.group)].Record(clock.FromDuration(j.ended.Sub(j.submitted)))
+		if j.submitted.After(r.returnedAt) {
+			sum.durations[slices.Index(priorities, j.group)].Record(clock.FromDuration(j.ended.Sub(j.submitted)))
 		}
 	}
 }
