--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -15,33 +15,33 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-type hold struct {
-	ttl   time.Duration
-	until time.Time
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // KVStore is a state service in memory. Its holds run by the time of the test's bubble.
 type KVStore struct {
-	mu      sync.Mutex
-	keys    map[string]wire.Item
-	log     []wire.Change
-	rev     uint64
-	holds   map[uint64]*hold
-	next    uint64
-	changed chan struct{}
+	mu        sync.Mutex
+	keys      map[string]wire.Item
+	changes   []wire.Change
+	revision  uint64
+	leases    map[uint64]*lease
+	nextLease uint64
+	changed   chan struct{}
 
-	mostOps   int // changes a transaction may have, bytes that a value may have; 0: any
-	mostBytes int
+	maxOperations int // changes a transaction may have, bytes that a value may have; 0: any
+	maxValueBytes int
 
-	down    bool // answers 503 to all
-	mute    bool // executes transactions and gives no answer
-	capture bool // keeps transactions back, gives no answer
-	late    []wire.Txn
+	down     bool // answers 503 to all
+	mute     bool // executes transactions and gives no answer
+	capture  bool // keeps transactions back, gives no answer
+	captured []wire.Txn
 }
 
 // NewKVStore makes an empty state service.
 func NewKVStore() *KVStore {
-	return &KVStore{keys: map[string]wire.Item{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
+	return &KVStore{keys: map[string]wire.Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
 // KVClient is one controller's way to the state service; it can be cut off alone.
@@ -61,7 +61,7 @@
 func (s *KVStore) SetLimits(ops, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mostOps, s.mostBytes = ops, bytes
+	s.maxOperations, s.maxValueBytes = ops, bytes
 }
 
 // SetMute lets transactions be executed without an answer.
@@ -78,33 +78,33 @@
 	s.capture = capture
 }
 
-func (s *KVStore) expire() {
-	for id, h := range s.holds {
-		if time.Now().After(h.until) {
-			s.end(id)
+func (s *KVStore) expireLeases() {
+	for id, h := range s.leases {
+		if time.Now().After(h.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *KVStore) end(id uint64) {
-	delete(s.holds, id)
+func (s *KVStore) endLease(id uint64) {
+	delete(s.leases, id)
 	for k, it := range s.keys {
 		if it.LeaseID == id {
-			s.rev++
-			s.drop(k)
+			s.revision++
+			s.deleteKey(k)
 		}
 	}
 }
 
-func (s *KVStore) drop(k string) {
+func (s *KVStore) deleteKey(k string) {
 	if _, ok := s.keys[k]; ok {
 		delete(s.keys, k)
-		s.log = append(s.log, wire.Change{Drop: k, ModRevision: s.rev})
+		s.changes = append(s.changes, wire.Change{Drop: k, ModRevision: s.revision})
 	}
-	s.tell()
+	s.notifyWatchers()
 }
 
-func (s *KVStore) tell() {
+func (s *KVStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -114,14 +114,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		for _, h := range s.holds {
-			h.until = time.Now().Add(h.ttl)
+		for _, h := range s.leases {
+			h.expiresAt = time.Now().Add(h.ttl)
 		}
 	}
 	s.down = down
 }
 
-func (v *KVClient) refused() error {
+func (v *KVClient) checkAvailable() error {
 	if v.cut || v.down {
 		return fmt.Errorf("%w: status 503", kvstore.ErrRefused)
 	}
@@ -132,10 +132,10 @@
 func (v *KVClient) Get(_ context.Context, key string) (wire.Item, bool, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.refused(); err != nil {
+	if err := v.checkAvailable(); err != nil {
 		return wire.Item{}, false, err
 	}
-	v.expire()
+	v.expireLeases()
 	it, ok := v.keys[key]
 	return it, ok, nil
 }
@@ -144,10 +144,10 @@
 func (v *KVClient) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.refused(); err != nil {
+	if err := v.checkAvailable(); err != nil {
 		return nil, 0, err
 	}
-	v.expire()
+	v.expireLeases()
 	var out []wire.Item
 	for k, it := range v.keys {
 		if strings.HasPrefix(k, prefix) {
@@ -155,7 +155,7 @@
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Key < out[b].Key })
-	return out, v.rev, nil
+	return out, v.revision, nil
 }
 
 // Watch waits for changes. During an outage it stays open.
@@ -164,10 +164,10 @@
 	for {
 		v.mu.Lock()
 		var out wire.WatchResponse
-		if v.refused() == nil {
-			v.expire()
-			out.Revision = v.rev
-			for _, c := range v.log {
+		if v.checkAvailable() == nil {
+			v.expireLeases()
+			out.Revision = v.revision
+			for _, c := range v.changes {
 				if c.ModRevision > rev && strings.HasPrefix(c.Put+c.Drop, prefix) {
 					out.Changes = append(out.Changes, c)
 				}
@@ -192,11 +192,11 @@
 func (v *KVClient) Commit(_ context.Context, m wire.Txn) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.refused(); err != nil {
+	if err := v.checkAvailable(); err != nil {
 		return 0, err
 	}
 	if v.capture {
-		v.late = append(v.late, m)
+		v.captured = append(v.captured, m)
 		return 0, kvstore.ErrOutcomeUnknown
 	}
 	rev, err := v.apply(m)
@@ -218,53 +218,53 @@
 func (s *KVStore) Release() (applied int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, m := range s.late {
+	for _, m := range s.captured {
 		if _, err := s.apply(m); err == nil {
 			applied++
 		}
 	}
-	s.late = nil
+	s.captured = nil
 	return applied
 }
 
 func (s *KVStore) apply(m wire.Txn) (uint64, error) {
-	s.expire()
+	s.expireLeases()
 	for _, c := range m.Conditions {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
-			return s.rev, fmt.Errorf("%w: %s", kvstore.ErrConflict, c.Key)
+			return s.revision, fmt.Errorf("%w: %s", kvstore.ErrConflict, c.Key)
 		}
 	}
 	for _, op := range m.Operations {
-		if op.LeaseID != 0 && s.holds[op.LeaseID] == nil {
-			return s.rev, fmt.Errorf("%w: no such lease", kvstore.ErrRefused)
+		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
+			return s.revision, fmt.Errorf("%w: no such lease", kvstore.ErrRefused)
 		}
 	}
-	if s.mostOps > 0 && len(m.Operations) > s.mostOps {
-		return s.rev, fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
+	if s.maxOperations > 0 && len(m.Operations) > s.maxOperations {
+		return s.revision, fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
 	}
-	if s.mostOps > 0 && len(m.Conditions) > 4*s.mostOps {
-		return s.rev, fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
+	if s.maxOperations > 0 && len(m.Conditions) > 4*s.maxOperations {
+		return s.revision, fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
 	}
 	for _, op := range m.Operations {
-		if b, err := json.Marshal(op.Value); s.mostBytes > 0 && (err != nil || len(b) > s.mostBytes) {
-			return s.rev, fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
+		if b, err := json.Marshal(op.Value); s.maxValueBytes > 0 && (err != nil || len(b) > s.maxValueBytes) {
+			return s.revision, fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
 		}
 	}
-	s.rev++
+	s.revision++
 	for _, op := range m.Operations {
 		if op.Drop != "" {
-			s.drop(op.Drop)
+			s.deleteKey(op.Drop)
 			continue
 		}
 		b, err := json.Marshal(op.Value)
 		if err != nil {
-			return s.rev, err
+			return s.revision, err
 		}
-		s.keys[op.Put] = wire.Item{Key: op.Put, Value: b, ModRevision: s.rev, LeaseID: op.LeaseID}
-		s.log = append(s.log, wire.Change{Put: op.Put, Value: b, ModRevision: s.rev})
+		s.keys[op.Put] = wire.Item{Key: op.Put, Value: b, ModRevision: s.revision, LeaseID: op.LeaseID}
+		s.changes = append(s.changes, wire.Change{Put: op.Put, Value: b, ModRevision: s.revision})
 	}
-	s.tell()
-	return s.rev, nil
+	s.notifyWatchers()
+	return s.revision, nil
 }
 
 // Spare always has room.
@@ -274,26 +274,26 @@
 func (v *KVClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.refused(); err != nil {
+	if err := v.checkAvailable(); err != nil {
 		return 0, err
 	}
-	v.next++
-	v.holds[v.next] = &hold{ttl, time.Now().Add(ttl)}
-	return v.next, nil
+	v.nextLease++
+	v.leases[v.nextLease] = &lease{ttl, time.Now().Add(ttl)}
+	return v.nextLease, nil
 }
 
 // Extend renews a hold.
 func (v *KVClient) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.refused(); err != nil {
+	if err := v.checkAvailable(); err != nil {
 		return err
 	}
-	v.expire()
-	h := v.holds[id]
+	v.expireLeases()
+	h := v.leases[id]
 	if h == nil {
 		return kvstore.ErrLeaseNotFound
 	}
-	h.until = time.Now().Add(h.ttl)
+	h.expiresAt = time.Now().Add(h.ttl)
 	return nil
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -10,37 +10,37 @@
 
 // Worker is a machine's worker, by the protocol's page. Images take no time.
 type Worker struct {
-	ID      string
-	Type    string
-	Zone    string
-	Spot    bool
-	Lease   clock.Micros
-	Session uint64
-	Tick    uint64
-	Token   uint64
-	Tasks   map[string]*wire.TaskStatus // by name and attempt
-	Starts  map[string]int              // how often each task has started
-	NoticeS *float64                    // what its reports say of when the cloud takes it
-	renewed clock.Micros
+	ID        string
+	Type      string
+	Zone      string
+	Spot      bool
+	Lease     clock.Micros
+	Session   uint64
+	Tick      uint64
+	Token     uint64
+	Tasks     map[string]*wire.TaskStatus // by name and attempt
+	Starts    map[string]int              // how often each task has started
+	NoticeS   *float64                    // what its reports say of when the cloud takes it
+	renewedAt clock.Micros
 }
 
 // NewWorker makes a worker that began at a time.
 func NewWorker(id string, lease, now clock.Micros) *Worker {
 	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Session: 1, Tasks: map[string]*wire.TaskStatus{},
-		Starts: map[string]int{}, renewed: now}
+		Starts: map[string]int{}, renewedAt: now}
 }
 
 // Check lets the lease run out.
 func (w *Worker) Check(now clock.Micros) {
-	if now > w.renewed+w.Lease {
+	if now > w.renewedAt+w.Lease {
 		clear(w.Tasks)
 		w.Session++
-		w.renewed = now
+		w.renewedAt = now
 	}
 }
 
 // Renew starts the worker's lease anew, as when it begins.
-func (w *Worker) Renew(now clock.Micros) { w.renewed = now }
+func (w *Worker) Renew(now clock.Micros) { w.renewedAt = now }
 
 // Report is what the worker says now.
 func (w *Worker) Report(now clock.Micros) wire.Heartbeat {
@@ -70,8 +70,8 @@
 		return false
 	}
 	w.Token = a.FencingToken
-	w.renewed = sent
-	w.do(a.Orders)
+	w.renewedAt = sent
+	w.execute(a.Orders)
 	return true
 }
 
@@ -80,18 +80,18 @@
 	w.Check(now)
 	if ok = o.FencingToken >= w.Token && o.Incarnation == w.Session; ok {
 		w.Token = o.FencingToken
-		w.do(o.Orders)
+		w.execute(o.Orders)
 	}
 	return w.Report(now), ok
 }
 
-func key(task string, attempt uint64) string {
+func attemptName(task string, attempt uint64) string {
 	return wire.TaskName(task, int(attempt))
 }
 
-func (w *Worker) do(orders []wire.Order) {
+func (w *Worker) execute(orders []wire.Order) {
 	for _, o := range orders {
-		k := key(o.Task, o.Attempt)
+		k := attemptName(o.Task, o.Attempt)
 		t := w.Tasks[k]
 		switch o.Verb {
 		case wire.VerbRun:
