--- a/internal/telemetry/distribution.go
+++ b/internal/telemetry/distribution.go
@@ -6,15 +6,15 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Bounds of what a distribution tells apart: a millisecond to six hours, two digits.
+// Resolution of a distribution: from a millisecond to six hours, two significant digits.
 const (
 	spanUnit          = clock.Millisecond
 	maxSpan           = 6 * 3600 * clock.Second
 	significantDigits = 2
 )
 
-// Distribution counts spans in a histogram of some 20 kB. It is not safe for use by several
-// goroutines at a time. A nil distribution counts nothing.
+// Distribution counts durations in a histogram of some 20 kB. It is not safe for concurrent use. A nil
+// distribution counts nothing.
 type Distribution struct{ histogram *hdrhistogram.Histogram }
 
 // NewDistribution makes an empty distribution.
@@ -22,15 +22,14 @@
 	return &Distribution{hdrhistogram.New(1, int64(maxSpan/spanUnit), significantDigits)}
 }
 
-// Record counts a span. What is below a millisecond counts as none, what is above six
-// hours as six hours.
+// Record counts a duration. Below a millisecond it counts as 0, above six hours as six hours.
 func (d *Distribution) Record(span clock.Micros) {
 	if d == nil {
 		return
 	}
 	span = min(max(span, 0), maxSpan)
 	if err := d.histogram.RecordValue(int64(span / spanUnit)); err != nil {
-		panic(err) // the bounds above are the histogram's own
+		panic(err) // impossible: the bounds above are the histogram's own
 	}
 }
 
@@ -41,19 +40,27 @@
 	}
 }
 
-// Quantiles sums a distribution up.
+// Quantiles summarizes a distribution. The fields are wire format.
 type Quantiles struct {
 	Count              int64
 	P50, P95, P99, Max clock.Micros
 }
 
-// Quantiles gives the quantiles of all spans recorded so far.
+// Quantiles gives the quantiles of all durations recorded so far.
 func (d *Distribution) Quantiles() Quantiles {
 	if d == nil || d.histogram.TotalCount() == 0 {
 		return Quantiles{}
 	}
-	at := func(percent float64) clock.Micros {
-		return clock.Micros(d.histogram.ValueAtQuantile(percent)) * spanUnit
+	return Quantiles{
+		Count: d.histogram.TotalCount(),
+		P50:   d.quantile(50),
+		P95:   d.quantile(95),
+		P99:   d.quantile(99),
+		Max:   clock.Micros(d.histogram.Max()) * spanUnit,
 	}
-	return Quantiles{Count: d.histogram.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: clock.Micros(d.histogram.Max()) * spanUnit}
+}
+
+// quantile gives one quantile, in percent.
+func (d *Distribution) quantile(percent float64) clock.Micros {
+	return clock.Micros(d.histogram.ValueAtQuantile(percent)) * spanUnit
 }
--- a/internal/telemetry/distribution_test.go
+++ b/internal/telemetry/distribution_test.go
@@ -8,7 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-func TestDistribution(t *testing.T) {
+func TestDistributionGivesQuantilesWithinItsResolution(t *testing.T) {
 	var none *Distribution
 	none.Record(clock.Second)
 	require.Zero(t, none.Quantiles())
--- a/internal/telemetry/duty.go
+++ b/internal/telemetry/duty.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Duty counts the rounds of a long-lived loop, how long they took and how late its
-// timer fired. All methods accept a nil receiver, which counts nothing.
+// Duty counts the rounds of a long-lived loop, how long they took and how late its timer fired. It is safe
+// for concurrent use; a nil duty counts nothing.
 type Duty struct {
 	roundCount atomic.Int64
 	busyNS     atomic.Int64
@@ -14,7 +14,7 @@
 	latestNS   atomic.Int64
 }
 
-// Round counts one round that took so long.
+// Round counts a round and its duration.
 func (d *Duty) Round(took time.Duration) {
 	if d == nil {
 		return
@@ -24,31 +24,36 @@
 	storeMax(&d.longestNS, int64(took))
 }
 
-// Late notes by how much a timer fired later than it was set for.
+// Late records by how much a timer fired later than it was set for.
 func (d *Duty) Late(by time.Duration) {
 	if d != nil {
 		storeMax(&d.latestNS, int64(by))
 	}
 }
 
-func storeMax(most *atomic.Int64, value int64) {
+// storeMax raises a maximum to a value.
+func storeMax(maximum *atomic.Int64, value int64) {
 	for {
-		old := most.Load()
-		if value <= old || most.CompareAndSwap(old, value) {
+		old := maximum.Load()
+		if value <= old || maximum.CompareAndSwap(old, value) {
 			return
 		}
 	}
 }
 
-// dutyStats is what a duty did since the last reading.
+// dutyStats is what a duty did since its counters were last read.
 type dutyStats struct {
 	rounds        int64
 	busy          time.Duration
 	longest, late time.Duration
 }
 
-// readAndReset reads the counters and begins anew.
+// readAndReset reads the counters and sets them to 0.
 func (d *Duty) readAndReset() dutyStats {
-	return dutyStats{d.roundCount.Swap(0), time.Duration(d.busyNS.Swap(0)),
-		time.Duration(d.longestNS.Swap(0)), time.Duration(d.latestNS.Swap(0))}
+	return dutyStats{
+		rounds:  d.roundCount.Swap(0),
+		busy:    time.Duration(d.busyNS.Swap(0)),
+		longest: time.Duration(d.longestNS.Swap(0)),
+		late:    time.Duration(d.latestNS.Swap(0)),
+	}
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Interval is how often a process tells of itself.
+// Interval is how often a process logs its counters.
 const Interval = 10 * time.Second
 
-// Reporter holds a process's counters and logs them. The zero value is not usable;
-// a nil reporter counts nothing.
+// Reporter holds a process's counters and logs them. It is safe for concurrent use, Run by one goroutine.
+// The zero value is not usable; a nil reporter counts nothing.
 type Reporter struct {
 	log     *slog.Logger
 	runtime *runtimeReader
 	traffic [kindCount]Traffic
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards duties
 	duties map[string]*Duty
 }
 
@@ -36,7 +36,7 @@
 	return &r.traffic[k]
 }
 
-// Duty gives the counters of the duty of a name.
+// Duty gives the counters of a duty by its name; the first call makes them.
 func (r *Reporter) Duty(name string) *Duty {
 	if r == nil {
 		return nil
@@ -51,24 +51,23 @@
 	return d
 }
 
-// snapshot is what the counters stood at when they were last logged.
+// snapshot is a reading of all counters.
 type snapshot struct {
-	at      time.Time
+	takenAt time.Time
 	runtime Runtime
 	process time.Duration
 	traffic [kindCount]trafficTotals
 }
 
 func (r *Reporter) snapshot() snapshot {
-	out := snapshot{at: time.Now(), runtime: r.runtime.snapshot(), process: processTime()}
+	out := snapshot{takenAt: time.Now(), runtime: r.runtime.snapshot(), process: processTime()}
 	for k := range r.traffic {
 		out.traffic[k] = r.traffic[k].readTotals()
 	}
 	return out
 }
 
-// processTime is the processor time that the system has charged to this process,
-// 0 where it does not say.
+// processTime is the processor time of this process by the operating system's account, 0 if it gives none.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -94,10 +93,10 @@
 	}
 }
 
-// logProcess logs what happened between two readings.
+// logProcess logs the difference of two snapshots.
 func (r *Reporter) logProcess(ctx context.Context, last, now snapshot) {
 	const mb = 1 << 20
-	span := now.at.Sub(last.at).Seconds()
+	span := now.takenAt.Sub(last.takenAt).Seconds()
 	attrs := []slog.Attr{
 		slog.Float64("span_s", span),
 		slog.Int64("cpu_ms", (now.process - last.process).Milliseconds()),
@@ -112,7 +111,7 @@
 		slog.Uint64("stacks_kb", now.runtime.Stacks/1024),
 		slog.Uint64("goroutines", now.runtime.Goroutines),
 	}
-	for k := range Kind(kindCount) {
+	for k := range kindCount {
 		d := now.traffic[k].minus(last.traffic[k])
 		if d.messages > 0 {
 			attrs = append(attrs, slog.Group(k.String(), slog.Int64("messages", d.messages),
@@ -125,7 +124,7 @@
 	}
 }
 
-// logDuties logs one line for all duties that did something.
+// logDuties logs one line with all duties that did something.
 func (r *Reporter) logDuties(ctx context.Context) {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.duties))
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A line each interval tells what happened in it, and none of what was before.
-func TestReporterLogsWhatHappenedInEachInterval(t *testing.T) {
+// The line of an interval has what happened in it, and nothing of what was before.
+func TestReporterLogsEachIntervalByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		r := NewReporter(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})))
--- a/internal/telemetry/runtime.go
+++ b/internal/telemetry/runtime.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Names of the runtime's own metrics that are read.
+// Names of the Go runtime's metrics that are read.
 const (
 	metricTotalCPU   = "/cpu/classes/total:cpu-seconds"
 	metricIdleCPU    = "/cpu/classes/idle:cpu-seconds"
@@ -21,7 +21,7 @@
 	metricGoroutines = "/sched/goroutines:goroutines"
 )
 
-// Runtime is a reading of what the Go runtime tells of this process.
+// Runtime is a reading of the Go runtime's metrics of this process.
 type Runtime struct {
 	BusyCPU, GCCPU time.Duration // since the start, as of the last collection
 	GCCycles       uint64
@@ -29,7 +29,7 @@
 	Allocs         uint64
 	HeapLive       uint64
 	HeapGoal       uint64
-	Held           uint64 // bytes mapped by the runtime and not given back
+	Held           uint64 // bytes mapped by the runtime and not released
 	Stacks         uint64
 	Goroutines     uint64
 }
--- a/internal/telemetry/traffic.go
+++ b/internal/telemetry/traffic.go
@@ -1,6 +1,7 @@
-// Package telemetry counts what a controller process does and logs it now and then:
-// traffic by kind, rounds of its duties, and what the Go runtime tells of processor
-// time and memory. Counting is a few atomic additions; nothing here decides anything.
+// Package telemetry counts what a controller process does and logs it at intervals: traffic by kind
+// (Traffic), rounds of its loops (Duty), and the Go runtime's processor time and memory (Runtime). Reporter
+// holds the counters and logs them; Distribution summarizes durations. Counting is a few atomic additions
+// and does not allocate; nothing here decides anything.
 package telemetry
 
 import (
@@ -8,7 +9,7 @@
 	"sync/atomic"
 )
 
-// Kind is a kind of traffic, by who is at the other end.
+// Kind is a kind of traffic, by the other end of the connection.
 type Kind int
 
 // Kinds of traffic.
@@ -27,8 +28,8 @@
 // String names a kind as the log does.
 func (k Kind) String() string { return kindNames[k] }
 
-// Traffic counts the messages and bytes of one kind. A message is a request with its
-// answer. All methods accept a nil receiver, which counts nothing.
+// Traffic counts the messages and bytes of one kind. A message is a request with its response. It is safe
+// for concurrent use; a nil Traffic counts nothing.
 type Traffic struct {
 	messages atomic.Int64
 	received atomic.Int64
