--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -10,29 +10,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// Client calls one address and keeps a few connections open.
+const (
+	// minReadBuffer is how many bytes a client's connection can read at a time, at least.
+	minReadBuffer = 4 << 10
+	// maxKeptBuffer is the largest buffer that an idle connection keeps.
+	maxKeptBuffer = 64 << 10
+)
+
+// Client calls one address and keeps a few connections open. It is safe for concurrent use once Count was
+// called, if at all.
 type Client struct {
 	addr        string
-	maxIdle     int
-	maxResponse int
-	// traffic counts the requests, their answers and their bytes; it may be nil.
+	maxIdle     int // connections kept open
+	maxResponse int // bytes of a body
+	// traffic counts the requests, their responses and their bytes; it may be nil.
 	traffic *telemetry.Traffic
 
-	mu   sync.Mutex
+	mu   sync.Mutex // guards idle
 	idle []*clientConnection
 }
 
-type clientConnection struct {
-	raw    net.Conn
-	buffer []byte
-}
-
-// NewClient makes a client for addr; answers over limit bytes are refused.
+// NewClient makes a client for addr that keeps so many idle connections; responses with a body over limit
+// bytes are an error.
 func NewClient(addr string, keep, limit int) *Client {
 	return &Client{addr: addr, maxIdle: keep, maxResponse: limit}
 }
 
-// Count has the client count its traffic.
+// Count has the client count its traffic. It is called before the first request.
 func (c *Client) Count(t *telemetry.Traffic) { c.traffic = t }
 
 // Addr is the address that the client calls.
@@ -41,103 +45,130 @@
 // Do sends one request and waits for its response until ctx ends. After an
 // error the request may have been executed, or may yet be executed later.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Response, error) {
-	k, err := c.acquire(ctx)
+	conn, err := c.acquire(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("connecting to %s: %w", c.addr, err)
 	}
-	stop := context.AfterFunc(ctx, func() { k.raw.SetDeadline(time.Unix(1, 0)) }) //nolint:errcheck // the read tells
+	stop := context.AfterFunc(ctx, func() { conn.raw.SetDeadline(time.Unix(1, 0)) }) //nolint:errcheck // the read returns the error
 	request := AppendRequest(nil, method, c.addr, target, body)
-	r, err := k.roundTrip(request, c.maxResponse)
-	if r != nil {
-		c.traffic.Message(len(r.Body), len(request))
+	response, err := conn.roundTrip(request, c.maxResponse)
+	if response != nil {
+		c.traffic.Message(len(response.Body), len(request))
 	}
+	// A connection whose deadline was set, or that failed, can't be used again.
 	if !stop() || err != nil {
-		k.raw.Close()
+		conn.raw.Close()
 		if err == nil {
-			return r, nil
+			return response, nil
 		}
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
 		return nil, fmt.Errorf("%s %s: %w", method, target, err)
 	}
-	if r.Close {
-		k.raw.Close()
+	if response.Close {
+		conn.raw.Close()
 	} else {
-		c.release(k)
+		c.release(conn)
 	}
-	return r, nil
+	return response, nil
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		k.raw.Close()
+	for _, conn := range c.idle {
+		conn.raw.Close()
 	}
 	c.idle = nil
 }
 
+// acquire gives an idle connection, or a new one.
 func (c *Client) acquire(ctx context.Context) (*clientConnection, error) {
-	c.mu.Lock()
-	if n := len(c.idle); n > 0 {
-		k := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
-		return k, nil
+	if conn := c.takeIdle(); conn != nil {
+		return conn, nil
 	}
-	c.mu.Unlock()
 	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp4", c.addr)
+	raw, err := d.DialContext(ctx, "tcp4", c.addr)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConnection{raw: conn}, nil
+	return &clientConnection{raw: raw}, nil
+}
+
+// takeIdle takes the connection used last off the idle ones, nil when there is none.
+func (c *Client) takeIdle() *clientConnection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := len(c.idle)
+	if n == 0 {
+		return nil
+	}
+	conn := c.idle[n-1]
+	c.idle = c.idle[:n-1]
+	return conn
 }
 
-func (c *Client) release(k *clientConnection) {
+// release keeps a connection for later requests, or closes it when there are enough.
+func (c *Client) release(conn *clientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= c.maxIdle {
-		k.raw.Close()
+		conn.raw.Close()
 		return
 	}
-	c.idle = append(c.idle, k)
+	c.idle = append(c.idle, conn)
 }
 
-func (k *clientConnection) roundTrip(req []byte, limit int) (*Response, error) {
-	if _, err := k.raw.Write(req); err != nil {
+// clientConnection is an open connection with its read buffer; one request at a time uses it.
+type clientConnection struct {
+	raw    net.Conn
+	buffer []byte
+}
+
+// roundTrip writes a request and reads its response.
+func (c *clientConnection) roundTrip(request []byte, maxBody int) (*Response, error) {
+	if _, err := c.raw.Write(request); err != nil {
 		return nil, err
 	}
-	k.buffer = k.buffer[:0]
-	whole := 0 // bytes of the response, once its head tells
+	c.buffer = c.buffer[:0]
+	responseBytes := 0 // of the whole response; 0 while its head doesn't say
 	for {
-		if len(k.buffer) == cap(k.buffer) {
-			k.buffer = append(k.buffer, make([]byte, max(4096, len(k.buffer), min(whole, limit)-len(k.buffer)))...)[:len(k.buffer)]
-		}
-		n, err := k.raw.Read(k.buffer[len(k.buffer):cap(k.buffer)])
-		k.buffer = k.buffer[:len(k.buffer)+n]
-		if len(k.buffer) < whole && err == nil {
-			continue // a long list comes in many pieces: it is looked at once
+		readErr := c.read(responseBytes, maxBody)
+		if len(c.buffer) < responseBytes && readErr == nil {
+			continue // a long list comes in many pieces: it is parsed once
 		}
-		if whole == 0 {
-			if whole = responseSize(k.buffer); len(k.buffer) < whole && whole <= limit && err == nil {
+		if responseBytes == 0 {
+			responseBytes = responseSize(c.buffer)
+			if len(c.buffer) < responseBytes && responseBytes <= maxBody && readErr == nil {
 				continue
 			}
 		}
-		r, _, perr := ParseResponse(k.buffer, limit)
-		if perr != nil {
-			return nil, perr
+		response, _, err := ParseResponse(c.buffer, maxBody)
+		if err != nil {
+			return nil, err
 		}
-		if r != nil {
-			if cap(k.buffer) > 64<<10 {
-				k.buffer = nil
+		if response != nil {
+			if cap(c.buffer) > maxKeptBuffer {
+				c.buffer = nil
 			}
-			return r, nil
+			return response, nil
 		}
-		if err != nil {
-			return nil, err
+		if readErr != nil {
+			return nil, readErr
 		}
 	}
 }
+
+// read appends what has arrived to the buffer, which grows at least to the expected size, within the limit.
+func (c *clientConnection) read(expected, limit int) error {
+	length := len(c.buffer)
+	if length == cap(c.buffer) {
+		growth := max(minReadBuffer, length, min(expected, limit)-length)
+		c.buffer = append(c.buffer, make([]byte, growth)...)[:length]
+	}
+	n, err := c.raw.Read(c.buffer[length:cap(c.buffer)])
+	c.buffer = c.buffer[:length+n]
+	return err
+}
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -1,5 +1,9 @@
-// Package httpx is the project's own HTTP/1.1: a parser, a server on gnet with
-// a goroutine for each connection, and a client that keeps connections open.
+// Package httpx is the project's own HTTP/1.1: a parser (ParseRequest, ParseResponse), a server on gnet with
+// a goroutine for each connection (Server), and a client that keeps connections open (Client). The parser is
+// without I/O: it is given bytes, and says how many of them it took.
+//
+// Invariants: a server holds no more than its budget of bytes of requests that are not answered, and no more
+// connections than its limit; after an error of the parser the framing is lost and the connection ends.
 package httpx
 
 import (
@@ -12,9 +16,16 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Limits of a message head.
 const (
+	// maxHead is the limit of a message's head, and of a chunked body's trailers, in bytes.
 	maxHead = 16 << 10
+	// maxChunkLine is the limit of the line that begins a chunk, in bytes.
+	maxChunkLine = 256
+)
+
+var (
+	lineEnd = []byte("\r\n")
+	headEnd = []byte("\r\n\r\n")
 )
 
 // Errors of the parser. After any of them the framing is lost.
@@ -31,7 +42,7 @@
 	Close               bool
 }
 
-// Response is one response, to be written or as parsed.
+// Response is one response, to be written or parsed.
 type Response struct {
 	Status     int
 	Body       []byte
@@ -39,7 +50,7 @@
 	Close      bool
 }
 
-// JSON makes a response with v as its body.
+// JSON makes a response with v as its body, 503 if v can't be encoded.
 func JSON(status int, v any) Response {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -48,6 +59,7 @@
 	return Response{Status: status, Body: b}
 }
 
+// messageHead is what counts of a start line and headers.
 type messageHead struct {
 	startLine     string
 	contentLength int
@@ -60,7 +72,7 @@
 // parseHead reads the start line and the headers of the message in b.
 func parseHead(b []byte) (messageHead, error) {
 	h := messageHead{contentLength: -1}
-	end := bytes.Index(b, []byte("\r\n\r\n"))
+	end := bytes.Index(b, headEnd)
 	if end < 0 {
 		if len(b) > maxHead {
 			return h, ErrTooLarge
@@ -70,35 +82,14 @@
 	if end > maxHead {
 		return h, ErrTooLarge
 	}
-	h.bytes = end + 4
+	h.bytes = end + len(headEnd)
 	text := string(b[:end])
 	line, rest, _ := strings.Cut(text, "\r\n")
 	h.startLine = line
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
-		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return h, fmt.Errorf("%w: header line", ErrMalformed)
-		}
-		value = strings.Trim(value, " \t")
-		switch {
-		case strings.EqualFold(name, "content-length"):
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) || value[0] == '+' {
-				return h, fmt.Errorf("%w: content-length", ErrMalformed)
-			}
-			h.contentLength = int(n)
-		case strings.EqualFold(name, "transfer-encoding"):
-			if !strings.EqualFold(value, "chunked") {
-				return h, fmt.Errorf("%w: transfer-encoding", ErrMalformed)
-			}
-			h.chunked = true
-		case strings.EqualFold(name, "connection"):
-			if strings.EqualFold(value, "close") {
-				h.close = true
-			}
-		case strings.EqualFold(name, "retry-after"):
-			h.retryAfter, _ = strconv.Atoi(value)
+		if err := h.parseHeader(line); err != nil {
+			return h, err
 		}
 	}
 	if h.chunked && h.contentLength >= 0 {
@@ -107,58 +98,106 @@
 	return h, nil
 }
 
-// parseChunks reads a chunked body from b; used tells how many bytes it took.
-func parseChunks(b []byte, limit int) (body []byte, used int, err error) {
-	for {
-		i := bytes.Index(b[used:], []byte("\r\n"))
-		if i < 0 {
-			if len(b)-used > 256 {
-				return nil, 0, ErrMalformed
-			}
-			return nil, 0, errIncomplete
+// parseHeader reads one header line; only those that matter for framing and retries are kept.
+func (h *messageHead) parseHeader(line string) error {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || name == "" || strings.ContainsAny(name, " \t") {
+		return fmt.Errorf("%w: header line", ErrMalformed)
+	}
+	value = strings.Trim(value, " \t")
+	switch {
+	case strings.EqualFold(name, "content-length"):
+		n, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) || value[0] == '+' {
+			return fmt.Errorf("%w: content-length", ErrMalformed)
+		}
+		h.contentLength = int(n)
+	case strings.EqualFold(name, "transfer-encoding"):
+		if !strings.EqualFold(value, "chunked") {
+			return fmt.Errorf("%w: transfer-encoding", ErrMalformed)
 		}
-		size, _, _ := strings.Cut(string(b[used:used+i]), ";")
-		n, perr := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if perr != nil {
-			return nil, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+		h.chunked = true
+	case strings.EqualFold(name, "connection"):
+		if strings.EqualFold(value, "close") {
+			h.close = true
+		}
+	case strings.EqualFold(name, "retry-after"):
+		h.retryAfter, _ = strconv.Atoi(value)
+	}
+	return nil
+}
+
+// parseChunks reads a chunked body from b; used is how many bytes it took.
+func parseChunks(b []byte, maxBody int) (body []byte, used int, err error) {
+	for {
+		size, lineBytes, err := parseChunkSize(b[used:])
+		if err != nil {
+			return nil, 0, err
 		}
-		used += i + 2
-		if len(body)+int(n) > limit {
+		used += lineBytes
+		if len(body)+size > maxBody {
 			return nil, 0, ErrTooLarge
 		}
-		if n == 0 {
-			for { // trailers
-				j := bytes.Index(b[used:], []byte("\r\n"))
-				if j < 0 {
-					if len(b)-used > maxHead {
-						return nil, 0, ErrTooLarge
-					}
-					return nil, 0, errIncomplete
-				}
-				used += j + 2
-				if j == 0 {
-					return body, used, nil
-				}
+		if size == 0 {
+			trailerBytes, err := skipTrailers(b[used:])
+			if err != nil {
+				return nil, 0, err
 			}
+			return body, used + trailerBytes, nil
 		}
-		if len(b) < used+int(n)+2 {
+		if len(b) < used+size+len(lineEnd) {
 			return nil, 0, errIncomplete
 		}
-		body = append(body, b[used:used+int(n)]...)
-		used += int(n)
+		body = append(body, b[used:used+size]...)
+		used += size
 		if b[used] != '\r' || b[used+1] != '\n' {
 			return nil, 0, fmt.Errorf("%w: chunk end", ErrMalformed)
 		}
-		used += 2
+		used += len(lineEnd)
+	}
+}
+
+// parseChunkSize reads the line that begins a chunk; used is how many bytes it took.
+func parseChunkSize(b []byte) (size, used int, err error) {
+	end := bytes.Index(b, lineEnd)
+	if end < 0 {
+		if len(b) > maxChunkLine {
+			return 0, 0, ErrMalformed
+		}
+		return 0, 0, errIncomplete
+	}
+	text, _, _ := strings.Cut(string(b[:end]), ";")
+	n, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	if err != nil {
+		return 0, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+	}
+	return int(n), end + len(lineEnd), nil
+}
+
+// skipTrailers reads the trailers after the last chunk, to the empty line that ends them.
+func skipTrailers(b []byte) (used int, err error) {
+	for {
+		end := bytes.Index(b[used:], lineEnd)
+		if end < 0 {
+			if len(b)-used > maxHead {
+				return 0, ErrTooLarge
+			}
+			return 0, errIncomplete
+		}
+		used += end + len(lineEnd)
+		if end == 0 {
+			return used, nil
+		}
 	}
 }
 
-func parseBody(h messageHead, b []byte, limit int) (body []byte, used int, err error) {
+// parseBody reads the body that follows a head; used is how many bytes the whole message took.
+func parseBody(h messageHead, b []byte, maxBody int) (body []byte, used int, err error) {
 	if h.chunked {
-		body, used, err = parseChunks(b[h.bytes:], limit)
+		body, used, err = parseChunks(b[h.bytes:], maxBody)
 		return body, used + h.bytes, err
 	}
-	if h.contentLength > limit {
+	if h.contentLength > maxBody {
 		return nil, 0, ErrTooLarge
 	}
 	n := max(h.contentLength, 0)
@@ -179,8 +218,8 @@
 		return nil, 0, err
 	}
 	method, rest, ok := strings.Cut(h.startLine, " ")
-	target, proto, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || method == "" || !strings.HasPrefix(target, "/") ||
+	target, proto, hasProto := strings.Cut(rest, " ")
+	if !ok || !hasProto || method == "" || !strings.HasPrefix(target, "/") ||
 		(proto != "HTTP/1.1" && proto != "HTTP/1.0") {
 		return nil, 0, fmt.Errorf("%w: request line", ErrMalformed)
 	}
@@ -197,12 +236,12 @@
 		return nil, 0, err
 	}
 	path, query, _ := strings.Cut(target, "?")
-	return &Request{Method: method, Path: path, Query: query, Body: body,
-		Close: h.close || proto == "HTTP/1.0"}, used, nil
+	request := &Request{Method: method, Path: path, Query: query, Body: body, Close: h.close || proto == "HTTP/1.0"}
+	return request, used, nil
 }
 
-// responseSize is how many bytes the response takes that begins with b, as far
-// as its head tells; 0 when it does not.
+// responseSize is how many bytes the response takes that begins with b; 0 while, or when, its head doesn't
+// say.
 func responseSize(b []byte) int {
 	h, err := parseHead(b)
 	if err != nil || h.contentLength < 0 || h.chunked {
@@ -211,7 +250,8 @@
 	return h.bytes + h.contentLength
 }
 
-// ParseResponse reads one response from b; (nil, 0, nil) while it is not complete.
+// ParseResponse reads one response, with a body of limit bytes at most, from b, and returns how many bytes it
+// took; (nil, 0, nil) while it is not complete.
 func ParseResponse(b []byte, limit int) (*Response, int, error) {
 	h, err := parseHead(b)
 	if errors.Is(err, errIncomplete) {
@@ -239,11 +279,23 @@
 	return &Response{Status: status, Body: body, RetryAfter: h.retryAfter, Close: h.close}, used, nil
 }
 
-var reasonPhrases = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-	429: "Too Many Requests", 503: "Service Unavailable"}
+// reasonPhrases are those of the statuses that the service answers.
+var reasonPhrases = map[int]string{
+	200: "OK",
+	201: "Created",
+	400: "Bad Request",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	409: "Conflict",
+	413: "Content Too Large",
+	421: "Misdirected Request",
+	422: "Unprocessable Content",
+	429: "Too Many Requests",
+	503: "Service Unavailable",
+}
 
-// AppendResponse writes r to b.
+// AppendResponse appends r to b as it goes over the connection.
 func AppendResponse(b []byte, r Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
@@ -262,7 +314,7 @@
 	return append(b, r.Body...)
 }
 
-// AppendRequest writes a request to b.
+// AppendRequest appends a request to b as it goes over the connection.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
