--- a/internal/httpx/parse_bench_test.go
+++ b/internal/httpx/parse_bench_test.go
@@ -24,6 +24,8 @@
 }
 
 func BenchmarkUserPoll(b *testing.B) { benchmarkParse(b, userPoll) }
+
 func BenchmarkUserSubmission(b *testing.B) {
-	benchmarkParse(b, fmt.Sprintf("POST /api/jobs HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n%s", len(submittedJob), submittedJob))
+	const head = "POST /api/jobs HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
+	benchmarkParse(b, fmt.Sprintf(head, len(submittedJob))+submittedJob)
 }
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -9,24 +9,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-const post = "POST /api/jobs?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nconnection: Close\r\n\r\nhello"
+const postRequest = "POST /api/jobs?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nconnection: Close\r\n\r\nhello"
 
-// However a request is cut into pieces, it is the same request.
-func TestPiecesMakeTheSameRequest(t *testing.T) {
-	for i := range len(post) {
-		r, used, err := ParseRequest([]byte(post[:i]), 100)
+// A request is parsed once it is complete, wherever it is cut.
+func TestRequestInPiecesIsParsedOnceComplete(t *testing.T) {
+	for i := range len(postRequest) {
+		r, used, err := ParseRequest([]byte(postRequest[:i]), 100)
 		require.NoError(t, err)
 		require.Nil(t, r, "cut at %d", i)
 		require.Zero(t, used)
 	}
-	r, used, err := ParseRequest([]byte(post+"GET"), 100)
+	r, used, err := ParseRequest([]byte(postRequest+"GET"), 100)
 	require.NoError(t, err)
-	require.Equal(t, len(post), used)
+	require.Equal(t, len(postRequest), used)
 	require.Equal(t, &Request{Method: "POST", Path: "/api/jobs", Query: "x=1", Body: []byte("hello"), Close: true}, r)
 }
 
-// What one side writes the other reads, chunked or not.
-func TestRoundTrips(t *testing.T) {
+// What one side writes the other parses, chunked or not.
+func TestWrittenMessageIsParsedBack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		body := strings.Repeat("x", rng.IntN(3000))
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestMalformedRequests(t *testing.T) {
+func TestMalformedRequestIsRejected(t *testing.T) {
 	for _, bad := range []string{
 		"\r\n\r\n", "GET\r\n\r\n", "GET / HTTP/2\r\n\r\n", "get / HTTP/1.1\r\n\r\n", "GET x HTTP/1.1\r\n\r\n",
 		"GET / HTTP/1.1\r\nno colon\r\n\r\n", "GET / HTTP/1.1\r\n: empty\r\n\r\n",
@@ -67,7 +67,7 @@
 }
 
 func FuzzParseRequest(f *testing.F) {
-	f.Add([]byte(post))
+	f.Add([]byte(postRequest))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, used, err := ParseRequest(b, 1000)
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -16,9 +16,37 @@
 // Handler answers one request.
 type Handler func(ctx context.Context, r *Request) Response
 
-// Server takes inbound connections on gnet and serves each with a goroutine. Requests
-// that need no waiting are answered by the event loop itself: a hand-over to the
-// goroutine and back takes three times as many system calls.
+const (
+	// maxBody is the limit of a request's body, in bytes.
+	maxBody = 64 << 10
+	// maxUnreadBytes is how many bytes of responses a peer may leave unread before it is cut off.
+	maxUnreadBytes = 256 << 10
+	// maxBuffered is how many bytes a connection may buffer: one request, with some of the next.
+	maxBuffered = maxBody + maxHead + 1<<10
+	// maxKeptServerBuffer is the largest buffer that a connection without a request keeps.
+	maxKeptServerBuffer = 16 << 10
+	// socketBuffer is the size of the event loop's buffers for reading and writing, in bytes.
+	socketBuffer = 8 << 10
+	// stopTimeout is how long the event loop may take to stop.
+	stopTimeout = time.Second
+)
+
+// Responses of the server itself.
+var (
+	tooManyConnectionsResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many connections"}`)}
+	// overloadedResponse answers a request for which there is no memory.
+	overloadedResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many requests at a time"}`)}
+	tooLargeResponse   = Response{Status: 413, Body: []byte(`{"error":"request too large"}`), Close: true}
+	malformedResponse  = Response{Status: 400, Body: []byte(`{"error":"malformed request"}`), Close: true}
+)
+
+// Server takes inbound connections on gnet and serves each with a goroutine. Requests that need no waiting are
+// answered by the event loop itself: handing them to the goroutine and back takes three times as many system
+// calls.
+//
+// Goroutines: the event loop, which calls the methods On...; one for each connection, from its first request
+// that is not answered by the event loop until the connection or Run's context ends, waited for by Run. Fields
+// without another note are set before the event loop starts.
 type Server struct {
 	gnet.BuiltinEventEngine
 	handler Handler
@@ -29,149 +57,162 @@
 	idleTimeout     time.Duration
 	log             *slog.Logger
 
-	ctx              context.Context
+	handle func(r *Request) Response // handler with the context of Run
+	done   <-chan struct{}           // closed when the context of Run ends
+	ready  chan struct{}             // closed when the event loop has started; engine is set then
+	engine gnet.Engine
+	wg     sync.WaitGroup // the connections' goroutines
+
 	connectionCount  atomic.Int64
 	pendingBytes     atomic.Int64 // bytes of requests that are not answered yet
-	connectionsByUse *list.List   // connections, the latest used last; the event loop's own
-	engine           gnet.Engine
-	ready            chan struct{}
-	wg               sync.WaitGroup
+	connectionsByUse *list.List   // of *connection, the latest used last; only the event loop uses it
 }
 
-// NewServer makes a server that holds at most max connections and budget bytes
-// of requests that are not answered yet, and closes connections that are idle: after
-// a while, or when others come and there is no room for more. Requests that prompt
-// picks are answered by the event loop.
-func NewServer(handler Handler, prompt func(*Request) bool, max int, budget int64, idle time.Duration, log *slog.Logger) *Server {
-	return &Server{handler: handler, isPrompt: prompt, maxConnections: int64(max), maxPendingBytes: budget, idleTimeout: idle, log: log, ready: make(chan struct{}), connectionsByUse: list.New()}
+// NewServer makes a server that holds at most max connections and budget bytes of requests that are not
+// answered yet, and closes connections that are idle: after a while, or when others come and there is no room
+// for more. Requests for which prompt returns true are answered by the event loop.
+func NewServer(handler Handler, prompt func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
+	return &Server{
+		handler:          handler,
+		isPrompt:         prompt,
+		maxConnections:   int64(limit),
+		maxPendingBytes:  budget,
+		idleTimeout:      idle,
+		log:              log,
+		ready:            make(chan struct{}),
+		connectionsByUse: list.New(),
+	}
 }
 
 // connection is the inbox between the event loop and the connection's goroutine.
 type connection struct {
-	raw       gnet.Conn
-	mu        sync.Mutex
-	buffer    []byte
-	wake      chan struct{}
-	closed    bool
-	answering bool // a request of it is being answered
+	raw  gnet.Conn
+	wake chan struct{} // holds at most one notification
 
-	answeringBytes int // bytes of that request
+	mu             sync.Mutex // guards the fields below
+	buffer         []byte     // bytes of requests that are not being answered
+	closed         bool
+	answering      bool // a request is being answered
+	answeringBytes int  // bytes of that request
 
-	// The event loop's own.
-	hasGoroutine bool          // it has its goroutine
+	// Only the event loop uses these.
+	hasGoroutine bool
 	lastUsed     time.Time     // when its last request began
-	element      *list.Element // its place among those that the event loop knows
+	element      *list.Element // its place in connectionsByUse, nil once it is closed
 }
 
 // Run serves on addr until ctx ends.
 func (s *Server) Run(ctx context.Context, addr string) error {
-	s.ctx = ctx
-	go func() {
-		select {
-		case <-s.ready:
-		case <-ctx.Done():
-			return
-		}
-		<-ctx.Done()
-		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
-		defer cancel()
-		if err := s.engine.Stop(stop); err != nil {
-			s.log.Debug("stopping the server", "err", err)
-		}
-	}()
+	s.handle = func(r *Request) Response { return s.handler(ctx, r) }
+	s.done = ctx.Done()
+	// It ends at most stopTimeout after ctx. Run doesn't wait for it: gnet.Run returns once the engine stops.
+	go s.stopWithContext(ctx)
 	err := gnet.Run(s, "tcp4://"+addr, gnet.WithNumEventLoop(1), gnet.WithLogger(engineLog{s.log}),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReuseAddr(true), gnet.WithReadBufferCap(8<<10), gnet.WithWriteBufferCap(8<<10))
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReuseAddr(true),
+		gnet.WithReadBufferCap(socketBuffer), gnet.WithWriteBufferCap(socketBuffer))
 	s.wg.Wait()
 	return err
 }
 
-// OnBoot notes the engine.
+// stopWithContext stops the event loop, if it has started, when ctx ends.
+func (s *Server) stopWithContext(ctx context.Context) {
+	select {
+	case <-s.ready:
+	case <-ctx.Done():
+		return
+	}
+	<-ctx.Done()
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	defer cancel()
+	if err := s.engine.Stop(stop); err != nil {
+		s.log.Debug("server stop failed", "error", err)
+	}
+}
+
+// OnBoot keeps the engine, which stops the event loop.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
 	s.engine = eng
 	close(s.ready)
 	return gnet.None
 }
 
-// OnOpen takes a connection. When there are too many, the one that was idle for
-// longest makes room: a controller that is left alone with a fleet
-// holds the connections of workers that have given up on it, too.
+// OnOpen takes a connection. When there are too many, the one that was idle for longest is closed: a
+// controller that is left alone with a fleet also holds the connections of workers that have given up on it.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if s.connectionCount.Add(1) > s.maxConnections && !s.closeIdle() {
-		return AppendResponse(nil, Response{Status: 503, RetryAfter: 1, Close: true,
-			Body: []byte(`{"error":"too many connections"}`)}), gnet.Close
+		return AppendResponse(nil, tooManyConnectionsResponse), gnet.Close
 	}
 	now := time.Now()
 	s.closeExpired(now)
-	k := &connection{raw: c, wake: make(chan struct{}, 1), lastUsed: now}
-	k.element = s.connectionsByUse.PushBack(k)
-	c.SetContext(k)
+	conn := &connection{raw: c, wake: make(chan struct{}, 1), lastUsed: now}
+	conn.element = s.connectionsByUse.PushBack(conn)
+	c.SetContext(conn)
 	return nil, gnet.None
 }
 
-// closeExpired closes the connections whose last request began too long ago and is not
-// being answered: it was answered since, or has not come as a whole, however often a
-// piece of it comes.
+// closeExpired closes the connections whose last request began too long ago and is not being answered: it was
+// answered since, or is still incomplete, however often a piece of it arrives.
 func (s *Server) closeExpired(now time.Time) {
 	for e := s.connectionsByUse.Front(); e != nil; e = s.connectionsByUse.Front() {
-		k := e.Value.(*connection)
-		k.mu.Lock()
-		busy := k.answering
-		k.mu.Unlock()
-		if busy || now.Sub(k.lastUsed) < s.idleTimeout {
+		conn := e.Value.(*connection)
+		conn.mu.Lock()
+		answering := conn.answering
+		conn.mu.Unlock()
+		if answering || now.Sub(conn.lastUsed) < s.idleTimeout {
 			return
 		}
-		s.closeConnection(k)
+		s.closeConnection(conn)
 	}
 }
 
-// closeConnection closes a connection that the event loop knows.
-func (s *Server) closeConnection(k *connection) {
-	s.connectionsByUse.Remove(k.element)
-	k.element = nil
-	if err := k.raw.Close(); err != nil {
-		s.log.Debug("closing an idle connection", "err", err)
+// closeConnection closes a connection that is in connectionsByUse.
+func (s *Server) closeConnection(conn *connection) {
+	s.connectionsByUse.Remove(conn.element)
+	conn.element = nil
+	if err := conn.raw.Close(); err != nil {
+		s.log.Debug("idle connection close failed", "error", err)
 	}
 }
 
-// closeIdle closes the connection that was used longest ago and has no request
-// under way; false when there is none.
+// closeIdle closes the connection that was used longest ago of those without a request; false when there is
+// none.
 func (s *Server) closeIdle() bool {
 	for e := s.connectionsByUse.Front(); e != nil; e = e.Next() {
-		k := e.Value.(*connection)
-		k.mu.Lock()
-		idle := !k.answering && len(k.buffer) == 0
-		k.mu.Unlock()
+		conn := e.Value.(*connection)
+		conn.mu.Lock()
+		idle := !conn.answering && len(conn.buffer) == 0
+		conn.mu.Unlock()
 		if !idle {
 			continue
 		}
-		s.closeConnection(k)
+		s.closeConnection(conn)
 		return true
 	}
 	return false
 }
 
-// OnClose tells the goroutine that its peer is gone.
+// OnClose tells the connection's goroutine that it is closed.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	s.connectionCount.Add(-1)
-	if k, ok := c.Context().(*connection); ok {
-		if k.element != nil {
-			s.connectionsByUse.Remove(k.element)
-			k.element = nil
+	if conn, ok := c.Context().(*connection); ok {
+		if conn.element != nil {
+			s.connectionsByUse.Remove(conn.element)
+			conn.element = nil
 		}
-		k.mu.Lock()
-		k.closed = true
-		s.pendingBytes.Add(-int64(len(k.buffer)))
-		k.buffer = nil
-		k.mu.Unlock()
-		k.notify()
+		conn.mu.Lock()
+		conn.closed = true
+		s.pendingBytes.Add(-int64(len(conn.buffer)))
+		conn.buffer = nil
+		conn.mu.Unlock()
+		conn.notify()
 	}
 	return gnet.None
 }
 
-// OnTraffic hands bytes to the connection's goroutine. A peer that sends far
-// more than one request may hold is cut off here: it can't fill the memory.
+// OnTraffic answers a request that needs no waiting, and hands the bytes of others to the connection's
+// goroutine. A peer that sends far more than one request may hold is cut off here: it can't fill the memory.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	k, ok := c.Context().(*connection)
+	conn, ok := c.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
@@ -179,18 +220,18 @@
 	if err != nil {
 		return gnet.Close
 	}
-	k.mu.Lock()
-	begins := !k.answering && len(k.buffer) == 0
-	k.mu.Unlock()
-	if begins && k.element != nil {
-		k.lastUsed = time.Now()
-		s.connectionsByUse.MoveToBack(k.element)
-		s.closeExpired(k.lastUsed)
+	conn.mu.Lock()
+	begins := !conn.answering && len(conn.buffer) == 0
+	conn.mu.Unlock()
+	if begins && conn.element != nil {
+		conn.lastUsed = time.Now()
+		s.connectionsByUse.MoveToBack(conn.element)
+		s.closeExpired(conn.lastUsed)
 	}
 	if begins && s.answerPromptly(c, b) {
 		return gnet.None
 	}
-	return s.enqueue(k, b)
+	return s.enqueue(conn, b)
 }
 
 // answerPromptly answers a whole request of a kind that needs no waiting.
@@ -202,146 +243,151 @@
 	if r == nil || err != nil || used < len(b) || r.Close || !s.isPrompt(r) {
 		return false
 	}
-	answer := s.handler(s.ctx, r)
-	if _, err := c.Write(AppendResponse(nil, answer)); err != nil {
-		s.log.Debug("writing a response", "err", err)
+	if _, err := c.Write(AppendResponse(nil, s.handle(r))); err != nil {
+		s.log.Debug("response write failed", "error", err)
 	}
 	return true
 }
 
-// enqueue gives bytes to the connection's goroutine, which begins with the first
-// request that it is needed for.
-func (s *Server) enqueue(k *connection, b []byte) gnet.Action {
-	if !k.hasGoroutine {
-		k.hasGoroutine = true
-		s.wg.Go(func() { s.serveConnection(k) })
+// enqueue hands bytes to the connection's goroutine, and starts that with the first request that needs it.
+func (s *Server) enqueue(conn *connection, b []byte) gnet.Action {
+	if !conn.hasGoroutine {
+		conn.hasGoroutine = true
+		s.wg.Go(func() { s.serveConnection(conn) })
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.buffer = append(k.buffer, b...)
-	held := s.pendingBytes.Add(int64(len(b)))
-	// One request at a time: whoever sends much more, or reads no answers, is cut off.
-	if len(k.buffer) > maxBody+maxHead+1024 || k.raw.OutboundBuffered() > maxUnreadBytes {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.buffer = append(conn.buffer, b...)
+	pending := s.pendingBytes.Add(int64(len(b)))
+	// One request at a time: a peer that sends much more, or reads no responses, is cut off.
+	if len(conn.buffer) > maxBuffered || conn.raw.OutboundBuffered() > maxUnreadBytes {
 		return gnet.Close
 	}
-	if held > s.maxPendingBytes {
-		// Whoever adds to what can't be held is told at once to come back.
-		if _, err := k.raw.Write(AppendResponse(nil, overloadedResponse)); err != nil {
-			s.log.Debug("writing a response", "err", err)
+	if pending > s.maxPendingBytes {
+		// Whoever exceeds the budget is told immediately to come back.
+		if _, err := conn.raw.Write(AppendResponse(nil, overloadedResponse)); err != nil {
+			s.log.Debug("response write failed", "error", err)
 		}
 		return gnet.Close
 	}
-	k.notify()
+	conn.notify()
 	return gnet.None
 }
 
-// overloadedResponse is the answer to a request for which there is no memory.
-var overloadedResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many requests at a time"}`)}
-
-// Limits of a connection.
-const (
-	maxBody        = 64 << 10
-	maxUnreadBytes = 256 << 10 // bytes of answers that the peer has not read
-)
-
-func (k *connection) notify() {
+// notify wakes the connection's goroutine; notifications that it has not taken yet are one.
+func (c *connection) notify() {
 	select {
-	case k.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// nextRequest waits for a whole request; nil when the connection is over. The bytes that the
-// request took are held until it is answered.
-func (s *Server) nextRequest(k *connection) (*Request, error) {
+// nextRequest waits for a complete request; nil when the connection or the server is over. The bytes that the
+// request took are pending until releaseBytes.
+func (s *Server) nextRequest(conn *connection) (*Request, error) {
 	for {
-		k.mu.Lock()
-		if k.closed {
-			k.mu.Unlock()
-			return nil, nil
-		}
-		k.answering = false
-		var r *Request
-		var used int
-		var err error
-		if len(k.buffer) > 0 {
-			r, used, err = ParseRequest(k.buffer, maxBody)
-		}
-		if r != nil {
-			k.answering = true
-			k.answeringBytes = used
-			k.buffer = append(k.buffer[:0], k.buffer[used:]...)
-			if len(k.buffer) == 0 && cap(k.buffer) > 16<<10 {
-				k.buffer = nil
-			}
-		}
-		k.mu.Unlock()
-		if r != nil || err != nil {
+		r, closed, err := conn.takeRequest()
+		if closed || r != nil || err != nil {
 			return r, err
 		}
 		select {
-		case <-k.wake:
-		case <-s.ctx.Done():
+		case <-conn.wake:
+		case <-s.done:
 			return nil, nil
 		}
 	}
 }
 
+// takeRequest takes a request off the buffer, nil while there is no complete one. The request before it is no
+// longer being answered.
+func (c *connection) takeRequest() (r *Request, closed bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return nil, true, nil
+	}
+	c.answering = false
+	if len(c.buffer) == 0 {
+		return nil, false, nil
+	}
+	r, used, err := ParseRequest(c.buffer, maxBody)
+	if r == nil {
+		return nil, false, err
+	}
+	c.answering = true
+	c.answeringBytes = used
+	c.buffer = append(c.buffer[:0], c.buffer[used:]...)
+	if len(c.buffer) == 0 && cap(c.buffer) > maxKeptServerBuffer {
+		c.buffer = nil
+	}
+	return r, false, nil
+}
+
 // serveConnection answers a connection's requests, one after the other, until it is over.
-func (s *Server) serveConnection(k *connection) {
+func (s *Server) serveConnection(conn *connection) {
 	for {
-		r, err := s.nextRequest(k)
+		r, err := s.nextRequest(conn)
 		if err != nil {
-			s.writeResponse(k, errorResponse(err))
+			s.writeResponse(conn, errorResponse(err))
 			return
 		}
 		if r == nil {
-			if err := k.raw.Close(); err != nil {
-				s.log.Debug("closing a connection", "err", err)
+			if err := conn.raw.Close(); err != nil {
+				s.log.Debug("connection close failed", "error", err)
 			}
 			return
 		}
-		resp := s.handler(s.ctx, r)
-		s.releaseBytes(k)
-		resp.Close = resp.Close || r.Close
-		s.writeResponse(k, resp)
-		if resp.Close {
+		response := s.handle(r)
+		s.releaseBytes(conn)
+		response.Close = response.Close || r.Close
+		s.writeResponse(conn, response)
+		if response.Close {
 			return
 		}
 	}
 }
 
-// releaseBytes lets go of the bytes of the last request.
-func (s *Server) releaseBytes(k *connection) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s.pendingBytes.Add(-int64(k.answeringBytes))
-	k.answeringBytes = 0
+// releaseBytes takes the bytes of the answered request off the budget.
+func (s *Server) releaseBytes(conn *connection) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	s.pendingBytes.Add(-int64(conn.answeringBytes))
+	conn.answeringBytes = 0
 }
 
-// errorResponse is the answer to what is not a request.
+// errorResponse answers what can't be parsed.
 func errorResponse(err error) Response {
 	if errors.Is(err, ErrTooLarge) {
-		return Response{Status: 413, Body: []byte(`{"error":"request too large"}`), Close: true}
+		return tooLargeResponse
 	}
-	return Response{Status: 400, Body: []byte(`{"error":"malformed request"}`), Close: true}
+	return malformedResponse
 }
 
-func (s *Server) writeResponse(k *connection, r Response) {
-	var done gnet.AsyncCallback
+// writeResponse hands a response to the event loop, which writes it and closes the connection if it says so.
+func (s *Server) writeResponse(conn *connection, r Response) {
+	var written gnet.AsyncCallback
 	if r.Close {
-		done = func(c gnet.Conn, _ error) error { return c.Close() }
+		written = func(c gnet.Conn, _ error) error { return c.Close() }
 	}
-	if err := k.raw.AsyncWrite(AppendResponse(nil, r), done); err != nil {
-		s.log.Debug("writing a response", "err", err)
+	if err := conn.raw.AsyncWrite(AppendResponse(nil, r), written); err != nil {
+		s.log.Debug("response write failed", "error", err)
 	}
 }
 
-// engineLog passes the event loop's own messages on, at a level below ours.
+// engineLog logs the event loop's own messages, most of them one level lower. It is gnet's logging.Logger.
 type engineLog struct{ log *slog.Logger }
 
+// Debugf logs at debug level.
 func (l engineLog) Debugf(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
-func (l engineLog) Infof(format string, args ...any)  { l.log.Debug(fmt.Sprintf(format, args...)) }
-func (l engineLog) Warnf(format string, args ...any)  { l.log.Info(fmt.Sprintf(format, args...)) }
+
+// Infof logs at debug level.
+func (l engineLog) Infof(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
+
+// Warnf logs at info level.
+func (l engineLog) Warnf(format string, args ...any) { l.log.Info(fmt.Sprintf(format, args...)) }
+
+// Errorf logs at error level.
 func (l engineLog) Errorf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
+
+// Fatalf logs at error level; the process goes on.
 func (l engineLog) Fatalf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/httpx/server_test.go
+++ b/internal/httpx/server_test.go
@@ -13,9 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve starts a server on loopback that answers with what it was sent.
-func serve(t *testing.T, budget int64) string {
-	return serveWith(t, budget, func(_ context.Context, r *Request) Response {
+// startServer starts a server on loopback that answers with what it was sent.
+func startServer(t *testing.T, budget int64) string {
+	t.Helper()
+	return startServerWith(t, budget, func(_ context.Context, r *Request) Response {
 		return Response{Status: 200, Body: append([]byte(r.Path+" "), r.Body...)}
 	})
 }
@@ -23,24 +24,26 @@
 // isPromptRequest picks the requests that the tests' servers answer in their event loop.
 func isPromptRequest(r *Request) bool { return r.Path == "/prompt" }
 
-func serveWith(t *testing.T, budget int64, handler Handler) string {
+func startServerWith(t *testing.T, budget int64, handler Handler) string {
+	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
 	srv := NewServer(handler, isPromptRequest, 8, budget, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan error, 1)
-	go func() { over <- srv.Run(ctx, addr) }()
+	ended := make(chan error, 1)
+	go func() { ended <- srv.Run(ctx, addr) }()
 	t.Cleanup(func() {
 		stop()
-		require.NoError(t, <-over)
+		require.NoError(t, <-ended)
 	})
 	<-srv.ready
 	return addr
 }
 
 func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
 	var c net.Conn
 	require.Eventually(t, func() bool {
 		var err error
@@ -54,8 +57,8 @@
 }
 
 // A connection serves requests one after the other, also when they come in pieces.
-func TestServerAndClient(t *testing.T) {
-	addr := serve(t, 1<<20)
+func TestServerAnswersClientOneRequestAfterTheOther(t *testing.T) {
+	addr := startServer(t, 1<<20)
 	dial(t, addr)
 	c := NewClient(addr, 1, 1<<20)
 	defer c.Close()
@@ -75,9 +78,9 @@
 	require.True(t, strings.HasSuffix(string(b), "\r\n\r\n/y abc"), string(b))
 }
 
-// What is malformed or too large gets its answer, and the connection ends.
-func TestServerRefuses(t *testing.T) {
-	addr := serve(t, 1<<20)
+// A malformed or too large request gets its answer, and the connection is closed.
+func TestServerAnswersMalformedOrLargeRequestAndCloses(t *testing.T) {
+	addr := startServer(t, 1<<20)
 	for text, want := range map[string]string{
 		"nonsense\r\n\r\n": "HTTP/1.1 400 ",
 		"POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n": "HTTP/1.1 413 ",
@@ -92,8 +95,8 @@
 }
 
 // Requests that never end can't hold more memory than there is for them.
-func TestServerHoldsNoMoreThanItsBudget(t *testing.T) {
-	addr := serve(t, 10_000)
+func TestServerOverBudgetClosesAConnection(t *testing.T) {
+	addr := startServer(t, 10_000)
 	a, b := dial(t, addr), dial(t, addr)
 	head := "POST / HTTP/1.1\r\nContent-Length: 50000\r\n\r\n"
 	_, err := a.Write([]byte(head + strings.Repeat("x", 6000)))
@@ -110,10 +113,10 @@
 	<-one // one of the two was cut off
 }
 
-// With all its connections in use a server makes room for a newcomer: one of the
-// others is closed, and all the rest are served as before.
-func TestServerMakesRoomForNewcomers(t *testing.T) {
-	addr := serve(t, 1<<20)
+// A server with all its connections in use takes a new one: one of the others is closed, and all the rest are
+// served as before.
+func TestServerAtConnectionLimitClosesAnIdleOne(t *testing.T) {
+	addr := startServer(t, 1<<20)
 	ask := func(c net.Conn) bool {
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\n\r\n")); err != nil {
 			return false
@@ -128,7 +131,7 @@
 		require.True(t, ask(c))
 		conns = append(conns, c)
 	}
-	require.True(t, ask(dial(t, addr)), "the newcomer")
+	require.True(t, ask(dial(t, addr)), "the new connection")
 	served := 0
 	for _, c := range conns {
 		if ask(c) {
@@ -151,16 +154,16 @@
 
 // The connection closed is the one used longest ago of those without a request
 // under way; when all have one, none is closed.
-func TestTheConnectionIdleForLongestIsClosed(t *testing.T) {
+func TestConnectionIdleForLongestIsClosedFirst(t *testing.T) {
 	s := NewServer(nil, nil, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var conns []*fakeConn
 	for i := range 4 {
 		c := &fakeConn{}
-		k := &connection{raw: c, answering: i == 0}
+		conn := &connection{raw: c, answering: i == 0}
 		if i == 1 {
-			k.buffer = []byte("GET /x")
+			conn.buffer = []byte("GET /x")
 		}
-		k.element = s.connectionsByUse.PushBack(k)
+		conn.element = s.connectionsByUse.PushBack(conn)
 		conns = append(conns, c)
 	}
 	for _, next := range []int{2, 3} {
@@ -172,11 +175,11 @@
 	require.False(t, s.closeIdle(), "the others are being served")
 }
 
-// Workers' leases don't wait behind users: what needs no waiting is answered while
-// other connections' requests take long, and also in pieces and by turns with others.
-func TestPromptRequestsAreAnsweredWhileOthersWait(t *testing.T) {
+// Workers' leases don't wait behind users: a prompt request is answered while other connections' requests
+// take long, also in pieces and alternating with others.
+func TestPromptRequestIsAnsweredWhileOthersWait(t *testing.T) {
 	slow := make(chan struct{})
-	addr := serveWith(t, 1<<20, func(_ context.Context, r *Request) Response {
+	addr := startServerWith(t, 1<<20, func(_ context.Context, r *Request) Response {
 		if r.Path == "/slow" {
 			<-slow
 		}
@@ -211,13 +214,13 @@
 
 // A connection is closed when its last request began too long ago, also when pieces of
 // that request keep coming, but not while it is being answered.
-func TestConnectionsExpire(t *testing.T) {
+func TestConnectionWithoutRequestForIdleTimeoutIsClosed(t *testing.T) {
 	s := NewServer(nil, isPromptRequest, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	begun := time.Unix(1000, 0)
-	add := func(k *connection) *fakeConn {
+	add := func(conn *connection) *fakeConn {
 		c := &fakeConn{}
-		k.raw = c
-		k.element = s.connectionsByUse.PushBack(k)
+		conn.raw = c
+		conn.element = s.connectionsByUse.PushBack(conn)
 		return c
 	}
 	idle := add(&connection{lastUsed: begun})
@@ -233,11 +236,11 @@
 	require.False(t, recent.closed)
 }
 
-// What is being answered takes memory too: beyond the budget others are told at once to
-// come back, and are served again when it is answered.
-func TestServerShedsWhatItCannotHold(t *testing.T) {
+// What is being answered takes memory too: beyond the budget others are told immediately to come back, and
+// are served again when it is answered.
+func TestServerOverBudgetRejectsUntilRequestsAreAnswered(t *testing.T) {
 	begun, end := make(chan struct{}, 8), make(chan struct{})
-	addr := serveWith(t, 10_000, func(_ context.Context, r *Request) Response {
+	addr := startServerWith(t, 10_000, func(context.Context, *Request) Response {
 		begun <- struct{}{}
 		<-end
 		return Response{Status: 200, Body: []byte("done")}
