--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -6,63 +6,84 @@
 	"slices"
 )
 
-// Violation is a rule that a history breaks.
+// Violation is an invariant that a history violates.
 type Violation struct {
 	Job  string
 	Task int32
 	What string
 }
 
-// String tells what is wrong.
+// String names the task and what is wrong.
 func (v Violation) String() string { return fmt.Sprintf("%s/%d: %s", v.Job, v.Task, v.What) }
 
-// Check holds the rules against a history: no task runs on two machines at a time, and every job
-// that is over has one final answer. Times of different controllers are good to so many
-// milliseconds; shorter overlaps are not told. A history that begins late or lacks a controller shows less.
+// Check finds violations of two invariants: no task runs on two machines at a time, and every job that is over
+// has one final state. Clocks of different controllers may differ by skewMS milliseconds: shorter overlaps are
+// not reported. A history that begins late or lacks a controller shows less.
 func Check(events []Event, skewMS int64) []Violation {
-	list := slices.Clone(events)
-	slices.SortStableFunc(list, func(a, b Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
-	out := checkFinalStates(list)
-	return append(out, checkConcurrentRuns(list, skewMS)...)
+	ordered := slices.Clone(events)
+	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
+	return append(checkFinalStates(ordered), checkConcurrentRuns(ordered, skewMS)...)
 }
 
-// checkFinalStates finds jobs with more than one final answer.
-func checkFinalStates(list []Event) (out []Violation) {
+// checkFinalStates finds jobs with more than one final state.
+func checkFinalStates(ordered []Event) (out []Violation) {
 	phases := map[string]string{}
-	for _, e := range list {
+	for _, e := range ordered {
 		if e.Kind != JobOver {
 			continue
 		}
-		if was, ok := phases[e.Job]; ok && was != e.Note {
-			out = append(out, Violation{Job: e.Job, What: "it is over as " + was + " and as " + e.Note})
+		if earlier, ok := phases[e.Job]; ok && earlier != e.Note {
+			out = append(out, Violation{Job: e.Job, What: "it is over as " + earlier + " and as " + e.Note})
 		}
 		phases[e.Job] = e.Note
 	}
 	return out
 }
 
+// taskKey identifies a task.
 type taskKey struct {
 	job  string
 	task int32
 }
 
+// attemptKey identifies an attempt on a machine.
 type attemptKey struct {
 	taskKey
 	attempt uint64
 	machine string
 }
 
-// attemptRun is one attempt on one machine.
+// attemptRun is when an attempt ran on a machine.
 type attemptRun struct {
 	attemptKey
-	startedMS, endedMS int64 // 0: not seen
+	startedMS, endedMS int64 // time of day; 0: not seen
 }
 
 // checkConcurrentRuns finds tasks that ran on two machines at a time.
-func checkConcurrentRuns(list []Event, skewMS int64) (out []Violation) {
+func checkConcurrentRuns(ordered []Event, skewMS int64) (out []Violation) {
+	for task, runs := range collectRuns(ordered) {
+		for i, a := range runs {
+			for _, b := range runs[i+1:] {
+				if a.overlaps(b, skewMS) {
+					what := fmt.Sprintf("attempt %d on %s and attempt %d on %s ran at the same time",
+						a.attempt, a.machine, b.attempt, b.machine)
+					out = append(out, Violation{Job: task.job, Task: task.task, What: what})
+				}
+			}
+		}
+	}
+	slices.SortFunc(out, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.What, b.What))
+	})
+	return out
+}
+
+// collectRuns gathers the attempts of each task, in the order in which they were first seen. An attempt's start
+// is its first running event, its end its last ended event.
+func collectRuns(ordered []Event) map[taskKey][]*attemptRun {
 	runs := map[attemptKey]*attemptRun{}
 	byTask := map[taskKey][]*attemptRun{}
-	for _, e := range list {
+	for _, e := range ordered {
 		if e.Kind != TaskRunning && e.Kind != TaskEnded {
 			continue
 		}
@@ -81,24 +102,11 @@
 			r.endedMS = e.AtMS
 		}
 	}
-	for task, all := range byTask {
-		for i, a := range all {
-			for _, b := range all[i+1:] {
-				if a.overlaps(b, skewMS) {
-					out = append(out, Violation{task.job, task.task, fmt.Sprintf("attempt %d on %s and attempt %d on %s ran at the same time",
-						a.attempt, a.machine, b.attempt, b.machine)})
-				}
-			}
-		}
-	}
-	slices.SortFunc(out, func(a, b Violation) int {
-		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.What, b.What))
-	})
-	return out
+	return byTask
 }
 
-// overlaps tells that two runs on different machines ran at the same time for longer than
-// the clocks may differ. What has no end is not judged: its machine's end may not have been seen.
+// overlaps tells that two attempts on different machines ran at the same time for longer than the clocks may
+// differ. An attempt without a start or an end is left out: its machine's loss may not have been seen.
 func (r *attemptRun) overlaps(other *attemptRun, skewMS int64) bool {
 	if r.machine == other.machine || r.startedMS == 0 || other.startedMS == 0 || r.endedMS == 0 || other.endedMS == 0 {
 		return false
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 )
 
-// The ring keeps the latest events, numbers them, and tells how many were lost.
-func TestRingIsBounded(t *testing.T) {
+// The ring keeps the latest events, numbers them, and counts those that are lost.
+func TestRingBeyondCapacityKeepsLatestEvents(t *testing.T) {
 	var none *Ring
 	none.Add(Event{})
 	require.Empty(t, none.Page(0, 10).Events)
@@ -33,12 +34,14 @@
 	require.Equal(t, "99", rest.Events[13].Job)
 }
 
-func TestFilesAreReadAsTheyWereWritten(t *testing.T) {
+func TestFileIsReadAsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	var events []Event
 	for i := range 3000 {
-		events = append(events, Event{AtMS: int64(1000 + i), Controller: "a", Kind: TaskEnded, Job: fmt.Sprintf("job-%d", i/10), Task: int32(i % 10),
-			Attempt: uint64(i) << 32, Machine: "m-1", Zone: "z", Note: "done"})
+		events = append(events, Event{
+			AtMS: int64(1000 + i), Controller: "a", Kind: TaskEnded, Job: fmt.Sprintf("job-%d", i/10), Task: int32(i % 10),
+			Attempt: uint64(i) << 32, Machine: "m-1", Zone: "z", Note: "done",
+		})
 	}
 	require.NoError(t, Write(path, events))
 	got, err := Read(path)
@@ -55,22 +58,24 @@
 	require.Error(t, Write(filepath.Join(path, "x"), events))
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckFindsConcurrentRunsAndSecondFinalStates(t *testing.T) {
 	run := func(at int64, kind Kind, attempt uint64, machine string) Event {
 		return Event{AtMS: at, Kind: kind, Job: "job-1", Attempt: attempt, Machine: machine}
 	}
 	over := func(phase string) Event { return Event{AtMS: 9000, Kind: JobOver, Job: "job-1", Note: phase} }
-	for name, x := range map[string]struct {
+	// The first attempt runs for four seconds; clipped, so that the cases don't share what they append.
+	first := slices.Clip([]Event{run(1000, TaskRunning, 1, "m-1"), run(5000, TaskEnded, 1, "m-1")})
+	for name, test := range map[string]struct {
 		events []Event
 		want   int
 	}{
-		"one after the other":         {[]Event{run(1000, TaskRunning, 1, "m-1"), run(5000, TaskEnded, 1, "m-1"), run(5100, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")}, 0},
-		"at the same time":            {[]Event{run(1000, TaskRunning, 1, "m-1"), run(5000, TaskEnded, 1, "m-1"), run(3000, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")}, 1},
-		"less than the clocks differ": {[]Event{run(1000, TaskRunning, 1, "m-1"), run(5000, TaskEnded, 1, "m-1"), run(4500, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")}, 0},
-		"seen by two owners":          {[]Event{run(1000, TaskRunning, 1, "m-1"), run(2000, TaskRunning, 1, "m-1"), run(5000, TaskEnded, 1, "m-1")}, 0},
-		"one end, told twice":         {[]Event{over("done"), over("done")}, 0},
-		"two ends":                    {[]Event{over("done"), over("cancelled")}, 1},
+		"one after the other":         {append(first, run(5100, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")), 0},
+		"at the same time":            {append(first, run(3000, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")), 1},
+		"less than the clocks differ": {append(first, run(4500, TaskRunning, 2, "m-2"), run(8000, TaskEnded, 2, "m-2")), 0},
+		"seen by two leaders":         {[]Event{first[0], run(2000, TaskRunning, 1, "m-1"), first[1]}, 0},
+		"one final state, seen twice": {[]Event{over("done"), over("done")}, 0},
+		"two final states":            {[]Event{over("done"), over("cancelled")}, 1},
 	} {
-		t.Run(name, func(t *testing.T) { require.Len(t, Check(x.events, 1000), x.want) })
+		t.Run(name, func(t *testing.T) { require.Len(t, Check(test.events, 1000), test.want) })
 	}
 }
--- a/internal/history/parquet.go
+++ b/internal/history/parquet.go
@@ -7,9 +7,12 @@
 	"github.com/parquet-go/parquet-go"
 )
 
+// temporarySuffix names the file that is written before it replaces the one asked for.
+const temporarySuffix = ".part"
+
 // Write writes a history to a file in the Parquet format, whole or not at all.
-func Write(path string, events []Event) (err error) {
-	temporary := path + ".part"
+func Write(path string, events []Event) error {
+	temporary := path + temporarySuffix
 	if err := parquet.WriteFile(temporary, events, parquet.Compression(&parquet.Zstd)); err != nil {
 		os.Remove(temporary) //nolint:errcheck // the first error counts
 		return fmt.Errorf("writing the history: %w", err)
