--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -68,7 +68,7 @@
 	connectionsByUse *list.List   // of *connection, the latest used last; only the event loop uses it
 }
 
-// NewServer makes a server that holds at most max connections and budget bytes of requests that are not
+// NewServer makes a server that holds at most limit connections and budget bytes of requests that are not
 // answered yet, and closes connections that are idle: after a while, or when others come and there is no room
 // for more. Requests for which prompt returns true are answered by the event loop.
 func NewServer(handler Handler, prompt func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -10,15 +10,15 @@
 
 const sec = clock.Second
 
-func TestCost(t *testing.T) {
+func TestCostSumsFetchPaceAndWeights(t *testing.T) {
 	task := &Task{Estimate: 30 * sec, Fetch: 8 * sec}
 	w := &Weights{Data: 1}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		machine Machine
 		weights *Weights
 		want    float64
 	}{
-		"the image is there":                     {Machine{HasImage: true}, w, 0},
+		"it has the image":                       {Machine{HasImage: true}, w, 0},
 		"the image is fetched":                   {Machine{}, w, 8},
 		"beside two others, at a third the rate": {Machine{Others: 2}, w, 24},
 		"the fetch has begun":                    {Machine{Fetching: true}, w, 4},
@@ -26,14 +26,14 @@
 		"a fast machine":                         {Machine{HasImage: true, Pace: 0.9}, w, -3},
 		"where images are does not matter":       {Machine{Others: 5}, &Weights{}, 0},
 		"evenness against data":                  {Machine{HasImage: true, InUse: 0.75}, &Weights{Data: 1, Even: 20}, 15},
-		"the dearest kind":                       {Machine{HasImage: true, PricePart: 1}, &Weights{Data: 1, Price: 3}, 3},
+		"the most expensive kind":                {Machine{HasImage: true, PricePart: 1}, &Weights{Data: 1, Price: 3}, 3},
 		"what is not known counts for nothing":   {Machine{HasImage: true}, &Weights{Data: 1, Price: 3}, 0},
 	} {
-		t.Run(name, func(t *testing.T) { require.InDelta(t, x.want, Cost(task, &x.machine, x.weights), 1e-9) })
+		t.Run(name, func(t *testing.T) { require.InDelta(t, test.want, Cost(task, &test.machine, test.weights), 1e-9) })
 	}
 }
 
-func TestTheWaitForAnImageIsBounded(t *testing.T) {
+func TestWaitForImageIsBounded(t *testing.T) {
 	w := &Weights{Data: 1}
 	require.Equal(t, 3*sec, WaitFor(&Task{Fetch: 3 * sec}, w, 8*sec))
 	require.Equal(t, 8*sec, WaitFor(&Task{Fetch: 30 * sec}, w, 8*sec))
