--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -1,10 +1,12 @@
-// Package fakes holds in-memory stand-ins of the state service and of workers
-// for the tests of the rules. They keep to the protocol's pages.
+// Package fakes holds in-memory fakes of the key-value store (KVStore, KVClient) and of workers (Worker), for
+// tests and for the runs of package loopback. They keep to the protocol's pages. They do no I/O; the key-value
+// store takes its time from package time, so that it runs by the clock of a synctest bubble.
 package fakes
 
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"sort"
 	"strings"
@@ -15,69 +17,80 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
+// ErrNoSuchLease means that a transaction puts a key with a lease that has ended.
+var ErrNoSuchLease = errors.New("no such lease")
+
+// conditionsPerOperation is how many conditions a transaction may have for each operation that it may have.
+const conditionsPerOperation = 4
+
+// watchRetry is how often a watch looks for changes without being notified: leases expire without a request.
+const watchRetry = 100 * time.Millisecond
+
+// lease is a controller lease: keys put with it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// KVStore is a state service in memory. Its holds run by the time of the test's bubble.
+// KVStore is a key-value store in memory. It is safe for concurrent use.
 type KVStore struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards all fields, and those of the store's KVClients
 	keys      map[string]wire.Item
-	changes   []wire.Change
+	changes   []wire.Change // all since the start
 	revision  uint64
 	leases    map[uint64]*lease
-	nextLease uint64
-	changed   chan struct{}
+	nextLease uint64        // the latest lease's id
+	changed   chan struct{} // closed and replaced with each change
 
-	maxOperations int // changes a transaction may have, bytes that a value may have; 0: any
-	maxValueBytes int
+	maxOperations int // operations of a transaction; 0: any
+	maxValueBytes int // bytes of a value; 0: any
 
-	down     bool // answers 503 to all
-	mute     bool // executes transactions and gives no answer
-	capture  bool // keeps transactions back, gives no answer
-	captured []wire.Txn
+	down     bool       // an outage: all requests are answered 503
+	mute     bool       // executes transactions without an answer
+	capture  bool       // captures transactions without an answer
+	captured []wire.Txn // not executed until Release
 }
 
-// NewKVStore makes an empty state service.
+// NewKVStore makes an empty store.
 func NewKVStore() *KVStore {
 	return &KVStore{keys: map[string]wire.Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-// KVClient is one controller's way to the state service; it can be cut off alone.
+// KVClient is one controller's client of the store; it can be cut off alone.
 type KVClient struct {
 	*KVStore
-	cut bool
+	cut bool // guarded by the store's mu
 }
 
-// SetCut lets this controller alone be refused, or served again.
-func (v *KVClient) SetCut(cut bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.cut = cut
+// SetCut has the store answer 503 to this controller alone, or ends that.
+func (c *KVClient) SetCut(cut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cut = cut
 }
 
-// SetLimits bounds the changes of a transaction, four times as many conditions, and the bytes of a value.
+// SetLimits limits the operations of a transaction, its conditions (conditionsPerOperation) and the bytes of a value.
 func (s *KVStore) SetLimits(ops, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxOperations, s.maxValueBytes = ops, bytes
 }
 
-// SetMute lets transactions be executed without an answer.
+// SetMute has transactions executed without an answer, or ends that.
 func (s *KVStore) SetMute(mute bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mute = mute
 }
 
-// SetCapture keeps transactions back, without an answer, until Release.
+// SetCapture has transactions captured without an answer until Release, or ends that.
 func (s *KVStore) SetCapture(capture bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capture = capture
 }
 
+// expireLeases ends the leases whose time is over. The lock is held, as for all unexported methods.
 func (s *KVStore) expireLeases() {
 	for id, h := range s.leases {
 		if time.Now().After(h.expiresAt) {
@@ -86,6 +99,7 @@
 	}
 }
 
+// endLease ends a lease and deletes its keys.
 func (s *KVStore) endLease(id uint64) {
 	delete(s.leases, id)
 	for k, it := range s.keys {
@@ -96,6 +110,7 @@
 	}
 }
 
+// deleteKey deletes a key at the present revision.
 func (s *KVStore) deleteKey(k string) {
 	if _, ok := s.keys[k]; ok {
 		delete(s.keys, k)
@@ -104,12 +119,13 @@
 	s.notifyWatchers()
 }
 
+// notifyWatchers wakes all watches.
 func (s *KVStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetDown starts or ends an outage. Once it is over every hold has its full time again.
+// SetDown starts or ends an outage. Once it is over every lease has its full time again.
 func (s *KVStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,100 +137,101 @@
 	s.down = down
 }
 
-func (v *KVClient) checkAvailable() error {
-	if v.cut || v.down {
+// checkAvailable rejects a request during an outage or while this controller is cut off.
+func (c *KVClient) checkAvailable() error {
+	if c.cut || c.down {
 		return fmt.Errorf("%w: status 503", kvstore.ErrRefused)
 	}
 	return nil
 }
 
 // Get reads a key.
-func (v *KVClient) Get(_ context.Context, key string) (wire.Item, bool, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.checkAvailable(); err != nil {
+func (c *KVClient) Get(_ context.Context, key string) (wire.Item, bool, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.checkAvailable(); err != nil {
 		return wire.Item{}, false, err
 	}
-	v.expireLeases()
-	it, ok := v.keys[key]
+	c.expireLeases()
+	it, ok := c.keys[key]
 	return it, ok, nil
 }
 
 // List reads all keys with a prefix.
-func (v *KVClient) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.checkAvailable(); err != nil {
+func (c *KVClient) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.checkAvailable(); err != nil {
 		return nil, 0, err
 	}
-	v.expireLeases()
+	c.expireLeases()
 	var out []wire.Item
-	for k, it := range v.keys {
+	for k, it := range c.keys {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Key < out[b].Key })
-	return out, v.revision, nil
+	return out, c.revision, nil
 }
 
 // Watch waits for changes. During an outage it stays open.
-func (v *KVClient) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+func (c *KVClient) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	deadline := time.Now().Add(block)
 	for {
-		v.mu.Lock()
+		c.mu.Lock()
 		var out wire.WatchResponse
-		if v.checkAvailable() == nil {
-			v.expireLeases()
-			out.Revision = v.revision
-			for _, c := range v.changes {
-				if c.ModRevision > rev && strings.HasPrefix(c.Put+c.Drop, prefix) {
-					out.Changes = append(out.Changes, c)
+		if c.checkAvailable() == nil {
+			c.expireLeases()
+			out.Revision = c.revision
+			for _, change := range c.changes {
+				if change.ModRevision > rev && strings.HasPrefix(change.Put+change.Drop, prefix) {
+					out.Changes = append(out.Changes, change)
 				}
 			}
 		}
-		changed := v.changed
-		v.mu.Unlock()
+		changed := c.changed
+		c.mu.Unlock()
 		if len(out.Changes) > 0 || !time.Now().Before(deadline) {
 			out.Revision = max(out.Revision, rev)
 			return out, nil
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(100*time.Millisecond, time.Until(deadline))):
+		case <-time.After(min(watchRetry, time.Until(deadline))):
 		case <-ctx.Done():
 			return wire.WatchResponse{}, ctx.Err()
 		}
 	}
 }
 
-// Commit carries out a transaction.
-func (v *KVClient) Commit(_ context.Context, m wire.Txn) (uint64, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.checkAvailable(); err != nil {
+// Commit executes a transaction.
+func (c *KVClient) Commit(_ context.Context, m wire.Txn) (uint64, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.checkAvailable(); err != nil {
 		return 0, err
 	}
-	if v.capture {
-		v.captured = append(v.captured, m)
+	if c.capture {
+		c.captured = append(c.captured, m)
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	rev, err := v.apply(m)
-	if v.mute {
+	rev, err := c.apply(m)
+	if c.mute {
 		return 0, kvstore.ErrOutcomeUnknown
 	}
 	return rev, err
 }
 
-// CommitAt is Commit, with a word right before.
-func (v *KVClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+// CommitWithCheck calls sending right before Commit; an error of it means that nothing was sent.
+func (c *KVClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
-	return v.Commit(ctx, m)
+	return c.Commit(ctx, m)
 }
 
-// Release carries out the transactions that were kept back, and tells how many held.
+// Release executes the captured transactions, and returns how many were applied.
 func (s *KVStore) Release() (applied int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,28 +244,11 @@
 	return applied
 }
 
+// apply executes a transaction whose conditions hold, and returns the revision.
 func (s *KVStore) apply(m wire.Txn) (uint64, error) {
 	s.expireLeases()
-	for _, c := range m.Conditions {
-		if s.keys[c.Key].ModRevision != c.ModRevision {
-			return s.revision, fmt.Errorf("%w: %s", kvstore.ErrConflict, c.Key)
-		}
-	}
-	for _, op := range m.Operations {
-		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
-			return s.revision, fmt.Errorf("%w: no such lease", kvstore.ErrRefused)
-		}
-	}
-	if s.maxOperations > 0 && len(m.Operations) > s.maxOperations {
-		return s.revision, fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
-	}
-	if s.maxOperations > 0 && len(m.Conditions) > 4*s.maxOperations {
-		return s.revision, fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
-	}
-	for _, op := range m.Operations {
-		if b, err := json.Marshal(op.Value); s.maxValueBytes > 0 && (err != nil || len(b) > s.maxValueBytes) {
-			return s.revision, fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
-		}
+	if err := s.checkTransaction(m); err != nil {
+		return s.revision, err
 	}
 	s.revision++
 	for _, op := range m.Operations {
@@ -267,30 +267,56 @@
 	return s.revision, nil
 }
 
-// Spare always has room.
-func (v *KVClient) HasSpareWrites(int) bool { return true }
+// checkTransaction checks a transaction's conditions, leases and limits, in this order.
+func (s *KVStore) checkTransaction(m wire.Txn) error {
+	for _, condition := range m.Conditions {
+		if s.keys[condition.Key].ModRevision != condition.ModRevision {
+			return fmt.Errorf("%w: %s", kvstore.ErrConflict, condition.Key)
+		}
+	}
+	for _, op := range m.Operations {
+		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
+			return fmt.Errorf("%w: %w", kvstore.ErrRefused, ErrNoSuchLease)
+		}
+	}
+	if s.maxOperations > 0 && len(m.Operations) > s.maxOperations {
+		return fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
+	}
+	if s.maxOperations > 0 && len(m.Conditions) > conditionsPerOperation*s.maxOperations {
+		return fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
+	}
+	for _, op := range m.Operations {
+		if b, err := json.Marshal(op.Value); s.maxValueBytes > 0 && (err != nil || len(b) > s.maxValueBytes) {
+			return fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
+		}
+	}
+	return nil
+}
+
+// HasSpareWrites is always true: the fake has no limit of requests.
+func (*KVClient) HasSpareWrites(int) bool { return true }
 
-// Grant makes a hold.
-func (v *KVClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.checkAvailable(); err != nil {
+// GrantLease makes a lease and returns its id.
+func (c *KVClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.checkAvailable(); err != nil {
 		return 0, err
 	}
-	v.nextLease++
-	v.leases[v.nextLease] = &lease{ttl, time.Now().Add(ttl)}
-	return v.nextLease, nil
+	c.nextLease++
+	c.leases[c.nextLease] = &lease{ttl, time.Now().Add(ttl)}
+	return c.nextLease, nil
 }
 
-// Extend renews a hold.
-func (v *KVClient) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.checkAvailable(); err != nil {
+// KeepAlive renews a lease.
+func (c *KVClient) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.checkAvailable(); err != nil {
 		return err
 	}
-	v.expireLeases()
-	h := v.leases[id]
+	c.expireLeases()
+	h := c.leases[id]
 	if h == nil {
 		return kvstore.ErrLeaseNotFound
 	}
--- a/internal/fakes/random.go
+++ b/internal/fakes/random.go
@@ -2,8 +2,11 @@
 
 import "math/rand/v2"
 
-// Rand is a source of chance with a fixed seed.
-func Rand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed^0x9e3779b9)) }
+// goldenRatio32 makes the generator's second seed differ from its first.
+const goldenRatio32 = 0x9e3779b9
 
-// Seed is what the tests' controllers draw by.
+// Rand is a random number generator with a fixed seed.
+func Rand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed^goldenRatio32)) }
+
+// Seed is the seed of the tests' controllers.
 const Seed = 1
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -8,29 +8,29 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Worker is a machine's worker, by the protocol's page. Images take no time.
+// Worker is a machine's worker, by the protocol's page. Images take no time. It is not safe for concurrent use.
 type Worker struct {
 	ID        string
 	Type      string
 	Zone      string
 	Spot      bool
 	Lease     clock.Micros
-	Session   uint64
+	Session   uint64 // incarnation
 	Tick      uint64
-	Token     uint64
+	Token     uint64                      // highest fencing token seen
 	Tasks     map[string]*wire.TaskStatus // by name and attempt
 	Starts    map[string]int              // how often each task has started
-	NoticeS   *float64                    // what its reports say of when the cloud takes it
-	renewedAt clock.Micros
+	NoticeS   *float64                    // eviction notice that its heartbeats carry
+	renewedAt clock.Micros                // start of the worker lease
 }
 
-// NewWorker makes a worker that began at a time.
+// NewWorker makes a worker whose lease starts now.
 func NewWorker(id string, lease, now clock.Micros) *Worker {
 	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Session: 1, Tasks: map[string]*wire.TaskStatus{},
 		Starts: map[string]int{}, renewedAt: now}
 }
 
-// Check lets the lease run out.
+// Check ends all tasks, and begins a new incarnation, if the worker lease has expired.
 func (w *Worker) Check(now clock.Micros) {
 	if now > w.renewedAt+w.Lease {
 		clear(w.Tasks)
@@ -39,10 +39,10 @@
 	}
 }
 
-// Renew starts the worker's lease anew, as when it begins.
+// Renew starts the worker's lease anew.
 func (w *Worker) Renew(now clock.Micros) { w.renewedAt = now }
 
-// Report is what the worker says now.
+// Report makes the worker's next heartbeat.
 func (w *Worker) Report(now clock.Micros) wire.Heartbeat {
 	w.Check(now)
 	w.Tick++
@@ -64,7 +64,7 @@
 	return out
 }
 
-// Take takes the answer to a report that was sent at a time.
+// Take handles the response to a heartbeat that was sent at a time; false for a fencing token that is too low.
 func (w *Worker) Take(a wire.HeartbeatResponse, sent clock.Micros) bool {
 	if a.FencingToken < w.Token {
 		return false
@@ -75,7 +75,8 @@
 	return true
 }
 
-// Orders takes a direct command; ok is false for a 409.
+// Orders handles a delivery of commands; ok is false for a 409: its fencing token is too low, or it is meant for
+// another incarnation.
 func (w *Worker) Orders(o wire.Orders, now clock.Micros) (r wire.Heartbeat, ok bool) {
 	w.Check(now)
 	if ok = o.FencingToken >= w.Token && o.Incarnation == w.Session; ok {
@@ -85,19 +86,21 @@
 	return w.Report(now), ok
 }
 
+// attemptName is the key of an attempt in Tasks.
 func attemptName(task string, attempt uint64) string {
 	return wire.TaskName(task, int(attempt))
 }
 
+// execute carries out commands; repeated ones change nothing.
 func (w *Worker) execute(orders []wire.Order) {
-	for _, o := range orders {
-		k := attemptName(o.Task, o.Attempt)
-		t := w.Tasks[k]
-		switch o.Verb {
+	for _, order := range orders {
+		name := attemptName(order.Task, order.Attempt)
+		t := w.Tasks[name]
+		switch order.Verb {
 		case wire.VerbRun:
 			if t == nil {
-				w.Tasks[k] = &wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: wire.TaskRunning}
-				w.Starts[o.Task]++
+				w.Tasks[name] = &wire.TaskStatus{Task: order.Task, Attempt: order.Attempt, Phase: wire.TaskRunning}
+				w.Starts[order.Task]++
 			}
 		case wire.VerbStop:
 			if t != nil && t.Phase != wire.TaskExited {
@@ -105,13 +108,13 @@
 			}
 		case wire.VerbForget:
 			if t != nil && t.Phase == wire.TaskExited {
-				delete(w.Tasks, k)
+				delete(w.Tasks, name)
 			}
 		}
 	}
 }
 
-// Running tells whether a task runs here.
+// Running tells whether an attempt of a task runs here.
 func (w *Worker) Running(task string) bool {
 	for _, t := range w.Tasks {
 		if t.Task == task && t.Phase != wire.TaskExited {
