--- a/internal/loopback/load.go
+++ b/internal/loopback/load.go
@@ -9,32 +9,32 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// jobProgress is a job's way to its end.
+// jobProgress is a submitted job and which of its tasks are done.
 type jobProgress struct {
-	group     string // by which jobs are summed up
+	group     string // jobs are summarized by it
 	submitted time.Time
 	done      map[string]bool // tasks
 	ended     time.Time
 }
 
-// load is the users' side of a run: the jobs that they have submitted.
+// load is the users' side of a run: the jobs that they have submitted. It is safe for concurrent use.
 type load struct {
 	tasks int // of each job
 
-	mu   sync.Mutex
+	mu   sync.Mutex // guards jobs
 	jobs map[string]*jobProgress
 }
 
 func newLoad(tasks int) *load { return &load{tasks: tasks, jobs: map[string]*jobProgress{}} }
 
-// addJob notes a job that is about to be submitted.
+// addJob records a job that is about to be submitted.
 func (l *load) addJob(id, group string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[id] = &jobProgress{group: group, submitted: time.Now(), done: map[string]bool{}}
 }
 
-// taskDone takes the end of a task.
+// taskDone records that a task is done.
 func (l *load) taskDone(task string) {
 	id, _, _ := wire.SplitTask(task)
 	l.mu.Lock()
@@ -60,10 +60,13 @@
 	return n
 }
 
-// awaitFinished waits until all jobs are done, for so long at most.
-func (l *load) awaitFinished(ctx context.Context, most time.Duration) error {
-	for end := time.Now().Add(most); l.unfinished() > 0 && time.Now().Before(end) && ctx.Err() == nil; {
-		time.Sleep(200 * time.Millisecond)
+// finishedPoll is how often awaitFinished looks.
+const finishedPoll = 200 * time.Millisecond
+
+// awaitFinished waits until all jobs are done, until a timeout.
+func (l *load) awaitFinished(ctx context.Context, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); l.unfinished() > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
+		time.Sleep(finishedPoll)
 	}
 	if n := l.unfinished(); n > 0 {
 		return fmt.Errorf("%d jobs are not done", n)
--- a/internal/loopback/peerlink.go
+++ b/internal/loopback/peerlink.go
@@ -6,62 +6,64 @@
 	"sync"
 )
 
-// peerProxy carries connections to an address, and can be cut: then those that are open end, and new
-// ones hang without an answer until it is joined again.
+// peerProxy forwards connections to an address, and can be cut: then open ones are closed, and new ones hang
+// without an answer until it is reconnected.
 type peerProxy struct {
 	target string
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	cut   bool
 	conns map[net.Conn]bool
 }
 
-// newPeerProxy makes a link that listens on a free address of the loopback range.
-func newPeerProxy(to string) (l *peerProxy, addr string, err error) {
+// newPeerProxy makes a proxy that listens on a free port of the loopback address until the program ends.
+func newPeerProxy(to string) (p *peerProxy, addr string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	l = &peerProxy{target: to, conns: map[net.Conn]bool{}}
+	p = &peerProxy{target: to, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.forward(c)
+			go p.forward(c)
 		}
 	}()
-	return l, listener.Addr().String(), nil
+	return p, listener.Addr().String(), nil
 }
 
-// track notes a connection that ends with the next cut or joining; cut tells that it goes nowhere.
-func (l *peerProxy) track(c net.Conn) (cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns[c] = true
-	return l.cut
+// track adds a connection that is closed by the next setCut; cut means that it must not be forwarded.
+func (p *peerProxy) track(c net.Conn) (cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[c] = true
+	return p.cut
 }
 
-func (l *peerProxy) untrack(c net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.conns, c)
+// untrack closes a connection.
+func (p *peerProxy) untrack(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, c)
 	c.Close()
 }
 
-func (l *peerProxy) forward(c net.Conn) {
-	defer l.untrack(c)
-	if l.track(c) {
+// forward serves one connection until either side ends.
+func (p *peerProxy) forward(c net.Conn) {
+	defer p.untrack(c)
+	if p.track(c) {
 		io.Copy(io.Discard, c) //nolint:errcheck // it hangs until it is closed
 		return
 	}
-	out, err := net.Dial("tcp4", l.target)
+	out, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		return
 	}
-	defer l.untrack(out)
-	l.track(out)
+	defer p.untrack(out)
+	p.track(out)
 	go func() {
 		io.Copy(out, c) //nolint:errcheck // ends with either side
 		out.Close()
@@ -69,12 +71,12 @@
 	io.Copy(c, out) //nolint:errcheck // ends with either side
 }
 
-// setCut cuts the link, or joins it.
-func (l *peerProxy) setCut(cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut = cut
-	for c := range l.conns {
+// setCut cuts the proxy, or reconnects it; open connections are closed in both cases.
+func (p *peerProxy) setCut(cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cut = cut
+	for c := range p.conns {
 		c.Close()
 	}
 }
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -14,23 +15,40 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// heartbeatInterval is how often a worker reports, and how often it looks for the ends of its tasks.
-const heartbeatInterval = 500 * time.Millisecond
+const (
+	// heartbeatInterval is how often a worker sends a heartbeat, and how often it looks for the ends of its tasks.
+	heartbeatInterval = 500 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the response.
+	heartbeatTimeout = 4 * time.Second
+)
 
-// fleet is all workers of a run. Their lock guards what runs where, so that a task on two
-// machines is seen.
+// fleet is all workers of a run. Its lock guards what runs where, so that a task on two machines is seen.
 type fleet struct {
-	mu          sync.Mutex
 	clock       clock.Clock
-	runFor      time.Duration
-	controllers map[string]string // addresses for users and workers, by host
-	hosts       []string
-	startedAt   map[string]clock.Micros // by attempt on its machine
-	machineOf   map[string]string       // by task: where it runs
-	duplicates  []string                // tasks that ran on two machines
-	starts      []taskStart
-	cutFrom     map[string]bool // controllers that workers of a zone which is cut off don't reach
+	runFor      time.Duration     // of every task
+	hosts       []string          // the controllers
+	controllers map[string]string // addresses for users and workers, by controller; set before the workers run
 	taskDone    func(task string)
+
+	mu         sync.Mutex              // guards the fields below and the workers
+	startedAt  map[string]clock.Micros // by attempt on its machine
+	machineOf  map[string]string       // by task: where it runs
+	duplicates []string                // tasks that ran on two machines
+	starts     []taskStart
+	cutFrom    map[string]bool // controllers that workers of a zone which is cut off don't reach
+}
+
+// newFleet makes a fleet of three controllers' workers, without workers.
+func newFleet(runFor time.Duration, taskDone func(task string)) *fleet {
+	return &fleet{
+		clock:       clock.NewSteady(),
+		runFor:      runFor,
+		hosts:       []string{"a", "b", "c"},
+		controllers: map[string]string{},
+		taskDone:    taskDone,
+		startedAt:   map[string]clock.Micros{},
+		machineOf:   map[string]string{},
+	}
 }
 
 // taskStart is the start of a task on a machine.
@@ -39,43 +57,58 @@
 	at         clock.Micros
 }
 
-// worker is a stand-in worker that reports to one controller at a time.
+// worker is a fake worker that sends its heartbeats to one controller at a time.
 type worker struct {
 	*fakes.Worker
 	fleet      *fleet
-	addr       string // its own
+	addr       string // for deliveries
 	cut        bool   // its zone is cut off
-	controller int    // the controller that it reports to
+	controller int    // index of the controller that it sends heartbeats to; only run uses it
 }
 
-// newWorker makes a worker that takes orders at an address of its own.
-func newWorker(f *fleet, id string, lease clock.Micros, at int) (*worker, error) {
-	w := &worker{Worker: fakes.NewWorker(id, lease, f.clock.Now()), fleet: f, controller: at}
+// newWorker makes a worker that takes deliveries at an address of its own.
+func newWorker(f *fleet, id string, lease clock.Micros, controller int) (*worker, error) {
+	w := &worker{Worker: fakes.NewWorker(id, lease, f.clock.Now()), fleet: f, controller: controller}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", func(rw http.ResponseWriter, r *http.Request) {
-		var o wire.Orders
-		if json.NewDecoder(r.Body).Decode(&o) != nil {
-			writeJSON(rw, 400, nil)
-			return
-		}
-		f.mu.Lock()
-		if w.cut {
-			f.mu.Unlock()
-			writeJSON(rw, 504, nil) // a proxy's word: the worker has not heard
-			return
-		}
-		report, ok := w.Orders(o, f.clock.Now())
-		f.updateTasks(w)
-		f.mu.Unlock()
-		report.Addr = w.addr
-		writeJSON(rw, map[bool]int{true: 200, false: 409}[ok], report)
-	})
+	mux.HandleFunc("POST /orders", w.handleDelivery)
 	addr, err := serve(mux)
 	w.addr = addr
 	return w, err
 }
 
-// updateTasks ends the worker's tasks whose time is over, and notes what runs. The lock is held.
+// handleDelivery answers a delivery of commands with the worker's state.
+func (w *worker) handleDelivery(rw http.ResponseWriter, r *http.Request) {
+	var delivery wire.Orders
+	if json.NewDecoder(r.Body).Decode(&delivery) != nil {
+		writeJSON(rw, http.StatusBadRequest, nil)
+		return
+	}
+	heartbeat, accepted, reached := w.deliver(delivery)
+	switch {
+	case !reached:
+		writeJSON(rw, http.StatusGatewayTimeout, nil) // what a proxy says: the worker was not reached
+	case !accepted:
+		writeJSON(rw, http.StatusConflict, heartbeat)
+	default:
+		writeJSON(rw, http.StatusOK, heartbeat)
+	}
+}
+
+// deliver hands a delivery to the worker; it does not reach a worker whose zone is cut off.
+func (w *worker) deliver(delivery wire.Orders) (heartbeat wire.Heartbeat, accepted, reached bool) {
+	f := w.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if w.cut {
+		return wire.Heartbeat{}, false, false
+	}
+	heartbeat, accepted = w.Orders(delivery, f.clock.Now())
+	f.updateTasks(w)
+	heartbeat.Addr = w.addr
+	return heartbeat, accepted, true
+}
+
+// updateTasks ends the worker's tasks whose run time is over, and records what runs. The lock is held.
 func (f *fleet) updateTasks(w *worker) {
 	now := f.clock.Now()
 	for task, machine := range f.machineOf {
@@ -83,31 +116,31 @@
 			delete(f.machineOf, task)
 		}
 	}
-	for _, k := range w.InOrder() {
-		if k.Phase == wire.TaskExited {
+	for _, status := range w.InOrder() {
+		if status.Phase == wire.TaskExited {
 			continue
 		}
-		attempt := fmt.Sprint(w.ID, k.Task, k.Attempt, w.Session)
+		attempt := fmt.Sprint(w.ID, status.Task, status.Attempt, w.Session)
 		if f.startedAt[attempt] == 0 {
 			f.startedAt[attempt] = now
-			f.starts = append(f.starts, taskStart{k.Task, w.Zone, now})
+			f.starts = append(f.starts, taskStart{status.Task, w.Zone, now})
 		}
 		if now >= f.startedAt[attempt]+clock.FromDuration(f.runFor) {
-			k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-			delete(f.machineOf, k.Task)
-			f.taskDone(k.Task)
+			status.Phase, status.Cause = wire.TaskExited, wire.CauseDone
+			delete(f.machineOf, status.Task)
+			f.taskDone(status.Task)
 			continue
 		}
-		if other := f.machineOf[k.Task]; other != "" && other != w.ID {
-			f.duplicates = append(f.duplicates, k.Task)
+		if other := f.machineOf[status.Task]; other != "" && other != w.ID {
+			f.duplicates = append(f.duplicates, status.Task)
 		}
-		f.machineOf[k.Task] = w.ID
+		f.machineOf[status.Task] = w.ID
 	}
 }
 
-// run reports until ctx ends.
+// run sends heartbeats until ctx ends, which the caller of newCluster does at the end of a run.
 func (w *worker) run(ctx context.Context) {
-	client := &http.Client{Timeout: 4 * time.Second}
+	client := &http.Client{Timeout: heartbeatTimeout}
 	for ctx.Err() == nil {
 		w.sendHeartbeat(client)
 		select {
@@ -117,51 +150,66 @@
 	}
 }
 
+// sendHeartbeat sends a heartbeat to the worker's controller and handles the response. A worker whose controller
+// is not reached, or doesn't lead its partition, goes to another one.
 func (w *worker) sendHeartbeat(client *http.Client) {
 	f := w.fleet
-	f.mu.Lock()
-	sent := f.clock.Now()
-	w.Check(sent)
-	f.updateTasks(w)
-	r := w.Report(sent)
-	unreachable := w.cut && f.cutFrom[f.hosts[w.controller]]
-	f.mu.Unlock()
-	if unreachable {
-		w.controller = (w.controller + 1) % len(f.hosts)
+	heartbeat, sentAt, reachable := w.nextHeartbeat()
+	if !reachable {
+		w.nextController()
 		return
 	}
-	r.Addr = w.addr
-	body, err := json.Marshal(r)
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		return
 	}
 	host := f.hosts[w.controller]
 	resp, err := client.Post("http://"+f.controllers[host]+wire.PathHeartbeat, "application/json", bytes.NewReader(body))
 	if err != nil {
-		w.controller = (w.controller + 1) % len(f.hosts)
+		w.nextController()
 		return
 	}
 	defer resp.Body.Close()
-	var a wire.HeartbeatResponse
-	var e wire.Error
 	switch resp.StatusCode {
-	case 200:
-		if json.NewDecoder(resp.Body).Decode(&a) == nil {
-			f.mu.Lock()
-			w.Take(a, sent)
-			f.updateTasks(w)
-			f.mu.Unlock()
+	case http.StatusOK:
+		var response wire.HeartbeatResponse
+		if json.NewDecoder(resp.Body).Decode(&response) == nil {
+			w.handleResponse(response, sentAt)
 		}
 		return
-	case 421:
-		if json.NewDecoder(resp.Body).Decode(&e) == nil && e.Leader != "" && e.Leader != host {
-			for i, h := range f.hosts {
-				if h == e.Leader {
-					w.controller = i
-					return
-				}
+	case http.StatusMisdirectedRequest:
+		var misdirected wire.Error
+		if json.NewDecoder(resp.Body).Decode(&misdirected) == nil && misdirected.Leader != host {
+			if i := slices.Index(f.hosts, misdirected.Leader); i >= 0 {
+				w.controller = i
+				return
 			}
 		}
 	}
-	w.controller = (w.controller + 1) % len(f.hosts)
+	w.nextController()
 }
+
+// nextHeartbeat makes a heartbeat; reachable is false when the worker is cut off from its controller.
+func (w *worker) nextHeartbeat() (heartbeat wire.Heartbeat, sentAt clock.Micros, reachable bool) {
+	f := w.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	sentAt = f.clock.Now()
+	w.Check(sentAt)
+	f.updateTasks(w)
+	heartbeat = w.Report(sentAt)
+	heartbeat.Addr = w.addr
+	return heartbeat, sentAt, !w.cut || !f.cutFrom[f.hosts[w.controller]]
+}
+
+// handleResponse handles the response to a heartbeat.
+func (w *worker) handleResponse(response wire.HeartbeatResponse, sentAt clock.Micros) {
+	f := w.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w.Take(response, sentAt)
+	f.updateTasks(w)
+}
+
+// nextController has the worker send its heartbeats to the next controller.
+func (w *worker) nextController() { w.controller = (w.controller + 1) % len(w.fleet.hosts) }
