--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -1,5 +1,5 @@
-// Command loopback plays bounded runs of the built program on this machine's loopback
-// addresses, with stand-ins for all that is around it.
+// Command loopback plays bounded runs of the built program on this machine's loopback addresses, with fakes for
+// the services, the workers and the users.
 package main
 
 import (
@@ -23,31 +23,47 @@
 	}
 }
 
+// defaultProgram is where the build puts the program.
+const defaultProgram = "target/merlinlatch"
+
 func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "loopback", Short: "Bounded runs of the real program on this machine", SilenceUsage: true, SilenceErrors: true}
-	h := loopback.HotTeams{}
+	cmd := &cobra.Command{
+		Use:           "loopback",
+		Short:         "Bounded runs of the real program on this machine",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	cmd.AddCommand(hotTeamsCommand(), zoneReturnCommand())
+	return cmd
+}
+
+func hotTeamsCommand() *cobra.Command {
+	run := loopback.HotTeams{}
 	failure := ""
-	hot := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "hot-teams",
 		Short: "Pairs of runs without and with one team's burst, fair shares off and on",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			h.Failure = loopback.Failure(failure)
-			return h.Run(cmd.Context(), cmd.OutOrStdout())
+			run.Failure = loopback.Failure(failure)
+			return run.Run(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
-	hot.Flags().StringVar(&h.Program, "program", "target/merlinlatch", "the built program")
-	hot.Flags().IntVar(&h.Seeds, "seeds", 1, "how many seeds; each takes some two minutes")
-	hot.Flags().StringVar(&failure, "failure", string(loopback.NoFailure), "in the middle: none, placer or owner")
-	z := loopback.ZoneReturn{}
-	zones := &cobra.Command{
+	cmd.Flags().StringVar(&run.Program, "program", defaultProgram, "the built program")
+	cmd.Flags().IntVar(&run.Seeds, "seeds", 1, "how many seeds; each takes some two minutes")
+	cmd.Flags().StringVar(&failure, "failure", string(loopback.NoFailure), "in the middle: none, placer or owner")
+	return cmd
+}
+
+func zoneReturnCommand() *cobra.Command {
+	run := loopback.ZoneReturn{}
+	cmd := &cobra.Command{
 		Use:   "zone-return",
 		Short: "Runs in which one of two zones is cut off and joined again, zone return off and on",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return z.Run(cmd.Context(), cmd.OutOrStdout()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return run.Run(cmd.Context(), cmd.OutOrStdout()) },
 	}
-	zones.Flags().StringVar(&z.Program, "program", "target/merlinlatch", "the built program")
-	zones.Flags().IntVar(&z.Seeds, "seeds", 1, "how many seeds; each takes some four minutes")
-	cmd.AddCommand(hot, zones)
+	cmd.Flags().StringVar(&run.Program, "program", defaultProgram, "the built program")
+	cmd.Flags().IntVar(&run.Seeds, "seeds", 1, "how many seeds; each takes some four minutes")
 	return cmd
 }
