--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -147,7 +147,7 @@
 	maxProcs = 1
 )
 
-// serve runs a controller until ctx ends or the process is told to by a signal.
+// serve runs a controller until ctx ends or the process is interrupted or terminated by a signal.
 func serve(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
 	log, err := newLogger()
 	if err != nil {
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -264,7 +264,7 @@
 		return gnet.Close
 	}
 	if pending > s.maxPendingBytes {
-		// Whoever exceeds the budget is told immediately to come back.
+		// The request that exceeds the budget is rejected immediately, with a time to retry.
 		if _, err := conn.raw.Write(AppendResponse(nil, overloadedResponse)); err != nil {
 			s.log.Debug("response write failed", "error", err)
 		}
--- a/internal/httpx/server_test.go
+++ b/internal/httpx/server_test.go
@@ -236,7 +236,7 @@
 	require.False(t, recent.closed)
 }
 
-// What is being answered takes memory too: beyond the budget others are told immediately to come back, and
+// What is being answered takes memory too: beyond the budget others are rejected immediately, and
 // are served again when it is answered.
 func TestServerOverBudgetRejectsUntilRequestsAreAnswered(t *testing.T) {
 	begun, end := make(chan struct{}, 8), make(chan struct{})
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -124,19 +124,19 @@
 }
 
 // writeResult writes the effect of the burst.
-func (h *HotTeams) writeResult(out io.Writer, fairShares bool, calm, burst *hotTeamsResult) {
+func (h *HotTeams) writeResult(out io.Writer, fairShares bool, baseline, burst *hotTeamsResult) {
 	worst := 0.0
-	for team := range calm.submitted {
+	for team := range baseline.submitted {
 		if team != hotTeam {
-			worst = max(worst, calm.onTimeShare(team)-burst.onTimeShare(team))
+			worst = max(worst, baseline.onTimeShare(team)-burst.onTimeShare(team))
 		}
 	}
 	fmt.Fprintf(out, "fair shares %v, failure %s, %d seeds: worst loss of another team's on-time share %.3f\n",
 		fairShares, h.Failure, h.Seeds, worst)
-	for _, team := range slices.Sorted(maps.Keys(calm.submitted)) {
+	for _, team := range slices.Sorted(maps.Keys(baseline.submitted)) {
 		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n",
-			team, calm.onTimeShare(team), calm.submitted[team], burst.onTimeShare(team), burst.submitted[team],
-			quantiles(calm.durations[team]), quantiles(burst.durations[team]))
+			team, baseline.onTimeShare(team), baseline.submitted[team], burst.onTimeShare(team), burst.submitted[team],
+			quantiles(baseline.durations[team]), quantiles(burst.durations[team]))
 	}
 	fmt.Fprint(out, burst.teamsOutput)
 }
