--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -8,64 +8,6 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Shape is waiting work of a team with equal requirements: what each task takes and where it may go.
-// Part of the message peer.Demand: the fields are wire format.
-type Shape struct {
-	Need  resources.Amounts
-	Types []string // allowed machine types; none: any
-	Zone  string   // the only allowed zone; none: any
-	Spot  bool     // may use spot machines
-	Rank  int
-	Owed  bool // within its team's guarantee
-	Tasks int
-}
-
-// Demand is a team's waiting work, as the team's scheduler sees it. Schedulers send it with each poll,
-// also when nothing waits. The fields are wire format.
-type Demand struct {
-	Team   string
-	Term   uint64 // of the team's leadership: a former scheduler's demand does not replace a later one's
-	Shapes []Shape
-}
-
-// Room is the free resources of one machine.
-type Room struct {
-	Machine string
-	Type    string
-	Zone    string
-	Spot    bool
-	Free    resources.Amounts
-}
-
-// fitsRoom tells whether a task of the shape could start on the machine now.
-func (s *Shape) fitsRoom(r *Room) bool {
-	return s.Tasks > 0 && s.Need.Fits(r.Free) && (!r.Spot || s.Spot) && (s.Zone == "" || s.Zone == r.Zone) &&
-		(len(s.Types) == 0 || slices.Contains(s.Types, r.Type))
-}
-
-// Ask is a task for which a scheduler requests a resource lease.
-type Ask struct {
-	Team string
-	Rank int
-	Need resources.Amounts
-	Owed bool // within its team's guarantee
-}
-
-// Use is what a team's tasks take at a partition leader, and the part that its guarantee covers.
-type Use struct {
-	All  resources.Amounts
-	Owed resources.Amounts
-}
-
-// Standing is a team's share, its use and its demand at one partition leader. The fields are wire format.
-type Standing struct {
-	Team    string
-	Weight  float64
-	Share   float64           // of the leader's capacity, by the team's dominant resource
-	Taken   float64           // the same of what its tasks take
-	Waiting resources.Amounts // anywhere, by its scheduler's latest demand
-}
-
 // Settings of an arbiter.
 type Settings struct {
 	Weights map[string]float64 // by team; 1 where none is given
@@ -84,35 +26,27 @@
 	receivedAt clock.Micros
 }
 
-// withholding is that a machine's free resources are withheld in favour of a team.
-type withholding struct {
-	team  string // in whose favour
-	since clock.Micros
-}
-
 // Arbiter decides, for one partition leader, which assignments must yield to teams below their share.
 // It is not safe for concurrent use.
 type Arbiter struct {
-	settings     Settings
-	demands      map[string]receivedDemand // by team
-	capacity     resources.Amounts         // of the leader's machines, as of countedAt
-	used         map[string]Use            // by team: as of countedAt, and what was granted since
-	shares       map[string]float64        // by team, as of countedAt
-	countedAt    clock.Micros              // latest UpdateUsage; 0: none yet
-	withholdings map[string]withholding    // by machine
-	openUntil    map[string]clock.Micros   // by machine: nothing is withheld there until then
-	yielded      uint64                    // assignments that yielded, since the start
+	settings  Settings
+	demands   map[string]receivedDemand // by team
+	capacity  resources.Amounts         // of the leader's machines, as of countedAt
+	used      map[string]Use            // by team: as of countedAt, and what was granted since
+	shares    map[string]float64        // by team, as of countedAt
+	countedAt clock.Micros              // latest UpdateUsage; 0: none yet
+	withheld  *withholdings
+	yielded   uint64 // assignments that yielded, since the start
 }
 
 // NewArbiter makes an arbiter that knows of no demand, and so withholds nothing.
 func NewArbiter(s Settings) *Arbiter {
 	return &Arbiter{
-		settings:     s,
-		demands:      map[string]receivedDemand{},
-		used:         map[string]Use{},
-		shares:       map[string]float64{},
-		withholdings: map[string]withholding{},
-		openUntil:    map[string]clock.Micros{},
+		settings: s,
+		demands:  map[string]receivedDemand{},
+		used:     map[string]Use{},
+		shares:   map[string]float64{},
+		withheld: newWithholdings(s.Withhold, s.Open),
 	}
 }
 
@@ -140,13 +74,12 @@
 func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.countedAt = capacity, used, now
 	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.Fresh })
-	maps.DeleteFunc(a.openUntil, func(_ string, until clock.Micros) bool { return now >= until })
-	maps.DeleteFunc(a.withholdings, func(_ string, w withholding) bool { return now >= w.since+a.settings.Withhold })
-	a.shares = Divide(capacity, a.demandByTeam())
+	a.withheld.forget(now)
+	a.shares = Divide(capacity, a.claimants())
 }
 
-// demandByTeam gives the division's input: use and fresh demand of each team.
-func (a *Arbiter) demandByTeam() map[string]Claimant {
+// claimants gives the division's input: use and demand of each team, also demand that is too old.
+func (a *Arbiter) claimants() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
 		out[team] = Claimant{Weight: a.weight(team), Used: u.All, Owed: u.Owed}
@@ -180,21 +113,11 @@
 // the assignment had its part. Work within a guarantee never yields. Resources are withheld for as many
 // tasks as wait, one on a machine, and for a bounded time: what nobody takes is open to every team.
 func (a *Arbiter) Yields(ask *Ask, room *Room, now clock.Micros) bool {
-	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || now < a.openUntil[room.Machine] {
+	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || a.withheld.isOpen(room.Machine, now) {
 		return false
 	}
 	team, ok := a.waitingTeam(ask, room, now)
-	if !ok {
-		return false
-	}
-	w, withheld := a.withholdings[room.Machine]
-	if !withheld {
-		w = withholding{team, now}
-		a.withholdings[room.Machine] = w
-	}
-	if now >= w.since+a.settings.Withhold {
-		delete(a.withholdings, room.Machine)
-		a.openUntil[room.Machine] = now + a.settings.Open
+	if !ok || !a.withheld.withhold(room.Machine, team, now) {
 		return false
 	}
 	a.yielded++
@@ -223,7 +146,7 @@
 				continue
 			}
 			onlyWithoutAsked := s.fitsRoom(room) && !s.fitsRoom(&remaining)
-			if onlyWithoutAsked && a.withheldMachines(team, room.Machine) < s.Tasks {
+			if onlyWithoutAsked && a.withheld.machines(team, room.Machine) < s.Tasks {
 				return team, true
 			}
 		}
@@ -236,17 +159,6 @@
 	return Dominant(a.used[team].All, a.capacity) < a.shares[team]-roundingTolerance
 }
 
-// withheldMachines counts the machines withheld in favour of a team, one left out.
-func (a *Arbiter) withheldMachines(team, except string) int {
-	count := 0
-	for machine, w := range a.withholdings {
-		if w.team == team && machine != except {
-			count++
-		}
-	}
-	return count
-}
-
 // Granted adds a granted resource lease to the team's use, and takes its task off the team's demand.
 func (a *Arbiter) Granted(ask *Ask, machine string) {
 	u := a.used[ask.Team]
@@ -255,7 +167,7 @@
 		u.Owed = u.Owed.Plus(ask.Need)
 	}
 	a.used[ask.Team] = u
-	delete(a.withholdings, machine)
+	a.withheld.release(machine)
 	a.reduceDemand(ask)
 }
 
@@ -282,14 +194,14 @@
 
 // Standings lists the teams that use resources here or wait for them, in order of their names.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
-	claimants := a.demandByTeam()
-	for _, team := range slices.Sorted(maps.Keys(claimants)) {
+	all := a.claimants()
+	for _, team := range slices.Sorted(maps.Keys(all)) {
 		s := Standing{
 			Team: team, Weight: a.weight(team), Share: a.shares[team],
 			Taken: Dominant(a.used[team].All, a.capacity),
 		}
 		if d, ok := a.demands[team]; ok && now <= d.receivedAt+a.settings.Fresh {
-			s.Waiting = claimants[team].Waiting
+			s.Waiting = all[team].Waiting
 		}
 		out = append(out, s)
 	}
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -12,25 +12,53 @@
 		name  string
 		value any
 	}{
-		{"HoldTTL", p.LeaderLeaseTTL}, {"HoldRenew", p.LeaderRenewInterval}, {"ResignAfter", p.ResignAfter}, {"HoldGrace", p.TakeoverGrace},
-		{"HandOver", p.TransferDelay}, {"Sample", p.Sample}, {"Batch", p.Batch}, {"LeaseTTL", p.RoomLeaseTTL},
-		{"ProgressEvery", p.ProgressEvery}, {"PreemptAfter", p.PreemptAfter}, {"IdleReturn", p.IdleScaleInDelay},
-		{"RentalBackoff", p.ScaleOutBackoff}, {"Catchup", p.Catchup}, {"CatchupOrdinary", p.CatchupOrdinary},
-		{"SpareShare", p.SpareShare}, {"BootPatience", p.BootPatience}, {"SickErrors", p.QuarantineErrors},
-		{"Economy", p.Economy}, {"FairShares", p.FairShares}, {"ShareFresh", p.ShareFresh},
-		{"ShareWithhold", p.ShareWithhold}, {"TeamWeights", p.TeamWeights}, {"PlacementCosts", p.PlacementCosts},
-		{"DataWeight", p.DataWeight}, {"EvenWeight", p.EvenWeight}, {"PriceWeight", p.PriceWeight},
-		{"ImageWait", p.ImageWait}, {"Moves", p.Moves}, {"MoveMargin", p.MoveMargin}, {"MoveCoolDown", p.MoveCoolDown},
-		{"TeamMoves", p.TeamMoves}, {"MachineMoves", p.MachineMoves}, {"veto", address(p.vetoHook)},
-		{"ZoneReturn", p.ZoneReturn}, {"History", p.History}, {"ZoneSuspect", p.ZoneSuspectAfter},
-		{"ZoneLost", p.ZoneLostAfter}, {"ZoneBack", p.ZoneReturnAfter}, {"stage", address(p.stageHook)}, {"Renamed", p.Renamed},
+		{"HoldTTL", p.LeaderLeaseTTL},
+		{"HoldRenew", p.LeaderRenewInterval},
+		{"ResignAfter", p.ResignAfter},
+		{"HoldGrace", p.TakeoverGrace},
+		{"HandOver", p.TransferDelay},
+		{"Sample", p.Sample},
+		{"Batch", p.Batch},
+		{"LeaseTTL", p.RoomLeaseTTL},
+		{"ProgressEvery", p.ProgressEvery},
+		{"PreemptAfter", p.PreemptAfter},
+		{"IdleReturn", p.IdleScaleInDelay},
+		{"RentalBackoff", p.ScaleOutBackoff},
+		{"Catchup", p.Catchup},
+		{"CatchupOrdinary", p.CatchupOrdinary},
+		{"SpareShare", p.SpareShare},
+		{"BootPatience", p.BootPatience},
+		{"SickErrors", p.QuarantineErrors},
+		{"Economy", p.Economy},
+		{"FairShares", p.FairShares},
+		{"ShareFresh", p.ShareFresh},
+		{"ShareWithhold", p.ShareWithhold},
+		{"TeamWeights", p.TeamWeights},
+		{"PlacementCosts", p.PlacementCosts},
+		{"DataWeight", p.DataWeight},
+		{"EvenWeight", p.EvenWeight},
+		{"PriceWeight", p.PriceWeight},
+		{"ImageWait", p.ImageWait},
+		{"Moves", p.Moves},
+		{"MoveMargin", p.MoveMargin},
+		{"MoveCoolDown", p.MoveCoolDown},
+		{"TeamMoves", p.TeamMoves},
+		{"MachineMoves", p.MachineMoves},
+		{"veto", address(p.vetoHook)},
+		{"ZoneReturn", p.ZoneReturn},
+		{"History", p.History},
+		{"ZoneSuspect", p.ZoneSuspectAfter},
+		{"ZoneLost", p.ZoneLostAfter},
+		{"ZoneBack", p.ZoneReturnAfter},
+		{"stage", address(p.stageHook)},
+		{"Renamed", p.Renamed},
 	}
 	var out strings.Builder
-	for i, f := range fields {
+	for i, field := range fields {
 		if i > 0 {
 			out.WriteByte(' ')
 		}
-		fmt.Fprintf(&out, "%s:%+v", f.name, f.value)
+		fmt.Fprintf(&out, "%s:%+v", field.name, field.value)
 	}
 	return "{" + out.String() + "}"
 }
