--- a/cmd/merlinlatch/operators.go
+++ b/cmd/merlinlatch/operators.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
+	"github.com/merlinlatch/merlinlatch/internal/config"
 	"github.com/merlinlatch/merlinlatch/internal/console"
 )
 
@@ -13,6 +15,19 @@
 	return []*cobra.Command{teamsCommand(opts), zonesCommand(opts), historyCommand(opts)}
 }
 
+// withSettings is a command that needs the settings: run is called with them.
+func (o *options) withSettings(
+	run func(out io.Writer, settings *config.Settings, args []string) error,
+) func(cmd *cobra.Command, args []string) error {
+	return func(cmd *cobra.Command, args []string) error {
+		settings, err := o.loadSettings()
+		if err != nil {
+			return err
+		}
+		return run(cmd.OutOrStdout(), settings, args)
+	}
+}
+
 func teamsCommand(opts *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "teams [TEAM]",
@@ -20,17 +35,13 @@
 		Long: "Asks all controllers that the settings name, over their cluster ports. Waits and lateness are\n" +
 			"counted since the team's placer started.",
 		Args: arguments(0, 1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			settings, err := opts.loadSettings()
-			if err != nil {
-				return err
-			}
+		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
 			team := ""
 			if len(args) == 1 {
 				team = args[0]
 			}
-			return console.Teams(cmd.OutOrStdout(), settings, console.Controllers(settings), team)
-		},
+			return console.Teams(out, settings, console.Controllers(settings), team)
+		}),
 	}
 }
 
@@ -39,13 +50,9 @@
 		Use:   "zones",
 		Short: "Tell in which state the zones are, and what waits while work returns to one",
 		Args:  arguments(0, 0),
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			settings, err := opts.loadSettings()
-			if err != nil {
-				return err
-			}
-			return console.Zones(cmd.OutOrStdout(), console.Controllers(settings))
-		},
+		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, _ []string) error {
+			return console.Zones(out, console.Controllers(settings))
+		}),
 	}
 	zones.AddCommand(
 		zoneHoldCommand(opts, "hold ZONE", "Stop the return of work to a zone at its stage", true),
@@ -60,13 +67,9 @@
 		Use:   use,
 		Short: short,
 		Args:  arguments(1, 1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			settings, err := opts.loadSettings()
-			if err != nil {
-				return err
-			}
-			return console.HoldZone(cmd.OutOrStdout(), settings, console.Controllers(settings), args[0], held)
-		},
+		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
+			return console.HoldZone(out, settings, console.Controllers(settings), args[0], held)
+		}),
 	}
 }
 
@@ -84,13 +87,9 @@
 		Use:   "export FILE",
 		Short: "Gather the history of all controllers that are reached into one Parquet file",
 		Args:  arguments(1, 1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			settings, err := opts.loadSettings()
-			if err != nil {
-				return err
-			}
-			return console.ExportHistory(cmd.OutOrStdout(), console.Controllers(settings), args[0])
-		},
+		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
+			return console.ExportHistory(out, console.Controllers(settings), args[0])
+		}),
 	}
 }
 
