--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -4,7 +4,6 @@
 	"container/list"
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -84,23 +83,6 @@
 	}
 }
 
-// connection is the inbox between the event loop and the connection's goroutine.
-type connection struct {
-	raw  gnet.Conn
-	wake chan struct{} // holds at most one notification
-
-	mu             sync.Mutex // guards the fields below
-	buffer         []byte     // bytes of requests that are not being answered
-	closed         bool
-	answering      bool // a request is being answered
-	answeringBytes int  // bytes of that request
-
-	// Only the event loop uses these.
-	hasGoroutine bool
-	lastUsed     time.Time     // when its last request began
-	element      *list.Element // its place in connectionsByUse, nil once it is closed
-}
-
 // Run serves on addr until ctx ends.
 func (s *Server) Run(ctx context.Context, addr string) error {
 	s.handle = func(r *Request) Response { return s.handler(ctx, r) }
@@ -274,14 +256,6 @@
 	return gnet.None
 }
 
-// notify wakes the connection's goroutine; notifications that it has not taken yet are one.
-func (c *connection) notify() {
-	select {
-	case c.wake <- struct{}{}:
-	default:
-	}
-}
-
 // nextRequest waits for a complete request; nil when the connection or the server is over. The bytes that the
 // request took are pending until releaseBytes.
 func (s *Server) nextRequest(conn *connection) (*Request, error) {
@@ -298,31 +272,6 @@
 	}
 }
 
-// takeRequest takes a request off the buffer, nil while there is no complete one. The request before it is no
-// longer being answered.
-func (c *connection) takeRequest() (r *Request, closed bool, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
-		return nil, true, nil
-	}
-	c.answering = false
-	if len(c.buffer) == 0 {
-		return nil, false, nil
-	}
-	r, used, err := ParseRequest(c.buffer, maxBody)
-	if r == nil {
-		return nil, false, err
-	}
-	c.answering = true
-	c.answeringBytes = used
-	c.buffer = append(c.buffer[:0], c.buffer[used:]...)
-	if len(c.buffer) == 0 && cap(c.buffer) > maxKeptServerBuffer {
-		c.buffer = nil
-	}
-	return r, false, nil
-}
-
 // serveConnection answers a connection's requests, one after the other, until it is over.
 func (s *Server) serveConnection(conn *connection) {
 	for {
@@ -373,21 +322,3 @@
 		s.log.Debug("response write failed", "error", err)
 	}
 }
-
-// engineLog logs the event loop's own messages, most of them one level lower. It is gnet's logging.Logger.
-type engineLog struct{ log *slog.Logger }
-
-// Debugf logs at debug level.
-func (l engineLog) Debugf(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
-
-// Infof logs at debug level.
-func (l engineLog) Infof(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
-
-// Warnf logs at info level.
-func (l engineLog) Warnf(format string, args ...any) { l.log.Info(fmt.Sprintf(format, args...)) }
-
-// Errorf logs at error level.
-func (l engineLog) Errorf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
-
-// Fatalf logs at error level; the process goes on.
-func (l engineLog) Fatalf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
