--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -94,14 +94,14 @@
 			continue
 		}
 		no := i >= len(ans.Refused) || i >= len(ans.Versions) || ans.Refused[i]
-		if mv := d.moves.ofDestination[b]; mv != nil && no {
-			d.act(mv, mv.Refused())
+		if mv := d.moves.byDestination[b]; mv != nil && no {
+			d.applyMoveAction(mv, mv.Refused())
 		}
 		if i < len(ans.Yielded) && ans.Yielded[i] {
 			d.counters.Yielded++
 			d.releaseAssignment(b)
 			d.recomputeAvailable(m)
-			b.job.team.yield(host, b.job.PriorityLevel, now)
+			b.job.team.recordYielding(host, b.job.PriorityLevel, now)
 			continue
 		}
 		if no {
@@ -114,8 +114,8 @@
 		}
 		b.unanswered, b.instance, b.viewVersion = false, ans.Incarnation, ans.Versions[i]
 		delete(b.job.team.yielding, host)
-		if mv := d.moves.ofDestination[b]; mv != nil {
-			d.act(mv, mv.Granted())
+		if mv := d.moves.byDestination[b]; mv != nil {
+			d.applyMoveAction(mv, mv.Granted())
 		}
 		if m.Accounted && m.instance == ans.Incarnation {
 			// A poll may have shown the machine already as it was after the
@@ -173,9 +173,9 @@
 	return out
 }
 
-// eachWaiting visits the jobs that have tasks to place, those whose turn it is first, each
+// eachPlaceableJob visits the jobs that have tasks to place, those whose turn it is first, each
 // with how many tasks its team's limit leaves room for.
-func (d *Scheduler) eachWaiting(now clock.Micros, visit func(j *job, tasks int)) {
+func (d *Scheduler) eachPlaceableJob(now clock.Micros, visit func(j *job, tasks int)) {
 	list := d.schedulingOrder(now)
 	for _, tm := range d.teams {
 		room := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
@@ -207,7 +207,7 @@
 
 // Demands lists what waits, for the fleet.
 func (d *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
-	d.eachWaiting(now, func(j *job, tasks int) {
+	d.eachPlaceableJob(now, func(j *job, tasks int) {
 		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.PriorityLevel, Waiting: tasks,
 			RunFor: clock.FromSeconds(j.RuntimeEstimateS), Stage: int(j.stage) + 1}
 		if start := d.latestStart(j); j.DeadlineS != nil && !j.missesDeadline(now) {
@@ -225,7 +225,7 @@
 func (d *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
 	to = slices.Grow(to, len(d.machines))
 	for _, m := range d.machines {
-		if o := d.sessions[m.host]; o.partitionTerms[m.Part] == m.Term {
+		if o := d.sessions[m.leader]; o.partitionTerms[m.Part] == m.Term {
 			v := m.MachineView
 			v.Free = m.available
 			if v.Count == 0 && len(m.assignments) == 0 {
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leanFleet is about as many machines as the smaller sites have in all.
-const leanFleet = 1240
+// smallFleetSize is about as many machines as the smaller sites have in all.
+const smallFleetSize = 1240
 
 // loadedScheduler is a scheduler of a fleet without room for more, with many jobs that wait.
 func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollResponse) {
@@ -53,7 +53,7 @@
 
 // A round of decisions while thousands of tasks wait and nothing is free.
 func BenchmarkRoundWithoutRoom(b *testing.B) {
-	d, _ := loadedScheduler(leanFleet, 60)
+	d, _ := loadedScheduler(smallFleetSize, 60)
 	benchmarkRounds(b, d)
 }
 
@@ -62,7 +62,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		d, ans := loadedScheduler(leanFleet, 60)
+		d, ans := loadedScheduler(smallFleetSize, 60)
 		for i := range ans.Machines {
 			v := &ans.Machines[i]
 			v.Free, v.Count, v.Tasks, v.Version = v.Cap, 0, nil, 2
@@ -77,7 +77,7 @@
 }
 
 // Every machine's view is taken, as after a restart.
-func BenchmarkViewsOfWholeFleet(b *testing.B) { benchmarkViews(b, leanFleet) }
+func BenchmarkViewsOfWholeFleet(b *testing.B) { benchmarkViews(b, smallFleetSize) }
 
 // benchmarkViews has a scheduler take the views of so many machines at once.
 func benchmarkViews(b *testing.B, machines int) {
@@ -93,7 +93,7 @@
 
 // What the fleet duty asks for a few times a second.
 func BenchmarkFleetViews(b *testing.B) {
-	d, _ := loadedScheduler(leanFleet, 1)
+	d, _ := loadedScheduler(smallFleetSize, 1)
 	var views []peer.MachineView
 	b.ReportAllocs()
 	for b.Loop() {
@@ -113,17 +113,17 @@
 
 // Rounds of decisions just after a restart, when machines on record were not seen yet.
 func BenchmarkRoundAfterRestart(b *testing.B) {
-	benchmarkRounds(b, schedulerAfterRestart(leanFleet))
+	benchmarkRounds(b, schedulerAfterRestart(smallFleetSize))
 }
 
 // The largest machine is looked for once a round, however many machines were not seen yet:
 // on a small share of a core a round took most of a second otherwise, and the next one
 // waited for three times as long.
 func TestARoundAfterARestartLooksAtEachMachineAFewTimesAtMost(t *testing.T) {
-	d := schedulerAfterRestart(leanFleet)
+	d := schedulerAfterRestart(smallFleetSize)
 	before := d.counters.Looked
 	d.Schedule(2 * sec)
-	require.Equal(t, leanFleet/2, d.teams[red].unaccountedCount)
-	require.Equal(t, d.largestMachine().Times(leanFleet/2), d.teams[red].unaccountedCapacity)
-	require.Less(t, d.counters.Looked-before, 4*leanFleet)
+	require.Equal(t, smallFleetSize/2, d.teams[red].unaccountedCount)
+	require.Equal(t, d.largestMachine().Times(smallFleetSize/2), d.teams[red].unaccountedCapacity)
+	require.Less(t, d.counters.Looked-before, 4*smallFleetSize)
 }
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -9,9 +9,9 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// busy lists the machines that run something.
-func (w *world) busy() (out []string) {
-	for _, id := range w.names {
+// busyMachines lists the machines that run something.
+func (w *simulation) busyMachines() (out []string) {
+	for _, id := range w.machineIDs {
 		for _, k := range w.workers[id].InOrder() {
 			if k.Phase != wire.TaskExited {
 				out = append(out, id)
@@ -22,18 +22,18 @@
 	return out
 }
 
-// withdraw has a job withdrawn and its end written.
-func (w *world) withdraw(id string) {
+// cancelJob has a job withdrawn and its end written.
+func (w *simulation) cancelJob(id string) {
 	w.scheduler.CancelJob(red, id)
 	j := w.scheduler.teams[red].jobs[id]
 	for range 4 {
-		for _, h := range w.hosts {
-			w.send(h, true, true)
+		for _, h := range w.controllers {
+			w.sendBatch(h, true, true)
 			w.poll(h, false)
 		}
 	}
-	require.True(w.t, w.scheduler.CancellationConfirmed(j, w.parts()), "the owners have taken it")
-	w.end(id, wire.Cancelled)
+	require.True(w.t, w.scheduler.CancellationConfirmed(j, w.partitionLeaderships()), "the owners have taken it")
+	w.endJob(id, wire.Cancelled)
 }
 
 // A team is at its limit with a job whose machines hang, hear no answers, or are
@@ -49,20 +49,20 @@
 		{"and the machines' owner has begun anew", true, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newWorld(t, 1, 6)
-			w.settle(8)
+			w := newSimulation(t, 1, 6)
+			w.runSteps(8)
 			w.addJob("job-1", 6, nil)
-			w.settle(4)
-			require.Equal(t, 6, w.running())
-			busy := w.busy()
-			w.withdraw("job-1")
+			w.runSteps(4)
+			require.Equal(t, 6, w.runningTasks())
+			busy := w.busyMachines()
+			w.cancelJob("job-1")
 			if x.anew {
-				for p, h := range w.hosts {
+				for p, h := range w.controllers {
 					w.boot(h)
-					w.gain(p, p)
+					w.acquirePartition(p, p)
 				}
-				for _, id := range w.names {
-					w.report(id, true) // its answer brings the new token, and nothing else
+				for _, id := range w.machineIDs {
+					w.heartbeat(id, true) // its answer brings the new token, and nothing else
 				}
 			}
 			w.newScheduler()
@@ -73,27 +73,27 @@
 			}
 			for range 30 {
 				w.now += 200 * clock.Millisecond
-				for _, id := range w.names {
+				for _, id := range w.machineIDs {
 					if !hung[id] {
-						w.report(id, true)
-						w.deliver(id, false, true)
+						w.heartbeat(id, true)
+						w.deliverCommands(id, false, true)
 					} else if x.reports {
-						w.report(id, false)
+						w.heartbeat(id, false)
 					}
 				}
-				w.tick()
-				for _, h := range w.hosts {
+				w.advance()
+				for _, h := range w.controllers {
 					w.poll(h, false)
-					w.send(h, true, true)
+					w.sendBatch(h, true, true)
 				}
-				w.place()
-				w.check("the withdrawn job's machines are out of reach")
+				w.schedule()
+				w.checkInvariants("the withdrawn job's machines are out of reach")
 			}
-			require.Len(t, w.busy(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
+			require.Len(t, w.busyMachines(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
 			require.Empty(t, w.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
 			w.now += 2 * lease
-			w.settle(30)
-			require.Equal(t, 6, w.running(), "the other job runs once their leases are over")
+			w.runSteps(30)
+			require.Equal(t, 6, w.runningTasks(), "the other job runs once their leases are over")
 		})
 	}
 }
@@ -104,43 +104,43 @@
 func TestAWithdrawalIsToldOnceNothingCanStart(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		until func(w *world, id string) // brings about what may start on a machine
-		free  func(w *world, id string) // and lets it be known
+		until func(w *simulation, id string) // brings about what may start on a machine
+		free  func(w *simulation, id string) // and lets it be known
 	}{
-		{"a start is on its way", func(w *world, id string) {
-			w.deliver(id, true, false)
-		}, func(w *world, id string) {
+		{"a start is on its way", func(w *simulation, id string) {
+			w.deliverCommands(id, true, false)
+		}, func(w *simulation, id string) {
 			w.now += 3 * sec
-			w.workers[id].Orders(w.orders[0].orders, w.now)
-			w.settle(4)
+			w.workers[id].Orders(w.lateCommands[0].commands, w.now)
+			w.runSteps(4)
 		}},
-		{"the image is being fetched", func(w *world, id string) {
-			w.deliver(id, false, true)
+		{"the image is being fetched", func(w *simulation, id string) {
+			w.deliverCommands(id, false, true)
 			for _, k := range w.workers[id].InOrder() {
 				k.Phase = wire.TaskFetching
 			}
-			w.report(id, true)
-		}, func(w *world, id string) { w.settle(4) }},
-		{"a former placer's machine hangs", func(w *world, id string) {
-			w.deliver(id, false, true)
-			w.report(id, true)
+			w.heartbeat(id, true)
+		}, func(w *simulation, id string) { w.runSteps(4) }},
+		{"a former placer's machine hangs", func(w *simulation, id string) {
+			w.deliverCommands(id, false, true)
+			w.heartbeat(id, true)
 			w.newScheduler()
-			h := w.partHost[w.part(id)]
-			w.boot(w.hosts[h])
-			for p, at := range w.partHost {
+			h := w.leaderOf[w.partitionOf(id)]
+			w.boot(w.controllers[h])
+			for p, at := range w.leaderOf {
 				if at == h {
-					w.gain(p, at)
+					w.acquirePartition(p, at)
 				}
 			}
-		}, func(w *world, id string) { w.settle(8) }},
+		}, func(w *simulation, id string) { w.runSteps(8) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newWorld(t, 1, 2)
-			w.settle(8)
+			w := newSimulation(t, 1, 2)
+			w.runSteps(8)
 			w.addJob("job-1", 1, nil)
-			w.place()
-			for _, h := range w.hosts {
-				w.send(h, true, true)
+			w.schedule()
+			for _, h := range w.controllers {
+				w.sendBatch(h, true, true)
 			}
 			at := ""
 			for id, m := range w.scheduler.machines {
@@ -153,23 +153,23 @@
 			j := w.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
 				w.now += 200 * clock.Millisecond
-				for _, h := range w.hosts {
+				for _, h := range w.controllers {
 					w.poll(h, false)
-					w.send(h, true, true)
+					w.sendBatch(h, true, true)
 				}
-				for _, id := range w.names {
+				for _, id := range w.machineIDs {
 					if id != at {
-						w.report(id, true)
+						w.heartbeat(id, true)
 					}
 				}
-				require.False(t, w.scheduler.CancellationConfirmed(j, w.parts()), "it may start yet")
+				require.False(t, w.scheduler.CancellationConfirmed(j, w.partitionLeaderships()), "it may start yet")
 			}
-			for _, h := range w.hosts {
+			for _, h := range w.controllers {
 				require.True(t, j.cancelAcknowledged[h.instance], "its owners know")
 			}
 			x.free(w, at)
 			require.True(t, w.ended["job-1"])
-			require.Zero(t, w.running())
+			require.Zero(t, w.runningTasks())
 		})
 	}
 }
--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -12,46 +12,46 @@
 
 // machineSet is a set of machines. Its order depends only on what was put in and taken out.
 type machineSet struct {
-	list []*machineState
-	at   map[*machineState]int
+	machines []*machineState
+	positions   map[*machineState]int
 }
 
-func (s *machineSet) put(m *machineState) {
-	if s.at == nil {
-		s.at = map[*machineState]int{}
+func (s *machineSet) add(m *machineState) {
+	if s.positions == nil {
+		s.positions = map[*machineState]int{}
 	}
-	s.at[m] = len(s.list)
-	s.list = append(s.list, m)
+	s.positions[m] = len(s.machines)
+	s.machines = append(s.machines, m)
 }
 
-func (s *machineSet) take(m *machineState) {
-	i, last := s.at[m], len(s.list)-1
-	s.list[i] = s.list[last]
-	s.at[s.list[i]] = i
-	s.list[last] = nil
-	s.list = s.list[:last]
-	delete(s.at, m)
+func (s *machineSet) remove(m *machineState) {
+	i, last := s.positions[m], len(s.machines)-1
+	s.machines[i] = s.machines[last]
+	s.positions[s.machines[i]] = i
+	s.machines[last] = nil
+	s.machines = s.machines[:last]
+	delete(s.positions, m)
 }
 
-// levels of free CPUs: less than 1, 1, 2 and 3, 4 to 7, and so on.
-const levels = 14
+// capacityLevels of free CPUs: less than 1, 1, 2 and 3, 4 to 7, and so on.
+const capacityLevels = 14
 
 func capacityLevel(cpu int64) int {
 	if cpu <= 0 {
 		return 0
 	}
-	return min(bits.Len64(uint64(cpu/1e6)), levels-1)
+	return min(bits.Len64(uint64(cpu/1e6)), capacityLevels-1)
 }
 
 // capacityIndex keeps machines by how many CPUs they show free, so that a search for
 // room costs what it finds and not the fleet.
-type capacityIndex [levels]machineSet
+type capacityIndex [capacityLevels]machineSet
 
 // walk visits the machines that show at least so many CPUs free, those with
 // least room first and of a level from any one on, until visit has had enough.
 func (r *capacityIndex) walk(from int, start uint64, visit func(*machineState) (enough bool)) {
-	for l := from; l < levels; l++ {
-		list := r[l].list
+	for l := from; l < capacityLevels; l++ {
+		list := r[l].machines
 		if len(list) == 0 {
 			continue
 		}
@@ -64,10 +64,10 @@
 	}
 }
 
-// any tells that there is a machine at all.
-func (r *capacityIndex) any() bool {
-	for l := range levels {
-		if r != nil && len(r[l].list) > 0 {
+// hasMachines tells that there is a machine at all.
+func (r *capacityIndex) hasMachines() bool {
+	for l := range capacityLevels {
+		if r != nil && len(r[l].machines) > 0 {
 			return true
 		}
 	}
@@ -82,7 +82,7 @@
 // isCurrent tells that what is known of a machine is the word of its present owner, and that this
 // one can be reached.
 func (d *Scheduler) isCurrent(m *machineState) bool {
-	o := d.sessions[m.host]
+	o := d.sessions[m.leader]
 	return o.reachable && o.instance == m.instance && o.partitionTerms[m.Part] == m.Term
 }
 
@@ -94,9 +94,9 @@
 		return
 	}
 	if m.indexed {
-		d.capacity[m.indexedLevel].take(m)
+		d.capacity[m.indexedLevel].remove(m)
 		for _, i := range m.indexedImages {
-			d.capacityByImage[i][m.indexedLevel].take(m)
+			d.capacityByImage[i][m.indexedLevel].remove(m)
 		}
 		d.usableCPU -= m.indexedCPU
 		d.indexedMachines--
@@ -105,12 +105,12 @@
 	if !on {
 		return
 	}
-	d.capacity[level].put(m)
+	d.capacity[level].add(m)
 	for _, i := range m.Images {
 		if d.capacityByImage[i] == nil {
 			d.capacityByImage[i] = &capacityIndex{}
 		}
-		d.capacityByImage[i][level].put(m)
+		d.capacityByImage[i][level].add(m)
 	}
 	d.usableCPU += m.indexedCPU
 	d.indexedMachines++
@@ -119,7 +119,7 @@
 // reindexLeader puts all of an owner's machines where they belong.
 func (d *Scheduler) reindexLeader(host string) {
 	for _, m := range d.machines {
-		if m.host == host {
+		if m.leader == host {
 			d.reindex(m)
 		}
 	}
@@ -197,8 +197,8 @@
 	need    resources.Amounts
 	team    string
 	level   int
-	covered bool
-	owed    bool
+	withinGuarantee bool
+	guaranteeDue    bool
 }
 
 func (j *job) victimClass(owed bool) victimClass {
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -61,7 +61,7 @@
 // without costs. No machine although decided means that the room is left for a moment: one that
 // has the image may have some.
 func (d *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
-	fetch, _ := d.fetchTimeAnywhere(j)
+	fetch, _ := d.slowestFetchTime(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
@@ -75,10 +75,10 @@
 		j.noImageSince = 0
 	} else if d.imageFetchTooSlow(j, cheapest[0], now) {
 		return nil, false // room that others hold may be worth taking
-	} else if d.leavesCapacity(j, &task, now) {
+	} else if d.waitsForImageByCost(j, &task, now) {
 		return nil, true
 	}
-	if some := d.keepsLargeSlots(j, cheapest); len(some) > 0 {
+	if some := d.keepingLargeSlots(j, cheapest); len(some) > 0 {
 		cheapest = some
 	}
 	if !d.isSmall(j) {
@@ -111,11 +111,11 @@
 	return out
 }
 
-// leavesCapacity tells that a job leavesCapacity room to others for a moment: its image is on machines that are
+// waitsForImageByCost tells that a job waitsForImageByCost room to others for a moment: its image is on machines that are
 // in use now, and none of its tasks would start too late for it.
-func (d *Scheduler) leavesCapacity(j *job, task *placement.Task, now clock.Micros) bool {
+func (d *Scheduler) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
 	wait := placement.WaitFor(task, &d.timing.Costs.Weights, d.timing.Costs.ImageWait)
-	if wait == 0 || !d.capacityByImage[j.Image].any() {
+	if wait == 0 || !d.capacityByImage[j.Image].hasMachines() {
 		return false
 	}
 	if within, ok := d.timing.Waits[j.Class]; ok && now+task.Fetch > j.acceptedAt+within-task.Fetch/2 {
@@ -127,9 +127,9 @@
 	return now < j.noImageSince+wait
 }
 
-// fetchTimeAnywhere is how long the image of a job is fetched by the slowest machine type
+// slowestFetchTime is how long the image of a job is fetched by the slowest machine type
 // that it may go to; ok is false while that is not known.
-func (d *Scheduler) fetchTimeAnywhere(j *job) (fetch clock.Micros, ok bool) {
+func (d *Scheduler) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
 	for name, rate := range d.fetchRates {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
 			continue
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -12,56 +12,56 @@
 // yielding is an owner that keeps room for other teams than the one that was refused.
 type yielding struct {
 	until clock.Micros
-	pause clock.Micros // how long the last one was
-	rank  int          // highest that was refused
+	backoff clock.Micros // how long the last one was
+	maxPriority  int          // highest that was refused
 }
 
 // How long a team keeps off an owner that keeps its room for others. It grows with every
 // refusal in a row, so that a team above its share does not ask over and over.
 const (
-	minYieldPause = 100 * clock.Millisecond
-	maxYieldPause = 800 * clock.Millisecond
+	minYieldBackoff = 100 * clock.Millisecond
+	maxYieldBackoff = 800 * clock.Millisecond
 )
 
-// yield takes note that an owner keeps its room from the team's work of a rank.
-func (tm *team) yield(host string, rank int, now clock.Micros) {
+// recordYielding takes note that an owner keeps its room from the team's work of a rank.
+func (tm *team) recordYielding(host string, rank int, now clock.Micros) {
 	y := tm.yielding[host]
 	if now < y.until {
-		y.rank = max(y.rank, rank) // of the same round
+		y.maxPriority = max(y.maxPriority, rank) // of the same round
 		tm.yielding[host] = y
 		return
 	}
-	y.pause = min(max(2*y.pause, minYieldPause), maxYieldPause)
-	y.until, y.rank = now+y.pause, rank
+	y.backoff = min(max(2*y.backoff, minYieldBackoff), maxYieldBackoff)
+	y.until, y.maxPriority = now+y.backoff, rank
 	tm.yielding[host] = y
 }
 
-// yieldsTo tells that a job should not ask an owner now: it keeps its room for other teams.
+// yieldsAt tells that a job should not ask an owner now: it keeps its room for other teams.
 // Work within a guarantee asks all the same, and so does work of higher rank.
-func (j *job) yieldsTo(host string, now clock.Micros) bool {
+func (j *job) yieldsAt(host string, now clock.Micros) bool {
 	y, ok := j.team.yielding[host]
-	return ok && now < y.until && j.PriorityLevel <= y.rank && !j.withinGuarantee
+	return ok && now < y.until && j.PriorityLevel <= y.maxPriority && !j.withinGuarantee
 }
 
 // leaderShares is what an owner last told of the teams' shares of its machines.
 type leaderShares struct {
 	capacity  resources.Amounts
 	standings []fairshare.Standing
-	at        clock.Micros
+	reportedAt        clock.Micros
 }
 
 // shareMaxAge is how old an owner's word of the shares may be.
 const shareMaxAge = 3 * clock.Second
 
-// updateShares finds out which teams take more than their shares of the fleet. Those that
+// updateAboveShare finds out which teams take more than their shares of the fleet. Those that
 // are not told of by any owner are not above.
-func (d *Scheduler) updateShares(now clock.Micros) {
+func (d *Scheduler) updateAboveShare(now clock.Micros) {
 	if len(d.teams) == 0 {
 		return
 	}
 	taken, share := map[string]float64{}, map[string]float64{}
 	for _, o := range d.sessions {
-		if !o.reachable || now > o.shares.at+shareMaxAge {
+		if !o.reachable || now > o.shares.reportedAt+shareMaxAge {
 			continue
 		}
 		for i := range o.shares.standings {
@@ -72,7 +72,7 @@
 	}
 	for name, tm := range d.teams {
 		tm.aboveShare = taken[name] > share[name]
-		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+maxYieldPause })
+		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+maxYieldBackoff })
 	}
 }
 
@@ -91,8 +91,8 @@
 		return nil
 	}
 	o.demandsSentAt = now
-	if d.demandsAt == 0 || now >= d.demandsAt+demandInterval/2 {
-		d.demandsAt, d.demands = now, d.teamDemands(now)
+	if d.demandsCountedAt == 0 || now >= d.demandsCountedAt+demandInterval/2 {
+		d.demandsCountedAt, d.demands = now, d.teamDemands(now)
 	}
 	return d.demands
 }
@@ -103,12 +103,12 @@
 func (d *Scheduler) teamDemands(now clock.Micros) []fairshare.Demand {
 	shapes := map[string][]fairshare.Shape{}
 	places := map[shapeKey]int{}
-	d.eachWaiting(now, func(j *job, tasks int) {
+	d.eachPlaceableJob(now, func(j *job, tasks int) {
 		if j.awaitsAccounting {
 			return
 		}
 		team := j.team.Name
-		key := keyOf(j)
+		key := shapeKeyOf(j)
 		if at, ok := places[key]; ok {
 			shapes[team][at].Tasks += tasks
 			return
@@ -134,10 +134,10 @@
 	types   string
 	zone    string
 	spot    bool
-	rank    int
-	covered bool
+	priority    int
+	withinGuarantee bool
 }
 
-func keyOf(j *job) shapeKey {
+func shapeKeyOf(j *job) shapeKey {
 	return shapeKey{j.team.Name, j.Need, strings.Join(j.Types, " "), j.Zone, j.Spot, j.PriorityLevel, j.withinGuarantee}
 }
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -27,14 +27,14 @@
 
 // moveTasks gives up moves that take too long and begins new ones, at times.
 func (d *Scheduler) moveTasks(now clock.Micros) {
-	if d.timing.Moves == nil || now < d.movesAt+moveInterval {
+	if d.timing.Moves == nil || now < d.movesCheckedAt+moveInterval {
 		return
 	}
-	d.movesAt = now
+	d.movesCheckedAt = now
 	for _, mv := range d.moves.underWay() {
-		d.act(mv, mv.Expire(now))
+		d.applyMoveAction(mv, mv.Expire(now))
 	}
-	d.moves.book.Forget(now)
+	d.moves.planner.Forget(now)
 	for _, m := range d.machines {
 		if reason, ok := d.drainReason(m); ok {
 			d.moveTasksOff(m, reason, now)
@@ -57,21 +57,21 @@
 
 // moveTasksOff begins moves of a machine's tasks.
 func (d *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
-	for _, b := range m.inOrder() {
+	for _, b := range m.assignmentsByAttempt() {
 		j := b.job
 		if b.orphaned || b.reserved || b.stopping || b.unanswered || b.phase != wire.TaskRunning || j.cancelling || j.finalWriteInFlight ||
-			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.ofSource[b] != nil {
+			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.bySource[b] != nil {
 			continue
 		}
-		c := d.candidate(b, m, reason, now)
+		c := d.moveCandidate(b, m, reason, now)
 		if why := d.tryMove(b, c, now); why != rebalance.NotDeclined {
-			d.moves.book.Decline(j.team.Name, why)
+			d.moves.planner.Decline(j.team.Name, why)
 		}
 	}
 }
 
-// candidate is what is known of a task that is to be moved.
-func (d *Scheduler) candidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
+// moveCandidate is what is known of a task that is to be moved.
+func (d *Scheduler) moveCandidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
 	j, age := b.job, now-m.updatedAt
 	c := &rebalance.Candidate{Key: rebalance.Key{Job: j.ID, N: b.id.N}, Team: j.team.Name, Machine: m.ID, Reason: reason,
 		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
@@ -87,12 +87,12 @@
 // viewAge is how old what is known of a machine may be. A machine of which there is no news
 // is as it was for as long as its owner answers polls, which it does at least once a second.
 func (d *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
-	return now - max(m.updatedAt, d.sessions[m.host].polledAt)
+	return now - max(m.updatedAt, d.sessions[m.leader].polledAt)
 }
 
 // knownPace is how long tasks take on a machine against elsewhere, 0 while too few have ended there.
 func (m *machineState) knownPace() float64 {
-	if m.paceSamples < slowTasks {
+	if m.paceSamples < minPaceSamples {
 		return 0
 	}
 	return m.paceSum / float64(m.paceSamples)
@@ -114,7 +114,7 @@
 
 // tryMove begins a move of a task, or tells why it is not moved.
 func (d *Scheduler) tryMove(b *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
-	book, j := d.moves.book, b.job
+	book, j := d.moves.planner, b.job
 	if why := book.Evaluate(c, now); why != rebalance.NotDeclined {
 		return why
 	}
@@ -123,8 +123,8 @@
 		return rebalance.TeamAtLimit
 	}
 	why := rebalance.NoRoom
-	for _, to := range d.destinations(j, b.machine, now) {
-		dest := d.destination(j, to, now)
+	for _, to := range d.machinesForMove(j, b.machine, now) {
+		dest := d.moveDestination(j, to, now)
 		gain, cost, declined := book.Weigh(c, dest, now)
 		if why = declined; declined != rebalance.NotDeclined {
 			continue
@@ -133,24 +133,24 @@
 		if veto := d.timing.Moves.Veto; veto != nil && veto(proposal) {
 			return rebalance.Vetoed
 		}
-		d.begin(b, to, book.StartMove(c, dest, gain, cost, now), now)
+		d.startMove(b, to, book.StartMove(c, dest, gain, cost, now), now)
 		return rebalance.NotDeclined
 	}
 	return why
 }
 
-// destinations lists machines with room for a task of a job, those with its image first.
-func (d *Scheduler) destinations(j *job, from string, now clock.Micros) (out []*machineState) {
+// machinesForMove lists machines with room for a task of a job, those with its image first.
+func (d *Scheduler) machinesForMove(j *job, from string, now clock.Micros) (out []*machineState) {
 	for _, m := range d.findCapacityAnyImage(j, now) {
 		// An owner of an earlier version would start the task at once.
-		if m.ID != from && d.sessions[m.host].supportsReservations && !d.moves.to(m.ID) {
+		if m.ID != from && d.sessions[m.leader].supportsReservations && !d.moves.hasDestination(m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (d *Scheduler) destination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
+func (d *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
 	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.available.Minus(j.Need).CPU), ViewAge: d.viewAge(m, now)}
 	if !slices.Contains(m.Images, j.Image) {
 		to.Fetch, _ = d.fetchTime(j, m)
@@ -158,8 +158,8 @@
 	return to
 }
 
-// begin asks for a lease at the destination, which holds room and starts nothing.
-func (d *Scheduler) begin(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
+// startMove asks for a lease at the destination, which holds room and starts nothing.
+func (d *Scheduler) startMove(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
 	j := source.job
 	j.team.attemptCounter++
 	b := &assignment{id: peer.TaskID{Job: j.ID, N: source.id.N, Attempt: j.team.term<<32 | j.team.attemptCounter}, job: j, machine: to.ID,
@@ -168,18 +168,18 @@
 	to.available = to.available.Minus(j.Need)
 	d.reindex(to)
 	mv := &move{m, source, b}
-	d.moves.ofSource[source], d.moves.ofDestination[b] = mv, mv
+	d.moves.bySource[source], d.moves.byDestination[b] = mv, mv
 	d.counters.Moves++
-	o := d.sessions[to.host]
+	o := d.sessions[to.leader]
 	o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
 		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.withinGuarantee, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
 }
 
-// act carries out what a move asks for.
-func (d *Scheduler) act(mv *move, a rebalance.Action) {
+// applyMoveAction carries out what a move asks for.
+func (d *Scheduler) applyMoveAction(mv *move, a rebalance.Action) {
 	if mv.Ended() {
-		delete(d.moves.ofSource, mv.source)
-		delete(d.moves.ofDestination, mv.destination)
+		delete(d.moves.bySource, mv.source)
+		delete(d.moves.byDestination, mv.destination)
 	}
 	switch a {
 	case rebalance.StopSource:
@@ -189,25 +189,25 @@
 		b.reserved = false
 		b.job.assignments[b.id.N] = b
 		if m := d.machines[b.machine]; m != nil {
-			o := d.sessions[m.host]
+			o := d.sessions[m.leader]
 			o.pending.Starts = append(o.pending.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
 		}
 		d.counters.Moved++
 	case rebalance.ReleaseDestination:
 		mv.destination.orphaned = true
-		if !d.unask(mv.destination) {
+		if !d.retractAssignment(mv.destination) {
 			d.requestStop(mv.destination, 0)
 		}
 	}
 }
 
-// unask takes back an ask that was not sent yet.
-func (d *Scheduler) unask(b *assignment) (done bool) {
+// retractAssignment takes back an ask that was not sent yet.
+func (d *Scheduler) retractAssignment(b *assignment) (done bool) {
 	m := d.machines[b.machine]
 	if m == nil || !b.unanswered {
 		return false
 	}
-	o := d.sessions[m.host]
+	o := d.sessions[m.leader]
 	before := len(o.pending.Asks)
 	o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
 	if len(o.pending.Asks) == before {
@@ -218,21 +218,21 @@
 	return true
 }
 
-// moveStep tells a move, if there is one, that a binding is gone. started tells that the task
+// handleMoveAssignmentGone tells a move, if there is one, that a binding is gone. started tells that the task
 // goes on at the destination and need not be placed. It can only if the binding was the task's
 // current one.
-func (d *Scheduler) moveStep(b *assignment, current bool) (started bool) {
-	if mv := d.moves.ofDestination[b]; mv != nil {
-		d.act(mv, mv.DestinationLost())
+func (d *Scheduler) handleMoveAssignmentGone(b *assignment, current bool) (started bool) {
+	if mv := d.moves.byDestination[b]; mv != nil {
+		d.applyMoveAction(mv, mv.DestinationLost())
 		return false
 	}
-	mv := d.moves.ofSource[b]
+	mv := d.moves.bySource[b]
 	if mv == nil {
 		return false
 	}
 	j := b.job
 	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finalWriteInFlight && j.team.jobs[j.ID] == j && d.teams[j.team.Name] == j.team)
-	d.act(mv, a)
+	d.applyMoveAction(mv, a)
 	return a == rebalance.StartDestination
 }
 
@@ -240,39 +240,39 @@
 func (d *Scheduler) abandonMoves(tm *team, job string) {
 	for _, mv := range d.moves.underWay() {
 		if j := mv.source.job; j.team == tm && (job == "" || j.ID == job) {
-			d.act(mv, mv.Abandon())
+			d.applyMoveAction(mv, mv.Abandon())
 		}
 	}
 }
 
 // moves are those under way, by both of their bindings.
 type moves struct {
-	book          *rebalance.Planner
-	ofSource      map[*assignment]*move
-	ofDestination map[*assignment]*move
+	planner          *rebalance.Planner
+	bySource      map[*assignment]*move
+	byDestination map[*assignment]*move
 }
 
 func newMoves(m *Moves) moves {
-	out := moves{ofSource: map[*assignment]*move{}, ofDestination: map[*assignment]*move{}}
+	out := moves{bySource: map[*assignment]*move{}, byDestination: map[*assignment]*move{}}
 	if m != nil {
-		out.book = rebalance.NewPlanner(m.Limits)
+		out.planner = rebalance.NewPlanner(m.Limits)
 	}
 	return out
 }
 
 // underWay lists the moves in the order in which they began.
 func (m *moves) underWay() []*move {
-	out := make([]*move, 0, len(m.ofSource))
-	for _, mv := range m.ofSource {
+	out := make([]*move, 0, len(m.bySource))
+	for _, mv := range m.bySource {
 		out = append(out, mv)
 	}
 	slices.SortFunc(out, func(a, b *move) int { return int(a.destination.id.Attempt) - int(b.destination.id.Attempt) })
 	return out
 }
 
-// to tells that a move to a machine is under way.
-func (m *moves) to(machine string) bool {
-	for b := range m.ofDestination {
+// hasDestination tells that a move hasDestination a machine is under way.
+func (m *moves) hasDestination(machine string) bool {
+	for b := range m.byDestination {
 		if b.machine == machine {
 			return true
 		}
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -24,9 +24,9 @@
 	return in
 }
 
-// sweepInterval is how often an owner's partitions are held against all machines: a
+// partitionCheckInterval is how often an owner's partitions are held against all machines: a
 // late word of a former owner may have brought one back that is gone.
-const sweepInterval = 2 * clock.Second
+const partitionCheckInterval = 2 * clock.Second
 
 // HandlePollResponse takes an owner's answer to a poll.
 func (d *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
@@ -58,10 +58,10 @@
 	for i := range ans.Machines {
 		d.updateMachine(host, o, &ans.Machines[i], now)
 	}
-	if !moved && !ans.Full && now < o.sweptAt+sweepInterval {
+	if !moved && !ans.Full && now < o.partitionsCheckedAt+partitionCheckInterval {
 		return
 	}
-	o.sweptAt = now
+	o.partitionsCheckedAt = now
 	for _, m := range d.machines {
 		switch held := o.partitionTerms[m.Part]; {
 		case held > m.Term:
@@ -69,7 +69,7 @@
 			// machines that it found registered, and this one is not among
 			// them: its record was dropped, so it was gone for certain.
 			d.forgetMachine(m)
-		case m.host == host && held != m.Term:
+		case m.leader == host && held != m.Term:
 			m.Usable = false
 		}
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	images := m.Images
-	m.MachineView, m.host, m.instance, m.updatedAt = *v, host, o.instance, now
+	m.MachineView, m.leader, m.instance, m.updatedAt = *v, host, o.instance, now
 	if v.Images == nil && !v.Whole {
 		m.Images = images
 	}
@@ -143,7 +143,7 @@
 		d.reconcileTask(o, m, &v.Tasks[i], now)
 	}
 	if v.Whole {
-		for _, b := range m.inOrder() {
+		for _, b := range m.assignmentsByAttempt() {
 			d.releaseIfGone(b, m)
 		}
 	} else {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -52,9 +52,9 @@
 	return j.stalledSince != 0 && now >= j.stalledSince+d.timing.PreemptAfter
 }
 
-// preemptStep is how much lost work makes a difference: below it, small tasks
+// preemptionCostStep is how much lost work makes a difference: below it, small tasks
 // gather where they do otherwise.
-const preemptStep = 5 * clock.Second
+const preemptionCostStep = 5 * clock.Second
 
 // preempt looks for room that tasks of lower rank hold or, for a job within
 // its team's guarantee, tasks that other teams run beyond theirs; the least
@@ -74,24 +74,24 @@
 	} else if j.withinGuarantee {
 		most = j.PriorityLevel
 	}
-	if !someRank(&d.tasksByPriority, most) || d.exhausted.hasNoVictims(j, owed) {
+	if !hasTaskUpTo(&d.tasksByPriority, most) || d.exhausted.hasNoVictims(j, owed) {
 		return nil, nil, false
 	}
 	var bestCost clock.Micros
 	looked := 0
 	in.walk(0, d.rng.Uint64(), func(m *machineState) bool {
 		d.counters.Looked++
-		if !someRank(&m.tasksByPriority, most) || !d.mayOffer(j, m, now) {
+		if !hasTaskUpTo(&m.tasksByPriority, most) || !d.mayOffer(j, m, now) {
 			return false
 		}
 		looked++
-		v, cost, o := d.victims(j, m, owed, now)
-		if len(v) > 0 && (best == nil || cost/preemptStep < bestCost/preemptStep ||
-			cost/preemptStep == bestCost/preemptStep && d.prefers(j, m, best)) {
+		v, cost, o := d.victimsOn(j, m, owed, now)
+		if len(v) > 0 && (best == nil || cost/preemptionCostStep < bestCost/preemptionCostStep ||
+			cost/preemptionCostStep == bestCost/preemptionCostStep && d.prefers(j, m, best)) {
 			best, victims, bestCost, over = m, v, cost, o
 		}
 		// What has hardly begun is as good a choice as any.
-		return looked >= 8*d.timing.Sample || best != nil && bestCost < preemptStep
+		return looked >= 8*d.timing.Sample || best != nil && bestCost < preemptionCostStep
 	})
 	if best == nil && in == &d.capacity {
 		d.exhausted.markNoVictims(j, owed)
@@ -99,8 +99,8 @@
 	return best, victims, over
 }
 
-// someRank tells that there are tasks of a rank up to the given one.
-func someRank(ranks *[4]int, most int) bool {
+// hasTaskUpTo tells that there are tasks of a rank up to the given one.
+func hasTaskUpTo(ranks *[4]int, most int) bool {
 	for r := 0; r <= most; r++ {
 		if ranks[r] > 0 {
 			return true
@@ -109,9 +109,9 @@
 	return false
 }
 
-// victims picks the tasks to stop on a machine to make room for one of a job;
+// victimsOn picks the tasks to stop on a machine to make room for one of a job;
 // none when that makes no room.
-func (d *Scheduler) victims(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
+func (d *Scheduler) victimsOn(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
 	var cand []*observedTask
 	for _, t := range m.tasks {
 		if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -53,7 +53,7 @@
 		if lx != ly {
 			return lx < ly
 		}
-		if lx == hopeless && x.RuntimeEstimateS != y.RuntimeEstimateS {
+		if lx == pastObjective && x.RuntimeEstimateS != y.RuntimeEstimateS {
 			return x.RuntimeEstimateS > y.RuntimeEstimateS
 		}
 		if x.PriorityLevel != y.PriorityLevel {
@@ -67,7 +67,7 @@
 		}
 		// Of work with deadlines the smallest rests go first, so that most jobs are in
 		// time: what waits longer than by plan waits for machines that can't be had.
-		if u, v := x.remaining(), y.remaining(); x.DeadlineS != nil && y.DeadlineS != nil && u != v {
+		if u, v := x.waitingWork(), y.waitingWork(); x.DeadlineS != nil && y.DeadlineS != nil && u != v {
 			return u < v
 		}
 		if x.deadline() != y.deadline() {
@@ -91,8 +91,8 @@
 	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
-// remaining is the work of a job that waits, in CPU seconds.
-func (j *job) remaining() float64 {
+// waitingWork is the work of a job that waits, in CPU seconds.
+func (j *job) waitingWork() float64 {
 	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
 
@@ -108,17 +108,17 @@
 
 // How late a job is.
 const (
-	inTime   = iota
-	overdue  // but not by the longer measure of its class's objectives
-	hopeless // nothing is left to be in time for but the end of all
+	onTime   = iota
+	pastDeadline  // but not by the longer measure of its class's objectives
+	pastObjective // nothing is left to be in time for but the end of all
 )
 
 func (d *Scheduler) lateness(j *job, now clock.Micros) int {
 	if !j.missesDeadline(now) {
-		return inTime
+		return onTime
 	}
 	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*d.timing.Times[j.Class]) {
-		return overdue
+		return pastDeadline
 	}
-	return hopeless
+	return pastObjective
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -20,7 +20,7 @@
 
 // forgetMachine drops a machine that is gone for certain, with all asks for it.
 func (d *Scheduler) forgetMachine(m *machineState) {
-	for _, b := range m.inOrder() {
+	for _, b := range m.assignmentsByAttempt() {
 		d.releaseAssignment(b)
 	}
 	d.removeMachine(m)
@@ -35,8 +35,8 @@
 	d.reindex(m)
 }
 
-// inOrder lists a machine's bindings in a fixed order.
-func (m *machineState) inOrder() []*assignment {
+// assignmentsByAttempt lists a machine's bindings in a fixed order.
+func (m *machineState) assignmentsByAttempt() []*assignment {
 	out := make([]*assignment, 0, len(m.assignments))
 	for _, b := range m.assignments {
 		out = append(out, b)
@@ -80,7 +80,7 @@
 	if current {
 		delete(j.assignments, b.id.N)
 	}
-	if started := d.moveStep(b, current); current && !started {
+	if started := d.handleMoveAssignmentGone(b, current); current && !started {
 		if !j.isDone(b.id.N) && !(j.awaitsAccounting && b.id.N < j.offeredByFormer) {
 			j.queue = append(j.queue, b.id.N)
 		}
@@ -203,14 +203,14 @@
 	if m == nil {
 		return
 	}
-	o := d.sessions[m.host]
+	o := d.sessions[m.leader]
 	o.pending.Settles = append(o.pending.Settles, peer.Acknowledgement{ID: id, Machine: machine})
 	j.acknowledgedTerms[id] = m.Term
 }
 
 func (d *Scheduler) requestStop(b *assignment, grace float64) {
 	if m := d.machines[b.machine]; m != nil {
-		o := d.sessions[m.host]
+		o := d.sessions[m.leader]
 		o.pending.Stops = append(o.pending.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
 	}
 	b.stopping = true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -76,7 +76,7 @@
 
 type machineState struct {
 	peer.MachineView
-	host            string
+	leader            string
 	instance        string
 	available       resources.Amounts // what it shows, less what was asked for since
 	nameHash        uint64            // of its name
@@ -120,7 +120,7 @@
 	pending               peer.Batch
 	acknowledgementsSince clock.Micros // since when settlements wait to be sent
 	reachable             bool
-	sweptAt               clock.Micros
+	partitionsCheckedAt               clock.Micros
 	polledAt              clock.Micros
 	supportsReservations  bool // it holds room for tasks that are to move
 	resync                bool // a view did not fit what was known: ask for everything
@@ -154,7 +154,7 @@
 	legacyRecords    bool // machines recorded by an earlier release are there: it left no watermarks
 	watermarks       map[string]watermarks
 	rng              *rand.Rand
-	wall             func() int64              // time of day in ms, good to the settings' bound
+	wallMS             func() int64              // time of day in ms, good to the settings' bound
 	fetchRates       map[string]float64        // GB a second by machine type
 	prices           map[priceKey]float64      // of a CPU, against the dearest
 	largestTaskCPU   int64                     // CPUs of the largest task about
@@ -167,12 +167,12 @@
 	exhausted        exhaustedDemand           // what found no room in this round
 	counters         Counters
 	demands          []fairshare.Demand // what waits, as last counted for the owners
-	demandsAt        clock.Micros
+	demandsCountedAt        clock.Micros
 
 	distributions map[string]distributions  // by team
 	zones         map[string]*recovery.Gate // of zones to which work returns, by the clock here
 	moves         moves
-	movesAt       clock.Micros
+	movesCheckedAt       clock.Micros
 }
 
 // Config of a scheduler.
@@ -189,7 +189,7 @@
 func NewScheduler(c Config) *Scheduler {
 	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, capacityByImage: map[string]*capacityIndex{}, tasksByCPU: map[int64]int{}, timing: c.Timing, instance: c.Instance, teamConfigs: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*machineState{},
 		sessions: map[string]*leaderSession{}, recordedMachines: map[string]bool{}, progress: map[string]map[chunkID]progress{}, chunkTasks: ChunkTasks,
-		rng: rand.New(rand.NewPCG(c.Seed, 1)), wall: c.WallMS}
+		rng: rand.New(rand.NewPCG(c.Seed, 1)), wallMS: c.WallMS}
 	d.moves = newMoves(c.Timing.Moves)
 	for _, tm := range c.Teams {
 		d.teamConfigs[tm.Name] = tm
@@ -289,7 +289,7 @@
 		j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 	}
 	if spec.AcceptedMS > 0 {
-		j.acceptedAt = now - clock.Micros(max(0, d.wall()-spec.AcceptedMS))*clock.Millisecond
+		j.acceptedAt = now - clock.Micros(max(0, d.wallMS()-spec.AcceptedMS))*clock.Millisecond
 	}
 	for chunk, r := range d.progress[spec.ID] {
 		for i, b := range r.bits {
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -10,9 +10,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// unaccountedCapacity lists how much of a team's work machines could hold that are not accounted
+// sumUnaccountedCapacity lists how much of a team's work machines could hold that are not accounted
 // for. Those that were not seen yet count as the largest machine there is.
-func (d *Scheduler) unaccountedCapacity(tm *team, largest func() resources.Amounts) (n int, room resources.Amounts) {
+func (d *Scheduler) sumUnaccountedCapacity(tm *team, largest func() resources.Amounts) (n int, room resources.Amounts) {
 	for id := range tm.unaccounted {
 		n++
 		if m := d.machines[id]; m != nil && m.Cap.CPU > 0 {
@@ -46,14 +46,14 @@
 // Schedule decides on asks for one round of decisions. What it decides waits in
 // the owners' next rounds. The batch widens with what waits.
 func (d *Scheduler) Schedule(now clock.Micros) (placed int) {
-	d.updateShares(now)
+	d.updateAboveShare(now)
 	d.moveTasks(now)
 	list := d.schedulingOrder(now)
 	// After a restart no machine was seen yet: the largest is looked for once a round at
 	// most, and not for each machine anew.
 	largest := sync.OnceValue(d.largestMachine)
 	for _, tm := range d.teams {
-		tm.unaccountedCount, tm.unaccountedCapacity = d.unaccountedCapacity(tm, largest)
+		tm.unaccountedCount, tm.unaccountedCapacity = d.sumUnaccountedCapacity(tm, largest)
 	}
 	waiting := 0
 	for _, j := range list {
@@ -135,7 +135,7 @@
 			}
 		}
 		d.reindex(m)
-		o := d.sessions[m.host]
+		o := d.sessions[m.leader]
 		o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB,
 			Machine: m.ID, Term: m.Term, Victims: victims, Over: over, Covered: j.withinGuarantee,
 			Stage: int(j.stage) + 1})
@@ -165,7 +165,7 @@
 
 // mayOffer tells whether a machine may be asked for room for a task of a job now.
 func (d *Scheduler) mayOffer(j *job, m *machineState, now clock.Micros) bool {
-	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsTo(m.host, now) && !j.awaitsZoneStage(m, d.zones, now)
+	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && !j.awaitsZoneStage(m, d.zones, now)
 }
 
 // selectMachine draws a small sample of the machines that showed room and takes the
@@ -222,7 +222,7 @@
 		// To start soon counts for more than to leave large pieces whole.
 		prefer(withoutOtherFetches(j, list, now))
 	}
-	prefer(d.keepsLargeSlots(j, list))
+	prefer(d.keepingLargeSlots(j, list))
 	if bare {
 		prefer(withoutOtherFetches(j, list, now))
 	}
@@ -246,7 +246,7 @@
 // sooner than it is fetched. What is fetched for nothing is paid for.
 func (d *Scheduler) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
 	fetch, ok := d.fetchTime(j, list[0])
-	if !d.timing.Economy || !d.capacityByImage[j.Image].any() || !ok || len(list)*8 >= d.indexedMachines {
+	if !d.timing.Economy || !d.capacityByImage[j.Image].hasMachines() || !ok || len(list)*8 >= d.indexedMachines {
 		return false
 	}
 	if within, ok := d.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
@@ -273,9 +273,9 @@
 	return d.largestTaskCPU > 0 && j.Need.CPU*2 <= d.largestTaskCPU
 }
 
-// keepsLargeSlots picks the machines where a small task takes no place from a large
+// keepingLargeSlots picks the machines where a small task takes no place from a large
 // one: as many large tasks fit there with it as without.
-func (d *Scheduler) keepsLargeSlots(j *job, list []*machineState) (out []*machineState) {
+func (d *Scheduler) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
 	if !d.isSmall(j) {
 		return nil
 	}
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -7,14 +7,14 @@
 // runTime is how long a task ran, and where.
 type runTime struct {
 	machine string
-	took    clock.Micros
+	duration    clock.Micros
 }
 
 // A machine is slow when its tasks take so many times as long as others of the
 // same jobs, over so many tasks. Machines differ by a tenth, tasks by more.
 const (
-	slowPace  = 1.6
-	slowTasks = 5
+	slowPaceThreshold  = 1.6
+	minPaceSamples = 5
 )
 
 // detectSlowMachines compares how long a finished job's tasks ran on each machine with how
@@ -28,8 +28,8 @@
 	var all clock.Micros
 	sum, count := map[string]clock.Micros{}, map[string]int{}
 	for _, r := range j.runs {
-		all += r.took
-		sum[r.machine] += r.took
+		all += r.duration
+		sum[r.machine] += r.duration
 		count[r.machine]++
 	}
 	for _, r := range j.runs {
@@ -42,11 +42,11 @@
 		if m.paceSamples == 20 { // old news fade
 			m.paceSum, m.paceSamples = m.paceSum/2, 10
 		}
-		m.paceSum += min(r.took.Seconds()/mean, 4)
+		m.paceSum += min(r.duration.Seconds()/mean, 4)
 		m.paceSamples++
-		if m.paceSamples >= slowTasks && m.paceSum > slowPace*float64(m.paceSamples) {
+		if m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples) {
 			m.slow = true
-			o := d.sessions[m.host]
+			o := d.sessions[m.leader]
 			o.pending.Slow = append(o.pending.Slow, m.ID)
 		}
 	}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -15,45 +15,45 @@
 // A new placer takes over while a machine can't be reached: old jobs wait for
 // it, new ones start, and the limit counts all that it could hold.
 func TestTakeOverOfATeamWaitsForUnaccountedMachines(t *testing.T) {
-	w := newWorld(t, 1, 4)
-	w.settle(8)
+	w := newSimulation(t, 1, 4)
+	w.runSteps(8)
 	w.addJob("job-1", 2, nil)
-	w.settle(2)
-	require.Equal(t, 2, w.running())
-	w.boot(w.hosts[0])
+	w.runSteps(2)
+	require.Equal(t, 2, w.runningTasks())
+	w.boot(w.controllers[0])
 	w.newScheduler()
-	w.gain(0, 0) // and the machines of partition 0 are silent for now
+	w.acquirePartition(0, 0) // and the machines of partition 0 are silent for now
 	w.addJob("job-2", 2, nil)
 	for range 5 {
 		w.now += 100 * clock.Millisecond
-		for _, h := range w.hosts {
+		for _, h := range w.controllers {
 			w.poll(h, false)
 		}
-		w.place()
-		for _, h := range w.hosts {
-			w.send(h, true, true)
+		w.schedule()
+		for _, h := range w.controllers {
+			w.sendBatch(h, true, true)
 		}
 		for _, id := range []string{"m-1", "m-3"} {
-			w.report(id, true)
-			w.deliver(id, false, true)
+			w.heartbeat(id, true)
+			w.deliverCommands(id, false, true)
 		}
-		w.check("unaccounted")
+		w.checkInvariants("unaccounted")
 	}
-	n, held := w.scheduler.unaccountedCapacity(w.scheduler.teams[red], w.scheduler.largestMachine)
+	n, held := w.scheduler.sumUnaccountedCapacity(w.scheduler.teams[red], w.scheduler.largestMachine)
 	require.Equal(t, 2, n)
 	require.GreaterOrEqual(t, held.CPUs(), 16.0)
-	require.Equal(t, 2, w.running(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
-	w.settle(8)
-	require.Equal(t, 4, w.running())
+	require.Equal(t, 2, w.runningTasks(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
+	w.runSteps(8)
+	require.Equal(t, 4, w.runningTasks())
 }
 
-// takeOverWithoutPartition0 has a new placer take over while the first controller
+// restartWithPartition0Silent has a new placer take over while the first controller
 // begins anew and its machines are silent. All tasks on the others, m-1 and m-3,
 // are done, so that there is room, and a second goes by.
-func (w *world) takeOverWithoutPartition0() {
-	w.boot(w.hosts[0])
+func (w *simulation) restartWithPartition0Silent() {
+	w.boot(w.controllers[0])
 	w.newScheduler()
-	w.gain(0, 0)
+	w.acquirePartition(0, 0)
 	others := []string{"m-1", "m-3"}
 	for _, id := range others {
 		for _, r := range w.workers[id].InOrder() {
@@ -63,30 +63,30 @@
 	for range 12 {
 		w.now += 100 * clock.Millisecond
 		for _, id := range others {
-			w.report(id, true)
-			w.deliver(id, false, true)
+			w.heartbeat(id, true)
+			w.deliverCommands(id, false, true)
 		}
-		for _, h := range w.hosts {
+		for _, h := range w.controllers {
 			w.poll(h, false)
 		}
-		w.place()
-		for _, h := range w.hosts {
-			w.send(h, true, true)
+		w.schedule()
+		for _, h := range w.controllers {
+			w.sendBatch(h, true, true)
 		}
-		w.check("unaccounted")
+		w.checkInvariants("unaccounted")
 	}
 }
 
 // A new placer takes over while a machine can't be reached. What was never
 // asked for starts at once; what may have been waits.
 func TestTakeOverStartsWhatWasNeverAskedFor(t *testing.T) {
-	w := newWorldOf(t, 1, 4, 0)
-	w.settle(8)
+	w := newSimulationWithLimit(t, 1, 4, 0)
+	w.runSteps(8)
 	w.addJob("job-1", 40, nil) // more than there is room for
-	w.settle(4)
-	require.Equal(t, 16, w.running())
+	w.runSteps(4)
+	require.Equal(t, 16, w.runningTasks())
 	w.addJob("job-2", 3, nil)
-	w.takeOverWithoutPartition0()
+	w.restartWithPartition0Silent()
 	started := map[string]int{}
 	for _, id := range []string{"m-1", "m-3"} {
 		for _, r := range w.workers[id].Tasks {
@@ -98,47 +98,47 @@
 	}
 	require.Equal(t, map[string]int{"job-2": 3}, started)
 	w.now += 2 * lease
-	w.settle(30)
-	require.Greater(t, w.running(), 8, "the rest of the first job goes on once the machines are accounted for")
+	w.runSteps(30)
+	require.Greater(t, w.runningTasks(), 8, "the rest of the first job goes on once the machines are accounted for")
 }
 
 // The release before left no watermarks. What its placer may have asked for waits until
 // all machines are accounted for, and is marked before it is asked for again.
 func TestTakeOverFromAnEarlierRelease(t *testing.T) {
-	w := newWorldOf(t, 1, 4, 0)
-	w.settle(8)
+	w := newSimulationWithLimit(t, 1, 4, 0)
+	w.runSteps(8)
 	w.addJob("job-1", 16, nil)
-	w.settle(4)
-	require.Equal(t, 16, w.running())
+	w.runSteps(4)
+	require.Equal(t, 16, w.runningTasks())
 	clear(w.watermarks)
 	w.legacyRecords = true
-	w.takeOverWithoutPartition0()
-	require.Equal(t, 8, w.running(), "those of the machines that are silent, and no more")
+	w.restartWithPartition0Silent()
+	require.Equal(t, 8, w.runningTasks(), "those of the machines that are silent, and no more")
 	w.now += 2 * lease
-	w.settle(30)
-	require.Equal(t, 8, w.running(), "those that were lost")
+	w.runSteps(30)
+	require.Equal(t, 8, w.runningTasks(), "those that were lost")
 	require.Equal(t, 16, w.scheduler.watermarkOf(red, w.active["job-1"]))
 }
 
 // A partition moves; the former owner's last answer comes late and shows a
 // machine that the new owner has never heard of, for it is gone. It does not stay.
 func TestALateWordOfAFormerOwnerBringsNoMachineBack(t *testing.T) {
-	w := newWorldOf(t, 1, 4, 0)
-	w.settle(8)
+	w := newSimulationWithLimit(t, 1, 4, 0)
+	w.runSteps(8)
 	w.addJob("job-1", 16, nil)
-	w.settle(4)
+	w.runSteps(4)
 	in := peer.PollRequest{Gen: w.scheduler.sessions["h0"].generation, Terms: w.scheduler.TeamTerms()}
-	late := w.hosts[0].table.HandlePoll(in, w.hosts[0].instance, w.now)
-	delete(w.registry, "m-0")
-	w.gain(0, 1)
-	w.record("m-0", false)
-	w.poll(w.hosts[1], false)
+	late := w.controllers[0].partitionState.HandlePoll(in, w.controllers[0].instance, w.now)
+	delete(w.machineRecords, "m-0")
+	w.acquirePartition(0, 1)
+	w.handleMachineRecord("m-0", false)
+	w.poll(w.controllers[1], false)
 	require.NotContains(t, w.scheduler.machines, "m-0")
 	w.scheduler.HandlePollResponse("h0", in, &late, w.now)
 	for range 4 {
 		w.now += sec
-		w.poll(w.hosts[0], false)
-		w.poll(w.hosts[1], false)
+		w.poll(w.controllers[0], false)
+		w.poll(w.controllers[1], false)
 	}
 	require.NotContains(t, w.scheduler.machines, "m-0")
 	require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 12)
@@ -146,13 +146,13 @@
 
 // Attempt numbers of two placers never meet.
 func TestAttemptsAreUniqueAcrossTakeOvers(t *testing.T) {
-	w := newWorld(t, 1, 2)
+	w := newSimulation(t, 1, 2)
 	seen := map[uint64]bool{}
 	for range 3 {
-		w.settle(8)
+		w.runSteps(8)
 		w.addJob(fmt.Sprintf("job-%d", w.term), 2, nil)
-		w.place()
-		for _, h := range w.hosts {
+		w.schedule()
+		for _, h := range w.controllers {
 			for _, a := range w.scheduler.sessions[h.name].pending.Asks {
 				require.False(t, seen[a.ID.Attempt])
 				seen[a.ID.Attempt] = true
@@ -178,7 +178,7 @@
 		_, ok := parseChunk(odd)
 		require.False(t, ok, odd)
 	}
-	w := newWorldOf(t, 1, 4, 0)
+	w := newSimulationWithLimit(t, 1, 4, 0)
 	w.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
 	w.addJob("job-1", 20, nil)
 	j := w.scheduler.teams[red].jobs["job-1"]
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -52,21 +52,21 @@
 		if seen, ok := d.distributions[name]; ok {
 			s.Waits, s.Lateness = seen.waits.Quantiles(), seen.lateness.Quantiles()
 		}
-		if d.moves.book != nil {
-			d.addMoves(&s, now)
+		if d.moves.planner != nil {
+			d.addMoveRecords(&s, now)
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// addMoves adds a team's moves to what is told of it.
-func (d *Scheduler) addMoves(s *peer.TeamStatus, now clock.Micros) {
-	for _, r := range d.moves.book.Recent(s.Team) {
+// addMoveRecords adds a team's moves to what is told of it.
+func (d *Scheduler) addMoveRecords(s *peer.TeamStatus, now clock.Micros) {
+	for _, r := range d.moves.planner.Recent(s.Team) {
 		s.Moves = append(s.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
 			Reason: string(r.Reason), Outcome: string(r.Outcome), Gain: r.Gain, Cost: r.Cost, Ago: now - r.Began})
 	}
-	declined := d.moves.book.DeclinedOf(s.Team)
+	declined := d.moves.planner.DeclinedOf(s.Team)
 	for _, why := range slices.Sorted(maps.Keys(declined)) {
 		s.Unmoved = append(s.Unmoved, peer.DeclinedMoves{Why: string(why), Count: declined[why]})
 	}
