--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -22,18 +22,18 @@
 
 // NextBatch gives the round to send to an owner now, nil for nothing. A round
 // without an answer is given again as it was.
-func (d *Scheduler) NextBatch(host string) *peer.Batch {
-	o := d.sessions[host]
+func (s *Scheduler) NextBatch(host string) *peer.Batch {
+	o := s.sessions[host]
 	if o.inFlight != nil && o.inFlightInstance == o.instance {
 		return o.inFlight
 	}
-	d.abandonBatch(o)
+	s.abandonBatch(o)
 	r := o.pending
 	if o.instance == "" || r.Empty() {
 		return nil
 	}
 	o.sequence++
-	r.From, r.Seq, r.Terms = d.instance, o.sequence, d.TeamTerms()
+	r.From, r.Seq, r.Terms = s.instance, o.sequence, s.TeamTerms()
 	o.inFlight, o.inFlightInstance, o.pending, o.acknowledgementsSince = &r, o.instance, peer.Batch{}, 0
 	return o.inFlight
 }
@@ -42,7 +42,7 @@
 // process may have granted and started them, and only the next owner of their
 // machines can tell. What bears repeating goes to the next process; it is told of
 // withdrawals when their ends are looked at.
-func (d *Scheduler) abandonBatch(o *leaderSession) {
+func (s *Scheduler) abandonBatch(o *leaderSession) {
 	if o.inFlight == nil {
 		return
 	}
@@ -54,8 +54,8 @@
 const acknowledgementInterval = 300 * clock.Millisecond
 
 // HasBatch tells whether there is something to send to an owner now.
-func (d *Scheduler) HasBatch(host string, now clock.Micros) bool {
-	o := d.sessions[host]
+func (s *Scheduler) HasBatch(host string, now clock.Micros) bool {
+	o := s.sessions[host]
 	if o.inFlight != nil {
 		return true
 	}
@@ -72,20 +72,20 @@
 
 // HandleBatchResponse takes the answer to a round; ok is false when another process has
 // given it than the one that the round was for.
-func (d *Scheduler) HandleBatchResponse(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
-	o := d.sessions[host]
+func (s *Scheduler) HandleBatchResponse(host string, r *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
+	o := s.sessions[host]
 	if o.inFlight != r {
 		return true
 	}
 	if ans.Incarnation != o.inFlightInstance || ans.Incarnation != o.instance {
 		// Another process has answered than the one that may have granted.
-		d.abandonBatch(o)
+		s.abandonBatch(o)
 		return false
 	}
 	o.inFlight = nil
-	d.setReachable(host, true)
+	s.setReachable(host, true)
 	for i, a := range r.Asks {
-		m := d.machines[a.Machine]
+		m := s.machines[a.Machine]
 		if m == nil {
 			continue
 		}
@@ -94,38 +94,38 @@
 			continue
 		}
 		no := i >= len(ans.Refused) || i >= len(ans.Versions) || ans.Refused[i]
-		if mv := d.moves.byDestination[b]; mv != nil && no {
-			d.applyMoveAction(mv, mv.Refused())
+		if mv := s.moves.byDestination[b]; mv != nil && no {
+			s.applyMoveAction(mv, mv.Refused())
 		}
 		if i < len(ans.Yielded) && ans.Yielded[i] {
-			d.counters.Yielded++
-			d.releaseAssignment(b)
-			d.recomputeAvailable(m)
+			s.counters.Yielded++
+			s.releaseAssignment(b)
+			s.recomputeAvailable(m)
 			b.job.team.recordYielding(host, b.job.PriorityLevel, now)
 			continue
 		}
 		if no {
-			d.counters.Refused++
-			d.releaseAssignment(b)
+			s.counters.Refused++
+			s.releaseAssignment(b)
 			// What made the owner refuse is news on its way; until it is here the machine is kept from.
 			m.rejectedAt, m.rejected = now, true
-			d.recomputeAvailable(m)
+			s.recomputeAvailable(m)
 			continue
 		}
 		b.unanswered, b.instance, b.viewVersion = false, ans.Incarnation, ans.Versions[i]
 		delete(b.job.team.yielding, host)
-		if mv := d.moves.byDestination[b]; mv != nil {
-			d.applyMoveAction(mv, mv.Granted())
+		if mv := s.moves.byDestination[b]; mv != nil {
+			s.applyMoveAction(mv, mv.Granted())
 		}
 		if m.Accounted && m.instance == ans.Incarnation {
 			// A poll may have shown the machine already as it was after the
 			// grant, with the task gone again: nothing newer would come to release it.
-			d.releaseIfGone(b, m)
+			s.releaseIfGone(b, m)
 		}
-		d.recomputeAvailable(m)
+		s.recomputeAvailable(m)
 	}
 	for _, c := range r.Cancels {
-		tm := d.teams[c.Team]
+		tm := s.teams[c.Team]
 		if tm == nil || tm.term != r.Terms[c.Team] {
 			continue // taken for a former term, which counts for nothing in this one
 		}
@@ -137,8 +137,8 @@
 }
 
 // Status tells what a job's user may be told.
-func (d *Scheduler) Status(teamName, id string) peer.JobResponse {
-	tm := d.teams[teamName]
+func (s *Scheduler) Status(teamName, id string) peer.JobResponse {
+	tm := s.teams[teamName]
 	if tm == nil {
 		return peer.JobResponse{}
 	}
@@ -149,21 +149,21 @@
 	if j.finalStateUncertain {
 		return peer.JobResponse{Known: true, Found: true, Retry: true}
 	}
-	s := wire.JobState{ID: id, Phase: wire.Pending, Done: j.doneCount}
+	state := wire.JobState{ID: id, Phase: wire.Pending, Done: j.doneCount}
 	for _, b := range j.assignments {
 		if b.phase == wire.TaskRunning || b.phase == wire.TaskCheckpointing {
-			s.Running++
+			state.Running++
 		}
 	}
-	if s.Running > 0 || s.Done > 0 {
-		s.Phase = wire.Running
+	if state.Running > 0 || state.Done > 0 {
+		state.Phase = wire.Running
 	}
-	return peer.JobResponse{Known: true, Found: true, State: s}
+	return peer.JobResponse{Known: true, Found: true, State: state}
 }
 
 // CompletedJobs lists a team's jobs whose tasks are all done and whose end is to be
 // written, those that were accepted first in front.
-func (d *Scheduler) CompletedJobs(tm *team) (out []*job) {
+func (s *Scheduler) CompletedJobs(tm *team) (out []*job) {
 	for _, j := range tm.jobs {
 		if j.doneCount == j.Tasks && !j.finalWriteInFlight && !j.cancelling {
 			out = append(out, j)
@@ -175,9 +175,9 @@
 
 // eachPlaceableJob visits the jobs that have tasks to place, those whose turn it is first, each
 // with how many tasks its team's limit leaves room for.
-func (d *Scheduler) eachPlaceableJob(now clock.Micros, visit func(j *job, tasks int)) {
-	list := d.schedulingOrder(now)
-	for _, tm := range d.teams {
+func (s *Scheduler) eachPlaceableJob(now clock.Micros, visit func(j *job, tasks int)) {
+	list := s.schedulingOrder(now)
+	for _, tm := range s.teams {
 		room := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
 		if tm.Limit.CPU > 0 {
 			room.CPU = tm.Limit.CPU - tm.used.CPU
@@ -206,11 +206,11 @@
 }
 
 // Demands lists what waits, for the fleet.
-func (d *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
-	d.eachPlaceableJob(now, func(j *job, tasks int) {
+func (s *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
+	s.eachPlaceableJob(now, func(j *job, tasks int) {
 		dm := peer.Demand{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot, Rank: j.PriorityLevel, Waiting: tasks,
 			RunFor: clock.FromSeconds(j.RuntimeEstimateS), Stage: int(j.stage) + 1}
-		if start := d.latestStart(j); j.DeadlineS != nil && !j.missesDeadline(now) {
+		if start := s.latestStart(j); j.DeadlineS != nil && !j.missesDeadline(now) {
 			dm.Slack = max(clock.Second, j.deadline()-now-dm.RunFor)
 		} else if j.DeadlineS == nil && start != math.MaxInt64 && now < start {
 			dm.Slack = start - now // to be finished within a time is as good as a deadline
@@ -222,10 +222,10 @@
 
 // MachineViews appends the mirror of all machines, for the fleet. An idle machine sends
 // no news of itself, so its idle time is what it was then and what has passed since.
-func (d *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
-	to = slices.Grow(to, len(d.machines))
-	for _, m := range d.machines {
-		if o := d.sessions[m.leader]; o.partitionTerms[m.Part] == m.Term {
+func (s *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
+	to = slices.Grow(to, len(s.machines))
+	for _, m := range s.machines {
+		if o := s.sessions[m.leader]; o.partitionTerms[m.Part] == m.Term {
 			v := m.MachineView
 			v.Free = m.available
 			if v.Count == 0 && len(m.assignments) == 0 {
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -10,9 +10,9 @@
 )
 
 // busyMachines lists the machines that run something.
-func (w *simulation) busyMachines() (out []string) {
-	for _, id := range w.machineIDs {
-		for _, k := range w.workers[id].InOrder() {
+func (s *simulation) busyMachines() (out []string) {
+	for _, id := range s.machineIDs {
+		for _, k := range s.workers[id].InOrder() {
 			if k.Phase != wire.TaskExited {
 				out = append(out, id)
 				break
@@ -23,17 +23,17 @@
 }
 
 // cancelJob has a job withdrawn and its end written.
-func (w *simulation) cancelJob(id string) {
-	w.scheduler.CancelJob(red, id)
-	j := w.scheduler.teams[red].jobs[id]
+func (s *simulation) cancelJob(id string) {
+	s.scheduler.CancelJob(red, id)
+	j := s.scheduler.teams[red].jobs[id]
 	for range 4 {
-		for _, h := range w.controllers {
-			w.sendBatch(h, true, true)
-			w.poll(h, false)
+		for _, h := range s.controllers {
+			s.sendBatch(h, true, true)
+			s.poll(h, false)
 		}
 	}
-	require.True(w.t, w.scheduler.CancellationConfirmed(j, w.partitionLeaderships()), "the owners have taken it")
-	w.endJob(id, wire.Cancelled)
+	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "the owners have taken it")
+	s.endJob(id, wire.Cancelled)
 }
 
 // A team is at its limit with a job whose machines hang, hear no answers, or are
@@ -49,51 +49,51 @@
 		{"and the machines' owner has begun anew", true, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newSimulation(t, 1, 6)
-			w.runSteps(8)
-			w.addJob("job-1", 6, nil)
-			w.runSteps(4)
-			require.Equal(t, 6, w.runningTasks())
-			busy := w.busyMachines()
-			w.cancelJob("job-1")
+			sim := newSimulation(t, 1, 6)
+			sim.runSteps(8)
+			sim.addJob("job-1", 6, nil)
+			sim.runSteps(4)
+			require.Equal(t, 6, sim.runningTasks())
+			busy := sim.busyMachines()
+			sim.cancelJob("job-1")
 			if x.anew {
-				for p, h := range w.controllers {
-					w.boot(h)
-					w.acquirePartition(p, p)
+				for p, h := range sim.controllers {
+					sim.boot(h)
+					sim.acquirePartition(p, p)
 				}
-				for _, id := range w.machineIDs {
-					w.heartbeat(id, true) // its answer brings the new token, and nothing else
+				for _, id := range sim.machineIDs {
+					sim.heartbeat(id, true) // its answer brings the new token, and nothing else
 				}
 			}
-			w.newScheduler()
-			w.addJob("job-2", 6, nil)
+			sim.newScheduler()
+			sim.addJob("job-2", 6, nil)
 			hung := map[string]bool{}
 			for _, id := range busy {
 				hung[id] = true
 			}
 			for range 30 {
-				w.now += 200 * clock.Millisecond
-				for _, id := range w.machineIDs {
+				sim.now += 200 * clock.Millisecond
+				for _, id := range sim.machineIDs {
 					if !hung[id] {
-						w.heartbeat(id, true)
-						w.deliverCommands(id, false, true)
+						sim.heartbeat(id, true)
+						sim.deliverCommands(id, false, true)
 					} else if x.reports {
-						w.heartbeat(id, false)
+						sim.heartbeat(id, false)
 					}
 				}
-				w.advance()
-				for _, h := range w.controllers {
-					w.poll(h, false)
-					w.sendBatch(h, true, true)
+				sim.advance()
+				for _, h := range sim.controllers {
+					sim.poll(h, false)
+					sim.sendBatch(h, true, true)
 				}
-				w.schedule()
-				w.checkInvariants("the withdrawn job's machines are out of reach")
+				sim.schedule()
+				sim.checkInvariants("the withdrawn job's machines are out of reach")
 			}
-			require.Len(t, w.busyMachines(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
-			require.Empty(t, w.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
-			w.now += 2 * lease
-			w.runSteps(30)
-			require.Equal(t, 6, w.runningTasks(), "the other job runs once their leases are over")
+			require.Len(t, sim.busyMachines(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
+			require.Empty(t, sim.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
+			sim.now += 2 * lease
+			sim.runSteps(30)
+			require.Equal(t, 6, sim.runningTasks(), "the other job runs once their leases are over")
 		})
 	}
 }
@@ -104,72 +104,72 @@
 func TestAWithdrawalIsToldOnceNothingCanStart(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		until func(w *simulation, id string) // brings about what may start on a machine
-		free  func(w *simulation, id string) // and lets it be known
+		until func(sim *simulation, id string) // brings about what may start on a machine
+		free  func(sim *simulation, id string) // and lets it be known
 	}{
-		{"a start is on its way", func(w *simulation, id string) {
-			w.deliverCommands(id, true, false)
-		}, func(w *simulation, id string) {
-			w.now += 3 * sec
-			w.workers[id].Orders(w.lateCommands[0].commands, w.now)
-			w.runSteps(4)
+		{"a start is on its way", func(sim *simulation, id string) {
+			sim.deliverCommands(id, true, false)
+		}, func(sim *simulation, id string) {
+			sim.now += 3 * sec
+			sim.workers[id].Orders(sim.lateCommands[0].commands, sim.now)
+			sim.runSteps(4)
 		}},
-		{"the image is being fetched", func(w *simulation, id string) {
-			w.deliverCommands(id, false, true)
-			for _, k := range w.workers[id].InOrder() {
+		{"the image is being fetched", func(sim *simulation, id string) {
+			sim.deliverCommands(id, false, true)
+			for _, k := range sim.workers[id].InOrder() {
 				k.Phase = wire.TaskFetching
 			}
-			w.heartbeat(id, true)
-		}, func(w *simulation, id string) { w.runSteps(4) }},
-		{"a former placer's machine hangs", func(w *simulation, id string) {
-			w.deliverCommands(id, false, true)
-			w.heartbeat(id, true)
-			w.newScheduler()
-			h := w.leaderOf[w.partitionOf(id)]
-			w.boot(w.controllers[h])
-			for p, at := range w.leaderOf {
+			sim.heartbeat(id, true)
+		}, func(sim *simulation, id string) { sim.runSteps(4) }},
+		{"a former placer's machine hangs", func(sim *simulation, id string) {
+			sim.deliverCommands(id, false, true)
+			sim.heartbeat(id, true)
+			sim.newScheduler()
+			h := sim.leaderOf[sim.partitionOf(id)]
+			sim.boot(sim.controllers[h])
+			for p, at := range sim.leaderOf {
 				if at == h {
-					w.acquirePartition(p, at)
+					sim.acquirePartition(p, at)
 				}
 			}
-		}, func(w *simulation, id string) { w.runSteps(8) }},
+		}, func(sim *simulation, id string) { sim.runSteps(8) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newSimulation(t, 1, 2)
-			w.runSteps(8)
-			w.addJob("job-1", 1, nil)
-			w.schedule()
-			for _, h := range w.controllers {
-				w.sendBatch(h, true, true)
+			sim := newSimulation(t, 1, 2)
+			sim.runSteps(8)
+			sim.addJob("job-1", 1, nil)
+			sim.schedule()
+			for _, h := range sim.controllers {
+				sim.sendBatch(h, true, true)
 			}
 			at := ""
-			for id, m := range w.scheduler.machines {
+			for id, m := range sim.scheduler.machines {
 				if len(m.assignments) > 0 {
 					at = id
 				}
 			}
-			x.until(w, at)
-			w.scheduler.CancelJob(red, "job-1")
-			j := w.scheduler.teams[red].jobs["job-1"]
+			x.until(sim, at)
+			sim.scheduler.CancelJob(red, "job-1")
+			j := sim.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
-				w.now += 200 * clock.Millisecond
-				for _, h := range w.controllers {
-					w.poll(h, false)
-					w.sendBatch(h, true, true)
+				sim.now += 200 * clock.Millisecond
+				for _, h := range sim.controllers {
+					sim.poll(h, false)
+					sim.sendBatch(h, true, true)
 				}
-				for _, id := range w.machineIDs {
+				for _, id := range sim.machineIDs {
 					if id != at {
-						w.heartbeat(id, true)
+						sim.heartbeat(id, true)
 					}
 				}
-				require.False(t, w.scheduler.CancellationConfirmed(j, w.partitionLeaderships()), "it may start yet")
+				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "it may start yet")
 			}
-			for _, h := range w.controllers {
+			for _, h := range sim.controllers {
 				require.True(t, j.cancelAcknowledged[h.instance], "its owners know")
 			}
-			x.free(w, at)
-			require.True(t, w.ended["job-1"])
-			require.Zero(t, w.runningTasks())
+			x.free(sim, at)
+			require.True(t, sim.ended["job-1"])
+			require.Zero(t, sim.runningTasks())
 		})
 	}
 }
--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -12,8 +12,8 @@
 
 // machineSet is a set of machines. Its order depends only on what was put in and taken out.
 type machineSet struct {
-	machines []*machineState
-	positions   map[*machineState]int
+	machines  []*machineState
+	positions map[*machineState]int
 }
 
 func (s *machineSet) add(m *machineState) {
@@ -75,79 +75,79 @@
 }
 
 // isSchedulable tells that a machine may get tasks, as far as it and its owner are known.
-func (d *Scheduler) isSchedulable(m *machineState) bool {
-	return m.Usable && d.isCurrent(m) && d.machines[m.ID] == m
+func (s *Scheduler) isSchedulable(m *machineState) bool {
+	return m.Usable && s.isCurrent(m) && s.machines[m.ID] == m
 }
 
 // isCurrent tells that what is known of a machine is the word of its present owner, and that this
 // one can be reached.
-func (d *Scheduler) isCurrent(m *machineState) bool {
-	o := d.sessions[m.leader]
+func (s *Scheduler) isCurrent(m *machineState) bool {
+	o := s.sessions[m.leader]
 	return o.reachable && o.instance == m.instance && o.partitionTerms[m.Part] == m.Term
 }
 
 // reindex puts a machine where its room and images belong. It is called after
 // every change of what they depend on.
-func (d *Scheduler) reindex(m *machineState) {
-	on, level := d.isSchedulable(m), capacityLevel(m.available.CPU)
+func (s *Scheduler) reindex(m *machineState) {
+	on, level := s.isSchedulable(m), capacityLevel(m.available.CPU)
 	if on == m.indexed && (!on || level == m.indexedLevel && slices.Equal(m.Images, m.indexedImages)) {
 		return
 	}
 	if m.indexed {
-		d.capacity[m.indexedLevel].remove(m)
+		s.capacity[m.indexedLevel].remove(m)
 		for _, i := range m.indexedImages {
-			d.capacityByImage[i][m.indexedLevel].remove(m)
+			s.capacityByImage[i][m.indexedLevel].remove(m)
 		}
-		d.usableCPU -= m.indexedCPU
-		d.indexedMachines--
+		s.usableCPU -= m.indexedCPU
+		s.indexedMachines--
 	}
 	m.indexed, m.indexedLevel, m.indexedImages, m.indexedCPU = on, level, m.Images, m.Cap.CPU
 	if !on {
 		return
 	}
-	d.capacity[level].add(m)
+	s.capacity[level].add(m)
 	for _, i := range m.Images {
-		if d.capacityByImage[i] == nil {
-			d.capacityByImage[i] = &capacityIndex{}
+		if s.capacityByImage[i] == nil {
+			s.capacityByImage[i] = &capacityIndex{}
 		}
-		d.capacityByImage[i][level].add(m)
+		s.capacityByImage[i][level].add(m)
 	}
-	d.usableCPU += m.indexedCPU
-	d.indexedMachines++
+	s.usableCPU += m.indexedCPU
+	s.indexedMachines++
 }
 
 // reindexLeader puts all of an owner's machines where they belong.
-func (d *Scheduler) reindexLeader(host string) {
-	for _, m := range d.machines {
+func (s *Scheduler) reindexLeader(host string) {
+	for _, m := range s.machines {
 		if m.leader == host {
-			d.reindex(m)
+			s.reindex(m)
 		}
 	}
 }
 
 // setReachable notes whether an owner can be reached.
-func (d *Scheduler) setReachable(host string, up bool) {
-	if o := d.sessions[host]; o.reachable != up {
+func (s *Scheduler) setReachable(host string, up bool) {
+	if o := s.sessions[host]; o.reachable != up {
 		o.reachable = up
-		d.reindexLeader(host)
+		s.reindexLeader(host)
 	}
 }
 
 // addObservedTask takes a task into a machine's mirror, unset takes it out.
-func (d *Scheduler) addObservedTask(m *machineState, t *observedTask) {
-	d.removeObservedTask(m, t.ID)
+func (s *Scheduler) addObservedTask(m *machineState, t *observedTask) {
+	s.removeObservedTask(m, t.ID)
 	m.tasks[t.ID] = t
 	if t.Phase == "" || t.Phase == wire.TaskFetching {
 		m.fetchingJobs[t.ID.Job]++
 	}
 	if t.counted = t.Phase != wire.TaskExited; t.counted {
 		m.tasksByPriority[t.Rank]++
-		d.tasksByPriority[t.Rank]++
-		d.tasksByCPU[t.Need.CPU]++
+		s.tasksByPriority[t.Rank]++
+		s.tasksByCPU[t.Need.CPU]++
 	}
 }
 
-func (d *Scheduler) removeObservedTask(m *machineState, id peer.TaskID) {
+func (s *Scheduler) removeObservedTask(m *machineState, id peer.TaskID) {
 	t := m.tasks[id]
 	if t == nil {
 		return
@@ -160,9 +160,9 @@
 	}
 	if t.counted {
 		m.tasksByPriority[t.Rank]--
-		d.tasksByPriority[t.Rank]--
-		if d.tasksByCPU[t.Need.CPU]--; d.tasksByCPU[t.Need.CPU] == 0 {
-			delete(d.tasksByCPU, t.Need.CPU)
+		s.tasksByPriority[t.Rank]--
+		if s.tasksByCPU[t.Need.CPU]--; s.tasksByCPU[t.Need.CPU] == 0 {
+			delete(s.tasksByCPU, t.Need.CPU)
 		}
 	}
 }
@@ -194,9 +194,9 @@
 
 // victimClass is what decides, beside the room that a task needs, whose room it may take.
 type victimClass struct {
-	need    resources.Amounts
-	team    string
-	level   int
+	need            resources.Amounts
+	team            string
+	level           int
 	withinGuarantee bool
 	guaranteeDue    bool
 }
@@ -246,17 +246,17 @@
 
 // findCapacity collects machines that have room for a task of a job, a few times as many
 // as are drawn; for a small one many more, since it goes where its team gathers.
-func (d *Scheduler) findCapacity(j *job, in *capacityIndex, now clock.Micros) (out []*machineState) {
+func (s *Scheduler) findCapacity(j *job, in *capacityIndex, now clock.Micros) (out []*machineState) {
 	if in == nil {
 		return nil
 	}
-	most := 4 * d.timing.Sample
-	if d.isSmall(j) {
+	most := 4 * s.timing.Sample
+	if s.isSmall(j) {
 		most *= 10
 	}
-	in.walk(capacityLevel(j.Need.CPU), d.rng.Uint64(), func(m *machineState) bool {
-		d.counters.Looked++
-		if j.Need.Fits(m.available) && m.available.Mem > 0 && d.mayOffer(j, m, now) && !(m.rejected && now < m.rejectedAt+rejectionBackoff) {
+	in.walk(capacityLevel(j.Need.CPU), s.rng.Uint64(), func(m *machineState) bool {
+		s.counters.Looked++
+		if j.Need.Fits(m.available) && m.available.Mem > 0 && s.mayOffer(j, m, now) && !(m.rejected && now < m.rejectedAt+rejectionBackoff) {
 			out = append(out, m)
 		}
 		return len(out) >= most
@@ -265,9 +265,9 @@
 }
 
 // findCapacityAnyImage collects machines that have room for a task of a job, those with its image first.
-func (d *Scheduler) findCapacityAnyImage(j *job, now clock.Micros) []*machineState {
-	list := d.findCapacity(j, d.capacityByImage[j.Image], now)
-	for _, m := range d.findCapacity(j, &d.capacity, now) {
+func (s *Scheduler) findCapacityAnyImage(j *job, now clock.Micros) []*machineState {
+	list := s.findCapacity(j, s.capacityByImage[j.Image], now)
+	for _, m := range s.findCapacity(j, &s.capacity, now) {
 		if !slices.Contains(list, m) {
 			list = append(list, m)
 		}
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -21,26 +21,26 @@
 }
 
 // SetPrices tells what machines cost, by the cloud's catalog.
-func (d *Scheduler) SetPrices(types []wire.MachineType) {
-	d.prices = map[priceKey]float64{}
+func (s *Scheduler) SetPrices(types []wire.MachineType) {
+	s.prices = map[priceKey]float64{}
 	dearest := 0.0
 	for _, t := range types {
 		each := max(t.CPUs, 1)
-		d.prices[priceKey{t.Name, false}] = t.Price / each
-		d.prices[priceKey{t.Name, true}] = t.SpotPrice / each
+		s.prices[priceKey{t.Name, false}] = t.Price / each
+		s.prices[priceKey{t.Name, true}] = t.SpotPrice / each
 		dearest = max(dearest, t.Price/each, t.SpotPrice/each)
 	}
-	for kind := range d.prices {
+	for kind := range s.prices {
 		if dearest > 0 {
-			d.prices[kind] /= dearest
+			s.prices[kind] /= dearest
 		}
 	}
 }
 
 // costInputs is what is known of a machine for a task of a job.
-func (d *Scheduler) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
+func (s *Scheduler) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
 	f := placement.Machine{HasImage: slices.Contains(m.Images, j.Image), Fetching: m.fetchingJobs[j.ID] > 0, Others: len(m.fetchingJobs),
-		PricePart: d.prices[priceKey{m.Type, m.Spot}]}
+		PricePart: s.prices[priceKey{m.Type, m.Spot}]}
 	if f.Fetching {
 		f.Others--
 	}
@@ -60,32 +60,32 @@
 // false where too little is known to selectByCost them, or none has room: then who places goes on as
 // without costs. No machine although decided means that the room is left for a moment: one that
 // has the image may have some.
-func (d *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
-	fetch, _ := d.slowestFetchTime(j)
+func (s *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
+	fetch, _ := s.slowestFetchTime(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
 	}
-	list := d.findCapacityAnyImage(j, now)
+	list := s.findCapacityAnyImage(j, now)
 	if len(list) == 0 {
 		return nil, false
 	}
-	cheapest := d.cheapest(j, &task, list, now)
+	cheapest := s.cheapest(j, &task, list, now)
 	if slices.Contains(cheapest[0].Images, j.Image) {
 		j.noImageSince = 0
-	} else if d.imageFetchTooSlow(j, cheapest[0], now) {
+	} else if s.imageFetchTooSlow(j, cheapest[0], now) {
 		return nil, false // room that others hold may be worth taking
-	} else if d.waitsForImageByCost(j, &task, now) {
+	} else if s.waitsForImageByCost(j, &task, now) {
 		return nil, true
 	}
-	if some := d.keepingLargeSlots(j, cheapest); len(some) > 0 {
+	if some := s.keepingLargeSlots(j, cheapest); len(some) > 0 {
 		cheapest = some
 	}
-	if !d.isSmall(j) {
-		cheapest = d.sample(cheapest, d.timing.Sample)
+	if !s.isSmall(j) {
+		cheapest = s.sample(cheapest, s.timing.Sample)
 	}
 	for _, m := range cheapest {
-		if best == nil || d.prefers(j, m, best) {
+		if best == nil || s.prefers(j, m, best) {
 			best = m
 		}
 	}
@@ -93,12 +93,12 @@
 }
 
 // cheapest picks the machines that cost a task least, within a tie of each other.
-func (d *Scheduler) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
+func (s *Scheduler) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
 	least := 0.0
 	costs := make([]float64, len(list))
 	for i, m := range list {
-		f := d.costInputs(j, m, now)
-		costs[i] = placement.Cost(task, &f, &d.timing.Costs.Weights)
+		f := s.costInputs(j, m, now)
+		costs[i] = placement.Cost(task, &f, &s.timing.Costs.Weights)
 		if i == 0 || costs[i] < least {
 			least = costs[i]
 		}
@@ -113,12 +113,12 @@
 
 // waitsForImageByCost tells that a job waitsForImageByCost room to others for a moment: its image is on machines that are
 // in use now, and none of its tasks would start too late for it.
-func (d *Scheduler) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
-	wait := placement.WaitFor(task, &d.timing.Costs.Weights, d.timing.Costs.ImageWait)
-	if wait == 0 || !d.capacityByImage[j.Image].hasMachines() {
+func (s *Scheduler) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
+	wait := placement.WaitFor(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
+	if wait == 0 || !s.capacityByImage[j.Image].hasMachines() {
 		return false
 	}
-	if within, ok := d.timing.Waits[j.Class]; ok && now+task.Fetch > j.acceptedAt+within-task.Fetch/2 {
+	if within, ok := s.timing.Waits[j.Class]; ok && now+task.Fetch > j.acceptedAt+within-task.Fetch/2 {
 		return false
 	}
 	if j.noImageSince == 0 {
@@ -129,8 +129,8 @@
 
 // slowestFetchTime is how long the image of a job is fetched by the slowest machine type
 // that it may go to; ok is false while that is not known.
-func (d *Scheduler) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
-	for name, rate := range d.fetchRates {
+func (s *Scheduler) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
+	for name, rate := range s.fetchRates {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
 			continue
 		}
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -11,25 +11,25 @@
 
 // simulationWithCosts is a world of three machines of which m-1 has the image of job-1.
 func simulationWithCosts(t *testing.T) *simulation {
-	w := newSimulationWithLimit(t, 1, 3, 0)
-	w.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
-	w.scheduler.SetFetchRates(map[string]float64{"big": 1})
-	w.runSteps(8)
-	w.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 })
-	w.runSteps(4)
-	return w
+	sim := newSimulationWithLimit(t, 1, 3, 0)
+	sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
+	sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
+	sim.runSteps(8)
+	sim.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 })
+	sim.runSteps(4)
+	return sim
 }
 
 // machineRunning is the machine that runs a job's only task, other is one that has not its image.
-func (w *simulation) machineRunning(task string) (home, other string) {
-	for _, id := range w.machineIDs {
-		if w.workers[id].Running(task) {
+func (s *simulation) machineRunning(task string) (home, other string) {
+	for _, id := range s.machineIDs {
+		if s.workers[id].Running(task) {
 			home = id
 		} else {
 			other = id
 		}
 	}
-	require.NotEmpty(w.t, home, task)
+	require.NotEmpty(s.t, home, task)
 	return home, other
 }
 
@@ -37,32 +37,32 @@
 
 // The image decides while a fetch costs more than the speed, and the speed once it doesn't.
 func TestPlacementWeighsImageAgainstSpeed(t *testing.T) {
-	w := simulationWithCosts(t)
-	home, _ := w.machineRunning("job-1/0")
-	w.addJob("job-2", 1, withImage)
-	w.runSteps(4)
-	require.True(t, w.workers[home].Running("job-2/0"), "the image is there")
-	m := w.scheduler.machines[home]
+	sim := simulationWithCosts(t)
+	home, _ := sim.machineRunning("job-1/0")
+	sim.addJob("job-2", 1, withImage)
+	sim.runSteps(4)
+	require.True(t, sim.workers[home].Running("job-2/0"), "the image is there")
+	m := sim.scheduler.machines[home]
 	m.paceSum, m.paceSamples = 1.5*minPaceSamples, minPaceSamples // 15 s more, a fetch is 4 s
-	w.addJob("job-3", 1, withImage)
-	w.runSteps(4)
-	require.False(t, w.workers[home].Running("job-3/0"), "the fetch costs less than the slow machine")
+	sim.addJob("job-3", 1, withImage)
+	sim.runSteps(4)
+	require.False(t, sim.workers[home].Running("job-3/0"), "the fetch costs less than the slow machine")
 }
 
 // While the machines with the image are in use, free room elsewhere is left for a moment, and
 // taken then.
 func TestPlacementWaitsForTheImageForABoundedTime(t *testing.T) {
-	w := simulationWithCosts(t)
-	home, _ := w.machineRunning("job-1/0")
-	w.addJob("job-2", 3, withImage) // fills the machine
-	w.runSteps(4)
-	require.Equal(t, 4, w.runningTasks())
-	w.addJob("job-3", 1, withImage)
-	w.runSteps(4)
-	require.Equal(t, 4, w.runningTasks(), "it waits")
-	w.runSteps(12)
-	require.Equal(t, 5, w.runningTasks(), "and no longer than two seconds")
-	at, _ := w.machineRunning("job-3/0")
+	sim := simulationWithCosts(t)
+	home, _ := sim.machineRunning("job-1/0")
+	sim.addJob("job-2", 3, withImage) // fills the machine
+	sim.runSteps(4)
+	require.Equal(t, 4, sim.runningTasks())
+	sim.addJob("job-3", 1, withImage)
+	sim.runSteps(4)
+	require.Equal(t, 4, sim.runningTasks(), "it waits")
+	sim.runSteps(12)
+	require.Equal(t, 5, sim.runningTasks(), "and no longer than two seconds")
+	at, _ := sim.machineRunning("job-3/0")
 	require.NotEqual(t, home, at)
 }
 
@@ -70,19 +70,19 @@
 // machines are chosen as without costs.
 func TestPlacementFallsBackWhereDataIsMissing(t *testing.T) {
 	place := func(costs, rates bool, size float64) []string {
-		w := newSimulationWithLimit(t, 1, 4, 0)
+		sim := newSimulationWithLimit(t, 1, 4, 0)
 		if costs {
-			w.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 60 * sec}
+			sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 60 * sec}
 		}
 		if rates {
-			w.scheduler.SetFetchRates(map[string]float64{"big": 1})
+			sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
 		}
-		w.runSteps(8)
+		sim.runSteps(8)
 		var at []string
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
-			w.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = id, size, 30 })
-			w.runSteps(4)
-			home, _ := w.machineRunning(id + "/1")
+			sim.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = id, size, 30 })
+			sim.runSteps(4)
+			home, _ := sim.machineRunning(id + "/1")
 			at = append(at, home)
 		}
 		return at
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -11,9 +11,9 @@
 
 // yielding is an owner that keeps room for other teams than the one that was refused.
 type yielding struct {
-	until clock.Micros
-	backoff clock.Micros // how long the last one was
-	maxPriority  int          // highest that was refused
+	until       clock.Micros
+	backoff     clock.Micros // how long the last one was
+	maxPriority int          // highest that was refused
 }
 
 // How long a team keeps off an owner that keeps its room for others. It grows with every
@@ -45,9 +45,9 @@
 
 // leaderShares is what an owner last told of the teams' shares of its machines.
 type leaderShares struct {
-	capacity  resources.Amounts
-	standings []fairshare.Standing
-	reportedAt        clock.Micros
+	capacity   resources.Amounts
+	standings  []fairshare.Standing
+	reportedAt clock.Micros
 }
 
 // shareMaxAge is how old an owner's word of the shares may be.
@@ -55,22 +55,22 @@
 
 // updateAboveShare finds out which teams take more than their shares of the fleet. Those that
 // are not told of by any owner are not above.
-func (d *Scheduler) updateAboveShare(now clock.Micros) {
-	if len(d.teams) == 0 {
+func (s *Scheduler) updateAboveShare(now clock.Micros) {
+	if len(s.teams) == 0 {
 		return
 	}
 	taken, share := map[string]float64{}, map[string]float64{}
-	for _, o := range d.sessions {
+	for _, o := range s.sessions {
 		if !o.reachable || now > o.shares.reportedAt+shareMaxAge {
 			continue
 		}
 		for i := range o.shares.standings {
-			s := &o.shares.standings[i]
-			taken[s.Team] += s.Taken * o.shares.capacity.CPUs()
-			share[s.Team] += s.Share * o.shares.capacity.CPUs()
+			standing := &o.shares.standings[i]
+			taken[standing.Team] += standing.Taken * o.shares.capacity.CPUs()
+			share[standing.Team] += standing.Share * o.shares.capacity.CPUs()
 		}
 	}
-	for name, tm := range d.teams {
+	for name, tm := range s.teams {
 		tm.aboveShare = taken[name] > share[name]
 		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+maxYieldBackoff })
 	}
@@ -85,25 +85,25 @@
 const demandInterval = 250 * clock.Millisecond
 
 // DemandsFor gives what to tell an owner with a poll, nothing where it was told a moment ago.
-func (d *Scheduler) DemandsFor(host string, now clock.Micros) []fairshare.Demand {
-	o := d.sessions[host]
+func (s *Scheduler) DemandsFor(host string, now clock.Micros) []fairshare.Demand {
+	o := s.sessions[host]
 	if o.demandsSentAt != 0 && now < o.demandsSentAt+demandInterval {
 		return nil
 	}
 	o.demandsSentAt = now
-	if d.demandsCountedAt == 0 || now >= d.demandsCountedAt+demandInterval/2 {
-		d.demandsCountedAt, d.demands = now, d.teamDemands(now)
+	if s.demandsCountedAt == 0 || now >= s.demandsCountedAt+demandInterval/2 {
+		s.demandsCountedAt, s.demands = now, s.teamDemands(now)
 	}
-	return d.demands
+	return s.demands
 }
 
 // teamDemands counts what waits of each team that is held, also where nothing does. Tasks
 // that a former placer may have started, and that wait for machines to be accounted for, are
 // left out: no room could be used for them now.
-func (d *Scheduler) teamDemands(now clock.Micros) []fairshare.Demand {
+func (s *Scheduler) teamDemands(now clock.Micros) []fairshare.Demand {
 	shapes := map[string][]fairshare.Shape{}
 	places := map[shapeKey]int{}
-	d.eachPlaceableJob(now, func(j *job, tasks int) {
+	s.eachPlaceableJob(now, func(j *job, tasks int) {
 		if j.awaitsAccounting {
 			return
 		}
@@ -120,8 +120,8 @@
 		shapes[team] = append(shapes[team], fairshare.Shape{Need: j.Need, Types: j.Types, Zone: j.Zone, Spot: j.Spot,
 			Rank: j.PriorityLevel, Owed: j.withinGuarantee, Tasks: tasks})
 	})
-	out := make([]fairshare.Demand, 0, len(d.teams))
-	for name, tm := range d.teams {
+	out := make([]fairshare.Demand, 0, len(s.teams))
+	for name, tm := range s.teams {
 		out = append(out, fairshare.Demand{Team: name, Term: tm.term, Shapes: shapes[name]})
 	}
 	return out
@@ -129,12 +129,12 @@
 
 // shapeKey is what makes work of a team alike for the owners.
 type shapeKey struct {
-	team    string
-	need    resources.Amounts
-	types   string
-	zone    string
-	spot    bool
-	priority    int
+	team            string
+	need            resources.Amounts
+	types           string
+	zone            string
+	spot            bool
+	priority        int
 	withinGuarantee bool
 }
 
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -26,26 +26,26 @@
 const moveInterval = clock.Second
 
 // moveTasks gives up moves that take too long and begins new ones, at times.
-func (d *Scheduler) moveTasks(now clock.Micros) {
-	if d.timing.Moves == nil || now < d.movesCheckedAt+moveInterval {
+func (s *Scheduler) moveTasks(now clock.Micros) {
+	if s.timing.Moves == nil || now < s.movesCheckedAt+moveInterval {
 		return
 	}
-	d.movesCheckedAt = now
-	for _, mv := range d.moves.underWay() {
-		d.applyMoveAction(mv, mv.Expire(now))
+	s.movesCheckedAt = now
+	for _, mv := range s.moves.underWay() {
+		s.applyMoveAction(mv, mv.Expire(now))
 	}
-	d.moves.planner.Forget(now)
-	for _, m := range d.machines {
-		if reason, ok := d.drainReason(m); ok {
-			d.moveTasksOff(m, reason, now)
+	s.moves.planner.Forget(now)
+	for _, m := range s.machines {
+		if reason, ok := s.drainReason(m); ok {
+			s.moveTasksOff(m, reason, now)
 		}
 	}
 }
 
 // drainReason tells that a machine is to be drained, and why.
-func (d *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
+func (s *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
 	switch {
-	case !m.Accounted || m.Silent || !d.isCurrent(m):
+	case !m.Accounted || m.Silent || !s.isCurrent(m):
 		return "", false // what is known of it may be old
 	case m.Noticed:
 		return rebalance.SpotNotice, true
@@ -56,25 +56,25 @@
 }
 
 // moveTasksOff begins moves of a machine's tasks.
-func (d *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
+func (s *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
 	for _, b := range m.assignmentsByAttempt() {
 		j := b.job
 		if b.orphaned || b.reserved || b.stopping || b.unanswered || b.phase != wire.TaskRunning || j.cancelling || j.finalWriteInFlight ||
-			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.bySource[b] != nil {
+			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || s.moves.bySource[b] != nil {
 			continue
 		}
-		c := d.moveCandidate(b, m, reason, now)
-		if why := d.tryMove(b, c, now); why != rebalance.NotDeclined {
-			d.moves.planner.Decline(j.team.Name, why)
+		c := s.moveCandidate(b, m, reason, now)
+		if why := s.tryMove(b, c, now); why != rebalance.NotDeclined {
+			s.moves.planner.Decline(j.team.Name, why)
 		}
 	}
 }
 
 // moveCandidate is what is known of a task that is to be moved.
-func (d *Scheduler) moveCandidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
+func (s *Scheduler) moveCandidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
 	j, age := b.job, now-m.updatedAt
 	c := &rebalance.Candidate{Key: rebalance.Key{Job: j.ID, N: b.id.N}, Team: j.team.Name, Machine: m.ID, Reason: reason,
-		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
+		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: s.viewAge(m, now)}
 	if b.runningSince != 0 {
 		c.Ran = now - b.runningSince
 	}
@@ -86,8 +86,8 @@
 
 // viewAge is how old what is known of a machine may be. A machine of which there is no news
 // is as it was for as long as its owner answers polls, which it does at least once a second.
-func (d *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
-	return now - max(m.updatedAt, d.sessions[m.leader].polledAt)
+func (s *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
+	return now - max(m.updatedAt, s.sessions[m.leader].polledAt)
 }
 
 // knownPace is how long tasks take on a machine against elsewhere, 0 while too few have ended there.
@@ -113,8 +113,8 @@
 }
 
 // tryMove begins a move of a task, or tells why it is not moved.
-func (d *Scheduler) tryMove(b *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
-	book, j := d.moves.planner, b.job
+func (s *Scheduler) tryMove(b *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
+	book, j := s.moves.planner, b.job
 	if why := book.Evaluate(c, now); why != rebalance.NotDeclined {
 		return why
 	}
@@ -123,131 +123,131 @@
 		return rebalance.TeamAtLimit
 	}
 	why := rebalance.NoRoom
-	for _, to := range d.machinesForMove(j, b.machine, now) {
-		dest := d.moveDestination(j, to, now)
+	for _, to := range s.machinesForMove(j, b.machine, now) {
+		dest := s.moveDestination(j, to, now)
 		gain, cost, declined := book.Weigh(c, dest, now)
 		if why = declined; declined != rebalance.NotDeclined {
 			continue
 		}
 		proposal := rebalance.Record{Team: c.Team, From: c.Machine, To: to.ID, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now}
-		if veto := d.timing.Moves.Veto; veto != nil && veto(proposal) {
+		if veto := s.timing.Moves.Veto; veto != nil && veto(proposal) {
 			return rebalance.Vetoed
 		}
-		d.startMove(b, to, book.StartMove(c, dest, gain, cost, now), now)
+		s.startMove(b, to, book.StartMove(c, dest, gain, cost, now), now)
 		return rebalance.NotDeclined
 	}
 	return why
 }
 
 // machinesForMove lists machines with room for a task of a job, those with its image first.
-func (d *Scheduler) machinesForMove(j *job, from string, now clock.Micros) (out []*machineState) {
-	for _, m := range d.findCapacityAnyImage(j, now) {
+func (s *Scheduler) machinesForMove(j *job, from string, now clock.Micros) (out []*machineState) {
+	for _, m := range s.findCapacityAnyImage(j, now) {
 		// An owner of an earlier version would start the task at once.
-		if m.ID != from && d.sessions[m.leader].supportsReservations && !d.moves.hasDestination(m.ID) {
+		if m.ID != from && s.sessions[m.leader].supportsReservations && !s.moves.hasDestination(m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (d *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
-	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.available.Minus(j.Need).CPU), ViewAge: d.viewAge(m, now)}
+func (s *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
+	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.available.Minus(j.Need).CPU), ViewAge: s.viewAge(m, now)}
 	if !slices.Contains(m.Images, j.Image) {
-		to.Fetch, _ = d.fetchTime(j, m)
+		to.Fetch, _ = s.fetchTime(j, m)
 	}
 	return to
 }
 
 // startMove asks for a lease at the destination, which holds room and starts nothing.
-func (d *Scheduler) startMove(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
+func (s *Scheduler) startMove(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
 	j := source.job
 	j.team.attemptCounter++
 	b := &assignment{id: peer.TaskID{Job: j.ID, N: source.id.N, Attempt: j.team.term<<32 | j.team.attemptCounter}, job: j, machine: to.ID,
 		zone: to.Zone, term: to.Term, unanswered: true, reserved: true, instance: to.instance, assignedAt: now}
-	d.addAssignment(b, to)
+	s.addAssignment(b, to)
 	to.available = to.available.Minus(j.Need)
-	d.reindex(to)
+	s.reindex(to)
 	mv := &move{m, source, b}
-	d.moves.bySource[source], d.moves.byDestination[b] = mv, mv
-	d.counters.Moves++
-	o := d.sessions[to.leader]
+	s.moves.bySource[source], s.moves.byDestination[b] = mv, mv
+	s.counters.Moves++
+	o := s.sessions[to.leader]
 	o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
 		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.withinGuarantee, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
 }
 
 // applyMoveAction carries out what a move asks for.
-func (d *Scheduler) applyMoveAction(mv *move, a rebalance.Action) {
+func (s *Scheduler) applyMoveAction(mv *move, a rebalance.Action) {
 	if mv.Ended() {
-		delete(d.moves.bySource, mv.source)
-		delete(d.moves.byDestination, mv.destination)
+		delete(s.moves.bySource, mv.source)
+		delete(s.moves.byDestination, mv.destination)
 	}
 	switch a {
 	case rebalance.StopSource:
-		d.requestStop(mv.source, mv.source.job.StopGraceS())
+		s.requestStop(mv.source, mv.source.job.StopGraceS())
 	case rebalance.StartDestination:
 		b := mv.destination
 		b.reserved = false
 		b.job.assignments[b.id.N] = b
-		if m := d.machines[b.machine]; m != nil {
-			o := d.sessions[m.leader]
+		if m := s.machines[b.machine]; m != nil {
+			o := s.sessions[m.leader]
 			o.pending.Starts = append(o.pending.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
 		}
-		d.counters.Moved++
+		s.counters.Moved++
 	case rebalance.ReleaseDestination:
 		mv.destination.orphaned = true
-		if !d.retractAssignment(mv.destination) {
-			d.requestStop(mv.destination, 0)
+		if !s.retractAssignment(mv.destination) {
+			s.requestStop(mv.destination, 0)
 		}
 	}
 }
 
 // retractAssignment takes back an ask that was not sent yet.
-func (d *Scheduler) retractAssignment(b *assignment) (done bool) {
-	m := d.machines[b.machine]
+func (s *Scheduler) retractAssignment(b *assignment) (done bool) {
+	m := s.machines[b.machine]
 	if m == nil || !b.unanswered {
 		return false
 	}
-	o := d.sessions[m.leader]
+	o := s.sessions[m.leader]
 	before := len(o.pending.Asks)
 	o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
 	if len(o.pending.Asks) == before {
 		return false
 	}
-	d.releaseAssignment(b)
-	d.recomputeAvailable(m)
+	s.releaseAssignment(b)
+	s.recomputeAvailable(m)
 	return true
 }
 
 // handleMoveAssignmentGone tells a move, if there is one, that a binding is gone. started tells that the task
 // goes on at the destination and need not be placed. It can only if the binding was the task's
 // current one.
-func (d *Scheduler) handleMoveAssignmentGone(b *assignment, current bool) (started bool) {
-	if mv := d.moves.byDestination[b]; mv != nil {
-		d.applyMoveAction(mv, mv.DestinationLost())
+func (s *Scheduler) handleMoveAssignmentGone(b *assignment, current bool) (started bool) {
+	if mv := s.moves.byDestination[b]; mv != nil {
+		s.applyMoveAction(mv, mv.DestinationLost())
 		return false
 	}
-	mv := d.moves.bySource[b]
+	mv := s.moves.bySource[b]
 	if mv == nil {
 		return false
 	}
 	j := b.job
-	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finalWriteInFlight && j.team.jobs[j.ID] == j && d.teams[j.team.Name] == j.team)
-	d.applyMoveAction(mv, a)
+	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finalWriteInFlight && j.team.jobs[j.ID] == j && s.teams[j.team.Name] == j.team)
+	s.applyMoveAction(mv, a)
 	return a == rebalance.StartDestination
 }
 
 // abandonMoves gives up the moves of a job, or of a whole team where no job is named.
-func (d *Scheduler) abandonMoves(tm *team, job string) {
-	for _, mv := range d.moves.underWay() {
+func (s *Scheduler) abandonMoves(tm *team, job string) {
+	for _, mv := range s.moves.underWay() {
 		if j := mv.source.job; j.team == tm && (job == "" || j.ID == job) {
-			d.applyMoveAction(mv, mv.Abandon())
+			s.applyMoveAction(mv, mv.Abandon())
 		}
 	}
 }
 
 // moves are those under way, by both of their bindings.
 type moves struct {
-	planner          *rebalance.Planner
+	planner       *rebalance.Planner
 	bySource      map[*assignment]*move
 	byDestination map[*assignment]*move
 }
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -10,9 +10,9 @@
 
 // NextPoll gives the next poll for an owner. When a team's term is new to it,
 // everything is asked for, so that the answer is given under that term's fence.
-func (d *Scheduler) NextPoll(host string) peer.PollRequest {
-	o := d.sessions[host]
-	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: d.TeamTerms(), Gen: o.generation}
+func (s *Scheduler) NextPoll(host string) peer.PollRequest {
+	o := s.sessions[host]
+	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: s.TeamTerms(), Gen: o.generation}
 	for t, term := range in.Terms {
 		if o.fencedTerms[t] != term {
 			in.Incarnation = ""
@@ -29,14 +29,14 @@
 const partitionCheckInterval = 2 * clock.Second
 
 // HandlePollResponse takes an owner's answer to a poll.
-func (d *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
-	o := d.sessions[host]
-	d.setReachable(host, true)
+func (s *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
+	o := s.sessions[host]
+	s.setReachable(host, true)
 	if ans.Incarnation != o.instance {
 		if in.Gen != o.generation || !ans.Full {
 			return // asked before the present process was met: the word of a former one
 		}
-		d.startSession(o, ans.Incarnation)
+		s.startSession(o, ans.Incarnation)
 	}
 	if ans.Cursor < o.cursor {
 		return // an answer older than one taken already
@@ -50,35 +50,35 @@
 	if ans.Full {
 		o.resync = false
 		for t, term := range in.Terms {
-			if tm := d.teams[t]; tm != nil && tm.term == term {
+			if tm := s.teams[t]; tm != nil && tm.term == term {
 				o.fencedTerms[t] = term
 			}
 		}
 	}
 	for i := range ans.Machines {
-		d.updateMachine(host, o, &ans.Machines[i], now)
+		s.updateMachine(host, o, &ans.Machines[i], now)
 	}
 	if !moved && !ans.Full && now < o.partitionsCheckedAt+partitionCheckInterval {
 		return
 	}
 	o.partitionsCheckedAt = now
-	for _, m := range d.machines {
+	for _, m := range s.machines {
 		switch held := o.partitionTerms[m.Part]; {
 		case held > m.Term:
 			// This owner took over later than the view was made, has told all
 			// machines that it found registered, and this one is not among
 			// them: its record was dropped, so it was gone for certain.
-			d.forgetMachine(m)
+			s.forgetMachine(m)
 		case m.leader == host && held != m.Term:
 			m.Usable = false
 		}
 	}
-	d.reindexLeader(host)
+	s.reindexLeader(host)
 }
 
 // startSession notes the instance of an owner's process. A round that was on its way to
 // a former process is over: what it asked for is settled by the machines' next owner.
-func (d *Scheduler) startSession(o *leaderSession, instance string) {
+func (s *Scheduler) startSession(o *leaderSession, instance string) {
 	o.fencedTerms = map[string]uint64{}
 	o.partitionTerms = map[int]uint64{}
 	o.cursor = 0
@@ -87,17 +87,17 @@
 }
 
 // MarkUnreachable notes that an owner can't be reached now.
-func (d *Scheduler) MarkUnreachable(host string) { d.setReachable(host, false) }
+func (s *Scheduler) MarkUnreachable(host string) { s.setReachable(host, false) }
 
 // updateMachine takes one machine's view and settles with it what it can.
-func (d *Scheduler) updateMachine(host string, o *leaderSession, v *peer.MachineView, now clock.Micros) {
-	m := d.machines[v.ID]
+func (s *Scheduler) updateMachine(host string, o *leaderSession, v *peer.MachineView, now clock.Micros) {
+	m := s.machines[v.ID]
 	if m == nil {
-		if v.Silent && !d.recordedMachines[v.ID] {
+		if v.Silent && !s.recordedMachines[v.ID] {
 			return
 		}
 		m = &machineState{nameHash: nameHash(v.ID), assignments: map[peer.TaskID]*assignment{}, tasks: map[peer.TaskID]*observedTask{}, fetchingJobs: map[string]int{}}
-		d.machines[v.ID] = m
+		s.machines[v.ID] = m
 	} else if v.Term < m.Term || v.Term == m.Term && m.instance == o.instance && v.Version < m.Version {
 		return
 	}
@@ -109,7 +109,7 @@
 	m.Tasks, m.Left, m.rejected = nil, nil, false
 	listed := make(map[peer.TaskID]bool, len(v.Tasks))
 	for i := range v.Tasks {
-		d.addObservedTask(m, &observedTask{TaskView: v.Tasks[i], startedAt: now - v.Tasks[i].Since})
+		s.addObservedTask(m, &observedTask{TaskView: v.Tasks[i], startedAt: now - v.Tasks[i].Since})
 		listed[v.Tasks[i].ID] = true
 	}
 	gone := v.Left
@@ -123,37 +123,37 @@
 	}
 	for _, id := range gone {
 		if !listed[id] {
-			d.removeObservedTask(m, id)
+			s.removeObservedTask(m, id)
 		}
 	}
 	if len(m.tasks) != v.Count {
 		o.resync = true // should not be; a whole view puts it right
 	}
 	if v.Accounted {
-		d.reconcileMachine(o, m, v, gone, now)
+		s.reconcileMachine(o, m, v, gone, now)
 	}
-	d.recomputeAvailable(m)
-	d.forgetSilent(m)
+	s.recomputeAvailable(m)
+	s.forgetSilent(m)
 }
 
 // reconcileMachine compares what a view tells of an accounted machine's tasks with
 // what is known of them.
-func (d *Scheduler) reconcileMachine(o *leaderSession, m *machineState, v *peer.MachineView, gone []peer.TaskID, now clock.Micros) {
+func (s *Scheduler) reconcileMachine(o *leaderSession, m *machineState, v *peer.MachineView, gone []peer.TaskID, now clock.Micros) {
 	for i := range v.Tasks {
-		d.reconcileTask(o, m, &v.Tasks[i], now)
+		s.reconcileTask(o, m, &v.Tasks[i], now)
 	}
 	if v.Whole {
 		for _, b := range m.assignmentsByAttempt() {
-			d.releaseIfGone(b, m)
+			s.releaseIfGone(b, m)
 		}
 	} else {
 		for _, id := range gone {
 			if b := m.assignments[id]; b != nil {
-				d.releaseIfGone(b, m)
+				s.releaseIfGone(b, m)
 			}
 		}
 	}
-	for name, tm := range d.teams {
+	for name, tm := range s.teams {
 		if o.fencedTerms[name] == tm.term && !tm.accounted[m.ID] && !m.hasUnidentifiedTask() {
 			tm.accounted[m.ID] = true
 			delete(tm.unaccounted, m.ID)
@@ -175,15 +175,15 @@
 // releaseIfGone releases a binding whose task is not on its accounted machine. That
 // is certain when the view is newer than the grant, or comes from a later
 // owner, to whom the ask can't be granted any more.
-func (d *Scheduler) releaseIfGone(b *assignment, m *machineState) {
+func (s *Scheduler) releaseIfGone(b *assignment, m *machineState) {
 	if m.tasks[b.id] != nil {
 		return
 	}
 	if m.Term > b.term || !b.unanswered && (m.instance != b.instance || m.Version >= b.viewVersion) {
 		if !b.reserved {
-			d.counters.Lost++
+			s.counters.Lost++
 			b.job.retries++
 		}
-		d.releaseAssignment(b)
+		s.releaseAssignment(b)
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,11 +11,11 @@
 
 // preemptOwn stops tasks of lower rank of the job's own team, where the team's
 // limit leaves no room for it. It is placed once they are gone for certain.
-func (d *Scheduler) preemptOwn(j *job, now clock.Micros) {
+func (s *Scheduler) preemptOwn(j *job, now clock.Micros) {
 	if j.stalledSince == 0 {
 		j.stalledSince = now
 	}
-	if j.missesDeadline(now) || !d.mayPreempt(j, now) {
+	if j.missesDeadline(now) || !s.mayPreempt(j, now) {
 		return
 	}
 	used := j.team.used.Plus(j.team.unaccountedCapacity)
@@ -42,14 +42,14 @@
 			return
 		}
 		used = used.Minus(b.job.Need)
-		d.counters.Preempted++
-		d.requestStop(b, b.job.StopGraceS())
+		s.counters.Preempted++
+		s.requestStop(b, b.job.StopGraceS())
 	}
 }
 
 // mayPreempt tells that a job has waited long enough to take room from others.
-func (d *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
-	return j.stalledSince != 0 && now >= j.stalledSince+d.timing.PreemptAfter
+func (s *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
+	return j.stalledSince != 0 && now >= j.stalledSince+s.timing.PreemptAfter
 }
 
 // preemptionCostStep is how much lost work makes a difference: below it, small tasks
@@ -61,40 +61,40 @@
 // work is lost. Work that is late already takes no room from others: it would
 // be as late, and what it stops would be late too. Like any search, it looks at
 // some of the machines in question, not at the fleet.
-func (d *Scheduler) preempt(j *job, in *capacityIndex, now clock.Micros) (best *machineState, victims []peer.TaskID, over bool) {
+func (s *Scheduler) preempt(j *job, in *capacityIndex, now clock.Micros) (best *machineState, victims []peer.TaskID, over bool) {
 	if in == nil || j.missesDeadline(now) {
 		return nil, nil, false
 	}
 	// Work of higher rank goes first, but a guarantee is not put off for long:
 	// while nothing at all of it finds room.
-	owed := d.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+d.timing.Guarantee*3/5
+	owed := s.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+s.timing.Guarantee*3/5
 	most := j.PriorityLevel - 1 // the highest rank that may be stopped
 	if j.withinGuarantee && owed {
-		most = len(d.tasksByPriority) - 1
+		most = len(s.tasksByPriority) - 1
 	} else if j.withinGuarantee {
 		most = j.PriorityLevel
 	}
-	if !hasTaskUpTo(&d.tasksByPriority, most) || d.exhausted.hasNoVictims(j, owed) {
+	if !hasTaskUpTo(&s.tasksByPriority, most) || s.exhausted.hasNoVictims(j, owed) {
 		return nil, nil, false
 	}
 	var bestCost clock.Micros
 	looked := 0
-	in.walk(0, d.rng.Uint64(), func(m *machineState) bool {
-		d.counters.Looked++
-		if !hasTaskUpTo(&m.tasksByPriority, most) || !d.mayOffer(j, m, now) {
+	in.walk(0, s.rng.Uint64(), func(m *machineState) bool {
+		s.counters.Looked++
+		if !hasTaskUpTo(&m.tasksByPriority, most) || !s.mayOffer(j, m, now) {
 			return false
 		}
 		looked++
-		v, cost, o := d.victimsOn(j, m, owed, now)
+		v, cost, o := s.victimsOn(j, m, owed, now)
 		if len(v) > 0 && (best == nil || cost/preemptionCostStep < bestCost/preemptionCostStep ||
-			cost/preemptionCostStep == bestCost/preemptionCostStep && d.prefers(j, m, best)) {
+			cost/preemptionCostStep == bestCost/preemptionCostStep && s.prefers(j, m, best)) {
 			best, victims, bestCost, over = m, v, cost, o
 		}
 		// What has hardly begun is as good a choice as any.
-		return looked >= 8*d.timing.Sample || best != nil && bestCost < preemptionCostStep
+		return looked >= 8*s.timing.Sample || best != nil && bestCost < preemptionCostStep
 	})
-	if best == nil && in == &d.capacity {
-		d.exhausted.markNoVictims(j, owed)
+	if best == nil && in == &s.capacity {
+		s.exhausted.markNoVictims(j, owed)
 	}
 	return best, victims, over
 }
@@ -111,7 +111,7 @@
 
 // victimsOn picks the tasks to stop on a machine to make room for one of a job;
 // none when that makes no room.
-func (d *Scheduler) victimsOn(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
+func (s *Scheduler) victimsOn(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
 	var cand []*observedTask
 	for _, t := range m.tasks {
 		if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -37,9 +37,9 @@
 // deadline first, by rank, guarantee, deadline and age; then what can still be
 // in time by the longer measure that an objective sets, in the same schedulingOrder; then
 // what is late, the longest tasks first.
-func (d *Scheduler) schedulingOrder(now clock.Micros) []*job {
+func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
-	for _, tm := range d.teams {
+	for _, tm := range s.teams {
 		tm.markWithinGuarantee()
 		for _, j := range tm.jobs {
 			if !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil {
@@ -49,7 +49,7 @@
 	}
 	sort.Slice(out, func(a, b int) bool {
 		x, y := out[a], out[b]
-		lx, ly := d.lateness(x, now), d.lateness(y, now)
+		lx, ly := s.lateness(x, now), s.lateness(y, now)
 		if lx != ly {
 			return lx < ly
 		}
@@ -73,7 +73,7 @@
 		if x.deadline() != y.deadline() {
 			return x.deadline() < y.deadline()
 		}
-		if fx, fy := d.latestStart(x), d.latestStart(y); fx != fy {
+		if fx, fy := s.latestStart(x), s.latestStart(y); fx != fy {
 			return fx < fy
 		}
 		return x.ModRevision < y.ModRevision
@@ -83,8 +83,8 @@
 
 // latestStart is when a job's tasks should start so that it is finished within its
 // class's time: of jobs without a deadline, those with long tasks can wait least.
-func (d *Scheduler) latestStart(j *job) clock.Micros {
-	within, ok := d.timing.Finishes[j.Class]
+func (s *Scheduler) latestStart(j *job) clock.Micros {
+	within, ok := s.timing.Finishes[j.Class]
 	if !ok {
 		return math.MaxInt64
 	}
@@ -108,16 +108,16 @@
 
 // How late a job is.
 const (
-	onTime   = iota
+	onTime        = iota
 	pastDeadline  // but not by the longer measure of its class's objectives
 	pastObjective // nothing is left to be in time for but the end of all
 )
 
-func (d *Scheduler) lateness(j *job, now clock.Micros) int {
+func (s *Scheduler) lateness(j *job, now clock.Micros) int {
 	if !j.missesDeadline(now) {
 		return onTime
 	}
-	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*d.timing.Times[j.Class]) {
+	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*s.timing.Times[j.Class]) {
 		return pastDeadline
 	}
 	return pastObjective
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -12,27 +12,27 @@
 // forgetSilent drops a machine that fell silent and has no record any more.
 // An ask that has no answer yet stays bound: the machine may come back with a
 // new session, and the ask be granted then.
-func (d *Scheduler) forgetSilent(m *machineState) {
-	if m.Silent && !d.recordedMachines[m.ID] && len(m.assignments) == 0 {
-		d.removeMachine(m)
+func (s *Scheduler) forgetSilent(m *machineState) {
+	if m.Silent && !s.recordedMachines[m.ID] && len(m.assignments) == 0 {
+		s.removeMachine(m)
 	}
 }
 
 // forgetMachine drops a machine that is gone for certain, with all asks for it.
-func (d *Scheduler) forgetMachine(m *machineState) {
+func (s *Scheduler) forgetMachine(m *machineState) {
 	for _, b := range m.assignmentsByAttempt() {
-		d.releaseAssignment(b)
+		s.releaseAssignment(b)
 	}
-	d.removeMachine(m)
+	s.removeMachine(m)
 }
 
 // removeMachine takes a machine out of the mirror.
-func (d *Scheduler) removeMachine(m *machineState) {
+func (s *Scheduler) removeMachine(m *machineState) {
 	for id := range m.tasks {
-		d.removeObservedTask(m, id)
+		s.removeObservedTask(m, id)
 	}
-	delete(d.machines, m.ID)
-	d.reindex(m)
+	delete(s.machines, m.ID)
+	s.reindex(m)
 }
 
 // assignmentsByAttempt lists a machine's bindings in a fixed order.
@@ -45,18 +45,18 @@
 	return out
 }
 
-func (d *Scheduler) recomputeAvailable(m *machineState) {
+func (s *Scheduler) recomputeAvailable(m *machineState) {
 	m.available = m.Free
 	for _, b := range m.assignments {
 		if b.unanswered || b.instance == m.instance && b.term == m.Term && b.viewVersion > m.Version {
 			m.available = m.available.Minus(b.job.Need) // the view does not show it yet
 		}
 	}
-	d.reindex(m)
+	s.reindex(m)
 }
 
 // addAssignment counts a task as being, or possibly being, on a machine.
-func (d *Scheduler) addAssignment(b *assignment, m *machineState) {
+func (s *Scheduler) addAssignment(b *assignment, m *machineState) {
 	m.assignments[b.id] = b
 	b.job.team.used = b.job.team.used.Plus(b.job.Need)
 	b.job.tasksByZone[b.zone]++
@@ -66,8 +66,8 @@
 }
 
 // releaseAssignment takes note that a task is gone from its machine for certain.
-func (d *Scheduler) releaseAssignment(b *assignment) {
-	if m := d.machines[b.machine]; m != nil {
+func (s *Scheduler) releaseAssignment(b *assignment) {
+	if m := s.machines[b.machine]; m != nil {
 		if m.assignments[b.id] != b {
 			return
 		}
@@ -80,7 +80,7 @@
 	if current {
 		delete(j.assignments, b.id.N)
 	}
-	if started := d.handleMoveAssignmentGone(b, current); current && !started {
+	if started := s.handleMoveAssignmentGone(b, current); current && !started {
 		if !j.isDone(b.id.N) && !(j.awaitsAccounting && b.id.N < j.offeredByFormer) {
 			j.queue = append(j.queue, b.id.N)
 		}
@@ -88,9 +88,9 @@
 }
 
 // reconcileTask takes a task that an accounted machine shows.
-func (d *Scheduler) reconcileTask(o *leaderSession, m *machineState, tv *peer.TaskView, now clock.Micros) {
+func (s *Scheduler) reconcileTask(o *leaderSession, m *machineState, tv *peer.TaskView, now clock.Micros) {
 	b := m.assignments[tv.ID]
-	tm := d.teams[tv.Team]
+	tm := s.teams[tv.Team]
 	if b != nil {
 		tm = b.job.team // its owner may not know: the job is over
 	}
@@ -115,47 +115,47 @@
 			} else {
 				b.orphaned = j.isDone(tv.ID.N) || j.assignments[tv.ID.N] != nil || j.cancelling || tv.Held // a former placer's move
 			}
-			d.addAssignment(b, m)
+			s.addAssignment(b, m)
 			if b.orphaned {
-				d.requestStop(b, 0)
+				s.requestStop(b, 0)
 			}
 		}
 	}
 	if tv.Phase == wire.TaskExited {
-		d.handleExit(j, b, m, tv, now)
+		s.handleExit(j, b, m, tv, now)
 		return
 	}
 	if b != nil {
 		if tv.Phase == wire.TaskRunning && b.phase != wire.TaskRunning {
 			if b.runningSince == 0 {
-				d.recordWait(b.job, now)
+				s.recordWait(b.job, now)
 			}
 			b.job.lastStartAt, b.runningSince = now, now
 			// Its job may be over already: cancelled while the start was on its way.
-			d.counters.FetchCPUs += (now - b.assignedAt) * clock.Micros(b.job.Need.CPU/1e6)
+			s.counters.FetchCPUs += (now - b.assignedAt) * clock.Micros(b.job.Need.CPU/1e6)
 		}
 		b.phase, b.stopping = tv.Phase, tv.Stopping
 	}
 }
 
 // handleExit takes the end of a task.
-func (d *Scheduler) handleExit(j *job, b *assignment, m *machineState, tv *peer.TaskView, now clock.Micros) {
+func (s *Scheduler) handleExit(j *job, b *assignment, m *machineState, tv *peer.TaskView, now clock.Micros) {
 	if j == nil {
 		if b != nil {
-			d.releaseAssignment(b)
+			s.releaseAssignment(b)
 		}
 		return
 	}
 	n := tv.ID.N
 	if tv.Cause == wire.CauseDone {
 		if !j.isDone(n) {
-			d.counters.Done++
+			s.counters.Done++
 			if b != nil && b.runningSince != 0 && len(j.runs) < 500 {
 				j.runs = append(j.runs, runTime{m.ID, now - b.runningSince})
 			}
 		}
 		if j.markDone(n); j.doneCount == j.Tasks && b != nil {
-			d.recordLateness(j, now)
+			s.recordLateness(j, now)
 		}
 		j.consecutiveErrors = 0
 		if j.acknowledgedTerms[tv.ID] != m.Term {
@@ -164,7 +164,7 @@
 		if other := j.assignments[n]; other != nil && other != b {
 			other.orphaned = true
 			delete(j.assignments, n)
-			d.requestStop(other, 0)
+			s.requestStop(other, 0)
 		}
 	} else {
 		if b != nil {
@@ -173,17 +173,17 @@
 		switch {
 		case b == nil:
 		case tv.Cause == wire.CauseStopped:
-			d.counters.Stopped++
+			s.counters.Stopped++
 		default:
-			d.counters.Failed++
+			s.counters.Failed++
 			j.recordFailure(m.ID, now)
 		}
 		if j.acknowledgedTerms[tv.ID] != m.Term {
-			d.acknowledge(j, tv.ID, m.ID)
+			s.acknowledge(j, tv.ID, m.ID)
 		}
 	}
 	if b != nil {
-		d.releaseAssignment(b)
+		s.releaseAssignment(b)
 	}
 }
 
@@ -198,19 +198,19 @@
 }
 
 // acknowledge tells a machine's owner that the end of a task is taken note of.
-func (d *Scheduler) acknowledge(j *job, id peer.TaskID, machine string) {
-	m := d.machines[machine]
+func (s *Scheduler) acknowledge(j *job, id peer.TaskID, machine string) {
+	m := s.machines[machine]
 	if m == nil {
 		return
 	}
-	o := d.sessions[m.leader]
+	o := s.sessions[m.leader]
 	o.pending.Settles = append(o.pending.Settles, peer.Acknowledgement{ID: id, Machine: machine})
 	j.acknowledgedTerms[id] = m.Term
 }
 
-func (d *Scheduler) requestStop(b *assignment, grace float64) {
-	if m := d.machines[b.machine]; m != nil {
-		o := d.sessions[m.leader]
+func (s *Scheduler) requestStop(b *assignment, grace float64) {
+	if m := s.machines[b.machine]; m != nil {
+		o := s.sessions[m.leader]
 		o.pending.Stops = append(o.pending.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
 	}
 	b.stopping = true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -76,7 +76,7 @@
 
 type machineState struct {
 	peer.MachineView
-	leader            string
+	leader          string
 	instance        string
 	available       resources.Amounts // what it shows, less what was asked for since
 	nameHash        uint64            // of its name
@@ -120,7 +120,7 @@
 	pending               peer.Batch
 	acknowledgementsSince clock.Micros // since when settlements wait to be sent
 	reachable             bool
-	partitionsCheckedAt               clock.Micros
+	partitionsCheckedAt   clock.Micros
 	polledAt              clock.Micros
 	supportsReservations  bool // it holds room for tasks that are to move
 	resync                bool // a view did not fit what was known: ask for everything
@@ -129,7 +129,7 @@
 }
 
 // SetFetchRates tells how fast machine types fetch images, in GB a second.
-func (d *Scheduler) SetFetchRates(rates map[string]float64) { d.fetchRates = rates }
+func (s *Scheduler) SetFetchRates(rates map[string]float64) { s.fetchRates = rates }
 
 // Counters is what happened since the start, for the logs.
 type Counters struct {
@@ -154,7 +154,7 @@
 	legacyRecords    bool // machines recorded by an earlier release are there: it left no watermarks
 	watermarks       map[string]watermarks
 	rng              *rand.Rand
-	wallMS             func() int64              // time of day in ms, good to the settings' bound
+	wallMS           func() int64              // time of day in ms, good to the settings' bound
 	fetchRates       map[string]float64        // GB a second by machine type
 	prices           map[priceKey]float64      // of a CPU, against the dearest
 	largestTaskCPU   int64                     // CPUs of the largest task about
@@ -167,12 +167,12 @@
 	exhausted        exhaustedDemand           // what found no room in this round
 	counters         Counters
 	demands          []fairshare.Demand // what waits, as last counted for the owners
-	demandsCountedAt        clock.Micros
+	demandsCountedAt clock.Micros
 
-	distributions map[string]distributions  // by team
-	zones         map[string]*recovery.Gate // of zones to which work returns, by the clock here
-	moves         moves
-	movesCheckedAt       clock.Micros
+	distributions  map[string]distributions  // by team
+	zones          map[string]*recovery.Gate // of zones to which work returns, by the clock here
+	moves          moves
+	movesCheckedAt clock.Micros
 }
 
 // Config of a scheduler.
@@ -187,50 +187,50 @@
 
 // NewScheduler makes a scheduler that leads no team yet.
 func NewScheduler(c Config) *Scheduler {
-	d := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, capacityByImage: map[string]*capacityIndex{}, tasksByCPU: map[int64]int{}, timing: c.Timing, instance: c.Instance, teamConfigs: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*machineState{},
+	s := &Scheduler{zones: map[string]*recovery.Gate{}, distributions: map[string]distributions{}, watermarks: map[string]watermarks{}, capacityByImage: map[string]*capacityIndex{}, tasksByCPU: map[int64]int{}, timing: c.Timing, instance: c.Instance, teamConfigs: map[string]Team{}, teams: map[string]*team{}, machines: map[string]*machineState{},
 		sessions: map[string]*leaderSession{}, recordedMachines: map[string]bool{}, progress: map[string]map[chunkID]progress{}, chunkTasks: ChunkTasks,
 		rng: rand.New(rand.NewPCG(c.Seed, 1)), wallMS: c.WallMS}
-	d.moves = newMoves(c.Timing.Moves)
+	s.moves = newMoves(c.Timing.Moves)
 	for _, tm := range c.Teams {
-		d.teamConfigs[tm.Name] = tm
+		s.teamConfigs[tm.Name] = tm
 	}
 	for _, h := range c.Hosts {
-		d.sessions[h] = &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
+		s.sessions[h] = &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
 	}
-	return d
+	return s
 }
 
 // AcquireTeam takes a team over, with its active jobs.
-func (d *Scheduler) AcquireTeam(name string, term, stamp uint64, active []*jobs.Job, now clock.Micros) {
-	d.ReleaseTeam(name)
-	tm := &team{Team: d.teamConfigs[name], orderSalt: nameHash(name), term: term, modRevision: stamp, jobs: map[string]*job{}, accounted: map[string]bool{},
-		unaccounted: maps.Clone(d.recordedMachines), yielding: map[string]yielding{}}
-	d.teams[name] = tm
+func (s *Scheduler) AcquireTeam(name string, term, stamp uint64, active []*jobs.Job, now clock.Micros) {
+	s.ReleaseTeam(name)
+	tm := &team{Team: s.teamConfigs[name], orderSalt: nameHash(name), term: term, modRevision: stamp, jobs: map[string]*job{}, accounted: map[string]bool{},
+		unaccounted: maps.Clone(s.recordedMachines), yielding: map[string]yielding{}}
+	s.teams[name] = tm
 	for _, j := range active {
-		d.addJob(tm, j, now)
+		s.addJob(tm, j, now)
 	}
-	for _, o := range d.sessions {
+	for _, o := range s.sessions {
 		delete(o.fencedTerms, name)
 	}
 }
 
 // ReleaseTeam gives a team up.
-func (d *Scheduler) ReleaseTeam(name string) {
-	tm := d.teams[name]
+func (s *Scheduler) ReleaseTeam(name string) {
+	tm := s.teams[name]
 	if tm == nil {
 		return
 	}
-	delete(d.teams, name)
-	d.abandonMoves(tm, "")
-	for _, m := range d.machines {
+	delete(s.teams, name)
+	s.abandonMoves(tm, "")
+	for _, m := range s.machines {
 		for id, b := range m.assignments {
 			if b.job.team == tm {
 				delete(m.assignments, id)
 			}
 		}
-		d.recomputeAvailable(m)
+		s.recomputeAvailable(m)
 	}
-	for _, o := range d.sessions {
+	for _, o := range s.sessions {
 		removeTeam(&o.pending, tm)
 	}
 }
@@ -243,44 +243,44 @@
 }
 
 // Summary gives how scheduling stands.
-func (d *Scheduler) Summary() Summary {
-	s := Summary{Counters: d.counters}
-	for _, tm := range d.teams {
+func (s *Scheduler) Summary() Summary {
+	summary := Summary{Counters: s.counters}
+	for _, tm := range s.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
-				s.CancellingJobs++
+				summary.CancellingJobs++
 			}
-			s.Waiting += j.waiting()
-			s.Bound += len(j.assignments)
+			summary.Waiting += j.waiting()
+			summary.Bound += len(j.assignments)
 		}
 	}
-	return s
+	return summary
 }
 
 // TeamTerms gives the teams held and their terms.
-func (d *Scheduler) TeamTerms() map[string]uint64 {
-	out := make(map[string]uint64, len(d.teams))
-	for n, t := range d.teams {
+func (s *Scheduler) TeamTerms() map[string]uint64 {
+	out := make(map[string]uint64, len(s.teams))
+	for n, t := range s.teams {
 		out[n] = t.term
 	}
 	return out
 }
 
 // AddJob takes an active job of a team that is held.
-func (d *Scheduler) AddJob(j *jobs.Job, now clock.Micros) {
-	if tm := d.teams[j.Team]; tm != nil && tm.jobs[j.ID] == nil {
-		d.addJob(tm, j, now)
+func (s *Scheduler) AddJob(j *jobs.Job, now clock.Micros) {
+	if tm := s.teams[j.Team]; tm != nil && tm.jobs[j.ID] == nil {
+		s.addJob(tm, j, now)
 	}
 }
 
-func (d *Scheduler) addJob(tm *team, spec *jobs.Job, now clock.Micros) {
-	j := &job{Job: spec, chunkTasks: d.chunkTasks, team: tm, watermark: d.watermarkOf(tm.Name, spec), done: make([]uint64, (spec.Tasks+63)/64), assignments: map[int]*assignment{},
+func (s *Scheduler) addJob(tm *team, spec *jobs.Job, now clock.Micros) {
+	j := &job{Job: spec, chunkTasks: s.chunkTasks, team: tm, watermark: s.watermarkOf(tm.Name, spec), done: make([]uint64, (spec.Tasks+63)/64), assignments: map[int]*assignment{},
 		tasksByZone: map[string]int{}, dirtyChunks: map[int]bool{}, avoidUntil: map[string]clock.Micros{},
 		unacknowledged: map[peer.TaskID]string{}, acknowledgedTerms: map[peer.TaskID]uint64{}, acceptedAt: now}
-	j.stage = d.stageOf(spec)
+	j.stage = s.stageOf(spec)
 	if spec.ModRevision < tm.modRevision {
 		j.offeredByFormer = min(j.watermark, j.Tasks)
-		if j.offeredByFormer > 0 && (j.OneZone || j.Spread) || d.legacyRecords {
+		if j.offeredByFormer > 0 && (j.OneZone || j.Spread) || s.legacyRecords {
 			// Where its other tasks are decides where these may go. And while
 			// machines of an earlier release are there, which left no watermarks,
 			// any task may have been asked for.
@@ -289,9 +289,9 @@
 		j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 	}
 	if spec.AcceptedMS > 0 {
-		j.acceptedAt = now - clock.Micros(max(0, d.wallMS()-spec.AcceptedMS))*clock.Millisecond
+		j.acceptedAt = now - clock.Micros(max(0, s.wallMS()-spec.AcceptedMS))*clock.Millisecond
 	}
-	for chunk, r := range d.progress[spec.ID] {
+	for chunk, r := range s.progress[spec.ID] {
 		for i, b := range r.bits {
 			for k := range 8 {
 				if n := chunk.N*chunk.Size + i*8 + k; b&(1<<k) != 0 && n < spec.Tasks {
@@ -305,13 +305,13 @@
 }
 
 // DropJob takes note that a job is final.
-func (d *Scheduler) DropJob(id string) {
-	delete(d.progress, id)
-	for _, tm := range d.teams {
+func (s *Scheduler) DropJob(id string) {
+	delete(s.progress, id)
+	for _, tm := range s.teams {
 		if j := tm.jobs[id]; j != nil {
 			delete(tm.jobs, id)
-			d.abandonMoves(tm, id)
-			d.detectSlowMachines(j)
+			s.abandonMoves(tm, id)
+			s.detectSlowMachines(j)
 			for _, b := range j.assignments {
 				b.orphaned = true
 			}
@@ -320,21 +320,21 @@
 }
 
 // HandleMachineRecord takes note of a machine's record.
-func (d *Scheduler) HandleMachineRecord(id string, there bool) {
+func (s *Scheduler) HandleMachineRecord(id string, there bool) {
 	if there {
-		d.recordedMachines[id] = true
-		for _, tm := range d.teams {
+		s.recordedMachines[id] = true
+		for _, tm := range s.teams {
 			if !tm.accounted[id] {
 				tm.unaccounted[id] = true
 			}
 		}
 		return
 	}
-	delete(d.recordedMachines, id)
-	for _, tm := range d.teams {
+	delete(s.recordedMachines, id)
+	for _, tm := range s.teams {
 		delete(tm.unaccounted, id)
 	}
-	if m := d.machines[id]; m != nil {
-		d.forgetSilent(m)
+	if m := s.machines[id]; m != nil {
+		s.forgetSilent(m)
 	}
 }
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -12,10 +12,10 @@
 
 // sumUnaccountedCapacity lists how much of a team's work machines could hold that are not accounted
 // for. Those that were not seen yet count as the largest machine there is.
-func (d *Scheduler) sumUnaccountedCapacity(tm *team, largest func() resources.Amounts) (n int, room resources.Amounts) {
+func (s *Scheduler) sumUnaccountedCapacity(tm *team, largest func() resources.Amounts) (n int, room resources.Amounts) {
 	for id := range tm.unaccounted {
 		n++
-		if m := d.machines[id]; m != nil && m.Cap.CPU > 0 {
+		if m := s.machines[id]; m != nil && m.Cap.CPU > 0 {
 			room = room.Plus(m.Cap)
 		} else {
 			room = room.Plus(largest())
@@ -25,11 +25,11 @@
 }
 
 // largestMachine is the most that any machine seen offers.
-func (d *Scheduler) largestMachine() resources.Amounts {
+func (s *Scheduler) largestMachine() resources.Amounts {
 	out := resources.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9} // a thousand CPUs, before any was seen
-	d.counters.Looked += len(d.machines)
+	s.counters.Looked += len(s.machines)
 	seen := false
-	for _, m := range d.machines {
+	for _, m := range s.machines {
 		if !seen {
 			out, seen = m.Cap, true
 			continue
@@ -45,34 +45,34 @@
 
 // Schedule decides on asks for one round of decisions. What it decides waits in
 // the owners' next rounds. The batch widens with what waits.
-func (d *Scheduler) Schedule(now clock.Micros) (placed int) {
-	d.updateAboveShare(now)
-	d.moveTasks(now)
-	list := d.schedulingOrder(now)
+func (s *Scheduler) Schedule(now clock.Micros) (placed int) {
+	s.updateAboveShare(now)
+	s.moveTasks(now)
+	list := s.schedulingOrder(now)
 	// After a restart no machine was seen yet: the largest is looked for once a round at
 	// most, and not for each machine anew.
-	largest := sync.OnceValue(d.largestMachine)
-	for _, tm := range d.teams {
-		tm.unaccountedCount, tm.unaccountedCapacity = d.sumUnaccountedCapacity(tm, largest)
+	largest := sync.OnceValue(s.largestMachine)
+	for _, tm := range s.teams {
+		tm.unaccountedCount, tm.unaccountedCapacity = s.sumUnaccountedCapacity(tm, largest)
 	}
 	waiting := 0
 	for _, j := range list {
 		waiting += j.waiting()
 	}
-	batch := d.timing.Batch + waiting/4
-	d.largestTaskCPU = d.largestTask(list)
-	d.exhausted = exhaustedDemand{staged: len(d.zones) > 0}
+	batch := s.timing.Batch + waiting/4
+	s.largestTaskCPU = s.largestTask(list)
+	s.exhausted = exhaustedDemand{staged: len(s.zones) > 0}
 	for _, j := range list {
 		// However much else goes first, no job's first task waits for ever.
 		if !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline {
-			placed += d.scheduleJob(j, 1, now)
+			placed += s.scheduleJob(j, 1, now)
 		}
 	}
 	for _, j := range list {
 		if placed >= batch {
 			break
 		}
-		placed += d.scheduleJob(j, batch-placed, now)
+		placed += s.scheduleJob(j, batch-placed, now)
 	}
 	return placed
 }
@@ -86,13 +86,13 @@
 	return len(j.assignments) > 0 || j.doneCount > 0 || j.lastStartAt > 0
 }
 
-func (d *Scheduler) scheduleJob(j *job, most int, now clock.Micros) (placed int) {
+func (s *Scheduler) scheduleJob(j *job, most int, now clock.Micros) (placed int) {
 	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.offeredByFormer {
 		j.releaseFormerlyOffered()
 	}
 	for placed < most {
 		if !withinQuota(j.team.used.Plus(j.team.unaccountedCapacity).Plus(j.Need), j.team.Limit) {
-			d.preemptOwn(j, now)
+			s.preemptOwn(j, now)
 			return placed
 		}
 		t := j.nextWaiting()
@@ -102,7 +102,7 @@
 			}
 			return placed
 		}
-		m, victims, over := d.selectMachine(j, now)
+		m, victims, over := s.selectMachine(j, now)
 		if m == nil {
 			j.queue = append([]int{t}, j.queue...)
 			if j.stalledSince == 0 {
@@ -118,13 +118,13 @@
 		// same until all of it is placed: on a large fleet there is always a bit.
 		j.offeredHere = true
 		j.team.attemptCounter++
-		d.counters.Placed++
-		d.counters.Preempted += len(victims)
+		s.counters.Placed++
+		s.counters.Preempted += len(victims)
 		b := &assignment{id: peer.TaskID{Job: j.ID, N: t, Attempt: j.team.term<<32 | j.team.attemptCounter}, job: j, machine: m.ID,
 			zone: m.Zone, term: m.Term, unanswered: true, instance: m.instance, assignedAt: now}
-		d.addAssignment(b, m)
+		s.addAssignment(b, m)
 		m.available = m.available.Minus(j.Need)
-		if fetch, ok := d.fetchTime(j, m); ok && !slices.Contains(m.Images, j.Image) {
+		if fetch, ok := s.fetchTime(j, m); ok && !slices.Contains(m.Images, j.Image) {
 			m.imageFetchUntil, m.imageFetched = now+fetch, j.Image
 		}
 		for _, v := range victims {
@@ -134,8 +134,8 @@
 				m.available = m.available.Plus(t.Need)
 			}
 		}
-		d.reindex(m)
-		o := d.sessions[m.leader]
+		s.reindex(m)
+		o := s.sessions[m.leader]
 		o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB,
 			Machine: m.ID, Term: m.Term, Victims: victims, Over: over, Covered: j.withinGuarantee,
 			Stage: int(j.stage) + 1})
@@ -164,48 +164,48 @@
 }
 
 // mayOffer tells whether a machine may be asked for room for a task of a job now.
-func (d *Scheduler) mayOffer(j *job, m *machineState, now clock.Micros) bool {
-	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && !j.awaitsZoneStage(m, d.zones, now)
+func (s *Scheduler) mayOffer(j *job, m *machineState, now clock.Micros) bool {
+	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && !j.awaitsZoneStage(m, s.zones, now)
 }
 
 // selectMachine draws a small sample of the machines that showed room and takes the
 // best fit: of those that have the image, if any, one where a small task takes no
 // place from a large one, if any, and of these the one that is better.
-func (d *Scheduler) selectMachine(j *job, now clock.Micros) (*machineState, []peer.TaskID, bool) {
+func (s *Scheduler) selectMachine(j *job, now clock.Micros) (*machineState, []peer.TaskID, bool) {
 	var list []*machineState
-	searched := !d.exhausted.isExhausted(j)
-	if searched && d.timing.Costs != nil {
-		if m, decided := d.selectByCost(j, now); decided {
+	searched := !s.exhausted.isExhausted(j)
+	if searched && s.timing.Costs != nil {
+		if m, decided := s.selectByCost(j, now); decided {
 			return m, nil, false
 		}
 	}
 	if searched {
-		list = d.findCapacity(j, d.capacityByImage[j.Image], now)
+		list = s.findCapacity(j, s.capacityByImage[j.Image], now)
 	}
 	bare := len(list) == 0
 	if !bare {
 		j.noImageSince = 0
 	}
 	if searched && bare {
-		if list = d.findCapacity(j, &d.capacity, now); len(list) > 0 && d.imageFetchTooSlow(j, list[0], now) {
+		if list = s.findCapacity(j, &s.capacity, now); len(list) > 0 && s.imageFetchTooSlow(j, list[0], now) {
 			// The fetch alone would make the task late: room on a machine that has
 			// the image is worth a task that has hardly begun.
-			if m, victims, over := d.preempt(j, d.capacityByImage[j.Image], now); m != nil && !over {
+			if m, victims, over := s.preempt(j, s.capacityByImage[j.Image], now); m != nil && !over {
 				return m, victims, over
 			}
 		}
-		if len(list) > 0 && d.waitsForImage(j, list, now) {
+		if len(list) > 0 && s.waitsForImage(j, list, now) {
 			return nil, nil, false
 		}
 	}
 	if len(list) == 0 {
-		if d.mayPreempt(j, now) {
-			if m, victims, over := d.preempt(j, &d.capacity, now); m != nil {
+		if s.mayPreempt(j, now) {
+			if m, victims, over := s.preempt(j, &s.capacity, now); m != nil {
 				return m, victims, over
 			}
 		}
 		if searched {
-			d.exhausted.markExhausted(j)
+			s.exhausted.markExhausted(j)
 		}
 		return nil, nil, false
 	}
@@ -214,24 +214,24 @@
 			list = some
 		}
 	}
-	if !d.timing.Economy && d.cannotAffordRetry(j) {
+	if !s.timing.Economy && s.cannotAffordRetry(j) {
 		// Without economy the machines that are not taken are its own, also in pieces.
 		prefer(onDemandMachines(list))
 	}
-	if _, hasty := d.timing.Waits[j.Class]; bare && hasty {
+	if _, hasty := s.timing.Waits[j.Class]; bare && hasty {
 		// To start soon counts for more than to leave large pieces whole.
 		prefer(withoutOtherFetches(j, list, now))
 	}
-	prefer(d.keepingLargeSlots(j, list))
+	prefer(s.keepingLargeSlots(j, list))
 	if bare {
 		prefer(withoutOtherFetches(j, list, now))
 	}
-	if !d.isSmall(j) {
-		list = d.sample(list, d.timing.Sample)
+	if !s.isSmall(j) {
+		list = s.sample(list, s.timing.Sample)
 	}
 	var best *machineState
 	for _, m := range list {
-		if best == nil || d.prefers(j, m, best) {
+		if best == nil || s.prefers(j, m, best) {
 			best = m
 		}
 	}
@@ -244,12 +244,12 @@
 // waitsForImage tells that a job of a economical deployment should leave scarce room to
 // others for a moment: its image is on some machines, and room may come up there
 // sooner than it is fetched. What is fetched for nothing is paid for.
-func (d *Scheduler) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
-	fetch, ok := d.fetchTime(j, list[0])
-	if !d.timing.Economy || !d.capacityByImage[j.Image].hasMachines() || !ok || len(list)*8 >= d.indexedMachines {
+func (s *Scheduler) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
+	fetch, ok := s.fetchTime(j, list[0])
+	if !s.timing.Economy || !s.capacityByImage[j.Image].hasMachines() || !ok || len(list)*8 >= s.indexedMachines {
 		return false
 	}
-	if within, ok := d.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
+	if within, ok := s.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
 		return false // a moment lost is a start too late
 	}
 	if j.noImageSince == 0 {
@@ -269,18 +269,18 @@
 }
 
 // isSmall tells that a job's tasks are isSmall beside the largest about.
-func (d *Scheduler) isSmall(j *job) bool {
-	return d.largestTaskCPU > 0 && j.Need.CPU*2 <= d.largestTaskCPU
+func (s *Scheduler) isSmall(j *job) bool {
+	return s.largestTaskCPU > 0 && j.Need.CPU*2 <= s.largestTaskCPU
 }
 
 // keepingLargeSlots picks the machines where a small task takes no place from a large
 // one: as many large tasks fit there with it as without.
-func (d *Scheduler) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
-	if !d.isSmall(j) {
+func (s *Scheduler) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
+	if !s.isSmall(j) {
 		return nil
 	}
 	for _, m := range list {
-		if m.available.CPU/d.largestTaskCPU == (m.available.CPU-j.Need.CPU)/d.largestTaskCPU {
+		if m.available.CPU/s.largestTaskCPU == (m.available.CPU-j.Need.CPU)/s.largestTaskCPU {
 			out = append(out, m)
 		}
 	}
@@ -288,11 +288,11 @@
 }
 
 // largestTask is the most CPUs that any task takes that waits or is seen running.
-func (d *Scheduler) largestTask(list []*job) (big int64) {
+func (s *Scheduler) largestTask(list []*job) (big int64) {
 	for _, j := range list {
 		big = max(big, j.Need.CPU)
 	}
-	for cpu := range d.tasksByCPU {
+	for cpu := range s.tasksByCPU {
 		big = max(big, cpu)
 	}
 	return big
@@ -303,12 +303,12 @@
 // tasks find them; those take what is left with least room, from the other end.
 // Each team has an order of its own: placers that decide at the same time would
 // ask for the same room otherwise.
-func (d *Scheduler) prefers(j *job, a, b *machineState) bool {
+func (s *Scheduler) prefers(j *job, a, b *machineState) bool {
 	if a.Spot != b.Spot {
 		// Economy empties the dear machines. But a job that would be late if a
 		// machine were taken from it keeps to those that are not taken, and
 		// leaves them to such jobs otherwise.
-		return a.Spot != d.cannotAffordRetry(j)
+		return a.Spot != s.cannotAffordRetry(j)
 	}
 	if j.Need.CPU*2 >= a.Cap.CPU || j.Need.CPU*2 >= b.Cap.CPU {
 		if x, y := a.available.Minus(j.Need).CPU, b.available.Minus(j.Need).CPU; x != y {
@@ -324,9 +324,9 @@
 
 // cannotAffordRetry tells that the time for a job leaves none to notice that a machine
 // was taken and run its tasks once more.
-func (d *Scheduler) cannotAffordRetry(j *job) bool {
-	twice := clock.FromSeconds(2*j.RuntimeEstimateS) + d.timing.Lease
-	within, ok := d.timing.Finishes[j.Class]
+func (s *Scheduler) cannotAffordRetry(j *job) bool {
+	twice := clock.FromSeconds(2*j.RuntimeEstimateS) + s.timing.Lease
+	within, ok := s.timing.Finishes[j.Class]
 	return ok && within < twice || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < twice
 }
 
@@ -343,28 +343,28 @@
 
 // imageFetchTooSlow tells that a task can start in time on a machine that has its image,
 // and not on one that must fetch it.
-func (d *Scheduler) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
-	within, ok := d.timing.Waits[j.Class]
-	fetch, known := d.fetchTime(j, m)
+func (s *Scheduler) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
+	within, ok := s.timing.Waits[j.Class]
+	fetch, known := s.fetchTime(j, m)
 	return ok && known && now <= j.acceptedAt+within && now+fetch > j.acceptedAt+within
 }
 
 // fetchTime is how long a machine's type takes to fetch a job's image; ok is
 // false while that is not known.
-func (d *Scheduler) fetchTime(j *job, m *machineState) (fetch clock.Micros, ok bool) {
-	rate := d.fetchRates[m.Type]
+func (s *Scheduler) fetchTime(j *job, m *machineState) (fetch clock.Micros, ok bool) {
+	rate := s.fetchRates[m.Type]
 	if rate <= 0 {
 		return 0, false
 	}
 	return clock.FromSeconds(j.ImageGB / rate), true
 }
 
-func (d *Scheduler) sample(from []*machineState, n int) []*machineState {
+func (s *Scheduler) sample(from []*machineState, n int) []*machineState {
 	if len(from) <= n {
 		return from
 	}
 	for i := range n {
-		k := i + d.rng.IntN(len(from)-i)
+		k := i + s.rng.IntN(len(from)-i)
 		from[i], from[k] = from[k], from[i]
 	}
 	return from[:n]
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -15,47 +15,47 @@
 
 // A job that fails everywhere backs off by itself.
 func TestAFailingJobBacksOff(t *testing.T) {
-	w := newSimulation(t, 1, 4)
-	w.runSteps(8)
-	w.addJob("job-1", 4, nil)
+	sim := newSimulation(t, 1, 4)
+	sim.runSteps(8)
+	sim.addJob("job-1", 4, nil)
 	starts := 0
 	for range 40 {
-		w.runSteps(1)
-		starts += w.exitAll(wire.CauseError)
+		sim.runSteps(1)
+		starts += sim.exitAll(wire.CauseError)
 	}
 	require.Positive(t, starts)
 	require.Less(t, starts, 40, "ten seconds of failures")
-	require.NotZero(t, w.scheduler.teams[red].jobs["job-1"].backoffUntil)
+	require.NotZero(t, sim.scheduler.teams[red].jobs["job-1"].backoffUntil)
 }
 
 // High rank takes the least work from lower rank; late work takes nothing.
 func TestPreemptionTakesFromLowerRanks(t *testing.T) {
-	w := newSimulation(t, 1, 1)
-	w.runSteps(8)
-	w.addJob("job-1", 4, nil)
-	w.runSteps(4)
-	require.Equal(t, 4, w.runningTasks())
+	sim := newSimulation(t, 1, 1)
+	sim.runSteps(8)
+	sim.addJob("job-1", 4, nil)
+	sim.runSteps(4)
+	require.Equal(t, 4, sim.runningTasks())
 	due := 0.5
-	w.addJob("job-2", 1, func(j *wire.Job) { j.Priority, j.DeadlineS, j.RuntimeEstimateS = "high", &due, 60 })
-	w.runSteps(12)
-	require.False(t, w.workers["m-0"].Running("job-2/0"), "it is late already")
-	w.addJob("job-3", 1, func(j *wire.Job) { j.Priority = "high" })
-	w.runSteps(12)
-	require.True(t, w.workers["m-0"].Running("job-3/0"))
-	require.Equal(t, 4, w.runningTasks())
+	sim.addJob("job-2", 1, func(j *wire.Job) { j.Priority, j.DeadlineS, j.RuntimeEstimateS = "high", &due, 60 })
+	sim.runSteps(12)
+	require.False(t, sim.workers["m-0"].Running("job-2/0"), "it is late already")
+	sim.addJob("job-3", 1, func(j *wire.Job) { j.Priority = "high" })
+	sim.runSteps(12)
+	require.True(t, sim.workers["m-0"].Running("job-3/0"))
+	require.Equal(t, 4, sim.runningTasks())
 }
 
 // A job that has missed its deadline, but not yet by the longer measure that an
 // objective sets, goes before one that has missed both, and after one in time.
 func TestLatenessDecidesWhoseTurnItIs(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
 	for i, due := range []float64{10, 70, 200} { // hopeless, overdue, in time
-		w.addJob(fmt.Sprintf("job-%d", i), 1, func(j *wire.Job) { j.Class, j.DeadlineS, j.RuntimeEstimateS = "sweep", &due, 10 })
+		sim.addJob(fmt.Sprintf("job-%d", i), 1, func(j *wire.Job) { j.Class, j.DeadlineS, j.RuntimeEstimateS = "sweep", &due, 10 })
 	}
-	w.now += 80 * sec
+	sim.now += 80 * sec
 	var ids []string
-	for _, j := range w.scheduler.schedulingOrder(w.now) {
+	for _, j := range sim.scheduler.schedulingOrder(sim.now) {
 		ids = append(ids, j.ID)
 	}
 	require.Equal(t, []string{"job-2", "job-1", "job-0"}, ids)
@@ -63,13 +63,13 @@
 
 // The smaller rest goes first, of equal ones the earlier deadline.
 func TestSmallestRestsFirst(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
 	for i, due := range []float64{900, 1000, 800} {
-		w.addJob(fmt.Sprintf("job-%d", i), []int{20, 2, 20}[i], func(j *wire.Job) { j.DeadlineS, j.RuntimeEstimateS = &due, 10 })
+		sim.addJob(fmt.Sprintf("job-%d", i), []int{20, 2, 20}[i], func(j *wire.Job) { j.DeadlineS, j.RuntimeEstimateS = &due, 10 })
 	}
 	var ids []string
-	for _, j := range w.scheduler.schedulingOrder(w.now) {
+	for _, j := range sim.scheduler.schedulingOrder(sim.now) {
 		ids = append(ids, j.ID)
 	}
 	require.Equal(t, []string{"job-1", "job-2", "job-0"}, ids)
@@ -80,27 +80,27 @@
 // guarantee's time it does.
 func TestATrickleOfRoomKeepsAGuarantee(t *testing.T) {
 	for _, trickle := range []bool{true, false} {
-		w := newSimulationWithLimit(t, 1, 2, 0)
-		w.scheduler.timing.Guarantee = 5 * sec
+		sim := newSimulationWithLimit(t, 1, 2, 0)
+		sim.scheduler.timing.Guarantee = 5 * sec
 		blue := &team{Team: Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
 			accounted: map[string]bool{}, unaccounted: map[string]bool{}}
 		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
-			team: blue, withinGuarantee: true, watermark: 50, acceptedAt: w.now, assignments: map[int]*assignment{}, tasksByZone: map[string]int{}, done: make([]uint64, 1)}
-		w.runSteps(8)
-		w.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
-		w.runSteps(4)
-		require.Equal(t, 8, w.runningTasks())
+			team: blue, withinGuarantee: true, watermark: 50, acceptedAt: sim.now, assignments: map[int]*assignment{}, tasksByZone: map[string]int{}, done: make([]uint64, 1)}
+		sim.runSteps(8)
+		sim.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
+		sim.runSteps(4)
+		require.Equal(t, 8, sim.runningTasks())
 		taken := false
 		for step := range 40 {
-			w.now += 250 * clock.Millisecond
-			w.scheduler.exhausted = exhaustedDemand{}
+			sim.now += 250 * clock.Millisecond
+			sim.scheduler.exhausted = exhaustedDemand{}
 			if trickle && step%4 == 0 {
-				m := w.scheduler.machines["m-0"]
+				m := sim.scheduler.machines["m-0"]
 				m.available = j.Need // a task of others has ended
-				w.scheduler.reindex(m)
+				sim.scheduler.reindex(m)
 			}
-			w.scheduler.scheduleJob(j, 1, w.now)
-			for _, o := range w.scheduler.sessions {
+			sim.scheduler.scheduleJob(j, 1, sim.now)
+			for _, o := range sim.scheduler.sessions {
 				for _, a := range o.pending.Asks {
 					taken = taken || a.Over
 				}
@@ -114,17 +114,17 @@
 // Two jobs with an image each come to machines that have neither: each machine
 // fetches one image, and the tasks of a job stay together.
 func TestImagesAreFetchedApart(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
-	w.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
-	w.scheduler.timing.Waits = map[string]clock.Micros{"rescore": 4 * sec}
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
+	sim.scheduler.timing.Waits = map[string]clock.Micros{"rescore": 4 * sec}
 	for i := range 2 {
-		w.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) { j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2 })
+		sim.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) { j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2 })
 	}
-	w.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // something large is about
-	w.schedule()
+	sim.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // something large is about
+	sim.schedule()
 	images := map[string]map[string]bool{}
-	for id, m := range w.scheduler.machines {
+	for id, m := range sim.scheduler.machines {
 		for _, b := range m.assignments {
 			if images[id] == nil {
 				images[id] = map[string]bool{}
@@ -141,93 +141,93 @@
 // Where economy is in order, a job leaves the last bit of room that lacks its
 // image to others for as long as a fetch would take; then it takes it.
 func TestEconomyWaitsForAnImage(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 10, 0)
-	w.scheduler.timing.Economy = true
-	w.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
-	w.runSteps(8)
+	sim := newSimulationWithLimit(t, 1, 10, 0)
+	sim.scheduler.timing.Economy = true
+	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
+	sim.runSteps(8)
 	image := func(j *wire.Job) { j.Image, j.ImageGB = "img-1", 2 }
-	w.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and is full
-	w.runSteps(4)
-	w.addJob("job-2", 35, nil) // the others have room for one task
-	w.runSteps(4)
-	require.Equal(t, 36, w.runningTasks())
-	w.addJob("job-3", 1, image)
-	began := w.now
-	for len(w.scheduler.teams[red].jobs["job-3"].assignments) == 0 && w.now < began+20*sec {
-		w.runSteps(1)
+	sim.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and is full
+	sim.runSteps(4)
+	sim.addJob("job-2", 35, nil) // the others have room for one task
+	sim.runSteps(4)
+	require.Equal(t, 36, sim.runningTasks())
+	sim.addJob("job-3", 1, image)
+	began := sim.now
+	for len(sim.scheduler.teams[red].jobs["job-3"].assignments) == 0 && sim.now < began+20*sec {
+		sim.runSteps(1)
 	}
-	require.InDelta(t, 4, (w.now - began).Seconds(), 0.6)
+	require.InDelta(t, 4, (sim.now - began).Seconds(), 0.6)
 }
 
 // Jobs that could not be in time if a machine were taken from them keep to those
 // that are not taken; the others leave those to them.
 func TestFragileJobsKeepToOrdinaryMachines(t *testing.T) {
 	for _, economy := range []bool{false, true} {
-		w := newSimulationWithLimit(t, 1, 4, 0)
-		w.scheduler.timing.Economy, w.scheduler.timing.Lease = economy, 20*sec
-		w.scheduler.timing.Finishes = map[string]clock.Micros{"refit": 30 * sec}
-		w.workers["m-0"].Spot, w.workers["m-3"].Spot = true, true
-		w.runSteps(8)
+		sim := newSimulationWithLimit(t, 1, 4, 0)
+		sim.scheduler.timing.Economy, sim.scheduler.timing.Lease = economy, 20*sec
+		sim.scheduler.timing.Finishes = map[string]clock.Micros{"refit": 30 * sec}
+		sim.workers["m-0"].Spot, sim.workers["m-3"].Spot = true, true
+		sim.runSteps(8)
 		due := 500.0
-		w.addJob("job-1", 1, func(j *wire.Job) { j.CPUs, j.RuntimeEstimateS, j.DeadlineS = 8, 10, &due })
-		w.addJob("job-2", 4, func(j *wire.Job) { j.Class, j.RuntimeEstimateS, j.CPUs = "refit", 10, 1 })
-		w.runSteps(4)
-		for _, id := range w.machineIDs {
-			for _, r := range w.workers[id].Tasks {
+		sim.addJob("job-1", 1, func(j *wire.Job) { j.CPUs, j.RuntimeEstimateS, j.DeadlineS = 8, 10, &due })
+		sim.addJob("job-2", 4, func(j *wire.Job) { j.Class, j.RuntimeEstimateS, j.CPUs = "refit", 10, 1 })
+		sim.runSteps(4)
+		for _, id := range sim.machineIDs {
+			for _, r := range sim.workers[id].Tasks {
 				job, _, _ := wire.SplitTask(r.Task)
-				require.Equal(t, job == "job-1", w.workers[id].Spot, "%s on %s", r.Task, id)
+				require.Equal(t, job == "job-1", sim.workers[id].Spot, "%s on %s", r.Task, id)
 			}
 		}
-		require.Equal(t, 5, w.runningTasks())
+		require.Equal(t, 5, sim.runningTasks())
 	}
 }
 
 // Urgent work takes all room there is, for as long as it likes; a large job of
 // low rank begins all the same.
 func TestNoJobWaitsForEverToBegin(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 2, 0)
-	w.runSteps(8)
-	w.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
-	w.runSteps(4)
-	w.addJob("job-2", 100, nil)
-	begun := func() bool { return w.scheduler.teams[red].jobs["job-2"].hasStarted() }
+	sim := newSimulationWithLimit(t, 1, 2, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
+	sim.runSteps(4)
+	sim.addJob("job-2", 100, nil)
+	begun := func() bool { return sim.scheduler.teams[red].jobs["job-2"].hasStarted() }
 	for range 4 * 160 {
 		if begun() {
 			break
 		}
-		w.runSteps(1)
-		for _, id := range w.machineIDs { // a task ends now and then
-			for _, r := range w.workers[id].InOrder() {
-				if r.Phase != wire.TaskExited && w.rng.IntN(80) == 0 {
+		sim.runSteps(1)
+		for _, id := range sim.machineIDs { // a task ends now and then
+			for _, r := range sim.workers[id].InOrder() {
+				if r.Phase != wire.TaskExited && sim.rng.IntN(80) == 0 {
 					r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
 		}
 	}
 	require.True(t, begun())
-	require.Less(t, w.now-w.scheduler.teams[red].jobs["job-2"].acceptedAt, 240*sec)
+	require.Less(t, sim.now-sim.scheduler.teams[red].jobs["job-2"].acceptedAt, 240*sec)
 }
 
 // Room for a large job of high rank comes up bit by bit. It does not wait for
 // that: it takes room from lower rank as soon as it has waited its time.
 func TestATrickleOfRoomDoesNotPutPreemptionOff(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
-	w.addJob("job-1", 16, nil)
-	w.runSteps(4)
-	require.Equal(t, 16, w.runningTasks())
-	w.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 16, nil)
+	sim.runSteps(4)
+	require.Equal(t, 16, sim.runningTasks())
+	sim.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
 	for step := range 8 {
-		for _, r := range w.workers[w.machineIDs[step%4]].InOrder() { // a task ends in every round
+		for _, r := range sim.workers[sim.machineIDs[step%4]].InOrder() { // a task ends in every round
 			if r.Phase != wire.TaskExited {
 				r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
 				break
 			}
 		}
-		w.runSteps(1)
+		sim.runSteps(1)
 	}
 	high := 0
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		for _, r := range k.Tasks {
 			if job, _, _ := wire.SplitTask(r.Task); job == "job-2" {
 				high++
@@ -241,16 +241,16 @@
 // run times only vary, none is.
 func TestSlowMachinesAreSetAside(t *testing.T) {
 	for _, slow := range []bool{true, false} {
-		w := newSimulationWithLimit(t, 1, 2, 0)
-		w.runSteps(8)
+		sim := newSimulationWithLimit(t, 1, 2, 0)
+		sim.runSteps(8)
 		for i := range 6 {
-			w.addJob(fmt.Sprintf("job-%d", i), 12, nil)
+			sim.addJob(fmt.Sprintf("job-%d", i), 12, nil)
 		}
 		began := map[string]int{}
 		for step := range 200 {
-			w.runSteps(1)
-			for _, id := range w.machineIDs {
-				for _, k := range w.workers[id].InOrder() {
+			sim.runSteps(1)
+			for _, id := range sim.machineIDs {
+				for _, k := range sim.workers[id].InOrder() {
 					if _, ok := began[k.Task]; !ok {
 						began[k.Task] = step
 					}
@@ -264,8 +264,8 @@
 				}
 			}
 		}
-		require.Equal(t, slow, w.scheduler.machines["m-1"].Sick)
-		require.False(t, w.scheduler.machines["m-0"].Sick)
+		require.Equal(t, slow, sim.scheduler.machines["m-1"].Sick)
+		require.False(t, sim.scheduler.machines["m-0"].Sick)
 	}
 }
 
@@ -273,25 +273,25 @@
 // not touched: neither those with room nor those without.
 func TestTheWorkOfARoundDoesNotGrowWithTheFleet(t *testing.T) {
 	work := func(machines int) (looked, told int) {
-		w := newSimulationWithLimit(t, 9, machines, 0)
-		w.runSteps(8)
-		w.addJob("job-1", 6, nil)
-		before := w.scheduler.counters.Looked
-		w.schedule()
-		looked = w.scheduler.counters.Looked - before
-		require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 6)
-		for _, h := range w.controllers {
-			w.sendBatch(h, true, true)
-			in := w.scheduler.NextPoll(h.name)
-			ans := h.partitionState.HandlePoll(in, h.instance, w.now)
+		sim := newSimulationWithLimit(t, 9, machines, 0)
+		sim.runSteps(8)
+		sim.addJob("job-1", 6, nil)
+		before := sim.scheduler.counters.Looked
+		sim.schedule()
+		looked = sim.scheduler.counters.Looked - before
+		require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 6)
+		for _, h := range sim.controllers {
+			sim.sendBatch(h, true, true)
+			in := sim.scheduler.NextPoll(h.name)
+			ans := h.partitionState.HandlePoll(in, h.instance, sim.now)
 			told += len(ans.Machines)
-			w.scheduler.HandlePollResponse(h.name, in, &ans, w.now)
+			sim.scheduler.HandlePollResponse(h.name, in, &ans, sim.now)
 		}
 		// A job for which no machine is large enough searches none of them.
-		w.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
-		before = w.scheduler.counters.Looked
-		w.schedule()
-		require.Equal(t, before, w.scheduler.counters.Looked)
+		sim.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
+		before = sim.scheduler.counters.Looked
+		sim.schedule()
+		require.Equal(t, before, sim.scheduler.counters.Looked)
 		return looked, told
 	}
 	smallLooked, smallTold := work(60)
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -6,22 +6,22 @@
 
 // runTime is how long a task ran, and where.
 type runTime struct {
-	machine string
-	duration    clock.Micros
+	machine  string
+	duration clock.Micros
 }
 
 // A machine is slow when its tasks take so many times as long as others of the
 // same jobs, over so many tasks. Machines differ by a tenth, tasks by more.
 const (
-	slowPaceThreshold  = 1.6
-	minPaceSamples = 5
+	slowPaceThreshold = 1.6
+	minPaceSamples    = 5
 )
 
 // detectSlowMachines compares how long a finished job's tasks ran on each machine with how
 // long they ran on the others, and has a machine set aside on which tasks take much
 // longer. A job is judged only as a whole: those of its tasks that are done
 // first are the short ones.
-func (d *Scheduler) detectSlowMachines(j *job) {
+func (s *Scheduler) detectSlowMachines(j *job) {
 	if len(j.runs) < 4 || j.doneCount < j.Tasks {
 		return
 	}
@@ -33,7 +33,7 @@
 		count[r.machine]++
 	}
 	for _, r := range j.runs {
-		m := d.machines[r.machine]
+		m := s.machines[r.machine]
 		others := len(j.runs) - count[r.machine]
 		if m == nil || m.slow || others < 2 {
 			continue
@@ -46,7 +46,7 @@
 		m.paceSamples++
 		if m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples) {
 			m.slow = true
-			o := d.sessions[m.leader]
+			o := s.sessions[m.leader]
 			o.pending.Slow = append(o.pending.Slow, m.ID)
 		}
 	}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -15,81 +15,81 @@
 // A new placer takes over while a machine can't be reached: old jobs wait for
 // it, new ones start, and the limit counts all that it could hold.
 func TestTakeOverOfATeamWaitsForUnaccountedMachines(t *testing.T) {
-	w := newSimulation(t, 1, 4)
-	w.runSteps(8)
-	w.addJob("job-1", 2, nil)
-	w.runSteps(2)
-	require.Equal(t, 2, w.runningTasks())
-	w.boot(w.controllers[0])
-	w.newScheduler()
-	w.acquirePartition(0, 0) // and the machines of partition 0 are silent for now
-	w.addJob("job-2", 2, nil)
+	sim := newSimulation(t, 1, 4)
+	sim.runSteps(8)
+	sim.addJob("job-1", 2, nil)
+	sim.runSteps(2)
+	require.Equal(t, 2, sim.runningTasks())
+	sim.boot(sim.controllers[0])
+	sim.newScheduler()
+	sim.acquirePartition(0, 0) // and the machines of partition 0 are silent for now
+	sim.addJob("job-2", 2, nil)
 	for range 5 {
-		w.now += 100 * clock.Millisecond
-		for _, h := range w.controllers {
-			w.poll(h, false)
+		sim.now += 100 * clock.Millisecond
+		for _, h := range sim.controllers {
+			sim.poll(h, false)
 		}
-		w.schedule()
-		for _, h := range w.controllers {
-			w.sendBatch(h, true, true)
+		sim.schedule()
+		for _, h := range sim.controllers {
+			sim.sendBatch(h, true, true)
 		}
 		for _, id := range []string{"m-1", "m-3"} {
-			w.heartbeat(id, true)
-			w.deliverCommands(id, false, true)
+			sim.heartbeat(id, true)
+			sim.deliverCommands(id, false, true)
 		}
-		w.checkInvariants("unaccounted")
+		sim.checkInvariants("unaccounted")
 	}
-	n, held := w.scheduler.sumUnaccountedCapacity(w.scheduler.teams[red], w.scheduler.largestMachine)
+	n, held := sim.scheduler.sumUnaccountedCapacity(sim.scheduler.teams[red], sim.scheduler.largestMachine)
 	require.Equal(t, 2, n)
 	require.GreaterOrEqual(t, held.CPUs(), 16.0)
-	require.Equal(t, 2, w.runningTasks(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
-	w.runSteps(8)
-	require.Equal(t, 4, w.runningTasks())
+	require.Equal(t, 2, sim.runningTasks(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
+	sim.runSteps(8)
+	require.Equal(t, 4, sim.runningTasks())
 }
 
 // restartWithPartition0Silent has a new placer take over while the first controller
 // begins anew and its machines are silent. All tasks on the others, m-1 and m-3,
 // are done, so that there is room, and a second goes by.
-func (w *simulation) restartWithPartition0Silent() {
-	w.boot(w.controllers[0])
-	w.newScheduler()
-	w.acquirePartition(0, 0)
+func (s *simulation) restartWithPartition0Silent() {
+	s.boot(s.controllers[0])
+	s.newScheduler()
+	s.acquirePartition(0, 0)
 	others := []string{"m-1", "m-3"}
 	for _, id := range others {
-		for _, r := range w.workers[id].InOrder() {
+		for _, r := range s.workers[id].InOrder() {
 			r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
 		}
 	}
 	for range 12 {
-		w.now += 100 * clock.Millisecond
+		s.now += 100 * clock.Millisecond
 		for _, id := range others {
-			w.heartbeat(id, true)
-			w.deliverCommands(id, false, true)
+			s.heartbeat(id, true)
+			s.deliverCommands(id, false, true)
 		}
-		for _, h := range w.controllers {
-			w.poll(h, false)
+		for _, h := range s.controllers {
+			s.poll(h, false)
 		}
-		w.schedule()
-		for _, h := range w.controllers {
-			w.sendBatch(h, true, true)
+		s.schedule()
+		for _, h := range s.controllers {
+			s.sendBatch(h, true, true)
 		}
-		w.checkInvariants("unaccounted")
+		s.checkInvariants("unaccounted")
 	}
 }
 
 // A new placer takes over while a machine can't be reached. What was never
 // asked for starts at once; what may have been waits.
 func TestTakeOverStartsWhatWasNeverAskedFor(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
-	w.addJob("job-1", 40, nil) // more than there is room for
-	w.runSteps(4)
-	require.Equal(t, 16, w.runningTasks())
-	w.addJob("job-2", 3, nil)
-	w.restartWithPartition0Silent()
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 40, nil) // more than there is room for
+	sim.runSteps(4)
+	require.Equal(t, 16, sim.runningTasks())
+	sim.addJob("job-2", 3, nil)
+	sim.restartWithPartition0Silent()
 	started := map[string]int{}
 	for _, id := range []string{"m-1", "m-3"} {
-		for _, r := range w.workers[id].Tasks {
+		for _, r := range sim.workers[id].Tasks {
 			if r.Phase != wire.TaskExited {
 				job, _, _ := wire.SplitTask(r.Task)
 				started[job]++
@@ -97,68 +97,68 @@
 		}
 	}
 	require.Equal(t, map[string]int{"job-2": 3}, started)
-	w.now += 2 * lease
-	w.runSteps(30)
-	require.Greater(t, w.runningTasks(), 8, "the rest of the first job goes on once the machines are accounted for")
+	sim.now += 2 * lease
+	sim.runSteps(30)
+	require.Greater(t, sim.runningTasks(), 8, "the rest of the first job goes on once the machines are accounted for")
 }
 
 // The release before left no watermarks. What its placer may have asked for waits until
 // all machines are accounted for, and is marked before it is asked for again.
 func TestTakeOverFromAnEarlierRelease(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
-	w.addJob("job-1", 16, nil)
-	w.runSteps(4)
-	require.Equal(t, 16, w.runningTasks())
-	clear(w.watermarks)
-	w.legacyRecords = true
-	w.restartWithPartition0Silent()
-	require.Equal(t, 8, w.runningTasks(), "those of the machines that are silent, and no more")
-	w.now += 2 * lease
-	w.runSteps(30)
-	require.Equal(t, 8, w.runningTasks(), "those that were lost")
-	require.Equal(t, 16, w.scheduler.watermarkOf(red, w.active["job-1"]))
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 16, nil)
+	sim.runSteps(4)
+	require.Equal(t, 16, sim.runningTasks())
+	clear(sim.watermarks)
+	sim.legacyRecords = true
+	sim.restartWithPartition0Silent()
+	require.Equal(t, 8, sim.runningTasks(), "those of the machines that are silent, and no more")
+	sim.now += 2 * lease
+	sim.runSteps(30)
+	require.Equal(t, 8, sim.runningTasks(), "those that were lost")
+	require.Equal(t, 16, sim.scheduler.watermarkOf(red, sim.active["job-1"]))
 }
 
 // A partition moves; the former owner's last answer comes late and shows a
 // machine that the new owner has never heard of, for it is gone. It does not stay.
 func TestALateWordOfAFormerOwnerBringsNoMachineBack(t *testing.T) {
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.runSteps(8)
-	w.addJob("job-1", 16, nil)
-	w.runSteps(4)
-	in := peer.PollRequest{Gen: w.scheduler.sessions["h0"].generation, Terms: w.scheduler.TeamTerms()}
-	late := w.controllers[0].partitionState.HandlePoll(in, w.controllers[0].instance, w.now)
-	delete(w.machineRecords, "m-0")
-	w.acquirePartition(0, 1)
-	w.handleMachineRecord("m-0", false)
-	w.poll(w.controllers[1], false)
-	require.NotContains(t, w.scheduler.machines, "m-0")
-	w.scheduler.HandlePollResponse("h0", in, &late, w.now)
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 16, nil)
+	sim.runSteps(4)
+	in := peer.PollRequest{Gen: sim.scheduler.sessions["h0"].generation, Terms: sim.scheduler.TeamTerms()}
+	late := sim.controllers[0].partitionState.HandlePoll(in, sim.controllers[0].instance, sim.now)
+	delete(sim.machineRecords, "m-0")
+	sim.acquirePartition(0, 1)
+	sim.handleMachineRecord("m-0", false)
+	sim.poll(sim.controllers[1], false)
+	require.NotContains(t, sim.scheduler.machines, "m-0")
+	sim.scheduler.HandlePollResponse("h0", in, &late, sim.now)
 	for range 4 {
-		w.now += sec
-		w.poll(w.controllers[0], false)
-		w.poll(w.controllers[1], false)
+		sim.now += sec
+		sim.poll(sim.controllers[0], false)
+		sim.poll(sim.controllers[1], false)
 	}
-	require.NotContains(t, w.scheduler.machines, "m-0")
-	require.Len(t, w.scheduler.teams[red].jobs["job-1"].assignments, 12)
+	require.NotContains(t, sim.scheduler.machines, "m-0")
+	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 12)
 }
 
 // Attempt numbers of two placers never meet.
 func TestAttemptsAreUniqueAcrossTakeOvers(t *testing.T) {
-	w := newSimulation(t, 1, 2)
+	sim := newSimulation(t, 1, 2)
 	seen := map[uint64]bool{}
 	for range 3 {
-		w.runSteps(8)
-		w.addJob(fmt.Sprintf("job-%d", w.term), 2, nil)
-		w.schedule()
-		for _, h := range w.controllers {
-			for _, a := range w.scheduler.sessions[h.name].pending.Asks {
+		sim.runSteps(8)
+		sim.addJob(fmt.Sprintf("job-%d", sim.term), 2, nil)
+		sim.schedule()
+		for _, h := range sim.controllers {
+			for _, a := range sim.scheduler.sessions[h.name].pending.Asks {
 				require.False(t, seen[a.ID.Attempt])
 				seen[a.ID.Attempt] = true
 			}
 		}
-		w.newScheduler()
+		sim.newScheduler()
 	}
 	require.Len(t, seen, 6)
 }
@@ -178,10 +178,10 @@
 		_, ok := parseChunk(odd)
 		require.False(t, ok, odd)
 	}
-	w := newSimulationWithLimit(t, 1, 4, 0)
-	w.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
-	w.addJob("job-1", 20, nil)
-	j := w.scheduler.teams[red].jobs["job-1"]
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
+	sim.addJob("job-1", 20, nil)
+	j := sim.scheduler.teams[red].jobs["job-1"]
 	require.Equal(t, 2, j.doneCount)
 	require.True(t, j.isDone(8) && j.isDone(10))
 }
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -16,58 +16,58 @@
 	lateness *telemetry.Distribution // by how much jobs with a deadline ended after it; 0 for those in time
 }
 
-func (d *Scheduler) distributionsOf(team string) distributions {
-	out, ok := d.distributions[team]
+func (s *Scheduler) distributionsOf(team string) distributions {
+	out, ok := s.distributions[team]
 	if !ok {
 		out = distributions{telemetry.NewDistribution(), telemetry.NewDistribution()}
-		d.distributions[team] = out
+		s.distributions[team] = out
 	}
 	return out
 }
 
 // recordWait takes note of the wait of a task that is seen running. The tasks of a job that had
 // to place some once more are left out: their waits recordWait later than the job's.
-func (d *Scheduler) recordWait(j *job, now clock.Micros) {
+func (s *Scheduler) recordWait(j *job, now clock.Micros) {
 	if j.retries == 0 {
-		d.distributionsOf(j.team.Name).waits.Record(now - j.acceptedAt)
+		s.distributionsOf(j.team.Name).waits.Record(now - j.acceptedAt)
 	}
 }
 
 // recordLateness takes note of how late a job's last task was done.
-func (d *Scheduler) recordLateness(j *job, now clock.Micros) {
+func (s *Scheduler) recordLateness(j *job, now clock.Micros) {
 	if j.DeadlineS != nil {
-		d.distributionsOf(j.team.Name).lateness.Record(now - j.deadline())
+		s.distributionsOf(j.team.Name).lateness.Record(now - j.deadline())
 	}
 }
 
 // TeamStatuses tells how each team that is held stands.
-func (d *Scheduler) TeamStatuses(now clock.Micros) []peer.TeamStatus {
-	out := make([]peer.TeamStatus, 0, len(d.teams))
-	for name, tm := range d.teams {
-		s := peer.TeamStatus{Team: name, Term: tm.term, Guarantee: tm.Guarantee, Limit: tm.Limit, Used: tm.used, Jobs: len(tm.jobs)}
+func (s *Scheduler) TeamStatuses(now clock.Micros) []peer.TeamStatus {
+	out := make([]peer.TeamStatus, 0, len(s.teams))
+	for name, tm := range s.teams {
+		status := peer.TeamStatus{Team: name, Term: tm.term, Guarantee: tm.Guarantee, Limit: tm.Limit, Used: tm.used, Jobs: len(tm.jobs)}
 		for _, j := range tm.jobs {
-			s.Waiting += j.waiting()
-			s.Running += len(j.assignments)
+			status.Waiting += j.waiting()
+			status.Running += len(j.assignments)
 		}
-		if seen, ok := d.distributions[name]; ok {
-			s.Waits, s.Lateness = seen.waits.Quantiles(), seen.lateness.Quantiles()
+		if seen, ok := s.distributions[name]; ok {
+			status.Waits, status.Lateness = seen.waits.Quantiles(), seen.lateness.Quantiles()
 		}
-		if d.moves.planner != nil {
-			d.addMoveRecords(&s, now)
+		if s.moves.planner != nil {
+			s.addMoveRecords(&status, now)
 		}
-		out = append(out, s)
+		out = append(out, status)
 	}
 	return out
 }
 
 // addMoveRecords adds a team's moves to what is told of it.
-func (d *Scheduler) addMoveRecords(s *peer.TeamStatus, now clock.Micros) {
-	for _, r := range d.moves.planner.Recent(s.Team) {
-		s.Moves = append(s.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
+func (s *Scheduler) addMoveRecords(status *peer.TeamStatus, now clock.Micros) {
+	for _, r := range s.moves.planner.Recent(status.Team) {
+		status.Moves = append(status.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
 			Reason: string(r.Reason), Outcome: string(r.Outcome), Gain: r.Gain, Cost: r.Cost, Ago: now - r.Began})
 	}
-	declined := d.moves.planner.DeclinedOf(s.Team)
+	declined := s.moves.planner.DeclinedOf(status.Team)
 	for _, why := range slices.Sorted(maps.Keys(declined)) {
-		s.Unmoved = append(s.Unmoved, peer.DeclinedMoves{Why: string(why), Count: declined[why]})
+		status.Unmoved = append(status.Unmoved, peer.DeclinedMoves{Why: string(why), Count: declined[why]})
 	}
 }
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -9,22 +9,22 @@
 
 // SetZoneState takes the state of a zone. What its owners would not admit is not asked for; they
 // decide, whatever a placer believes.
-func (d *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
+func (s *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
 	if r.State != zone.Returning {
-		delete(d.zones, name)
+		delete(s.zones, name)
 		return
 	}
-	if g := d.zones[name]; g != nil {
+	if g := s.zones[name]; g != nil {
 		g.SetStage(r.Stage, r.Held, now)
 		return
 	}
-	d.zones[name] = recovery.NewGate(r.Stage, r.Held, now)
+	s.zones[name] = recovery.NewGate(r.Stage, r.Held, now)
 }
 
 // stageOf is the stage of a return that admits a job.
-func (d *Scheduler) stageOf(j *jobs.Job) recovery.Stage {
-	if d.timing.Stages != nil {
-		return d.timing.Stages(j)
+func (s *Scheduler) stageOf(j *jobs.Job) recovery.Stage {
+	if s.timing.Stages != nil {
+		return s.timing.Stages(j)
 	}
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
@@ -38,13 +38,13 @@
 // ZoneEvidence counts for each zone how many of its machines are known, not heard, and heard but
 // not accounted for. Strangers are machines of other controllers that have come to this one: it is
 // their controller that is down, and not they.
-func (d *Scheduler) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
+func (s *Scheduler) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
 	out := map[string]zone.Evidence{}
-	for _, m := range d.machines {
+	for _, m := range s.machines {
 		e := out[m.Zone]
 		e.Machines++
 		switch {
-		case m.Silent || m.Overdue || !d.isCurrent(m):
+		case m.Silent || m.Overdue || !s.isCurrent(m):
 			if !strangers[m.ID] {
 				e.Unheard++
 			}
