--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -5,185 +5,140 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
-	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// NextPoll gives the next poll for an owner. When a team's term is new to it,
-// everything is asked for, so that the answer is given under that term's fence.
+// NextPoll returns the next poll for a partition leader. When a team's term is new to it,
+// everything is asked for, so that the answer is given under that term's fence (argument 7).
 func (s *Scheduler) NextPoll(host string) peer.PollRequest {
-	o := s.sessions[host]
-	in := peer.PollRequest{Incarnation: o.instance, Cursor: o.cursor, Terms: s.TeamTerms(), Gen: o.generation}
-	for t, term := range in.Terms {
-		if o.fencedTerms[t] != term {
+	session := s.sessions[host]
+	in := peer.PollRequest{Incarnation: session.instance, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
+	for team, term := range in.Terms {
+		if session.fencedTerms[team] != term {
 			in.Incarnation = ""
 		}
 	}
-	if o.resync {
+	if session.resync {
 		in.Incarnation = ""
 	}
 	return in
 }
 
-// partitionCheckInterval is how often an owner's partitions are held against all machines: a
-// late word of a former owner may have brought one back that is gone.
+// partitionCheckInterval is how often a partition leader's terms are compared with all machines: a
+// late answer of a former leader may have brought one back that is gone.
 const partitionCheckInterval = 2 * clock.Second
 
-// HandlePollResponse takes an owner's answer to a poll.
+// MarkUnreachable records that a partition leader is not reachable now.
+func (s *Scheduler) MarkUnreachable(host string) { s.setReachable(host, false) }
+
+// HandlePollResponse applies a partition leader's answer to a poll.
 func (s *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
-	o := s.sessions[host]
+	session := s.sessions[host]
 	s.setReachable(host, true)
-	if ans.Incarnation != o.instance {
-		if in.Gen != o.generation || !ans.Full {
-			return // asked before the present process was met: the word of a former one
+	if ans.Incarnation != session.instance {
+		if in.Gen != session.generation || !ans.Full {
+			return // asked before the present process was seen: the answer of a former one
 		}
-		s.startSession(o, ans.Incarnation)
+		session.start(ans.Incarnation)
 	}
-	if ans.Cursor < o.cursor {
-		return // an answer older than one taken already
+	if ans.Cursor < session.cursor {
+		return // older than an answer that was applied already
 	}
-	moved := !maps.Equal(o.partitionTerms, ans.Parts)
-	o.cursor, o.partitionTerms = ans.Cursor, ans.Parts
-	o.polledAt, o.supportsReservations = now, ans.Holds
-	if len(ans.Standings) > 0 {
-		o.shares = leaderShares{ans.Capacity, ans.Standings, now}
+	termsChanged := !maps.Equal(session.partitionTerms, ans.Parts)
+	s.applyPollHeader(session, in.Terms, ans, now)
+	for i := range ans.Machines {
+		s.updateMachine(host, session, &ans.Machines[i], now)
 	}
-	if ans.Full {
-		o.resync = false
-		for t, term := range in.Terms {
-			if tm := s.teams[t]; tm != nil && tm.term == term {
-				o.fencedTerms[t] = term
-			}
-		}
+	if termsChanged || ans.Full || now >= session.partitionsCheckedAt+partitionCheckInterval {
+		s.checkPartitions(host, session, now)
 	}
-	for i := range ans.Machines {
-		s.updateMachine(host, o, &ans.Machines[i], now)
+}
+
+// applyPollHeader applies what an answer says of the partition leader itself. A full answer was given under the fence of
+// the terms that the poll named.
+func (s *Scheduler) applyPollHeader(session *leaderSession, terms map[string]uint64, ans *peer.PollResponse, now clock.Micros) {
+	session.cursor, session.partitionTerms = ans.Cursor, ans.Parts
+	session.polledAt, session.supportsReservations = now, ans.Holds
+	if len(ans.Standings) > 0 {
+		session.shares = leaderShares{ans.Capacity, ans.Standings, now}
 	}
-	if !moved && !ans.Full && now < o.partitionsCheckedAt+partitionCheckInterval {
+	if !ans.Full {
 		return
 	}
-	o.partitionsCheckedAt = now
+	session.resync = false
+	for name, term := range terms {
+		if tm := s.teams[name]; tm != nil && tm.term == term {
+			session.fencedTerms[name] = term
+		}
+	}
+}
+
+// checkPartitions compares the partitions that a leader leads with all machines.
+func (s *Scheduler) checkPartitions(host string, session *leaderSession, now clock.Micros) {
+	session.partitionsCheckedAt = now
 	for _, m := range s.machines {
-		switch held := o.partitionTerms[m.Part]; {
-		case held > m.Term:
-			// This owner took over later than the view was made, has told all
-			// machines that it found registered, and this one is not among
-			// them: its record was dropped, so it was gone for certain.
+		switch term := session.partitionTerms[m.Part]; {
+		case term > m.Term:
+			// This leader took over later than the view was made, has reported all
+			// machines that it found on record, and this one is not among
+			// them: its record was dropped, so it was gone for certain (arguments 5 and 6).
 			s.forgetMachine(m)
-		case m.leader == host && held != m.Term:
+		case m.leader == host && term != m.Term:
 			m.Usable = false
 		}
 	}
 	s.reindexLeader(host)
 }
 
-// startSession notes the instance of an owner's process. A round that was on its way to
-// a former process is over: what it asked for is settled by the machines' next owner.
-func (s *Scheduler) startSession(o *leaderSession, instance string) {
-	o.fencedTerms = map[string]uint64{}
-	o.partitionTerms = map[int]uint64{}
-	o.cursor = 0
-	o.instance = instance
-	o.generation++
-}
-
-// MarkUnreachable notes that an owner can't be reached now.
-func (s *Scheduler) MarkUnreachable(host string) { s.setReachable(host, false) }
-
-// updateMachine takes one machine's view and settles with it what it can.
-func (s *Scheduler) updateMachine(host string, o *leaderSession, v *peer.MachineView, now clock.Micros) {
-	m := s.machines[v.ID]
+// updateMachine applies one machine's view, and reconciles its assignments where the machine is accounted for.
+func (s *Scheduler) updateMachine(host string, session *leaderSession, view *peer.MachineView, now clock.Micros) {
+	m := s.machines[view.ID]
 	if m == nil {
-		if v.Silent && !s.recordedMachines[v.ID] {
+		if view.Silent && !s.recordedMachines[view.ID] {
 			return
 		}
-		m = &machineState{nameHash: nameHash(v.ID), assignments: map[peer.TaskID]*assignment{}, tasks: map[peer.TaskID]*observedTask{}, fetchingJobs: map[string]int{}}
-		s.machines[v.ID] = m
-	} else if v.Term < m.Term || v.Term == m.Term && m.instance == o.instance && v.Version < m.Version {
-		return
+		m = newMachineState(view.ID)
+		s.machines[view.ID] = m
+	} else if view.Term < m.Term || view.Term == m.Term && m.instance == session.instance && view.Version < m.Version {
+		return // older than the cached state
 	}
 	images := m.Images
-	m.MachineView, m.leader, m.instance, m.updatedAt = *v, host, o.instance, now
-	if v.Images == nil && !v.Whole {
+	m.MachineView, m.leader, m.instance, m.updatedAt = *view, host, session.instance, now
+	if view.Images == nil && !view.Whole {
 		m.Images = images
 	}
 	m.Tasks, m.Left, m.rejected = nil, nil, false
-	listed := make(map[peer.TaskID]bool, len(v.Tasks))
-	for i := range v.Tasks {
-		s.addObservedTask(m, &observedTask{TaskView: v.Tasks[i], startedAt: now - v.Tasks[i].Since})
-		listed[v.Tasks[i].ID] = true
-	}
-	gone := v.Left
-	if v.Whole {
-		gone = nil
-		for id := range m.tasks {
-			if !listed[id] {
-				gone = append(gone, id)
-			}
-		}
-	}
-	for _, id := range gone {
-		if !listed[id] {
-			s.removeObservedTask(m, id)
-		}
-	}
-	if len(m.tasks) != v.Count {
-		o.resync = true // should not be; a whole view puts it right
+	left := s.updateObservedTasks(m, view, now)
+	if len(m.tasks) != view.Count {
+		session.resync = true // should not be; a whole view puts it right
 	}
-	if v.Accounted {
-		s.reconcileMachine(o, m, v, gone, now)
+	if view.Accounted {
+		s.reconcileMachine(session, m, view, left, now)
 	}
 	s.recomputeAvailable(m)
 	s.forgetSilent(m)
 }
 
-// reconcileMachine compares what a view tells of an accounted machine's tasks with
-// what is known of them.
-func (s *Scheduler) reconcileMachine(o *leaderSession, m *machineState, v *peer.MachineView, gone []peer.TaskID, now clock.Micros) {
-	for i := range v.Tasks {
-		s.reconcileTask(o, m, &v.Tasks[i], now)
-	}
-	if v.Whole {
-		for _, b := range m.assignmentsByAttempt() {
-			s.releaseIfGone(b, m)
-		}
-	} else {
-		for _, id := range gone {
-			if b := m.assignments[id]; b != nil {
-				s.releaseIfGone(b, m)
+// updateObservedTasks applies a view's tasks, and returns those that are not on the machine any more. A view that is not
+// whole lists only changed tasks and those that left.
+func (s *Scheduler) updateObservedTasks(m *machineState, view *peer.MachineView, now clock.Micros) (left []peer.TaskID) {
+	listed := make(map[peer.TaskID]bool, len(view.Tasks))
+	for i := range view.Tasks {
+		s.addObservedTask(m, &observedTask{TaskView: view.Tasks[i], startedAt: now - view.Tasks[i].Since})
+		listed[view.Tasks[i].ID] = true
+	}
+	left = view.Left
+	if view.Whole {
+		left = nil
+		for id := range m.tasks {
+			if !listed[id] {
+				left = append(left, id)
 			}
 		}
 	}
-	for name, tm := range s.teams {
-		if o.fencedTerms[name] == tm.term && !tm.accounted[m.ID] && !m.hasUnidentifiedTask() {
-			tm.accounted[m.ID] = true
-			delete(tm.unaccounted, m.ID)
-		}
-	}
-}
-
-// hasUnidentifiedTask tells that something is on a machine of which its owner knows neither the team
-// nor what it takes: it was found, and its job is over. Any team may have it.
-func (m *machineState) hasUnidentifiedTask() bool {
-	for _, s := range m.tasks {
-		if s.Team == "" && s.Phase != wire.TaskExited {
-			return true
-		}
-	}
-	return false
-}
-
-// releaseIfGone releases a binding whose task is not on its accounted machine. That
-// is certain when the view is newer than the grant, or comes from a later
-// owner, to whom the ask can't be granted any more.
-func (s *Scheduler) releaseIfGone(b *assignment, m *machineState) {
-	if m.tasks[b.id] != nil {
-		return
-	}
-	if m.Term > b.term || !b.unanswered && (m.instance != b.instance || m.Version >= b.viewVersion) {
-		if !b.reserved {
-			s.counters.Lost++
-			b.job.retries++
+	for _, id := range left {
+		if !listed[id] {
+			s.removeObservedTask(m, id)
 		}
-		s.releaseAssignment(b)
 	}
+	return left
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -3,13 +3,20 @@
 import (
 	"cmp"
 	"slices"
-	"sort"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// preemptOwn stops tasks of lower rank of the job's own team, where the team's
+// victimCooldown is how long a task that was named as a victim is not named again: its partition leader stops it meanwhile.
+const victimCooldown = 2 * clock.Second
+
+// mayPreempt reports whether a job has waited long enough to take capacity from others.
+func (s *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
+	return j.stalledSince != 0 && now >= j.stalledSince+s.timing.PreemptAfter
+}
+
+// preemptOwn stops tasks of lower priority of the job's own team, where the team's
 // limit leaves no room for it. It is placed once they are gone for certain.
 func (s *Scheduler) preemptOwn(j *job, now clock.Micros) {
 	if j.stalledSince == 0 {
@@ -19,135 +26,167 @@
 		return
 	}
 	used := j.team.used.Plus(j.team.unaccountedCapacity)
-	var cand []*assignment
-	for _, o := range j.team.jobs {
-		for _, b := range o.assignments {
+	var candidates []*assignment
+	for _, other := range j.team.jobs {
+		for _, a := range other.assignments {
 			switch {
-			case b.stopping:
-				used = used.Minus(o.Need)
-			case o.PriorityLevel < j.PriorityLevel && !b.unanswered:
-				cand = append(cand, b)
+			case a.stopping:
+				used = used.Minus(other.Need)
+			case other.PriorityLevel < j.PriorityLevel && !a.unanswered:
+				candidates = append(candidates, a)
 			}
 		}
 	}
-	sort.Slice(cand, func(a, b int) bool {
-		if cand[a].assignedAt != cand[b].assignedAt {
-			return cand[a].assignedAt > cand[b].assignedAt
+	slices.SortFunc(candidates, func(a, b *assignment) int { // the latest first: least work is lost
+		if a.assignedAt != b.assignedAt {
+			return cmp.Compare(b.assignedAt, a.assignedAt)
 		}
-		return cand[a].id.String() < cand[b].id.String()
+		return cmp.Compare(a.id.String(), b.id.String())
 	})
 	wanted := j.Need.Times(int64(j.waiting()))
-	for _, b := range cand {
+	for _, a := range candidates {
 		if withinQuota(used.Plus(wanted), j.team.Limit) {
 			return
 		}
-		used = used.Minus(b.job.Need)
+		used = used.Minus(a.job.Need)
 		s.counters.Preempted++
-		s.requestStop(b, b.job.StopGraceS())
+		s.requestStop(a, a.job.StopGraceS())
 	}
 }
 
-// mayPreempt tells that a job has waited long enough to take room from others.
-func (s *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
-	return j.stalledSince != 0 && now >= j.stalledSince+s.timing.PreemptAfter
-}
-
 // preemptionCostStep is how much lost work makes a difference: below it, small tasks
 // gather where they do otherwise.
 const preemptionCostStep = 5 * clock.Second
 
-// preempt looks for room that tasks of lower rank hold or, for a job within
+// preemptAnywhere looks for victims on all machines, once a job has waited for long enough.
+func (s *Scheduler) preemptAnywhere(j *job, now clock.Micros) selection {
+	if !s.mayPreempt(j, now) {
+		return selection{}
+	}
+	return s.preempt(j, &s.capacity.all, now)
+}
+
+// preempt looks for capacity that tasks of lower priority hold or, for a job within
 // its team's guarantee, tasks that other teams run beyond theirs; the least
-// work is lost. Work that is late already takes no room from others: it would
+// work is lost. Work that is late already takes no capacity from others: it would
 // be as late, and what it stops would be late too. Like any search, it looks at
 // some of the machines in question, not at the fleet.
-func (s *Scheduler) preempt(j *job, in *capacityIndex, now clock.Micros) (best *machineState, victims []peer.TaskID, over bool) {
+func (s *Scheduler) preempt(j *job, in *machinesByLevel, now clock.Micros) (best selection) {
 	if in == nil || j.missesDeadline(now) {
-		return nil, nil, false
-	}
-	// Work of higher rank goes first, but a guarantee is not put off for long:
-	// while nothing at all of it finds room.
-	owed := s.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+s.timing.Guarantee*3/5
-	most := j.PriorityLevel - 1 // the highest rank that may be stopped
-	if j.withinGuarantee && owed {
-		most = len(s.tasksByPriority) - 1
-	} else if j.withinGuarantee {
-		most = j.PriorityLevel
+		return selection{}
 	}
-	if !hasTaskUpTo(&s.tasksByPriority, most) || s.exhausted.hasNoVictims(j, owed) {
-		return nil, nil, false
+	guaranteeDue := s.guaranteeDue(j, now)
+	maxPriority := j.maxVictimPriority(guaranteeDue)
+	if !hasTaskUpTo(&s.observedTasks.byPriority, maxPriority) || s.exhausted.hasNoVictims(j, guaranteeDue) {
+		return selection{}
 	}
 	var bestCost clock.Micros
 	looked := 0
 	in.walk(0, s.rng.Uint64(), func(m *machineState) bool {
 		s.counters.Looked++
-		if !hasTaskUpTo(&m.tasksByPriority, most) || !s.mayOffer(j, m, now) {
+		if !hasTaskUpTo(&m.tasksByPriority, maxPriority) || !s.mayOffer(j, m, now) {
 			return false
 		}
 		looked++
-		v, cost, o := s.victimsOn(j, m, owed, now)
-		if len(v) > 0 && (best == nil || cost/preemptionCostStep < bestCost/preemptionCostStep ||
-			cost/preemptionCostStep == bestCost/preemptionCostStep && s.prefers(j, m, best)) {
-			best, victims, bestCost, over = m, v, cost, o
+		found := victimsOn(j, m, guaranteeDue, now)
+		if len(found.tasks) > 0 && (best.machine == nil || s.prefersPreemption(j, m, found.cost, best.machine, bestCost)) {
+			best, bestCost = selection{m, found.tasks, found.overGuarantee}, found.cost
 		}
 		// What has hardly begun is as good a choice as any.
-		return looked >= 8*s.timing.Sample || best != nil && bestCost < preemptionCostStep
+		return looked >= 8*s.timing.Sample || best.machine != nil && bestCost < preemptionCostStep
 	})
-	if best == nil && in == &s.capacity {
-		s.exhausted.markNoVictims(j, owed)
+	if best.machine == nil && in == &s.capacity.all {
+		s.exhausted.markNoVictims(j, guaranteeDue)
 	}
-	return best, victims, over
+	return best
 }
 
-// hasTaskUpTo tells that there are tasks of a rank up to the given one.
-func hasTaskUpTo(ranks *[4]int, most int) bool {
-	for r := 0; r <= most; r++ {
-		if ranks[r] > 0 {
-			return true
-		}
+// prefersPreemption reports whether to preempt on a machine at a cost is better than on another.
+func (s *Scheduler) prefersPreemption(j *job, m *machineState, cost clock.Micros, other *machineState, otherCost clock.Micros) bool {
+	if a, b := cost/preemptionCostStep, otherCost/preemptionCostStep; a != b {
+		return a < b
+	}
+	return s.prefers(j, m, other)
+}
+
+// guaranteeDue reports whether nothing at all of a job has found capacity for most of the time within which guaranteed
+// work should start. Work of higher priority goes first, but a guarantee is not put off for long.
+func (s *Scheduler) guaranteeDue(j *job, now clock.Micros) bool {
+	return s.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+s.timing.Guarantee*3/5
+}
+
+// maxVictimPriority is the highest priority of tasks that may be stopped for a job.
+func (j *job) maxVictimPriority(guaranteeDue bool) int {
+	switch {
+	case j.withinGuarantee && guaranteeDue:
+		return priorities - 1
+	case j.withinGuarantee:
+		return j.PriorityLevel
+	default:
+		return j.PriorityLevel - 1
 	}
-	return false
 }
 
-// victimsOn picks the tasks to stop on a machine to make room for one of a job;
-// none when that makes no room.
-func (s *Scheduler) victimsOn(j *job, m *machineState, owed bool, now clock.Micros) (out []peer.TaskID, cost clock.Micros, over bool) {
-	var cand []*observedTask
+// victimSet is the tasks to stop on a machine for one task, and what that costs.
+type victimSet struct {
+	tasks         []peer.TaskID // none: they would not make enough capacity
+	cost          clock.Micros  // lost work, and surcharges that order the choices
+	overGuarantee bool          // some have the same or a higher priority
+}
+
+// Surcharges on the cost of victims, beyond any lost work that matters.
+const (
+	guaranteedVictimCost = 100 * clock.Second  // what is within a guarantee is stopped last
+	higherPriorityCost   = 1000 * clock.Second // lower priorities first
+	victimCost           = clock.Second        // for each: few victims rather than many
+)
+
+// victimsOn picks the tasks to stop on a machine to make capacity for one of a job.
+func victimsOn(j *job, m *machineState, guaranteeDue bool, now clock.Micros) (out victimSet) {
+	var candidates []*observedTask
 	for _, t := range m.tasks {
-		if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
-			continue
-		}
-		if t.Rank < j.PriorityLevel || j.withinGuarantee && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || owed) {
-			cand = append(cand, t)
+		if j.mayStop(t, guaranteeDue, now) {
+			candidates = append(candidates, t)
 		}
 	}
-	slices.SortFunc(cand, func(a, b *observedTask) int {
-		if a.Covered != b.Covered && a.Rank == b.Rank {
-			if b.Covered {
-				return -1
-			}
-			return 1
-		}
-		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(b.startedAt, a.startedAt), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
-	})
+	slices.SortFunc(candidates, compareVictims)
 	free := m.available
-	for _, t := range cand {
+	for _, t := range candidates {
 		if j.Need.Fits(free) {
 			break
 		}
 		free = free.Plus(t.Need)
-		out = append(out, t.ID)
-		cost += now - t.startedAt + clock.Second
-		over = over || t.Rank >= j.PriorityLevel
+		out.tasks = append(out.tasks, t.ID)
+		out.cost += now - t.startedAt + victimCost
+		out.overGuarantee = out.overGuarantee || t.Rank >= j.PriorityLevel
 		if t.Covered {
-			cost += 100 * clock.Second // what is guaranteed goes last
+			out.cost += guaranteedVictimCost
 		}
 	}
-	if over {
-		cost += 1000 * clock.Second // lower ranks first
+	if out.overGuarantee {
+		out.cost += higherPriorityCost
 	}
 	if !j.Need.Fits(free) {
-		return nil, 0, false
+		return victimSet{}
+	}
+	return out
+}
+
+// mayStop reports whether an observed task may be stopped for one of a job.
+func (j *job) mayStop(t *observedTask, guaranteeDue bool, now clock.Micros) bool {
+	if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
+		return false
+	}
+	return t.Rank < j.PriorityLevel || j.withinGuarantee && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || guaranteeDue)
+}
+
+// compareVictims orders tasks by which is to be stopped first: lower priority, beyond a guarantee, the latest start.
+func compareVictims(a, b *observedTask) int {
+	if a.Covered != b.Covered && a.Rank == b.Rank {
+		if b.Covered {
+			return -1
+		}
+		return 1
 	}
-	return out, cost, over
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(b.startedAt, a.startedAt), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
 }
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -1,18 +1,84 @@
 package scheduler
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-func (j *job) deadline() clock.Micros {
-	if j.DeadlineS == nil {
-		return math.MaxInt64
+// lateness is how late a job is.
+type lateness int
+
+const (
+	onTime        lateness = iota
+	pastDeadline           // but not by the longer measure of its class's objective
+	pastObjective          // by that as well: only the end of all work matters
+)
+
+// schedulingOrder is the queue: the jobs that have tasks to place, in order. What can still meet its
+// deadline goes first, by priority, guarantee, deadline and age; then what can still be
+// in time by the longer measure that an objective sets, in the same order; then
+// what is late, the longest tasks first.
+func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
+	var out []*job
+	for _, tm := range s.teams {
+		tm.markWithinGuarantee()
+		for _, j := range tm.jobs {
+			if j.isPlaceable(now) {
+				out = append(out, j)
+			}
+		}
 	}
-	return j.acceptedAt + clock.FromSeconds(*j.DeadlineS)
+	slices.SortFunc(out, func(a, b *job) int { return s.compareJobs(a, b, now) })
+	return out
+}
+
+// isPlaceable reports whether a job has tasks that may be placed now.
+func (j *job) isPlaceable(now clock.Micros) bool {
+	return !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil
+}
+
+// compareJobs orders two jobs of the queue, see schedulingOrder.
+func (s *Scheduler) compareJobs(a, b *job, now clock.Micros) int {
+	lateA, lateB := s.latenessOf(a, now), s.latenessOf(b, now)
+	if lateA != lateB {
+		return cmp.Compare(lateA, lateB)
+	}
+	if lateA == pastObjective && a.RuntimeEstimateS != b.RuntimeEstimateS {
+		return cmp.Compare(b.RuntimeEstimateS, a.RuntimeEstimateS)
+	}
+	if a.PriorityLevel != b.PriorityLevel {
+		return cmp.Compare(b.PriorityLevel, a.PriorityLevel)
+	}
+	if a.withinGuarantee != b.withinGuarantee {
+		return firstIf(a.withinGuarantee)
+	}
+	if !a.withinGuarantee && a.team.aboveShare != b.team.aboveShare {
+		return firstIf(b.team.aboveShare)
+	}
+	// Of work with deadlines the smallest rests go first, so that most jobs are in
+	// time: what waits longer than by plan waits for machines that can't be had.
+	if workA, workB := a.waitingWork(), b.waitingWork(); a.DeadlineS != nil && b.DeadlineS != nil && workA != workB {
+		return cmp.Compare(workA, workB)
+	}
+	if a.deadline() != b.deadline() {
+		return cmp.Compare(a.deadline(), b.deadline())
+	}
+	if startA, startB := s.latestStart(a), s.latestStart(b); startA != startB {
+		return cmp.Compare(startA, startB)
+	}
+	return cmp.Compare(a.ModRevision, b.ModRevision)
+}
+
+// firstIf is the result of a comparison by a condition that holds for one side only.
+func firstIf(holdsForFirst bool) int {
+	if holdsForFirst {
+		return -1
+	}
+	return 1
 }
 
 // markWithinGuarantee marks the jobs that are within the team's guarantee: each fits there
@@ -25,7 +91,7 @@
 	for _, j := range tm.jobs {
 		list = append(list, j)
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].ModRevision < list[b].ModRevision })
+	slices.SortFunc(list, func(a, b *job) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
 	var sum resources.Amounts
 	for _, j := range list {
 		sum = sum.Plus(j.Need.Times(int64(j.Tasks)))
@@ -33,54 +99,6 @@
 	}
 }
 
-// schedulingOrder sorts the jobs that have tasks to place: what can still meet its
-// deadline first, by rank, guarantee, deadline and age; then what can still be
-// in time by the longer measure that an objective sets, in the same schedulingOrder; then
-// what is late, the longest tasks first.
-func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
-	var out []*job
-	for _, tm := range s.teams {
-		tm.markWithinGuarantee()
-		for _, j := range tm.jobs {
-			if !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil {
-				out = append(out, j)
-			}
-		}
-	}
-	sort.Slice(out, func(a, b int) bool {
-		x, y := out[a], out[b]
-		lx, ly := s.lateness(x, now), s.lateness(y, now)
-		if lx != ly {
-			return lx < ly
-		}
-		if lx == pastObjective && x.RuntimeEstimateS != y.RuntimeEstimateS {
-			return x.RuntimeEstimateS > y.RuntimeEstimateS
-		}
-		if x.PriorityLevel != y.PriorityLevel {
-			return x.PriorityLevel > y.PriorityLevel
-		}
-		if x.withinGuarantee != y.withinGuarantee {
-			return x.withinGuarantee
-		}
-		if !x.withinGuarantee && x.team.aboveShare != y.team.aboveShare {
-			return y.team.aboveShare
-		}
-		// Of work with deadlines the smallest rests go first, so that most jobs are in
-		// time: what waits longer than by plan waits for machines that can't be had.
-		if u, v := x.waitingWork(), y.waitingWork(); x.DeadlineS != nil && y.DeadlineS != nil && u != v {
-			return u < v
-		}
-		if x.deadline() != y.deadline() {
-			return x.deadline() < y.deadline()
-		}
-		if fx, fy := s.latestStart(x), s.latestStart(y); fx != fy {
-			return fx < fy
-		}
-		return x.ModRevision < y.ModRevision
-	})
-	return out
-}
-
 // latestStart is when a job's tasks should start so that it is finished within its
 // class's time: of jobs without a deadline, those with long tasks can wait least.
 func (s *Scheduler) latestStart(j *job) clock.Micros {
@@ -96,24 +114,26 @@
 	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
 
-// missesDeadline tells that a job can't meet its deadline any more.
+// deadline is when a job should be done; the end of time without a deadline.
+func (j *job) deadline() clock.Micros {
+	if j.DeadlineS == nil {
+		return math.MaxInt64
+	}
+	return j.acceptedAt + clock.FromSeconds(*j.DeadlineS)
+}
+
+// missesDeadline reports whether a job can't meet its deadline any more.
 func (j *job) missesDeadline(now clock.Micros) bool {
 	return j.DeadlineS != nil && j.earliestFinish(now) > j.deadline()
 }
 
-// earliestFinish is when a job's last task may be over at best.
+// earliestFinish is when a job's last task may be over at best: tasks often end before their estimate.
 func (j *job) earliestFinish(now clock.Micros) clock.Micros {
 	return now + clock.FromSeconds(j.RuntimeEstimateS*0.7)
 }
 
-// How late a job is.
-const (
-	onTime        = iota
-	pastDeadline  // but not by the longer measure of its class's objectives
-	pastObjective // nothing is left to be in time for but the end of all
-)
-
-func (s *Scheduler) lateness(j *job, now clock.Micros) int {
+// latenessOf returns how late a job is.
+func (s *Scheduler) latenessOf(j *job, now clock.Micros) lateness {
 	if !j.missesDeadline(now) {
 		return onTime
 	}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -1,217 +1,175 @@
 package scheduler
 
 import (
-	"sort"
-
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// forgetSilent drops a machine that fell silent and has no record any more.
-// An ask that has no answer yet stays bound: the machine may come back with a
-// new session, and the ask be granted then.
-func (s *Scheduler) forgetSilent(m *machineState) {
-	if m.Silent && !s.recordedMachines[m.ID] && len(m.assignments) == 0 {
-		s.removeMachine(m)
-	}
-}
-
-// forgetMachine drops a machine that is gone for certain, with all asks for it.
-func (s *Scheduler) forgetMachine(m *machineState) {
-	for _, b := range m.assignmentsByAttempt() {
-		s.releaseAssignment(b)
-	}
-	s.removeMachine(m)
-}
-
-// removeMachine takes a machine out of the mirror.
-func (s *Scheduler) removeMachine(m *machineState) {
-	for id := range m.tasks {
-		s.removeObservedTask(m, id)
+// reconcileMachine compares what a view shows of an accounted machine's tasks with the assignments.
+func (s *Scheduler) reconcileMachine(
+	session *leaderSession, m *machineState, view *peer.MachineView, left []peer.TaskID, now clock.Micros,
+) {
+	for i := range view.Tasks {
+		s.reconcileTask(session, m, &view.Tasks[i], now)
+	}
+	if view.Whole {
+		for _, a := range m.assignmentsByAttempt() {
+			s.releaseIfGone(a, m)
+		}
+	} else {
+		for _, id := range left {
+			if a := m.assignments[id]; a != nil {
+				s.releaseIfGone(a, m)
+			}
+		}
 	}
-	delete(s.machines, m.ID)
-	s.reindex(m)
-}
-
-// assignmentsByAttempt lists a machine's bindings in a fixed order.
-func (m *machineState) assignmentsByAttempt() []*assignment {
-	out := make([]*assignment, 0, len(m.assignments))
-	for _, b := range m.assignments {
-		out = append(out, b)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].id.Attempt < out[b].id.Attempt })
-	return out
-}
-
-func (s *Scheduler) recomputeAvailable(m *machineState) {
-	m.available = m.Free
-	for _, b := range m.assignments {
-		if b.unanswered || b.instance == m.instance && b.term == m.Term && b.viewVersion > m.Version {
-			m.available = m.available.Minus(b.job.Need) // the view does not show it yet
+	for _, tm := range s.teams {
+		if session.hasFenced(tm) && !tm.accounted[m.ID] && !m.hasUnidentifiedTask() {
+			tm.accounted[m.ID] = true
+			delete(tm.unaccounted, m.ID)
 		}
 	}
-	s.reindex(m)
 }
 
-// addAssignment counts a task as being, or possibly being, on a machine.
-func (s *Scheduler) addAssignment(b *assignment, m *machineState) {
-	m.assignments[b.id] = b
-	b.job.team.used = b.job.team.used.Plus(b.job.Need)
-	b.job.tasksByZone[b.zone]++
-	if !b.orphaned && !b.reserved {
-		b.job.assignments[b.id.N] = b
+// releaseIfGone releases an assignment whose task is not on its accounted machine, if that
+// is certain (argument 8): the view is newer than the acceptance, or comes from a later
+// leader, by whom the assignment can't be accepted any more.
+func (s *Scheduler) releaseIfGone(a *assignment, m *machineState) {
+	if m.tasks[a.id] != nil {
+		return
 	}
-}
-
-// releaseAssignment takes note that a task is gone from its machine for certain.
-func (s *Scheduler) releaseAssignment(b *assignment) {
-	if m := s.machines[b.machine]; m != nil {
-		if m.assignments[b.id] != b {
-			return
-		}
-		delete(m.assignments, b.id)
-	}
-	j := b.job
-	j.team.used = j.team.used.Minus(j.Need)
-	j.tasksByZone[b.zone]--
-	current := j.assignments[b.id.N] == b
-	if current {
-		delete(j.assignments, b.id.N)
-	}
-	if started := s.handleMoveAssignmentGone(b, current); current && !started {
-		if !j.isDone(b.id.N) && !(j.awaitsAccounting && b.id.N < j.offeredByFormer) {
-			j.queue = append(j.queue, b.id.N)
+	if m.Term > a.term || !a.unanswered && (m.instance != a.instance || m.Version >= a.viewVersion) {
+		if !a.reserved {
+			s.counters.Lost++
+			a.job.retries++
 		}
+		s.releaseAssignment(a)
 	}
 }
 
-// reconcileTask takes a task that an accounted machine shows.
-func (s *Scheduler) reconcileTask(o *leaderSession, m *machineState, tv *peer.TaskView, now clock.Micros) {
-	b := m.assignments[tv.ID]
-	tm := s.teams[tv.Team]
-	if b != nil {
-		tm = b.job.team // its owner may not know: the job is over
+// reconcileTask applies what an accounted machine shows of a task.
+func (s *Scheduler) reconcileTask(session *leaderSession, m *machineState, view *peer.TaskView, now clock.Micros) {
+	a := m.assignments[view.ID]
+	tm := s.teams[view.Team]
+	if a != nil {
+		tm = a.job.team // the partition leader may not know it: the job is over
 	}
 	if tm == nil {
 		return
 	}
-	j := tm.jobs[tv.ID.Job]
-	if j != nil && tv.ID.N >= j.Tasks {
+	j := tm.jobs[view.ID.Job]
+	if j != nil && view.ID.N >= j.Tasks {
 		j = nil
 	}
-	if b == nil {
-		if o.fencedTerms[tm.Name] != tm.term {
+	if a == nil {
+		if !session.hasFenced(tm) {
 			return
 		}
-		if tv.Phase != wire.TaskExited {
-			b = &assignment{id: tv.ID, job: j, machine: m.ID, zone: m.Zone, term: m.Term, viewVersion: m.Version,
-				instance: m.instance, assignedAt: now - tv.Since}
-			if j == nil {
-				// Its owner ends what belongs to no active job, but may not reach it: until
-				// it is gone it counts against the limit.
-				b.job, b.orphaned = &job{Job: &jobs.Job{Need: tv.Need}, team: tm, tasksByZone: map[string]int{}}, true
-			} else {
-				b.orphaned = j.isDone(tv.ID.N) || j.assignments[tv.ID.N] != nil || j.cancelling || tv.Held // a former placer's move
-			}
-			s.addAssignment(b, m)
-			if b.orphaned {
-				s.requestStop(b, 0)
-			}
+		if view.Phase != wire.TaskExited {
+			a = s.adoptTask(tm, j, m, view, now)
 		}
 	}
-	if tv.Phase == wire.TaskExited {
-		s.handleExit(j, b, m, tv, now)
+	if view.Phase == wire.TaskExited {
+		s.handleExit(j, a, m, view, now)
 		return
 	}
-	if b != nil {
-		if tv.Phase == wire.TaskRunning && b.phase != wire.TaskRunning {
-			if b.runningSince == 0 {
-				s.recordWait(b.job, now)
-			}
-			b.job.lastStartAt, b.runningSince = now, now
-			// Its job may be over already: cancelled while the start was on its way.
-			s.counters.FetchCPUs += (now - b.assignedAt) * clock.Micros(b.job.Need.CPU/1e6)
-		}
-		b.phase, b.stopping = tv.Phase, tv.Stopping
+	if a != nil {
+		s.updatePhase(a, view, now)
 	}
 }
 
-// handleExit takes the end of a task.
-func (s *Scheduler) handleExit(j *job, b *assignment, m *machineState, tv *peer.TaskView, now clock.Micros) {
-	if j == nil {
-		if b != nil {
-			s.releaseAssignment(b)
-		}
-		return
+// adoptTask adds an assignment for a task that is on a machine without one: a former leader assigned it. j is nil where its
+// job is not active. What is not wanted there is stopped, and counts against the limit until it is gone (argument 8).
+func (s *Scheduler) adoptTask(tm *team, j *job, m *machineState, view *peer.TaskView, now clock.Micros) *assignment {
+	a := &assignment{
+		id:          view.ID,
+		job:         j,
+		machine:     m.ID,
+		zone:        m.Zone,
+		term:        m.Term,
+		viewVersion: m.Version,
+		instance:    m.instance,
+		assignedAt:  now - view.Since,
 	}
-	n := tv.ID.N
-	if tv.Cause == wire.CauseDone {
-		if !j.isDone(n) {
-			s.counters.Done++
-			if b != nil && b.runningSince != 0 && len(j.runs) < 500 {
-				j.runs = append(j.runs, runTime{m.ID, now - b.runningSince})
-			}
-		}
-		if j.markDone(n); j.doneCount == j.Tasks && b != nil {
-			s.recordLateness(j, now)
-		}
-		j.consecutiveErrors = 0
-		if j.acknowledgedTerms[tv.ID] != m.Term {
-			j.unacknowledged[tv.ID] = m.ID
-		}
-		if other := j.assignments[n]; other != nil && other != b {
-			other.orphaned = true
-			delete(j.assignments, n)
-			s.requestStop(other, 0)
-		}
+	if j == nil {
+		// The partition leader ends what belongs to no active job, but may not reach it.
+		a.job = &job{Job: &jobs.Job{Need: view.Need}, team: tm, tasksByZone: map[string]int{}}
+		a.orphaned = true
 	} else {
-		if b != nil {
-			j.retries++
-		}
-		switch {
-		case b == nil:
-		case tv.Cause == wire.CauseStopped:
-			s.counters.Stopped++
-		default:
-			s.counters.Failed++
-			j.recordFailure(m.ID, now)
-		}
-		if j.acknowledgedTerms[tv.ID] != m.Term {
-			s.acknowledge(j, tv.ID, m.ID)
-		}
+		// Held: the destination of a former leader's move.
+		a.orphaned = j.isDone(view.ID.N) || j.assignments[view.ID.N] != nil || j.cancelling || view.Held
 	}
-	if b != nil {
-		s.releaseAssignment(b)
+	m.addAssignment(a)
+	if a.orphaned {
+		s.requestStop(a, 0)
 	}
+	return a
 }
 
-// recordFailure lets a job that fails keep off the machine, and back off by itself when
-// it fails on many: it must not keep drawing the room that it frees.
-func (j *job) recordFailure(machine string, now clock.Micros) {
-	j.consecutiveErrors++
-	j.avoidUntil[machine] = now + 20*clock.Second
-	if len(j.avoidUntil) >= 3 || j.consecutiveErrors > 3*max(1, len(j.assignments)) {
-		j.backoffUntil = now + min(clock.Second<<min(j.consecutiveErrors/2, 6), 30*clock.Second)
+// updatePhase records the phase that a task is shown in.
+func (s *Scheduler) updatePhase(a *assignment, view *peer.TaskView, now clock.Micros) {
+	if view.Phase == wire.TaskRunning && a.phase != wire.TaskRunning {
+		if a.runningSince == 0 {
+			s.recordWait(a.job, now)
+		}
+		a.job.lastStartAt, a.runningSince = now, now
+		// Its job may be over already: cancelled while the start was on its way.
+		s.counters.FetchCPUs += (now - a.assignedAt) * clock.Micros(a.job.Need.CPU/1e6)
 	}
+	a.phase, a.stopping = view.Phase, view.Stopping
 }
 
-// acknowledge tells a machine's owner that the end of a task is taken note of.
-func (s *Scheduler) acknowledge(j *job, id peer.TaskID, machine string) {
-	m := s.machines[machine]
-	if m == nil {
-		return
+// handleExit applies the end of a task. j is nil where its job is not active, a where the task has no assignment.
+func (s *Scheduler) handleExit(j *job, a *assignment, m *machineState, view *peer.TaskView, now clock.Micros) {
+	switch {
+	case j == nil:
+	case view.Cause == wire.CauseDone:
+		s.handleCompletion(j, a, m, view.ID, now)
+	default:
+		s.handleFailure(j, a, m, view, now)
+	}
+	if a != nil {
+		s.releaseAssignment(a)
+	}
+}
+
+// handleCompletion applies that a task is done. Its end is acknowledged once it is durable (see unacknowledged).
+func (s *Scheduler) handleCompletion(j *job, a *assignment, m *machineState, id peer.TaskID, now clock.Micros) {
+	if !j.isDone(id.N) {
+		s.counters.Done++
+		if a != nil && a.runningSince != 0 {
+			j.recordRun(m.ID, now-a.runningSince)
+		}
+	}
+	if j.markDone(id.N); j.doneCount == j.Tasks && a != nil {
+		s.recordLateness(j, now)
+	}
+	j.consecutiveErrors = 0
+	if j.acknowledgedTerms[id] != m.Term {
+		j.unacknowledged[id] = m.ID
+	}
+	if other := j.assignments[id.N]; other != nil && other != a {
+		other.orphaned = true
+		delete(j.assignments, id.N)
+		s.requestStop(other, 0)
 	}
-	o := s.sessions[m.leader]
-	o.pending.Settles = append(o.pending.Settles, peer.Acknowledgement{ID: id, Machine: machine})
-	j.acknowledgedTerms[id] = m.Term
 }
 
-func (s *Scheduler) requestStop(b *assignment, grace float64) {
-	if m := s.machines[b.machine]; m != nil {
-		o := s.sessions[m.leader]
-		o.pending.Stops = append(o.pending.Stops, peer.StopTask{ID: b.id, Machine: b.machine, GraceS: grace})
+// handleFailure applies that a task has ended without being done: it was stopped, or failed.
+func (s *Scheduler) handleFailure(j *job, a *assignment, m *machineState, view *peer.TaskView, now clock.Micros) {
+	switch {
+	case a == nil:
+	case view.Cause == wire.CauseStopped:
+		j.retries++
+		s.counters.Stopped++
+	default:
+		j.retries++
+		s.counters.Failed++
+		j.recordFailure(m.ID, now)
+	}
+	if j.acknowledgedTerms[view.ID] != m.Term {
+		s.acknowledge(j, view.ID, m.ID)
 	}
-	b.stopping = true
 }
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -15,14 +15,26 @@
 const (
 	slowPaceThreshold = 1.6
 	minPaceSamples    = 5
+	maxPaceSamples    = 20 // then half of them is forgotten: old ones fade
+	maxPaceSample     = 4  // one task that hangs must not decide
+	minJobRuns        = 4  // of a job whose run times are compared
+	minOtherRuns      = 2  // on other machines
+	maxRecordedRuns   = 500
 )
 
+// recordRun records how long a task of a job ran on a machine.
+func (j *job) recordRun(machine string, duration clock.Micros) {
+	if len(j.runs) < maxRecordedRuns {
+		j.runs = append(j.runs, runTime{machine, duration})
+	}
+}
+
 // detectSlowMachines compares how long a finished job's tasks ran on each machine with how
-// long they ran on the others, and has a machine set aside on which tasks take much
-// longer. A job is judged only as a whole: those of its tasks that are done
+// long they ran on the others, and has a machine quarantined on which tasks take much
+// longer. Only a whole job is compared: those of its tasks that are done
 // first are the short ones.
 func (s *Scheduler) detectSlowMachines(j *job) {
-	if len(j.runs) < 4 || j.doneCount < j.Tasks {
+	if len(j.runs) < minJobRuns || j.doneCount < j.Tasks {
 		return
 	}
 	var all clock.Micros
@@ -35,19 +47,23 @@
 	for _, r := range j.runs {
 		m := s.machines[r.machine]
 		others := len(j.runs) - count[r.machine]
-		if m == nil || m.slow || others < 2 {
+		if m == nil || m.slow || others < minOtherRuns {
 			continue
 		}
 		mean := max(((all - sum[r.machine]) / clock.Micros(others)).Seconds(), 0.1)
-		if m.paceSamples == 20 { // old news fade
-			m.paceSum, m.paceSamples = m.paceSum/2, 10
-		}
-		m.paceSum += min(r.duration.Seconds()/mean, 4)
-		m.paceSamples++
-		if m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples) {
-			m.slow = true
-			o := s.sessions[m.leader]
-			o.pending.Slow = append(o.pending.Slow, m.ID)
+		if m.recordPace(r.duration.Seconds() / mean); m.slow {
+			session := s.sessions[m.leader]
+			session.pending.Slow = append(session.pending.Slow, m.ID)
 		}
 	}
 }
+
+// recordPace records the ratio of a task's run time on a machine to those of its job elsewhere.
+func (m *machineState) recordPace(ratio float64) {
+	if m.paceSamples == maxPaceSamples {
+		m.paceSum, m.paceSamples = m.paceSum/2, maxPaceSamples/2
+	}
+	m.paceSum += min(ratio, maxPaceSample)
+	m.paceSamples++
+	m.slow = m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples)
+}
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// distributions is what a controller has seen of a team since it started.
+// distributions is what this process has observed of a team since it started.
 type distributions struct {
 	waits    *telemetry.Distribution // from a job's submission until a task of it runs
 	lateness *telemetry.Distribution // by how much jobs with a deadline ended after it; 0 for those in time
@@ -25,22 +25,22 @@
 	return out
 }
 
-// recordWait takes note of the wait of a task that is seen running. The tasks of a job that had
-// to place some once more are left out: their waits recordWait later than the job's.
+// recordWait records how long a task waited that is seen running. Tasks of a job that had
+// to place some once more are left out: their waits began later than the job's.
 func (s *Scheduler) recordWait(j *job, now clock.Micros) {
 	if j.retries == 0 {
 		s.distributionsOf(j.team.Name).waits.Record(now - j.acceptedAt)
 	}
 }
 
-// recordLateness takes note of how late a job's last task was done.
+// recordLateness records how late a job's last task was done.
 func (s *Scheduler) recordLateness(j *job, now clock.Micros) {
 	if j.DeadlineS != nil {
 		s.distributionsOf(j.team.Name).lateness.Record(now - j.deadline())
 	}
 }
 
-// TeamStatuses tells how each team that is held stands.
+// TeamStatuses returns the state of each team that is led here.
 func (s *Scheduler) TeamStatuses(now clock.Micros) []peer.TeamStatus {
 	out := make([]peer.TeamStatus, 0, len(s.teams))
 	for name, tm := range s.teams {
@@ -49,8 +49,8 @@
 			status.Waiting += j.waiting()
 			status.Running += len(j.assignments)
 		}
-		if seen, ok := s.distributions[name]; ok {
-			status.Waits, status.Lateness = seen.waits.Quantiles(), seen.lateness.Quantiles()
+		if observed, ok := s.distributions[name]; ok {
+			status.Waits, status.Lateness = observed.waits.Quantiles(), observed.lateness.Quantiles()
 		}
 		if s.moves.planner != nil {
 			s.addMoveRecords(&status, now)
@@ -60,7 +60,7 @@
 	return out
 }
 
-// addMoveRecords adds a team's moves to what is told of it.
+// addMoveRecords adds a team's moves to its status.
 func (s *Scheduler) addMoveRecords(status *peer.TeamStatus, now clock.Micros) {
 	for _, r := range s.moves.planner.Recent(status.Team) {
 		status.Moves = append(status.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -82,7 +82,7 @@
 	for _, j := range d.schedulingOrder(now) {
 		tm := j.team
 		due := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-10*clock.Second
-		if ahead[tm] > d.usableCPU/int64(4*len(d.teamConfigs))+64e6 && !due {
+		if ahead[tm] > d.capacity.usableCPU/int64(4*len(d.teamConfigs))+64e6 && !due {
 			continue
 		}
 		ahead[tm] += int64(len(j.queue)+max(0, j.watermark-j.nextTask)) * j.Need.CPU
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -7,15 +7,15 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// SetZoneState takes the state of a zone. What its owners would not admit is not asked for; they
-// decide, whatever a placer believes.
+// SetZoneState applies the state of a zone. What its partition leaders would not admit is not assigned; they
+// decide, whatever a scheduler assumes.
 func (s *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
 	if r.State != zone.Returning {
 		delete(s.zones, name)
 		return
 	}
-	if g := s.zones[name]; g != nil {
-		g.SetStage(r.Stage, r.Held, now)
+	if gate := s.zones[name]; gate != nil {
+		gate.SetStage(r.Stage, r.Held, now)
 		return
 	}
 	s.zones[name] = recovery.NewGate(r.Stage, r.Held, now)
@@ -29,23 +29,23 @@
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
-// awaitsZoneStage tells that work awaitsZoneStage to a machine's zone and has not come to a job's stage yet.
+// awaitsZoneStage reports whether work returns to a machine's zone, at a stage that does not admit a job yet.
 func (j *job) awaitsZoneStage(m *machineState, zones map[string]*recovery.Gate, now clock.Micros) bool {
-	g := zones[m.Zone]
-	return g != nil && j.stage > g.Stage(now)
+	gate := zones[m.Zone]
+	return gate != nil && j.stage > gate.Stage(now)
 }
 
-// ZoneEvidence counts for each zone how many of its machines are known, not heard, and heard but
-// not accounted for. Strangers are machines of other controllers that have come to this one: it is
-// their controller that is down, and not they.
-func (s *Scheduler) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
+// ZoneEvidence counts for each zone how many of its machines are known, are not heard from, and are heard from but
+// not accounted for. Misdirected machines belong to other controllers and send their heartbeats to this one: it is
+// their controller that is unreachable, and not they.
+func (s *Scheduler) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	out := map[string]zone.Evidence{}
 	for _, m := range s.machines {
 		e := out[m.Zone]
 		e.Machines++
 		switch {
 		case m.Silent || m.Overdue || !s.isCurrent(m):
-			if !strangers[m.ID] {
+			if !misdirected[m.ID] {
 				e.Unheard++
 			}
 		case !m.Accounted:
@@ -56,7 +56,7 @@
 	return out
 }
 
-// SetZoneState takes the state of a zone.
+// SetZoneState applies the state of a zone.
 func (p *Server) SetZoneState(name string, r zone.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,8 +65,8 @@
 }
 
 // ZoneEvidence counts for each zone what is known of its machines.
-func (p *Server) ZoneEvidence(strangers map[string]bool) map[string]zone.Evidence {
+func (p *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.scheduler.ZoneEvidence(strangers)
+	return p.scheduler.ZoneEvidence(misdirected)
 }
