--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -119,7 +119,7 @@
 // The largest machine is looked for once a round, however many machines were not seen yet:
 // on a small share of a core a round took most of a second otherwise, and the next one
 // waited for three times as long.
-func TestARoundAfterARestartLooksAtEachMachineAFewTimesAtMost(t *testing.T) {
+func TestCycleAfterRestartExaminesEachMachineFewTimes(t *testing.T) {
 	d := schedulerAfterRestart(smallFleetSize)
 	before := d.counters.Looked
 	d.Schedule(2 * sec)
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -39,7 +39,7 @@
 // A team is at its limit with a job whose machines hang, hear no answers, or are
 // somebody else's now. The job is withdrawn, and the team's placer changes. What may
 // run there still counts against the limit, though its job is known to nobody any more.
-func TestLimitsCountWhatIsLeftOfWithdrawnJobs(t *testing.T) {
+func TestLimitCountsAttemptsOfCancelledJobs(t *testing.T) {
 	for _, x := range []struct {
 		name          string
 		reports, anew bool // the machines' reports arrive, but no answer; their owner has begun anew
@@ -101,7 +101,7 @@
 // A job is withdrawn while a start of it is on its way, its image is being fetched, or
 // nothing is known yet of a machine on which a former placer may have put it. Every owner
 // has taken the withdrawal; its end waits until nothing of it can start.
-func TestAWithdrawalIsToldOnceNothingCanStart(t *testing.T) {
+func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		until func(sim *simulation, id string) // brings about what may start on a machine
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -36,7 +36,7 @@
 func withImage(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
 // The image decides while a fetch costs more than the speed, and the speed once it doesn't.
-func TestPlacementWeighsImageAgainstSpeed(t *testing.T) {
+func TestCostSelectionWeighsImageAgainstPace(t *testing.T) {
 	sim := simulationWithCosts(t)
 	home, _ := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 1, withImage)
@@ -51,7 +51,7 @@
 
 // While the machines with the image are in use, free room elsewhere is left for a moment, and
 // taken then.
-func TestPlacementWaitsForTheImageForABoundedTime(t *testing.T) {
+func TestCostSelectionWaitsForImageForBoundedTime(t *testing.T) {
 	sim := simulationWithCosts(t)
 	home, _ := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 3, withImage) // fills the machine
@@ -68,7 +68,7 @@
 
 // Without the rate at which images are fetched, or with a job whose image has no size,
 // machines are chosen as without costs.
-func TestPlacementFallsBackWhereDataIsMissing(t *testing.T) {
+func TestCostSelectionFallsBackWhenDataIsMissing(t *testing.T) {
 	place := func(costs, rates bool, size float64) []string {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		if costs {
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -80,7 +80,7 @@
 func (s *simulation) movesInFlight() int { return len(s.scheduler.moves.bySource) }
 
 // A task leaves a machine that is taken away: its room elsewhere is held first.
-func TestATaskMovesOffAMachineWithANotice(t *testing.T) {
+func TestTaskMovesOffMachineWithEvictionNotice(t *testing.T) {
 	sim, from := simulationWithNotice(t)
 	sim.runSteps(12)
 	at, _ := sim.machineRunning("job-1/0")
@@ -95,7 +95,7 @@
 
 // Whatever ends at whatever step of a move, the task runs on one machine at a time, and goes on
 // in the end. Each step is the moment just before what it names is known.
-func TestAMoveMeetsTroubleAtEachStep(t *testing.T) {
+func TestMoveSurvivesFailureAtEachStep(t *testing.T) {
 	steps := map[string]func(sim *simulation) bool{
 		"asked":   func(sim *simulation) bool { return sim.movesInFlight() == 1 },
 		"granted": func(sim *simulation) bool { return sim.movesInFlight() == 1 && !sim.anyMove().destination.unanswered },
@@ -211,7 +211,7 @@
 }
 
 // Tasks stay where they are: each reason counts.
-func TestTasksThatAreNotMoved(t *testing.T) {
+func TestTaskIsNotMovedWhenDeclined(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(sim *simulation, from string)
 		why    rebalance.DeclineReason
@@ -253,7 +253,7 @@
 
 // Whatever fails while tasks are moved off machines that get notices and lose them again: no
 // task on two machines, no team over its limit, no move left behind, and every job done.
-func TestMovesWhateverFails(t *testing.T) {
+func TestMovesKeepInvariantsUnderRandomFaults(t *testing.T) {
 	seeds := uint64(500)
 	if testing.Short() {
 		seeds = 10
@@ -343,7 +343,7 @@
 }
 
 // With moves off nothing is moved, and nothing is looked at.
-func TestNothingIsMovedWhereMovesAreOff(t *testing.T) {
+func TestTaskIsNotMovedWhenMovesAreOff(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, limitCPU)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, longJob)
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -13,7 +13,7 @@
 
 // Whatever is lost, late or repeated, and whoever crashes: no task on two
 // machines, no team over its limit, and in the end every job is done.
-func TestRulesHoldWhateverFails(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
 		seeds = 20
@@ -103,7 +103,7 @@
 
 // The answer to a round comes late, after a poll that shows the machine without
 // the task again. The task must not stay bound for ever.
-func TestAGrantThatIsOverAlreadyIsReleased(t *testing.T) {
+func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
 	sim := newSimulation(t, 1, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
@@ -122,7 +122,7 @@
 
 // An ask has no answer, and its machine falls silent for a lease. The machine
 // may come back, and the repeated round be granted then.
-func TestSilenceDoesNotReleaseAnUnansweredAsk(t *testing.T) {
+func TestUnansweredAssignmentOnSilentMachineIsNotReleased(t *testing.T) {
 	sim := newSimulation(t, 1, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
@@ -139,7 +139,7 @@
 
 // A task is on a machine whose controller crashes with its start under way:
 // its place is not given to another machine until that one is accounted for.
-func TestAnAskWithoutAnswerIsNotMadeElsewhere(t *testing.T) {
+func TestUnansweredAssignmentIsNotPlacedElsewhere(t *testing.T) {
 	sim := newSimulation(t, 1, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
@@ -187,7 +187,7 @@
 
 // Another process than the one that may have granted answers a round: its
 // refusal proves nothing.
-func TestARefusalByAnotherProcessReleasesNothing(t *testing.T) {
+func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
 	sim := newSimulation(t, 1, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
@@ -205,7 +205,7 @@
 }
 
 // Spread and one_zone count every task that may be somewhere.
-func TestZonesCountWhatMayRun(t *testing.T) {
+func TestZoneConstraintsCountUnansweredAssignments(t *testing.T) {
 	sim := newSimulation(t, 1, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, func(j *wire.Job) { j.Spread = true })
@@ -226,7 +226,7 @@
 }
 
 // A withdrawal counts as taken only by owners that have it.
-func TestCancelIsToldOnlyWhenOwnersHaveIt(t *testing.T) {
+func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
 	sim := newSimulation(t, 1, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 2, nil)
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -14,7 +14,7 @@
 )
 
 // A job that fails everywhere backs off by itself.
-func TestAFailingJobBacksOff(t *testing.T) {
+func TestFailingJobBacksOff(t *testing.T) {
 	sim := newSimulation(t, 1, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, nil)
@@ -29,7 +29,7 @@
 }
 
 // High rank takes the least work from lower rank; late work takes nothing.
-func TestPreemptionTakesFromLowerRanks(t *testing.T) {
+func TestPreemptionTakesFromLowerPriorities(t *testing.T) {
 	sim := newSimulation(t, 1, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, nil)
@@ -47,7 +47,7 @@
 
 // A job that has missed its deadline, but not yet by the longer measure that an
 // objective sets, goes before one that has missed both, and after one in time.
-func TestLatenessDecidesWhoseTurnItIs(t *testing.T) {
+func TestQueueOrderFollowsLateness(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
 	for i, due := range []float64{10, 70, 200} { // hopeless, overdue, in time
@@ -62,7 +62,7 @@
 }
 
 // The smaller rest goes first, of equal ones the earlier deadline.
-func TestSmallestRestsFirst(t *testing.T) {
+func TestQueueOrderPutsSmallestRestsFirst(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	for i, due := range []float64{900, 1000, 800} {
@@ -78,7 +78,7 @@
 // Guaranteed work of low rank that is placed bit by bit takes nothing from work
 // of higher rank; only when nothing of it finds room for most of the
 // guarantee's time it does.
-func TestATrickleOfRoomKeepsAGuarantee(t *testing.T) {
+func TestGuaranteedJobPreemptsHigherPriorityOnlyWhenNothingFits(t *testing.T) {
 	for _, trickle := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
 		sim.scheduler.timing.Guarantee = 5 * sec
@@ -113,7 +113,7 @@
 
 // Two jobs with an image each come to machines that have neither: each machine
 // fetches one image, and the tasks of a job stay together.
-func TestImagesAreFetchedApart(t *testing.T) {
+func TestImagesAreFetchedOnSeparateMachines(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
@@ -140,7 +140,7 @@
 
 // Where economy is in order, a job leaves the last bit of room that lacks its
 // image to others for as long as a fetch would take; then it takes it.
-func TestEconomyWaitsForAnImage(t *testing.T) {
+func TestEconomyWaitsForImage(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 10, 0)
 	sim.scheduler.timing.Economy = true
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
@@ -161,7 +161,7 @@
 
 // Jobs that could not be in time if a machine were taken from them keep to those
 // that are not taken; the others leave those to them.
-func TestFragileJobsKeepToOrdinaryMachines(t *testing.T) {
+func TestUrgentJobsKeepToOnDemandMachines(t *testing.T) {
 	for _, economy := range []bool{false, true} {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		sim.scheduler.timing.Economy, sim.scheduler.timing.Lease = economy, 20*sec
@@ -184,7 +184,7 @@
 
 // Urgent work takes all room there is, for as long as it likes; a large job of
 // low rank begins all the same.
-func TestNoJobWaitsForEverToBegin(t *testing.T) {
+func TestLowPriorityJobStartsWithinBoundedTime(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 2, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
@@ -210,7 +210,7 @@
 
 // Room for a large job of high rank comes up bit by bit. It does not wait for
 // that: it takes room from lower rank as soon as it has waited its time.
-func TestATrickleOfRoomDoesNotPutPreemptionOff(t *testing.T) {
+func TestPreemptionIsNotDelayedByTrickleOfCapacity(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 16, nil)
@@ -239,7 +239,7 @@
 
 // Tasks take twice as long on one machine as on others: it is set aside. Where
 // run times only vary, none is.
-func TestSlowMachinesAreSetAside(t *testing.T) {
+func TestSlowMachineIsQuarantined(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
 		sim.runSteps(8)
@@ -271,7 +271,7 @@
 
 // What a round of decisions and a poll cost does not grow with machines that are
 // not touched: neither those with room nor those without.
-func TestTheWorkOfARoundDoesNotGrowWithTheFleet(t *testing.T) {
+func TestCycleCostDoesNotGrowWithFleet(t *testing.T) {
 	work := func(machines int) (looked, told int) {
 		sim := newSimulationWithLimit(t, 9, machines, 0)
 		sim.runSteps(8)
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -14,7 +14,7 @@
 
 // A new placer takes over while a machine can't be reached: old jobs wait for
 // it, new ones start, and the limit counts all that it could hold.
-func TestTakeOverOfATeamWaitsForUnaccountedMachines(t *testing.T) {
+func TestTakeoverWaitsForUnaccountedMachines(t *testing.T) {
 	sim := newSimulation(t, 1, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 2, nil)
@@ -79,7 +79,7 @@
 
 // A new placer takes over while a machine can't be reached. What was never
 // asked for starts at once; what may have been waits.
-func TestTakeOverStartsWhatWasNeverAskedFor(t *testing.T) {
+func TestTakeoverStartsNeverAssignedTasks(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 40, nil) // more than there is room for
@@ -104,7 +104,7 @@
 
 // The release before left no watermarks. What its placer may have asked for waits until
 // all machines are accounted for, and is marked before it is asked for again.
-func TestTakeOverFromAnEarlierRelease(t *testing.T) {
+func TestTakeoverFromEarlierReleaseWaitsForAccounting(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 16, nil)
@@ -122,7 +122,7 @@
 
 // A partition moves; the former owner's last answer comes late and shows a
 // machine that the new owner has never heard of, for it is gone. It does not stay.
-func TestALateWordOfAFormerOwnerBringsNoMachineBack(t *testing.T) {
+func TestLatePollOfFormerLeaderRestoresNoMachine(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 16, nil)
@@ -145,7 +145,7 @@
 }
 
 // Attempt numbers of two placers never meet.
-func TestAttemptsAreUniqueAcrossTakeOvers(t *testing.T) {
+func TestAttemptsAreUniqueAcrossTakeovers(t *testing.T) {
 	sim := newSimulation(t, 1, 2)
 	seen := map[uint64]bool{}
 	for range 3 {
@@ -164,7 +164,7 @@
 }
 
 // Records of progress cover as many tasks as fit; each is read by the size it names.
-func TestRecordsOfProgressNameTheirSize(t *testing.T) {
+func TestProgressRecordsNameTheirSize(t *testing.T) {
 	require.Equal(t, ChunkTasks, chunkTasks(7372))
 	require.Zero(t, chunkTasks(100)%64)
 	require.LessOrEqual(t, base64.StdEncoding.EncodedLen(chunkTasks(700)/8)+2, 700)
