--- /dev/null
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -0,0 +1,134 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+// The answer to a round comes late, after a poll that shows the machine without
+// the task again. The task must not stay bound for ever.
+func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
+	sim := newSimulation(t, 1, 1)
+	sim.runSteps(8)
+	sim.addJob("job-1", 1, nil)
+	sim.schedule()
+	h := sim.controllers[0]
+	r := sim.scheduler.NextBatch(h.name)
+	ans := h.partitionState.HandleBatch(*r, h.instance, sim.now)
+	sim.now += 5 * sec
+	h.partitionState.Tick(sim.now) // the lease lapses unused
+	sim.poll(h, false)
+	sim.scheduler.HandleBatchResponse(h.name, r, &ans, sim.now)
+	require.Empty(t, sim.scheduler.teams[red].jobs["job-1"].assignments)
+	sim.runSteps(8)
+	require.Equal(t, 1, sim.runningTasks())
+}
+
+// An ask has no answer, and its machine falls silent for a lease. The machine
+// may come back, and the repeated round be granted then.
+func TestUnansweredAssignmentOnSilentMachineIsNotReleased(t *testing.T) {
+	sim := newSimulation(t, 1, 1)
+	sim.runSteps(8)
+	sim.addJob("job-1", 1, nil)
+	sim.schedule()
+	sim.sendBatch(sim.controllers[0], false, false)
+	sim.now += 2 * lease
+	sim.advance()
+	sim.poll(sim.controllers[0], false)
+	require.Empty(t, sim.machineRecords)
+	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 1)
+	sim.runSteps(12)
+	require.Equal(t, 1, sim.runningTasks())
+}
+
+// A task is on a machine whose controller crashes with its start under way:
+// its place is not given to another machine until that one is accounted for.
+func TestUnansweredAssignmentIsNotPlacedElsewhere(t *testing.T) {
+	sim := newSimulation(t, 1, 2)
+	sim.runSteps(8)
+	sim.addJob("job-1", 1, nil)
+	sim.schedule()
+	var at *controller
+	for _, h := range sim.controllers {
+		if r := sim.scheduler.NextBatch(h.name); r != nil {
+			at = h
+			h.partitionState.HandleBatch(*r, h.instance, sim.now)
+		}
+	}
+	p := 0
+	for i, x := range sim.leaderOf {
+		if sim.controllers[x] == at {
+			p = i
+		}
+	}
+	for _, id := range sim.machineIDs {
+		if sim.partitionOf(id) == p {
+			sim.deliverCommands(id, true, false)
+		}
+	}
+	sim.boot(at) // the answer is lost, the process too
+	sim.acquirePartition(p, sim.leaderOf[p])
+	for range 4 {
+		for _, h := range sim.controllers {
+			sim.poll(h, false)
+		}
+		sim.schedule()
+		for _, h := range sim.controllers {
+			sim.sendBatch(h, true, true)
+		}
+		for _, id := range sim.machineIDs {
+			if sim.partitionOf(id) != p {
+				sim.heartbeat(id, true)
+				sim.deliverCommands(id, false, true)
+			}
+		}
+		sim.checkInvariants("waiting")
+	}
+	require.Zero(t, sim.runningTasks(), "it may still arrive at the first machine")
+	sim.runSteps(20)
+	require.Equal(t, 1, sim.runningTasks())
+}
+
+// Another process than the one that may have granted answers a round: its
+// refusal proves nothing.
+func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
+	sim := newSimulation(t, 1, 2)
+	sim.runSteps(8)
+	sim.addJob("job-1", 1, nil)
+	sim.schedule()
+	for _, h := range sim.controllers {
+		r := sim.scheduler.NextBatch(h.name)
+		if r == nil {
+			continue
+		}
+		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
+		sim.scheduler.HandleBatchResponse(h.name, r, &ans, sim.now)
+	}
+	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 1)
+	require.NotZero(t, sim.scheduler.teams[red].used.CPU, "it counts against the limit")
+}
+
+// Spread and one_zone count every task that may be somewhere.
+func TestZoneConstraintsCountUnansweredAssignments(t *testing.T) {
+	sim := newSimulation(t, 1, 4)
+	sim.runSteps(8)
+	sim.addJob("job-1", 4, func(j *wire.Job) { j.Spread = true })
+	sim.addJob("job-2", 2, func(j *wire.Job) { j.OneZone = true })
+	sim.schedule() // nothing is sent yet: all are only asked for
+	zones := map[string]int{}
+	for n, b := range sim.scheduler.teams[red].jobs["job-1"].assignments {
+		require.NotNil(t, b, n)
+		zones[b.zone]++
+	}
+	require.LessOrEqual(t, zones["a"], 2)
+	require.LessOrEqual(t, zones["b"], 2)
+	zones = map[string]int{}
+	for _, b := range sim.scheduler.teams[red].jobs["job-2"].assignments {
+		zones[b.zone]++
+	}
+	require.Len(t, zones, 1)
+}
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -9,7 +9,6 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 	"github.com/merlinlatch/merlinlatch/wire"
-	"github.com/stretchr/testify/require"
 )
 
 // smallFleetSize is about as many machines as the smaller sites have in all.
@@ -115,15 +114,3 @@
 func BenchmarkRoundAfterRestart(b *testing.B) {
 	benchmarkRounds(b, schedulerAfterRestart(smallFleetSize))
 }
-
-// The largest machine is looked for once a round, however many machines were not seen yet:
-// on a small share of a core a round took most of a second otherwise, and the next one
-// waited for three times as long.
-func TestCycleAfterRestartExaminesEachMachineFewTimes(t *testing.T) {
-	d := schedulerAfterRestart(smallFleetSize)
-	before := d.counters.Looked
-	d.Schedule(2 * sec)
-	require.Equal(t, smallFleetSize/2, d.teams[red].unaccountedCount)
-	require.Equal(t, d.largestMachine().Times(smallFleetSize/2), d.teams[red].unaccountedCapacity)
-	require.Less(t, d.counters.Looked-before, 4*smallFleetSize)
-}
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -173,3 +173,22 @@
 		})
 	}
 }
+
+// A withdrawal counts as taken only by owners that have it.
+func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
+	sim := newSimulation(t, 1, 2)
+	sim.runSteps(8)
+	sim.addJob("job-1", 2, nil)
+	sim.runSteps(2)
+	require.Equal(t, 2, sim.runningTasks())
+	require.True(t, sim.scheduler.CancelJob(red, "job-1"))
+	j := sim.scheduler.teams[red].jobs["job-1"]
+	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
+	sim.sendBatch(sim.controllers[0], true, true)
+	sim.sendBatch(sim.controllers[1], true, false) // taken, but the answer is lost
+	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
+	sim.sendBatch(sim.controllers[1], true, true)
+	require.True(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
+	sim.runSteps(4)
+	require.Zero(t, sim.runningTasks())
+}
--- /dev/null
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -0,0 +1,95 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+// High rank takes the least work from lower rank; late work takes nothing.
+func TestPreemptionTakesFromLowerPriorities(t *testing.T) {
+	sim := newSimulation(t, 1, 1)
+	sim.runSteps(8)
+	sim.addJob("job-1", 4, nil)
+	sim.runSteps(4)
+	require.Equal(t, 4, sim.runningTasks())
+	due := 0.5
+	sim.addJob("job-2", 1, func(j *wire.Job) { j.Priority, j.DeadlineS, j.RuntimeEstimateS = "high", &due, 60 })
+	sim.runSteps(12)
+	require.False(t, sim.workers["m-0"].Running("job-2/0"), "it is late already")
+	sim.addJob("job-3", 1, func(j *wire.Job) { j.Priority = "high" })
+	sim.runSteps(12)
+	require.True(t, sim.workers["m-0"].Running("job-3/0"))
+	require.Equal(t, 4, sim.runningTasks())
+}
+
+// Guaranteed work of low rank that is placed bit by bit takes nothing from work
+// of higher rank; only when nothing of it finds room for most of the
+// guarantee's time it does.
+func TestGuaranteedJobPreemptsHigherPriorityOnlyWhenNothingFits(t *testing.T) {
+	for _, trickle := range []bool{true, false} {
+		sim := newSimulationWithLimit(t, 1, 2, 0)
+		sim.scheduler.timing.Guarantee = 5 * sec
+		blue := &team{Team: Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
+			accounted: map[string]bool{}, unaccounted: map[string]bool{}}
+		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
+			team: blue, withinGuarantee: true, watermark: 50, acceptedAt: sim.now, assignments: map[int]*assignment{}, tasksByZone: map[string]int{}, done: make([]uint64, 1)}
+		sim.runSteps(8)
+		sim.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
+		sim.runSteps(4)
+		require.Equal(t, 8, sim.runningTasks())
+		taken := false
+		for step := range 40 {
+			sim.now += 250 * clock.Millisecond
+			sim.scheduler.exhausted = exhaustedDemand{}
+			if trickle && step%4 == 0 {
+				m := sim.scheduler.machines["m-0"]
+				m.available = j.Need // a task of others has ended
+				sim.scheduler.reindex(m)
+			}
+			sim.scheduler.scheduleJob(j, 1, sim.now)
+			for _, o := range sim.scheduler.sessions {
+				for _, a := range o.pending.Asks {
+					taken = taken || a.Over
+				}
+				o.pending = peer.Batch{}
+			}
+		}
+		require.Equal(t, !trickle, taken)
+	}
+}
+
+// Room for a large job of high rank comes up bit by bit. It does not wait for
+// that: it takes room from lower rank as soon as it has waited its time.
+func TestPreemptionIsNotDelayedByTrickleOfCapacity(t *testing.T) {
+	sim := newSimulationWithLimit(t, 1, 4, 0)
+	sim.runSteps(8)
+	sim.addJob("job-1", 16, nil)
+	sim.runSteps(4)
+	require.Equal(t, 16, sim.runningTasks())
+	sim.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
+	for step := range 8 {
+		for _, r := range sim.workers[sim.machineIDs[step%4]].InOrder() { // a task ends in every round
+			if r.Phase != wire.TaskExited {
+				r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
+				break
+			}
+		}
+		sim.runSteps(1)
+	}
+	high := 0
+	for _, k := range sim.workers {
+		for _, r := range k.Tasks {
+			if job, _, _ := wire.SplitTask(r.Task); job == "job-2" {
+				high++
+			}
+		}
+	}
+	require.Equal(t, 12, high)
+}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"encoding/base64"
 	"fmt"
 	"testing"
 
@@ -162,26 +161,3 @@
 	}
 	require.Len(t, seen, 6)
 }
-
-// Records of progress cover as many tasks as fit; each is read by the size it names.
-func TestProgressRecordsNameTheirSize(t *testing.T) {
-	require.Equal(t, ChunkTasks, chunkTasks(7372))
-	require.Zero(t, chunkTasks(100)%64)
-	require.LessOrEqual(t, base64.StdEncoding.EncodedLen(chunkTasks(700)/8)+2, 700)
-	for _, c := range []chunkID{{0, ChunkTasks}, {3, ChunkTasks}, {7, 4096}} {
-		got, ok := parseChunk(c.String())
-		require.True(t, ok)
-		require.Equal(t, c, got)
-	}
-	require.Equal(t, "3", chunkID{3, ChunkTasks}.String(), "as ever")
-	for _, odd := range []string{"", "x", "1.", "1.7", "-1", "1.-8"} {
-		_, ok := parseChunk(odd)
-		require.False(t, ok, odd)
-	}
-	sim := newSimulationWithLimit(t, 1, 4, 0)
-	sim.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
-	sim.addJob("job-1", 20, nil)
-	j := sim.scheduler.teams[red].jobs["job-1"]
-	require.Equal(t, 2, j.doneCount)
-	require.True(t, j.isDone(8) && j.isDone(10))
-}
