--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -12,7 +12,7 @@
 // The answer to a round comes late, after a poll that shows the machine without
 // the task again. The task must not stay bound for ever.
 func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
-	sim := newSimulation(t, 1, 1)
+	sim := newSimulation(t, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
@@ -31,7 +31,7 @@
 // An ask has no answer, and its machine falls silent for a lease. The machine
 // may come back, and the repeated round be granted then.
 func TestUnansweredAssignmentOnSilentMachineIsNotReleased(t *testing.T) {
-	sim := newSimulation(t, 1, 1)
+	sim := newSimulation(t, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
@@ -48,7 +48,7 @@
 // A task is on a machine whose controller crashes with its start under way:
 // its place is not given to another machine until that one is accounted for.
 func TestUnansweredAssignmentIsNotPlacedElsewhere(t *testing.T) {
-	sim := newSimulation(t, 1, 2)
+	sim := newSimulation(t, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
@@ -96,7 +96,7 @@
 // Another process than the one that may have granted answers a round: its
 // refusal proves nothing.
 func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
-	sim := newSimulation(t, 1, 2)
+	sim := newSimulation(t, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
@@ -114,7 +114,7 @@
 
 // Spread and one_zone count every task that may be somewhere.
 func TestZoneConstraintsCountUnansweredAssignments(t *testing.T) {
-	sim := newSimulation(t, 1, 4)
+	sim := newSimulation(t, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, func(j *wire.Job) { j.Spread = true })
 	sim.addJob("job-2", 2, func(j *wire.Job) { j.OneZone = true })
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -49,7 +49,7 @@
 		{"and the machines' owner has begun anew", true, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			sim := newSimulation(t, 1, 6)
+			sim := newSimulation(t, 6)
 			sim.runSteps(8)
 			sim.addJob("job-1", 6, nil)
 			sim.runSteps(4)
@@ -135,7 +135,7 @@
 		}, func(sim *simulation, id string) { sim.runSteps(8) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			sim := newSimulation(t, 1, 2)
+			sim := newSimulation(t, 2)
 			sim.runSteps(8)
 			sim.addJob("job-1", 1, nil)
 			sim.schedule()
@@ -176,7 +176,7 @@
 
 // A withdrawal counts as taken only by owners that have it.
 func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
-	sim := newSimulation(t, 1, 2)
+	sim := newSimulation(t, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 2, nil)
 	sim.runSteps(2)
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -20,25 +20,25 @@
 	return sim
 }
 
-// machineRunning is the machine that runs a job's only task, other is one that has not its image.
-func (s *simulation) machineRunning(task string) (home, other string) {
+// machineRunning is the machine that runs a task.
+func (s *simulation) machineRunning(task string) (machine string) {
+	s.t.Helper()
 	for _, id := range s.machineIDs {
 		if s.workers[id].Running(task) {
-			home = id
-		} else {
-			other = id
+			machine = id
 		}
 	}
-	require.NotEmpty(s.t, home, task)
-	return home, other
+	require.NotEmpty(s.t, machine, task)
+	return machine
 }
 
+// withImage gives a job an image of 4 GB and an estimate.
 func withImage(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
 // The image decides while a fetch costs more than the speed, and the speed once it doesn't.
 func TestCostSelectionWeighsImageAgainstPace(t *testing.T) {
 	sim := simulationWithCosts(t)
-	home, _ := sim.machineRunning("job-1/0")
+	home := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 1, withImage)
 	sim.runSteps(4)
 	require.True(t, sim.workers[home].Running("job-2/0"), "the image is there")
@@ -53,7 +53,7 @@
 // taken then.
 func TestCostSelectionWaitsForImageForBoundedTime(t *testing.T) {
 	sim := simulationWithCosts(t)
-	home, _ := sim.machineRunning("job-1/0")
+	home := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 3, withImage) // fills the machine
 	sim.runSteps(4)
 	require.Equal(t, 4, sim.runningTasks())
@@ -62,7 +62,7 @@
 	require.Equal(t, 4, sim.runningTasks(), "it waits")
 	sim.runSteps(12)
 	require.Equal(t, 5, sim.runningTasks(), "and no longer than two seconds")
-	at, _ := sim.machineRunning("job-3/0")
+	at := sim.machineRunning("job-3/0")
 	require.NotEqual(t, home, at)
 }
 
@@ -82,7 +82,7 @@
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
 			sim.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = id, size, 30 })
 			sim.runSteps(4)
-			home, _ := sim.machineRunning(id + "/1")
+			home := sim.machineRunning(id + "/1")
 			at = append(at, home)
 		}
 		return at
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -26,7 +26,7 @@
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, longJob)
 	sim.runSteps(160)
-	from, _ = sim.machineRunning("job-1/0")
+	from = sim.machineRunning("job-1/0")
 	sim.sendEvictionNotice(from)
 	return sim, from
 }
@@ -83,7 +83,7 @@
 func TestTaskMovesOffMachineWithEvictionNotice(t *testing.T) {
 	sim, from := simulationWithNotice(t)
 	sim.runSteps(12)
-	at, _ := sim.machineRunning("job-1/0")
+	at := sim.machineRunning("job-1/0")
 	require.NotEqual(t, from, at)
 	require.Equal(t, rebalance.Moved, sim.lastMoveOutcome())
 	require.Equal(t, 1, sim.scheduler.counters.Moved)
@@ -240,7 +240,7 @@
 			sim.runSteps(8)
 			sim.addJob("job-1", 1, longJob)
 			sim.runSteps(160)
-			from, _ := sim.machineRunning("job-1/0")
+			from := sim.machineRunning("job-1/0")
 			x.change(sim, from)
 			sim.sendEvictionNotice(from)
 			sim.runSteps(12)
@@ -348,7 +348,7 @@
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, longJob)
 	sim.runSteps(160)
-	from, _ := sim.machineRunning("job-1/0")
+	from := sim.machineRunning("job-1/0")
 	sim.sendEvictionNotice(from)
 	sim.runSteps(12)
 	require.True(t, sim.workers[from].Running("job-1/0"))
--- a/internal/scheduler/preemption_scenario_test.go
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -14,7 +14,7 @@
 
 // High rank takes the least work from lower rank; late work takes nothing.
 func TestPreemptionTakesFromLowerPriorities(t *testing.T) {
-	sim := newSimulation(t, 1, 1)
+	sim := newSimulation(t, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, nil)
 	sim.runSteps(4)
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -12,7 +12,7 @@
 
 // A job that fails everywhere backs off by itself.
 func TestFailingJobBacksOff(t *testing.T) {
-	sim := newSimulation(t, 1, 4)
+	sim := newSimulation(t, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, nil)
 	starts := 0
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -24,26 +24,28 @@
 	limitCPU = 12 // of the team, where it has one
 )
 
-// controller is a controller's owner part: a table that a crash replaces.
+// controller is the partition leader part of a controller; a crash replaces its state.
 type controller struct {
 	name           string
 	instance       string
 	partitionState *partition.State
 }
 
+// lateCommands are commands that the network holds back.
 type lateCommands struct {
 	machine  string
 	commands wire.Orders
 }
 
+// lateBatch is a batch that the network holds back.
 type lateBatch struct {
 	controller *controller
 	sentTo     *partition.State // the process it was sent to
 	batch      peer.Batch
 }
 
-// simulation is a small cluster without I/O: owners, one placer, workers, and a
-// network that loses, holds up and repeats what the test tells it to.
+// simulation is a small cluster without I/O: partition leaders, one scheduler, workers, and a
+// network that loses, delays and repeats what the test asks it to.
 type simulation struct {
 	t                          *testing.T
 	now                        clock.Micros
@@ -62,35 +64,52 @@
 	restarts                   int
 	lateCommands               []lateCommands
 	lateBatches                []lateBatch
-	heartbeatCopies            []wire.Heartbeat // of reports, that may come once more
+	heartbeatCopies            []wire.Heartbeat // that may come once more
 	ended                      map[string]bool
 	limit                      float64                   // CPUs; 0: none
-	watermarks                 map[string]WatermarkWrite // on record, with their stamps
+	watermarks                 map[string]WatermarkWrite // on record, with their mod revisions
 	legacyRecords              bool                      // an earlier release has recorded machines
 	moves                      *Moves                    // nil: off
-	leadersWithoutReservations bool                      // they hold no room for tasks that are to move
+	leadersWithoutReservations bool                      // they hold no leases for tasks that are to move
 }
 
+// Active returns an active job; with Ended it makes the simulation the job cache of the partition leaders.
 func (s *simulation) Active(id string) (*jobs.Job, bool) { j, ok := s.active[id]; return j, ok }
 
+// Ended reports whether a job with that mod revision is over.
 func (s *simulation) Ended(id string, made uint64) bool {
 	_, final := s.cache.Final(id)
 	return final || s.active[id] == nil && s.revision >= made
 }
 
-func newSimulation(t *testing.T, seed uint64, count int) *simulation {
-	return newSimulationWithLimit(t, seed, count, limitCPU)
+// newSimulation returns a cluster of so many machines with a team that has a limit.
+func newSimulation(t *testing.T, machines int) *simulation {
+	t.Helper()
+	return newSimulationWithLimit(t, 1, machines, limitCPU)
 }
 
-func newSimulationWithLimit(t *testing.T, seed uint64, count int, limit float64) *simulation {
-	sim := &simulation{t: t, limit: limit, now: 100 * sec, rng: fakes.Rand(seed), cache: jobs.NewCache(), revision: 10, active: map[string]*jobs.Job{},
-		machineRecords: map[string]inventory.Record{}, workers: map[string]*fakes.Worker{}, ended: map[string]bool{}, watermarks: map[string]WatermarkWrite{}}
+// newSimulationWithLimit returns a cluster of so many machines with a team that may use so many CPUs; 0: any number.
+func newSimulationWithLimit(t *testing.T, seed uint64, machines int, limit float64) *simulation {
+	t.Helper()
+	sim := &simulation{
+		t:              t,
+		limit:          limit,
+		now:            100 * sec,
+		rng:            fakes.Rand(seed),
+		cache:          jobs.NewCache(),
+		revision:       10,
+		active:         map[string]*jobs.Job{},
+		machineRecords: map[string]inventory.Record{},
+		workers:        map[string]*fakes.Worker{},
+		ended:          map[string]bool{},
+		watermarks:     map[string]WatermarkWrite{},
+	}
 	for i := range 2 {
 		sim.controllers = append(sim.controllers, &controller{name: fmt.Sprintf("h%d", i)})
 		sim.boot(sim.controllers[i])
 		sim.leaderOf, sim.termOf = append(sim.leaderOf, i), append(sim.termOf, 0)
 	}
-	for i := range count {
+	for i := range machines {
 		id := fmt.Sprintf("m-%d", i)
 		sim.machineIDs = append(sim.machineIDs, id)
 		sim.workers[id] = fakes.NewWorker(id, lease, sim.now)
@@ -103,6 +122,7 @@
 	return sim
 }
 
+// boot starts a new process of a controller, which leads nothing yet.
 func (s *simulation) boot(h *controller) {
 	s.restarts++
 	h.instance = fmt.Sprintf("%s-%d", h.name, s.restarts)
@@ -110,9 +130,10 @@
 	h.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
+// partitionOf is the partition of a machine.
 func (s *simulation) partitionOf(id string) int { return int(id[2]-'0') % len(s.leaderOf) }
 
-// acquirePartition moves a partition to a host: the former holder's authority is over.
+// acquirePartition moves the leadership of a partition to a controller, under a new term.
 func (s *simulation) acquirePartition(p, to int) {
 	s.controllers[s.leaderOf[p]].partitionState.ReleasePartition(p)
 	s.leaderOf[p] = to
@@ -127,7 +148,7 @@
 	s.controllers[to].partitionState.AcquirePartition(p, s.termOf[p], found, s.now)
 }
 
-// restart ends a host's process. The next one takes its partitions anew.
+// restart ends a controller's process. The next one acquires its partitions anew.
 func (s *simulation) restart(h *controller) {
 	s.boot(h)
 	for p, at := range s.leaderOf {
@@ -137,13 +158,18 @@
 	}
 }
 
-// newScheduler replaces the placer: the former one is gone, and with it its memory.
+// newScheduler replaces the scheduler: the former one is gone, and with it its memory.
 func (s *simulation) newScheduler() {
 	s.term++
 	s.revision++
-	s.scheduler = NewScheduler(Config{Timing: Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: s.moves}, Instance: fmt.Sprintf("scheduler-%d", s.term),
-		Teams: []Team{{Name: red, Limit: resources.Capacity(s.limit, 0, 0)}}, Hosts: []string{"h0", "h1"}, Seed: s.term,
-		WallMS: func() int64 { return 0 }})
+	s.scheduler = NewScheduler(Config{
+		Timing:   Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: s.moves},
+		Instance: fmt.Sprintf("scheduler-%d", s.term),
+		Teams:    []Team{{Name: red, Limit: resources.Capacity(s.limit, 0, 0)}},
+		Hosts:    []string{"h0", "h1"},
+		Seed:     s.term,
+		WallMS:   func() int64 { return 0 },
+	})
 	s.scheduler.legacyRecords = s.legacyRecords
 	for id := range s.machineRecords {
 		s.scheduler.HandleMachineRecord(id, true)
@@ -158,7 +184,7 @@
 	s.scheduler.AcquireTeam(red, s.term, s.revision, list, s.now)
 }
 
-// writeWatermarks has the placer's watermarks written down; the answer may be lost, or the write.
+// writeWatermarks writes the scheduler's watermarks; the answer may be lost, or the write.
 func (s *simulation) writeWatermarks(written, answered bool) {
 	for _, m := range s.scheduler.PlanWatermarks(s.now, 4000) {
 		if !written || m.ModRevision != s.watermarks[m.Key].ModRevision {
@@ -173,7 +199,7 @@
 	}
 }
 
-// partitionLeaderships are the claims of the partitions, as the placer knows them.
+// partitionLeaderships are the leaderships of the partitions, as the scheduler's replica shows them.
 func (s *simulation) partitionLeaderships() (out []PartitionLeadership) {
 	for p, h := range s.leaderOf {
 		out = append(out, PartitionLeadership{Partition: p, Term: s.termOf[p], Host: s.controllers[h].name})
@@ -181,12 +207,13 @@
 	return out
 }
 
-// schedule lets the placer decide, with watermarks written at once.
+// schedule runs a cycle of the scheduler, with watermarks written before it.
 func (s *simulation) schedule() {
 	s.writeWatermarks(true, true)
 	s.scheduler.Schedule(s.now)
 }
 
+// addJob has a job accepted that change may have changed.
 func (s *simulation) addJob(id string, tasks int, change func(*wire.Job)) {
 	s.revision++
 	spec := wire.Job{ID: id, Team: red, Priority: "normal", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
@@ -197,7 +224,7 @@
 	s.scheduler.AddJob(s.active[id], s.now)
 }
 
-// poll lets the placer hear an owner.
+// poll has the scheduler poll a partition leader; the answer may be lost.
 func (s *simulation) poll(h *controller, lost bool) {
 	in := s.scheduler.NextPoll(h.name)
 	ans := h.partitionState.HandlePoll(in, h.instance, s.now)
@@ -209,56 +236,61 @@
 	s.scheduler.HandlePollResponse(h.name, in, &ans, s.now)
 }
 
-// sendBatch lets the placer's next round reach an owner.
+// sendBatch sends the scheduler's next batch to a partition leader; it may be delayed, or its answer lost.
 func (s *simulation) sendBatch(h *controller, reached, answered bool) {
-	r := s.scheduler.NextBatch(h.name)
-	if r == nil {
+	batch := s.scheduler.NextBatch(h.name)
+	if batch == nil {
 		return
 	}
 	if !reached {
-		s.lateBatches = append(s.lateBatches, lateBatch{h, h.partitionState, *r})
+		s.lateBatches = append(s.lateBatches, lateBatch{h, h.partitionState, *batch})
 		return
 	}
-	ans := h.partitionState.HandleBatch(*r, h.instance, s.now)
+	ans := h.partitionState.HandleBatch(*batch, h.instance, s.now)
 	if answered {
-		s.scheduler.HandleBatchResponse(h.name, r, &ans, s.now)
+		s.scheduler.HandleBatchResponse(h.name, batch, &ans, s.now)
 	}
 }
 
-// heartbeat lets a worker heartbeat to its owner.
+// heartbeat has a worker send a heartbeat to its partition leader; the answer may be lost.
 func (s *simulation) heartbeat(id string, answered bool) {
-	k, p := s.workers[id], s.partitionOf(id)
-	r := k.Report(s.now)
-	if s.heartbeatCopies = append(s.heartbeatCopies, r); len(s.heartbeatCopies) > 40 {
+	worker, p := s.workers[id], s.partitionOf(id)
+	heartbeat := worker.Report(s.now)
+	if s.heartbeatCopies = append(s.heartbeatCopies, heartbeat); len(s.heartbeatCopies) > 40 {
 		s.heartbeatCopies = s.heartbeatCopies[1:]
 	}
-	ans, ok := s.controllers[s.leaderOf[p]].partitionState.HandleHeartbeat(&r, p, s.now)
+	ans, ok := s.stateOf(id).HandleHeartbeat(&heartbeat, p, s.now)
 	if ok && answered {
-		k.Take(ans, s.now)
+		worker.Take(ans, s.now)
 	}
 }
 
-// deliverCommands carries /orders: in time, late, or without the answer.
+// deliverCommands carries commands to a worker: in time, late, or without the answer.
 func (s *simulation) deliverCommands(id string, late, answered bool) {
-	t := s.controllers[s.leaderOf[s.partitionOf(id)]].partitionState
-	_, o := t.NextDelivery(id, s.now)
-	if o == nil {
+	state := s.stateOf(id)
+	_, commands := state.NextDelivery(id, s.now)
+	if commands == nil {
 		return
 	}
 	if late {
-		s.lateCommands = append(s.lateCommands, lateCommands{id, *o})
-		t.HandleDeliveryTimeout(id, o, s.now)
+		s.lateCommands = append(s.lateCommands, lateCommands{id, *commands})
+		state.HandleDeliveryTimeout(id, commands, s.now)
 		return
 	}
-	r, _ := s.workers[id].Orders(*o, s.now)
+	answer, _ := s.workers[id].Orders(*commands, s.now)
 	if answered {
-		t.HandleDeliveryResponse(id, o, &r, s.now)
+		state.HandleDeliveryResponse(id, commands, &answer, s.now)
 	} else {
-		t.HandleDeliveryTimeout(id, o, s.now)
+		state.HandleDeliveryTimeout(id, commands, s.now)
 	}
 }
 
-// advance lets time do its work: lapses, records of machines, ends of jobs.
+// stateOf is the state of a machine's partition leader.
+func (s *simulation) stateOf(id string) *partition.State {
+	return s.controllers[s.leaderOf[s.partitionOf(id)]].partitionState
+}
+
+// advance does what is due: expired leases, records of machines, final states of jobs.
 func (s *simulation) advance() {
 	for _, h := range s.controllers {
 		for _, id := range h.partitionState.Tick(s.now) {
@@ -274,12 +306,14 @@
 		s.endJob(j.ID, wire.Done)
 	}
 	for id := range s.active {
-		if j := s.scheduler.teams[red].jobs[id]; j != nil && j.cancelling && s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()) {
+		j := s.scheduler.teams[red].jobs[id]
+		if j != nil && j.cancelling && s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()) {
 			s.endJob(id, wire.Cancelled)
 		}
 	}
 }
 
+// endJob writes the final state of a job.
 func (s *simulation) endJob(id, phase string) {
 	s.cache.AddFinal(id, jobs.Final{Phase: phase, Team: red})
 	s.ended[id] = true
@@ -287,15 +321,17 @@
 	s.scheduler.DropJob(id)
 }
 
-func (s *simulation) handleMachineRecord(id string, there bool) {
-	s.scheduler.HandleMachineRecord(id, there)
+// handleMachineRecord shows a change of a machine's record to all.
+func (s *simulation) handleMachineRecord(id string, exists bool) {
+	s.scheduler.HandleMachineRecord(id, exists)
 	for _, h := range s.controllers {
-		h.partitionState.HandleMachineRecord(id, s.partitionOf(id), s.machineRecords[id], there, s.now)
+		h.partitionState.HandleMachineRecord(id, s.partitionOf(id), s.machineRecords[id], exists, s.now)
 	}
 }
 
 // runSteps runs the cluster without losses for a while.
 func (s *simulation) runSteps(steps int) {
+	s.t.Helper()
 	for range steps {
 		s.now += 250 * clock.Millisecond
 		for _, id := range s.machineIDs {
@@ -311,21 +347,22 @@
 		for _, h := range s.controllers {
 			s.sendBatch(h, true, true)
 		}
-		s.checkInvariants("settling")
+		s.checkInvariants("without losses")
 	}
 }
 
-// checkInvariants holds the rules against what the workers really run.
+// checkInvariants compares the rules with what the workers really run: no task on two machines, no team over its limit.
 func (s *simulation) checkInvariants(when string) {
+	s.t.Helper()
 	for _, h := range s.controllers {
-		require.False(s.t, s.scheduler.sessions[h.name].resync, "%s: what changed did not fit what was known", when)
+		require.False(s.t, s.scheduler.sessions[h.name].resync, "%s: a view did not fit the cached state", when)
 	}
 	on := map[string]string{}
 	cpus := 0.0
 	for _, id := range s.machineIDs {
-		k := s.workers[id]
-		k.Check(s.now)
-		for _, t := range k.Tasks {
+		worker := s.workers[id]
+		worker.Check(s.now)
+		for _, t := range worker.Tasks {
 			if t.Phase == wire.TaskExited {
 				continue
 			}
@@ -345,10 +382,10 @@
 	require.LessOrEqual(s.t, cpus, s.limit, "%s: the team is over its limit", when)
 }
 
-// exitAll ends all tasks that run, and tells how many they were.
+// exitAll ends all tasks that run, and returns how many they were.
 func (s *simulation) exitAll(cause string) (n int) {
-	for _, k := range s.workers {
-		for _, t := range k.Tasks {
+	for _, worker := range s.workers {
+		for _, t := range worker.Tasks {
 			if t.Phase != wire.TaskExited {
 				t.Phase, t.Cause = wire.TaskExited, cause
 				n++
@@ -358,9 +395,10 @@
 	return n
 }
 
+// runningTasks is how many tasks the workers run.
 func (s *simulation) runningTasks() (n int) {
-	for _, k := range s.workers {
-		for _, t := range k.Tasks {
+	for _, worker := range s.workers {
+		for _, t := range worker.Tasks {
 			if t.Phase != wire.TaskExited {
 				n++
 			}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -14,7 +14,7 @@
 // A new placer takes over while a machine can't be reached: old jobs wait for
 // it, new ones start, and the limit counts all that it could hold.
 func TestTakeoverWaitsForUnaccountedMachines(t *testing.T) {
-	sim := newSimulation(t, 1, 4)
+	sim := newSimulation(t, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 2, nil)
 	sim.runSteps(2)
@@ -145,7 +145,7 @@
 
 // Attempt numbers of two placers never meet.
 func TestAttemptsAreUniqueAcrossTakeovers(t *testing.T) {
-	sim := newSimulation(t, 1, 2)
+	sim := newSimulation(t, 2)
 	seen := map[uint64]bool{}
 	for range 3 {
 		sim.runSteps(8)
