--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -9,27 +9,27 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// The answer to a round comes late, after a poll that shows the machine without
-// the task again. The task must not stay bound for ever.
+// The answer to a batch comes late, after a poll that shows the machine without
+// the task again. The task must not stay assigned for ever.
 func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
 	h := sim.controllers[0]
-	r := sim.scheduler.NextBatch(h.name)
-	ans := h.partitionState.HandleBatch(*r, h.instance, sim.now)
+	batch := sim.scheduler.NextBatch(h.name)
+	ans := h.partitionState.HandleBatch(*batch, h.instance, sim.now)
 	sim.now += 5 * sec
-	h.partitionState.Tick(sim.now) // the lease lapses unused
+	h.partitionState.Tick(sim.now) // the resource lease expires unused
 	sim.poll(h, false)
-	sim.scheduler.HandleBatchResponse(h.name, r, &ans, sim.now)
+	sim.scheduler.HandleBatchResponse(h.name, batch, &ans, sim.now)
 	require.Empty(t, sim.scheduler.teams[red].jobs["job-1"].assignments)
 	sim.runSteps(8)
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// An ask has no answer, and its machine falls silent for a lease. The machine
-// may come back, and the repeated round be granted then.
+// An assignment has no answer, and its machine is silent for a worker lease. The machine
+// may come back, and the repeated batch be accepted then.
 func TestUnansweredAssignmentOnSilentMachineIsNotReleased(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
@@ -54,15 +54,15 @@
 	sim.schedule()
 	var at *controller
 	for _, h := range sim.controllers {
-		if r := sim.scheduler.NextBatch(h.name); r != nil {
+		if batch := sim.scheduler.NextBatch(h.name); batch != nil {
 			at = h
-			h.partitionState.HandleBatch(*r, h.instance, sim.now)
+			h.partitionState.HandleBatch(*batch, h.instance, sim.now)
 		}
 	}
 	p := 0
-	for i, x := range sim.leaderOf {
-		if sim.controllers[x] == at {
-			p = i
+	for partition, leader := range sim.leaderOf {
+		if sim.controllers[leader] == at {
+			p = partition
 		}
 	}
 	for _, id := range sim.machineIDs {
@@ -93,20 +93,20 @@
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// Another process than the one that may have granted answers a round: its
-// refusal proves nothing.
+// Another process than the one that may have accepted answers a batch: its
+// rejection proves nothing.
 func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
 	for _, h := range sim.controllers {
-		r := sim.scheduler.NextBatch(h.name)
-		if r == nil {
+		batch := sim.scheduler.NextBatch(h.name)
+		if batch == nil {
 			continue
 		}
 		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
-		sim.scheduler.HandleBatchResponse(h.name, r, &ans, sim.now)
+		sim.scheduler.HandleBatchResponse(h.name, batch, &ans, sim.now)
 	}
 	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 1)
 	require.NotZero(t, sim.scheduler.teams[red].used.CPU, "it counts against the limit")
@@ -118,17 +118,17 @@
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, func(j *wire.Job) { j.Spread = true })
 	sim.addJob("job-2", 2, func(j *wire.Job) { j.OneZone = true })
-	sim.schedule() // nothing is sent yet: all are only asked for
+	sim.schedule() // nothing is sent yet: all are unanswered
 	zones := map[string]int{}
-	for n, b := range sim.scheduler.teams[red].jobs["job-1"].assignments {
-		require.NotNil(t, b, n)
-		zones[b.zone]++
+	for task, a := range sim.scheduler.teams[red].jobs["job-1"].assignments {
+		require.NotNil(t, a, task)
+		zones[a.zone]++
 	}
 	require.LessOrEqual(t, zones["a"], 2)
 	require.LessOrEqual(t, zones["b"], 2)
 	zones = map[string]int{}
-	for _, b := range sim.scheduler.teams[red].jobs["job-2"].assignments {
-		zones[b.zone]++
+	for _, a := range sim.scheduler.teams[red].jobs["job-2"].assignments {
+		zones[a.zone]++
 	}
 	require.Len(t, zones, 1)
 }
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -12,8 +12,8 @@
 // busyMachines lists the machines that run something.
 func (s *simulation) busyMachines() (out []string) {
 	for _, id := range s.machineIDs {
-		for _, k := range s.workers[id].InOrder() {
-			if k.Phase != wire.TaskExited {
+		for _, task := range s.workers[id].InOrder() {
+			if task.Phase != wire.TaskExited {
 				out = append(out, id)
 				break
 			}
@@ -22,8 +22,9 @@
 	return out
 }
 
-// cancelJob has a job withdrawn and its end written.
+// cancelJob has a job cancelled and its final state written.
 func (s *simulation) cancelJob(id string) {
+	s.t.Helper()
 	s.scheduler.CancelJob(red, id)
 	j := s.scheduler.teams[red].jobs[id]
 	for range 4 {
@@ -32,21 +33,22 @@
 			s.poll(h, false)
 		}
 	}
-	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "the owners have taken it")
+	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "the partition leaders have acknowledged it")
 	s.endJob(id, wire.Cancelled)
 }
 
-// A team is at its limit with a job whose machines hang, hear no answers, or are
-// somebody else's now. The job is withdrawn, and the team's placer changes. What may
+// A team is at its limit with a job whose machines hang, get no answers, or have a new
+// partition leader. The job is cancelled, and the team's leader changes. What may
 // run there still counts against the limit, though its job is known to nobody any more.
 func TestLimitCountsAttemptsOfCancelledJobs(t *testing.T) {
 	for _, x := range []struct {
-		name          string
-		reports, anew bool // the machines' reports arrive, but no answer; their owner has begun anew
+		name       string
+		heartbeats bool // of the machines arrive, but no answers
+		restarted  bool // the process of their partition leader
 	}{
 		{"machines hang", false, false},
-		{"reports arrive, answers don't", true, false},
-		{"and the machines' owner has begun anew", true, true},
+		{"heartbeats arrive, answers don't", true, false},
+		{"and the partition leader has restarted", true, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			sim := newSimulation(t, 6)
@@ -56,7 +58,7 @@
 			require.Equal(t, 6, sim.runningTasks())
 			busy := sim.busyMachines()
 			sim.cancelJob("job-1")
-			if x.anew {
+			if x.restarted {
 				for p, h := range sim.controllers {
 					sim.boot(h)
 					sim.acquirePartition(p, p)
@@ -77,7 +79,7 @@
 					if !hung[id] {
 						sim.heartbeat(id, true)
 						sim.deliverCommands(id, false, true)
-					} else if x.reports {
+					} else if x.heartbeats {
 						sim.heartbeat(id, false)
 					}
 				}
@@ -87,9 +89,9 @@
 					sim.sendBatch(h, true, true)
 				}
 				sim.schedule()
-				sim.checkInvariants("the withdrawn job's machines are out of reach")
+				sim.checkInvariants("the cancelled job's machines are out of reach")
 			}
-			require.Len(t, sim.busyMachines(), len(busy), "nothing of the withdrawn job has been stopped, and nothing fits beside it")
+			require.Len(t, sim.busyMachines(), len(busy), "nothing of the cancelled job has been stopped, and nothing fits beside it")
 			require.Empty(t, sim.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
 			sim.now += 2 * lease
 			sim.runSteps(30)
@@ -98,41 +100,22 @@
 	}
 }
 
-// A job is withdrawn while a start of it is on its way, its image is being fetched, or
-// nothing is known yet of a machine on which a former placer may have put it. Every owner
-// has taken the withdrawal; its end waits until nothing of it can start.
+// A job is cancelled while a start of it is on its way, its image is being fetched, or
+// nothing is known yet of a machine on which a former scheduler may have put it. Every partition leader
+// has acknowledged the cancellation; its final state waits until nothing of it can start.
 func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		until func(sim *simulation, id string) // brings about what may start on a machine
-		free  func(sim *simulation, id string) // and lets it be known
+		name    string
+		prepare func(sim *simulation, machine string) // brings about what may start on a machine
+		resolve func(sim *simulation, machine string) // and lets it be known
 	}{
-		{"a start is on its way", func(sim *simulation, id string) {
-			sim.deliverCommands(id, true, false)
-		}, func(sim *simulation, id string) {
+		{"a start is on its way", delayStart, func(sim *simulation, machine string) {
 			sim.now += 3 * sec
-			sim.workers[id].Orders(sim.lateCommands[0].commands, sim.now)
+			sim.workers[machine].Orders(sim.lateCommands[0].commands, sim.now)
 			sim.runSteps(4)
 		}},
-		{"the image is being fetched", func(sim *simulation, id string) {
-			sim.deliverCommands(id, false, true)
-			for _, k := range sim.workers[id].InOrder() {
-				k.Phase = wire.TaskFetching
-			}
-			sim.heartbeat(id, true)
-		}, func(sim *simulation, id string) { sim.runSteps(4) }},
-		{"a former placer's machine hangs", func(sim *simulation, id string) {
-			sim.deliverCommands(id, false, true)
-			sim.heartbeat(id, true)
-			sim.newScheduler()
-			h := sim.leaderOf[sim.partitionOf(id)]
-			sim.boot(sim.controllers[h])
-			for p, at := range sim.leaderOf {
-				if at == h {
-					sim.acquirePartition(p, at)
-				}
-			}
-		}, func(sim *simulation, id string) { sim.runSteps(8) }},
+		{"the image is being fetched", startFetching, func(sim *simulation, _ string) { sim.runSteps(4) }},
+		{"a former scheduler's machine hangs", failOver, func(sim *simulation, _ string) { sim.runSteps(8) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			sim := newSimulation(t, 2)
@@ -148,33 +131,56 @@
 					at = id
 				}
 			}
-			x.until(sim, at)
+			x.prepare(sim, at)
 			sim.scheduler.CancelJob(red, "job-1")
 			j := sim.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
-				sim.now += 200 * clock.Millisecond
-				for _, h := range sim.controllers {
-					sim.poll(h, false)
-					sim.sendBatch(h, true, true)
-				}
-				for _, id := range sim.machineIDs {
-					if id != at {
-						sim.heartbeat(id, true)
-					}
-				}
+				sim.runWithSilentMachine(at)
 				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "it may start yet")
 			}
 			for _, h := range sim.controllers {
-				require.True(t, j.cancelAcknowledged[h.instance], "its owners know")
+				require.True(t, j.cancelAcknowledged[h.instance], "its partition leaders know")
 			}
-			x.free(sim, at)
+			x.resolve(sim, at)
 			require.True(t, sim.ended["job-1"])
 			require.Zero(t, sim.runningTasks())
 		})
 	}
 }
 
-// A withdrawal counts as taken only by owners that have it.
+func delayStart(sim *simulation, machine string) { sim.deliverCommands(machine, true, false) }
+
+func startFetching(sim *simulation, machine string) {
+	sim.deliverCommands(machine, false, true)
+	for _, task := range sim.workers[machine].InOrder() {
+		task.Phase = wire.TaskFetching
+	}
+	sim.heartbeat(machine, true)
+}
+
+// failOver starts a task, and replaces the scheduler and the process of the machine's partition leader.
+func failOver(sim *simulation, machine string) {
+	sim.deliverCommands(machine, false, true)
+	sim.heartbeat(machine, true)
+	sim.newScheduler()
+	sim.restart(sim.controllers[sim.leaderOf[sim.partitionOf(machine)]])
+}
+
+// runWithSilentMachine lets all go on for a moment but one machine, which sends no heartbeats.
+func (s *simulation) runWithSilentMachine(silent string) {
+	s.now += 200 * clock.Millisecond
+	for _, h := range s.controllers {
+		s.poll(h, false)
+		s.sendBatch(h, true, true)
+	}
+	for _, id := range s.machineIDs {
+		if id != silent {
+			s.heartbeat(id, true)
+		}
+	}
+}
+
+// A cancellation counts as acknowledged only by the partition leaders whose answer has come.
 func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
@@ -185,7 +191,7 @@
 	j := sim.scheduler.teams[red].jobs["job-1"]
 	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
 	sim.sendBatch(sim.controllers[0], true, true)
-	sim.sendBatch(sim.controllers[1], true, false) // taken, but the answer is lost
+	sim.sendBatch(sim.controllers[1], true, false) // acknowledged, but the answer is lost
 	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
 	sim.sendBatch(sim.controllers[1], true, true)
 	require.True(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -19,77 +20,10 @@
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
 		sim := newSimulationWithLimit(t, seed, 4, []float64{0, limitCPU}[seed%2])
-		rng := sim.rng
+		faults := randomFaults{simulation: sim, rng: sim.rng}
 		sim.runSteps(8)
-		jobsMade := 0
 		for step := range 500 {
-			sim.now += clock.Micros(rng.IntN(200)) * clock.Millisecond
-			h := sim.controllers[rng.IntN(2)]
-			id := sim.machineIDs[rng.IntN(len(sim.machineIDs))]
-			switch rng.IntN(18) {
-			case 0, 1:
-				sim.poll(h, rng.IntN(4) == 0)
-			case 2, 3:
-				sim.writeWatermarks(rng.IntN(4) > 0, rng.IntN(4) > 0)
-				sim.scheduler.Schedule(sim.now)
-				for key, m := range sim.watermarks { // the replica tells in the end
-					sim.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
-				}
-			case 4, 5:
-				sim.sendBatch(h, rng.IntN(5) > 0, rng.IntN(4) > 0)
-			case 6, 7:
-				sim.heartbeat(id, rng.IntN(4) > 0)
-			case 8, 9:
-				sim.deliverCommands(id, rng.IntN(3) == 0, rng.IntN(3) > 0)
-			case 10:
-				if len(sim.lateCommands) > 0 {
-					o := sim.lateCommands[rng.IntN(len(sim.lateCommands))]
-					sim.workers[o.machine].Orders(o.commands, sim.now)
-				}
-			case 11:
-				if len(sim.lateBatches) > 0 { // a late round reaches the process it was sent to, if that lives
-					if r := sim.lateBatches[rng.IntN(len(sim.lateBatches))]; r.controller.partitionState == r.sentTo {
-						r.sentTo.HandleBatch(r.batch, r.controller.instance, sim.now)
-					}
-				}
-			case 12:
-				for _, k := range sim.workers[id].InOrder() {
-					if k.Phase != wire.TaskExited && rng.IntN(2) == 0 {
-						k.Phase, k.Cause = wire.TaskExited, []string{wire.CauseDone, wire.CauseDone, wire.CauseError}[rng.IntN(3)]
-					}
-				}
-			case 13:
-				if jobsMade < 6 {
-					jobsMade++
-					sim.addJob(fmt.Sprintf("job-%d", jobsMade), 3+rng.IntN(8), nil)
-				}
-			case 14:
-				switch rng.IntN(12) {
-				case 0: // a controller's owner part crashes and takes its partitions anew
-					sim.restart(h)
-				case 1: // a partition moves
-					sim.acquirePartition(rng.IntN(2), rng.IntN(2))
-				case 2:
-					sim.newScheduler()
-				}
-			case 15:
-				sim.advance()
-			case 16: // a copy of a report comes late, also of an earlier session
-				if len(sim.heartbeatCopies) > 0 {
-					r := sim.heartbeatCopies[rng.IntN(len(sim.heartbeatCopies))]
-					p := sim.partitionOf(r.Machine)
-					sim.controllers[sim.leaderOf[p]].partitionState.HandleHeartbeat(&r, p, sim.now)
-				}
-			case 17:
-				switch rng.IntN(20) {
-				case 0: // all controllers stand still, and go on as though no time had passed
-					sim.now += clock.Micros(3+rng.IntN(40)) * sec
-				case 1:
-					if id := fmt.Sprintf("job-%d", 1+rng.IntN(6)); sim.active[id] != nil {
-						sim.scheduler.CancelJob(red, id)
-					}
-				}
-			}
+			faults.step()
 			sim.checkInvariants(fmt.Sprintf("seed %d step %d", seed, step))
 		}
 		for range 60 {
@@ -99,3 +33,113 @@
 		require.Empty(t, sim.active, "seed %d: some job never ended", seed)
 	}
 }
+
+// randomFaults lets things happen to a simulation at random.
+type randomFaults struct {
+	*simulation
+	rng          *rand.Rand
+	jobsAccepted int
+}
+
+// oneIn reports true once in n times.
+func (f *randomFaults) oneIn(n int) bool { return f.rng.IntN(n) == 0 }
+
+// step lets one thing happen.
+func (f *randomFaults) step() {
+	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
+	h := f.controllers[f.rng.IntN(2)]
+	id := f.machineIDs[f.rng.IntN(len(f.machineIDs))]
+	switch f.rng.IntN(18) {
+	case 0, 1:
+		f.poll(h, f.oneIn(4))
+	case 2, 3:
+		f.scheduleWithLostWrites()
+	case 4, 5:
+		f.sendBatch(h, !f.oneIn(5), !f.oneIn(4))
+	case 6, 7:
+		f.heartbeat(id, !f.oneIn(4))
+	case 8, 9:
+		f.deliverCommands(id, f.oneIn(3), !f.oneIn(3))
+	case 10:
+		f.lateCommandsArrive()
+	case 11:
+		f.lateBatchArrives()
+	case 12:
+		f.someTasksExit(id)
+	case 13:
+		if f.jobsAccepted < 6 {
+			f.jobsAccepted++
+			f.addJob(fmt.Sprintf("job-%d", f.jobsAccepted), 3+f.rng.IntN(8), nil)
+		}
+	case 14:
+		f.leadersChange(h)
+	case 15:
+		f.advance()
+	case 16:
+		f.heartbeatCopyArrives()
+	case 17:
+		f.pauseOrCancel()
+	}
+}
+
+func (f *randomFaults) scheduleWithLostWrites() {
+	f.writeWatermarks(!f.oneIn(4), !f.oneIn(4))
+	f.scheduler.Schedule(f.now)
+	for key, m := range f.watermarks { // the replica shows them in the end
+		f.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
+	}
+}
+
+func (f *randomFaults) lateCommandsArrive() {
+	if len(f.lateCommands) > 0 {
+		late := f.lateCommands[f.rng.IntN(len(f.lateCommands))]
+		f.workers[late.machine].Orders(late.commands, f.now)
+	}
+}
+
+// lateBatchArrives lets a late batch reach the process that it was sent to, if that lives.
+func (f *randomFaults) lateBatchArrives() {
+	if len(f.lateBatches) > 0 {
+		if late := f.lateBatches[f.rng.IntN(len(f.lateBatches))]; late.controller.partitionState == late.sentTo {
+			late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
+		}
+	}
+}
+
+func (f *randomFaults) someTasksExit(id string) {
+	for _, task := range f.workers[id].InOrder() {
+		if task.Phase != wire.TaskExited && f.oneIn(2) {
+			task.Phase, task.Cause = wire.TaskExited, []string{wire.CauseDone, wire.CauseDone, wire.CauseError}[f.rng.IntN(3)]
+		}
+	}
+}
+
+func (f *randomFaults) leadersChange(h *controller) {
+	switch f.rng.IntN(12) {
+	case 0: // a controller's process crashes, and acquires its partitions anew
+		f.restart(h)
+	case 1: // another controller acquires a partition
+		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
+	case 2:
+		f.newScheduler()
+	}
+}
+
+// heartbeatCopyArrives lets a copy of a heartbeat come late, also of an earlier incarnation.
+func (f *randomFaults) heartbeatCopyArrives() {
+	if len(f.heartbeatCopies) > 0 {
+		heartbeat := f.heartbeatCopies[f.rng.IntN(len(f.heartbeatCopies))]
+		f.stateOf(heartbeat.Machine).HandleHeartbeat(&heartbeat, f.partitionOf(heartbeat.Machine), f.now)
+	}
+}
+
+func (f *randomFaults) pauseOrCancel() {
+	switch f.rng.IntN(20) {
+	case 0: // all controllers stand still, and go on as though no time had passed
+		f.now += clock.Micros(3+f.rng.IntN(40)) * sec
+	case 1:
+		if id := fmt.Sprintf("job-%d", 1+f.rng.IntN(6)); f.active[id] != nil {
+			f.scheduler.CancelJob(red, id)
+		}
+	}
+}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A new placer takes over while a machine can't be reached: old jobs wait for
+// A new team leader takes over while a machine can't be reached: old jobs wait for
 // it, new ones start, and the limit counts all that it could hold.
 func TestTakeoverWaitsForUnaccountedMachines(t *testing.T) {
 	sim := newSimulation(t, 4)
@@ -38,25 +38,26 @@
 		}
 		sim.checkInvariants("unaccounted")
 	}
-	n, held := sim.scheduler.sumUnaccountedCapacity(sim.scheduler.teams[red], sim.scheduler.largestMachine)
-	require.Equal(t, 2, n)
-	require.GreaterOrEqual(t, held.CPUs(), 16.0)
+	machines, capacity := sim.scheduler.sumUnaccountedCapacity(sim.scheduler.teams[red], sim.scheduler.largestMachine)
+	require.Equal(t, 2, machines)
+	require.GreaterOrEqual(t, capacity.CPUs(), 16.0)
 	require.Equal(t, 2, sim.runningTasks(), "two machines of 8 CPUs may hold more than the limit of 12 leaves")
 	sim.runSteps(8)
 	require.Equal(t, 4, sim.runningTasks())
 }
 
-// restartWithPartition0Silent has a new placer take over while the first controller
-// begins anew and its machines are silent. All tasks on the others, m-1 and m-3,
-// are done, so that there is room, and a second goes by.
+// restartWithPartition0Silent has a new team leader take over while the first controller
+// restarts and its machines are silent. All tasks on the others, m-1 and m-3,
+// are done, so that there is capacity, and a second goes by.
 func (s *simulation) restartWithPartition0Silent() {
+	s.t.Helper()
 	s.boot(s.controllers[0])
 	s.newScheduler()
 	s.acquirePartition(0, 0)
 	others := []string{"m-1", "m-3"}
 	for _, id := range others {
-		for _, r := range s.workers[id].InOrder() {
-			r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
+		for _, task := range s.workers[id].InOrder() {
+			task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 		}
 	}
 	for range 12 {
@@ -76,21 +77,21 @@
 	}
 }
 
-// A new placer takes over while a machine can't be reached. What was never
-// asked for starts at once; what may have been waits.
+// A new team leader takes over while a machine can't be reached. Tasks that were never
+// assigned start immediately; those that may have been wait.
 func TestTakeoverStartsNeverAssignedTasks(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
-	sim.addJob("job-1", 40, nil) // more than there is room for
+	sim.addJob("job-1", 40, nil) // more than there is capacity for
 	sim.runSteps(4)
 	require.Equal(t, 16, sim.runningTasks())
 	sim.addJob("job-2", 3, nil)
 	sim.restartWithPartition0Silent()
 	started := map[string]int{}
 	for _, id := range []string{"m-1", "m-3"} {
-		for _, r := range sim.workers[id].Tasks {
-			if r.Phase != wire.TaskExited {
-				job, _, _ := wire.SplitTask(r.Task)
+		for _, task := range sim.workers[id].Tasks {
+			if task.Phase != wire.TaskExited {
+				job, _, _ := wire.SplitTask(task.Task)
 				started[job]++
 			}
 		}
@@ -101,8 +102,8 @@
 	require.Greater(t, sim.runningTasks(), 8, "the rest of the first job goes on once the machines are accounted for")
 }
 
-// The release before left no watermarks. What its placer may have asked for waits until
-// all machines are accounted for, and is marked before it is asked for again.
+// The release before left no watermarks. What its scheduler may have assigned waits until
+// all machines are accounted for, and is below a watermark before it is assigned again.
 func TestTakeoverFromEarlierReleaseWaitsForAccounting(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
@@ -119,8 +120,8 @@
 	require.Equal(t, 16, sim.scheduler.watermarkOf(red, sim.active["job-1"]))
 }
 
-// A partition moves; the former owner's last answer comes late and shows a
-// machine that the new owner has never heard of, for it is gone. It does not stay.
+// A partition changes leaders; the former one's last answer comes late and shows a
+// machine that the new one has no record of, for it is gone. It does not stay.
 func TestLatePollOfFormerLeaderRestoresNoMachine(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
@@ -143,7 +144,7 @@
 	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 12)
 }
 
-// Attempt numbers of two placers never meet.
+// Attempt numbers of two leaders of a team are never the same.
 func TestAttemptsAreUniqueAcrossTakeovers(t *testing.T) {
 	sim := newSimulation(t, 2)
 	seen := map[uint64]bool{}
