--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -13,13 +13,14 @@
 
 var testMoves = &Moves{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
 
-// longJob has tasks that save and run for 200 s.
+// longJob has tasks that checkpoint and run for 200 s.
 func longJob(j *wire.Job) {
 	j.CheckpointIntervalS, j.CheckpointDurationS, j.RuntimeEstimateS = 10, 1, 200
 }
 
-// simulationWithNotice is a world whose only task has run for a while on a machine that then gets a notice.
+// simulationWithNotice is a simulation whose only task has run for a while on a machine that then gets an eviction notice.
 func simulationWithNotice(t *testing.T) (sim *simulation, from string) {
+	t.Helper()
 	sim = newSimulationWithLimit(t, 1, 4, limitCPU)
 	sim.moves = testMoves
 	sim.newScheduler()
@@ -31,14 +32,15 @@
 	return sim, from
 }
 
-// sendEvictionNotice has a machine say from now on that it is taken away in a minute.
+// sendEvictionNotice has a machine report from now on that it is taken away in a minute.
 func (s *simulation) sendEvictionNotice(id string) {
 	left := 60.0
 	s.workers[id].NoticeS = &left
 }
 
-// step runs the cluster runUntil a move is at a point, and no further.
+// runUntil runs the cluster until a move is at a point, and no further.
 func (s *simulation) runUntil(what string, reached func() bool) {
+	s.t.Helper()
 	for range 200 {
 		if reached() {
 			return
@@ -66,9 +68,10 @@
 		}
 		s.checkInvariants(what)
 	}
-	require.Fail(s.t, "never came", what)
+	require.Fail(s.t, "never reached", what)
 }
 
+// lastMoveOutcome is the outcome of the last move; empty while it is under way, or where there was none.
 func (s *simulation) lastMoveOutcome() rebalance.Outcome {
 	recent := s.scheduler.moves.planner.Recent(red)
 	if len(recent) == 0 {
@@ -77,9 +80,10 @@
 	return recent[0].Outcome
 }
 
+// movesInFlight is how many moves are under way.
 func (s *simulation) movesInFlight() int { return len(s.scheduler.moves.bySource) }
 
-// A task leaves a machine that is taken away: its room elsewhere is held first.
+// A task leaves a machine that is taken away: a lease elsewhere is held first.
 func TestTaskMovesOffMachineWithEvictionNotice(t *testing.T) {
 	sim, from := simulationWithNotice(t)
 	sim.runSteps(12)
@@ -93,83 +97,79 @@
 	require.EqualValues(t, 2_000_000, sim.scheduler.teams[red].used.CPU, "nothing is left behind")
 }
 
-// Whatever ends at whatever step of a move, the task runs on one machine at a time, and goes on
-// in the end. Each step is the moment just before what it names is known.
-func TestMoveSurvivesFailureAtEachStep(t *testing.T) {
-	steps := map[string]func(sim *simulation) bool{
-		"asked":   func(sim *simulation) bool { return sim.movesInFlight() == 1 },
-		"granted": func(sim *simulation) bool { return sim.movesInFlight() == 1 && !sim.anyMove().destination.unanswered },
-		"source gone": func(sim *simulation) bool {
-			return sim.movesInFlight() == 0 && sim.lastMoveOutcome() == rebalance.Moved
-		},
-	}
-	troubles := map[string]func(sim *simulation, from, to string){
-		"the destination's owner ends": func(sim *simulation, _, to string) {
-			sim.restart(sim.controllers[sim.leaderOf[sim.partitionOf(to)]])
-		},
-		"the source's owner ends": func(sim *simulation, from, _ string) {
-			sim.restart(sim.controllers[sim.leaderOf[sim.partitionOf(from)]])
-		},
-		"both partitions change hands": func(sim *simulation, from, to string) {
-			sim.acquirePartition(sim.partitionOf(from), 1-sim.leaderOf[sim.partitionOf(from)])
-			sim.acquirePartition(sim.partitionOf(to), 1-sim.leaderOf[sim.partitionOf(to)])
-		},
-		"the placer ends": func(sim *simulation, _, _ string) { sim.newScheduler() },
-		"the placer ends, a late round of it arrives": func(sim *simulation, _, to string) {
-			for _, h := range sim.controllers {
-				sim.sendBatch(h, false, false)
-			}
-			sim.newScheduler()
-			sim.runSteps(2)
-			for _, r := range sim.lateBatches {
-				r.sentTo.HandleBatch(r.batch, r.controller.instance, sim.now)
+// moveSteps are the moments in a move just before what they name is known.
+var moveSteps = map[string]func(sim *simulation) bool{
+	"lease requested": func(sim *simulation) bool { return sim.movesInFlight() == 1 },
+	"lease accepted":  func(sim *simulation) bool { return sim.movesInFlight() == 1 && !sim.anyMove().destination.unanswered },
+	stepSourceGone: func(sim *simulation) bool {
+		return sim.movesInFlight() == 0 && sim.lastMoveOutcome() == rebalance.Moved
+	},
+}
+
+// Names that TestMoveSurvivesFailureAtEachStep tells apart.
+const (
+	stepSourceGone   = "source gone"
+	failureTaskDone  = "the task is done"
+	failureCancelled = "the job is cancelled"
+)
+
+// moveFailures are what may happen at a step of a move from a machine to another.
+var moveFailures = map[string]func(sim *simulation, from, to string){
+	"the destination's partition leader restarts": func(sim *simulation, _, to string) { sim.restartLeaderOf(to) },
+	"the source's partition leader restarts":      func(sim *simulation, from, _ string) { sim.restartLeaderOf(from) },
+	"both partitions change leaders": func(sim *simulation, from, to string) {
+		sim.acquirePartition(sim.partitionOf(from), 1-sim.leaderOf[sim.partitionOf(from)])
+		sim.acquirePartition(sim.partitionOf(to), 1-sim.leaderOf[sim.partitionOf(to)])
+	},
+	"the scheduler ends":                             func(sim *simulation, _, _ string) { sim.newScheduler() },
+	"the scheduler ends, a late batch of it arrives": func(sim *simulation, _, _ string) { sim.replaceSchedulerWithLateBatch() },
+	"the source goes on silently beyond its lease": func(sim *simulation, from, _ string) {
+		sim.runStepsWith(60, func(id string) {
+			if id != from {
+				sim.heartbeat(id, true)
 			}
-		},
-		"the source goes on silently beyond its lease": func(sim *simulation, from, _ string) {
-			sim.runStepsWith(60, func(id string) {
-				if id != from {
-					sim.heartbeat(id, true)
-				}
-			})
-		},
-		"the source hears nothing for a while, its reports arrive": func(sim *simulation, from, _ string) {
-			sim.runStepsWith(20, func(id string) { sim.heartbeat(id, id != from) })
-		},
-		"the destination is gone": func(sim *simulation, _, to string) {
-			sim.machineIDs = without(sim.machineIDs, to)
-			sim.now += lease + sec
-			sim.workers[to].Check(sim.now)
-		},
-		"answers to rounds are lost": func(sim *simulation, _, _ string) {
-			for range 8 {
-				for _, h := range sim.controllers {
-					sim.schedule()
-					sim.sendBatch(h, true, false)
-				}
+		})
+	},
+	"the source gets no answers for a while, its heartbeats arrive": func(sim *simulation, from, _ string) {
+		sim.runStepsWith(20, func(id string) { sim.heartbeat(id, id != from) })
+	},
+	"the destination is gone": func(sim *simulation, _, to string) {
+		sim.machineIDs = without(sim.machineIDs, to)
+		sim.now += lease + sec
+		sim.workers[to].Check(sim.now)
+	},
+	"answers to batches are lost": func(sim *simulation, _, _ string) {
+		for range 8 {
+			for _, h := range sim.controllers {
+				sim.schedule()
+				sim.sendBatch(h, true, false)
 			}
-		},
-		"the task is done": func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseDone) },
-		"the task fails":   func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseError) },
-		"the job is withdrawn": func(sim *simulation, _, _ string) {
-			sim.scheduler.CancelJob(red, "job-1")
-		},
-		"the destination gets a notice": func(sim *simulation, _, to string) { sim.sendEvictionNotice(to) },
-	}
-	for step, reached := range steps {
-		for name, trouble := range troubles {
+		}
+	},
+	failureTaskDone:                 func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseDone) },
+	"the task fails":                func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseError) },
+	failureCancelled:                func(sim *simulation, _, _ string) { sim.scheduler.CancelJob(red, "job-1") },
+	"the destination gets a notice": func(sim *simulation, _, to string) { sim.sendEvictionNotice(to) },
+}
+
+// Whatever fails at whatever step of a move, the task runs on one machine at a time, and goes on
+// in the end.
+func TestMoveSurvivesFailureAtEachStep(t *testing.T) {
+	for step, reached := range moveSteps {
+		for name, fail := range moveFailures {
 			t.Run(step+", "+name, func(t *testing.T) {
 				sim, from := simulationWithNotice(t)
 				sim.runUntil(step, func() bool { return reached(sim) })
 				to := sim.scheduler.moves.planner.Recent(red)[0].To
-				trouble(sim, from, to)
+				fail(sim, from, to)
 				sim.runSteps(160)
 				require.Zero(t, sim.movesInFlight(), "no move is left")
 				over := sim.active["job-1"] == nil
-				if name == "the task is done" && step != "source gone" {
+				if name == failureTaskDone && step != stepSourceGone {
 					require.True(t, over)
 				}
-				if name == "the job is withdrawn" {
-					require.True(t, over, "withdrawn in the end")
+				if name == failureCancelled {
+					require.True(t, over, "cancelled in the end")
 					require.Zero(t, sim.runningTasks())
 				}
 				if !over {
@@ -181,12 +181,31 @@
 	}
 }
 
-// runStepsWith runs the cluster for a while, with reports as the caller will have them.
-func (s *simulation) runStepsWith(steps int, report func(id string)) {
+// restartLeaderOf restarts the controller that leads a machine's partition.
+func (s *simulation) restartLeaderOf(machine string) {
+	s.restart(s.controllers[s.leaderOf[s.partitionOf(machine)]])
+}
+
+// replaceSchedulerWithLateBatch replaces the scheduler, and lets the former one's last batches arrive afterwards.
+func (s *simulation) replaceSchedulerWithLateBatch() {
+	s.t.Helper()
+	for _, h := range s.controllers {
+		s.sendBatch(h, false, false)
+	}
+	s.newScheduler()
+	s.runSteps(2)
+	for _, late := range s.lateBatches {
+		late.sentTo.HandleBatch(late.batch, late.controller.instance, s.now)
+	}
+}
+
+// runStepsWith runs the cluster for a while, with heartbeats as the caller sends them.
+func (s *simulation) runStepsWith(steps int, heartbeat func(id string)) {
+	s.t.Helper()
 	for range steps {
 		s.now += 250 * clock.Millisecond
 		for _, id := range s.machineIDs {
-			report(id)
+			heartbeat(id)
 		}
 		s.advance()
 		for _, h := range s.controllers {
@@ -201,6 +220,7 @@
 // anyMove is the only move under way.
 func (s *simulation) anyMove() *move { return s.scheduler.moves.underWay()[0] }
 
+// without returns the names but one.
 func without(names []string, name string) (out []string) {
 	for _, n := range names {
 		if n != name {
@@ -210,7 +230,7 @@
 	return out
 }
 
-// Tasks stay where they are: each reason counts.
+// Tasks stay where they are: each reason is counted.
 func TestTaskIsNotMovedWhenDeclined(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(sim *simulation, from string)
@@ -220,7 +240,7 @@
 			sim.addJob("job-2", 5, longJob)
 			sim.runSteps(8)
 		}, rebalance.TeamAtLimit},
-		"no machine has room": {func(sim *simulation, from string) {
+		"no machine has capacity": {func(sim *simulation, from string) {
 			sim.machineIDs = []string{from}
 			sim.runSteps(60)
 		}, rebalance.NoRoom},
@@ -229,7 +249,7 @@
 			moves.Veto = func(rebalance.Record) bool { return true }
 			sim.scheduler.timing.Moves = &moves
 		}, rebalance.Vetoed},
-		"owners of an earlier version hold no room": {func(sim *simulation, _ string) {
+		"partition leaders of an earlier version hold no leases": {func(sim *simulation, _ string) {
 			sim.leadersWithoutReservations = true
 		}, rebalance.NoRoom},
 	} {
@@ -251,7 +271,7 @@
 	}
 }
 
-// Whatever fails while tasks are moved off machines that get notices and lose them again: no
+// Whatever fails while tasks are moved off machines that get eviction notices and lose them again: no
 // task on two machines, no team over its limit, no move left behind, and every job done.
 func TestMovesKeepInvariantsUnderRandomFaults(t *testing.T) {
 	seeds := uint64(500)
@@ -261,6 +281,7 @@
 	begun, carriedOut := 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
 		sim := newSimulationWithLimit(t, seed, 5, []float64{0, limitCPU}[seed%2])
+		faults := moveFaults{randomFaults: randomFaults{simulation: sim, rng: sim.rng}}
 		sim.moves = testMoves
 		sim.newScheduler()
 		sim.runSteps(8)
@@ -269,46 +290,11 @@
 		}
 		sim.runSteps(140)
 		for step := range 250 {
-			sim.now += clock.Micros(sim.rng.IntN(200)) * clock.Millisecond
-			h, id := sim.controllers[sim.rng.IntN(2)], sim.machineIDs[sim.rng.IntN(len(sim.machineIDs))]
-			switch sim.rng.IntN(12) {
-			case 0, 1:
-				sim.poll(h, sim.rng.IntN(5) == 0)
-			case 2, 3:
-				sim.schedule()
-			case 4, 5:
-				sim.sendBatch(h, sim.rng.IntN(6) > 0, sim.rng.IntN(5) > 0)
-			case 6, 7:
-				sim.heartbeat(id, sim.rng.IntN(5) > 0)
-			case 8:
-				sim.deliverCommands(id, sim.rng.IntN(3) == 0, sim.rng.IntN(3) > 0)
-			case 9:
-				if sim.sendEvictionNotice(id); sim.rng.IntN(3) > 0 {
-					sim.workers[id].NoticeS = nil
-				}
-			case 10:
-				sim.advance()
-				for _, r := range sim.lateBatches { // late ones reach the process they were sent to, if that lives
-					if r.controller.partitionState == r.sentTo && sim.rng.IntN(4) == 0 {
-						r.sentTo.HandleBatch(r.batch, r.controller.instance, sim.now)
-					}
-				}
-			case 11:
-				switch sim.rng.IntN(16) {
-				case 0:
-					sim.restart(h)
-				case 1:
-					sim.acquirePartition(sim.rng.IntN(2), sim.rng.IntN(2))
-				case 2:
-					begun, carriedOut = begun+sim.scheduler.counters.Moves, carriedOut+sim.scheduler.counters.Moved
-					sim.newScheduler()
-				case 3:
-					sim.scheduler.CancelJob(red, "job-3")
-				}
-			}
+			faults.step()
 			sim.checkInvariants(fmt.Sprintf("seed %d step %d", seed, step))
 		}
-		begun, carriedOut = begun+sim.scheduler.counters.Moves, carriedOut+sim.scheduler.counters.Moved
+		faults.countMoves()
+		begun, carriedOut = begun+faults.begun, carriedOut+faults.carriedOut
 		sim.checkMoves()
 		for _, id := range sim.machineIDs {
 			sim.workers[id].NoticeS = nil
@@ -326,9 +312,67 @@
 	t.Logf("%d moves begun, %d carried out", begun, carriedOut)
 }
 
-// checkMoves holds the placer's moves against each other: none ends where it began, and a task that
-// was told to stop stays for the cool-down.
+// moveFaults lets things happen at random to a simulation with moves, and counts the moves.
+type moveFaults struct {
+	randomFaults
+	begun, carriedOut int
+}
+
+// countMoves adds the moves of the present scheduler.
+func (f *moveFaults) countMoves() {
+	f.begun += f.scheduler.counters.Moves
+	f.carriedOut += f.scheduler.counters.Moved
+}
+
+// step lets one thing happen.
+func (f *moveFaults) step() {
+	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
+	h, id := f.controllers[f.rng.IntN(2)], f.machineIDs[f.rng.IntN(len(f.machineIDs))]
+	switch f.rng.IntN(12) {
+	case 0, 1:
+		f.poll(h, f.oneIn(5))
+	case 2, 3:
+		f.schedule()
+	case 4, 5:
+		f.sendBatch(h, !f.oneIn(6), !f.oneIn(5))
+	case 6, 7:
+		f.heartbeat(id, !f.oneIn(5))
+	case 8:
+		f.deliverCommands(id, f.oneIn(3), !f.oneIn(3))
+	case 9:
+		if f.sendEvictionNotice(id); !f.oneIn(3) {
+			f.workers[id].NoticeS = nil
+		}
+	case 10:
+		f.advance()
+		for _, late := range f.lateBatches { // some reach the process they were sent to, if that lives
+			if late.controller.partitionState == late.sentTo && f.oneIn(4) {
+				late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
+			}
+		}
+	case 11:
+		f.leadersChangeOrCancel(h)
+	}
+}
+
+func (f *moveFaults) leadersChangeOrCancel(h *controller) {
+	switch f.rng.IntN(16) {
+	case 0:
+		f.restart(h)
+	case 1:
+		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
+	case 2:
+		f.countMoves()
+		f.newScheduler()
+	case 3:
+		f.scheduler.CancelJob(red, "job-3")
+	}
+}
+
+// checkMoves compares the scheduler's moves with each other: none ends where it began, and a task that
+// was stopped for one stays for the cool-down.
 func (s *simulation) checkMoves() {
+	s.t.Helper()
 	last := map[rebalance.Key]clock.Micros{}
 	for _, r := range s.scheduler.moves.planner.Recent(red) { // the last one first
 		require.NotEqual(s.t, r.From, r.To)
@@ -342,7 +386,7 @@
 	}
 }
 
-// With moves off nothing is moved, and nothing is looked at.
+// With moves off nothing is moved, and nothing is examined.
 func TestTaskIsNotMovedWhenMovesAreOff(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, limitCPU)
 	sim.runSteps(8)
