--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -9,13 +9,14 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// simulationWithCosts is a world of three machines of which m-1 has the image of job-1.
+// simulationWithCosts is a simulation of three machines of which one has the image of job-1.
 func simulationWithCosts(t *testing.T) *simulation {
+	t.Helper()
 	sim := newSimulationWithLimit(t, 1, 3, 0)
 	sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
 	sim.runSteps(8)
-	sim.addJob("job-1", 1, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 })
+	sim.addJob("job-1", 1, withImage)
 	sim.runSteps(4)
 	return sim
 }
@@ -49,8 +50,8 @@
 	require.False(t, sim.workers[home].Running("job-3/0"), "the fetch costs less than the slow machine")
 }
 
-// While the machines with the image are in use, free room elsewhere is left for a moment, and
-// taken then.
+// While the machines with the image are in use, free capacity elsewhere is left for a moment, and
+// used then.
 func TestCostSelectionWaitsForImageForBoundedTime(t *testing.T) {
 	sim := simulationWithCosts(t)
 	home := sim.machineRunning("job-1/0")
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -8,22 +8,22 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// What a round of decisions and a poll cost does not grow with machines that are
-// not touched: neither those with room nor those without.
+// What a cycle of decisions and a poll cost does not grow with machines that are
+// not touched: neither those with capacity nor those without.
 func TestCycleCostDoesNotGrowWithFleet(t *testing.T) {
-	work := func(machines int) (looked, told int) {
+	work := func(machines int) (examined, polled int) {
 		sim := newSimulationWithLimit(t, 9, machines, 0)
 		sim.runSteps(8)
 		sim.addJob("job-1", 6, nil)
 		before := sim.scheduler.counters.Looked
 		sim.schedule()
-		looked = sim.scheduler.counters.Looked - before
+		examined = sim.scheduler.counters.Looked - before
 		require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 6)
 		for _, h := range sim.controllers {
 			sim.sendBatch(h, true, true)
 			in := sim.scheduler.NextPoll(h.name)
 			ans := h.partitionState.HandlePoll(in, h.instance, sim.now)
-			told += len(ans.Machines)
+			polled += len(ans.Machines)
 			sim.scheduler.HandlePollResponse(h.name, in, &ans, sim.now)
 		}
 		// A job for which no machine is large enough searches none of them.
@@ -31,23 +31,23 @@
 		before = sim.scheduler.counters.Looked
 		sim.schedule()
 		require.Equal(t, before, sim.scheduler.counters.Looked)
-		return looked, told
+		return examined, polled
 	}
-	smallLooked, smallTold := work(60)
-	largeLooked, largeTold := work(1800)
-	require.LessOrEqual(t, largeLooked, smallLooked+12, "machines looked at")
-	require.LessOrEqual(t, largeTold, 6, "machines told of")
-	require.LessOrEqual(t, smallTold, 6)
+	smallExamined, smallPolled := work(60)
+	largeExamined, largePolled := work(1800)
+	require.LessOrEqual(t, largeExamined, smallExamined+12, "machines examined")
+	require.LessOrEqual(t, largePolled, 6, "machines in answers")
+	require.LessOrEqual(t, smallPolled, 6)
 }
 
-// The largest machine is looked for once a round, however many machines were not seen yet:
-// on a small share of a core a round took most of a second otherwise, and the next one
+// The largest machine is looked for once a cycle, however many machines were not seen yet:
+// on a small share of a core a cycle took most of a second otherwise, and the next one
 // waited for three times as long.
 func TestCycleAfterRestartExaminesEachMachineFewTimes(t *testing.T) {
-	d := schedulerAfterRestart(smallFleetSize)
-	before := d.counters.Looked
-	d.Schedule(2 * sec)
-	require.Equal(t, smallFleetSize/2, d.teams[red].unaccountedCount)
-	require.Equal(t, d.largestMachine().Times(smallFleetSize/2), d.teams[red].unaccountedCapacity)
-	require.Less(t, d.counters.Looked-before, 4*smallFleetSize)
+	s := schedulerAfterRestart(smallFleetSize)
+	before := s.counters.Looked
+	s.Schedule(2 * sec)
+	require.Equal(t, smallFleetSize/2, s.teams[red].unaccountedCount)
+	require.Equal(t, s.largestMachine().Times(smallFleetSize/2), s.teams[red].unaccountedCapacity)
+	require.Less(t, s.counters.Looked-before, 4*smallFleetSize)
 }
--- a/internal/scheduler/preemption_scenario_test.go
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -12,7 +12,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// High rank takes the least work from lower rank; late work takes nothing.
+// High priority preempts the least work of lower priority; late work preempts nothing.
 func TestPreemptionTakesFromLowerPriorities(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
@@ -29,22 +29,19 @@
 	require.Equal(t, 4, sim.runningTasks())
 }
 
-// Guaranteed work of low rank that is placed bit by bit takes nothing from work
-// of higher rank; only when nothing of it finds room for most of the
+// Guaranteed work of low priority that is placed bit by bit preempts nothing
+// of higher priority; only when nothing of it finds capacity for most of the
 // guarantee's time it does.
 func TestGuaranteedJobPreemptsHigherPriorityOnlyWhenNothingFits(t *testing.T) {
 	for _, trickle := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
 		sim.scheduler.timing.Guarantee = 5 * sec
-		blue := &team{Team: Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)}, term: 1, jobs: map[string]*job{},
-			accounted: map[string]bool{}, unaccounted: map[string]bool{}}
-		j := &job{Job: jobs.New(jobs.Record{Job: wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}}, 1),
-			team: blue, withinGuarantee: true, watermark: 50, acceptedAt: sim.now, assignments: map[int]*assignment{}, tasksByZone: map[string]int{}, done: make([]uint64, 1)}
+		j := guaranteedJob(sim.now)
 		sim.runSteps(8)
 		sim.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
 		sim.runSteps(4)
 		require.Equal(t, 8, sim.runningTasks())
-		taken := false
+		preempted := false
 		for step := range 40 {
 			sim.now += 250 * clock.Millisecond
 			sim.scheduler.exhausted = exhaustedDemand{}
@@ -54,19 +51,40 @@
 				sim.scheduler.reindex(m)
 			}
 			sim.scheduler.scheduleJob(j, 1, sim.now)
-			for _, o := range sim.scheduler.sessions {
-				for _, a := range o.pending.Asks {
-					taken = taken || a.Over
+			for _, session := range sim.scheduler.sessions {
+				for _, a := range session.pending.Asks {
+					preempted = preempted || a.Over
 				}
-				o.pending = peer.Batch{}
+				session.pending = peer.Batch{}
 			}
 		}
-		require.Equal(t, !trickle, taken)
+		require.Equal(t, !trickle, preempted)
 	}
 }
 
-// Room for a large job of high rank comes up bit by bit. It does not wait for
-// that: it takes room from lower rank as soon as it has waited its time.
+// guaranteedJob is a job of 50 tasks within the guarantee of a team of its own.
+func guaranteedJob(acceptedAt clock.Micros) *job {
+	spec := wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}
+	return &job{
+		Job: jobs.New(jobs.Record{Job: spec}, 1),
+		team: &team{
+			Team:        Team{Name: "blue", Guarantee: resources.Capacity(100, 0, 0)},
+			term:        1,
+			jobs:        map[string]*job{},
+			accounted:   map[string]bool{},
+			unaccounted: map[string]bool{},
+		},
+		withinGuarantee: true,
+		watermark:       50,
+		acceptedAt:      acceptedAt,
+		assignments:     map[int]*assignment{},
+		tasksByZone:     map[string]int{},
+		done:            make([]uint64, 1),
+	}
+}
+
+// Capacity for a large job of high priority becomes free bit by bit. It does not wait for
+// that: it preempts lower priority as soon as it has waited its time.
 func TestPreemptionIsNotDelayedByTrickleOfCapacity(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
@@ -75,18 +93,18 @@
 	require.Equal(t, 16, sim.runningTasks())
 	sim.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
 	for step := range 8 {
-		for _, r := range sim.workers[sim.machineIDs[step%4]].InOrder() { // a task ends in every round
-			if r.Phase != wire.TaskExited {
-				r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
+		for _, task := range sim.workers[sim.machineIDs[step%4]].InOrder() { // a task ends in every cycle
+			if task.Phase != wire.TaskExited {
+				task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 				break
 			}
 		}
 		sim.runSteps(1)
 	}
 	high := 0
-	for _, k := range sim.workers {
-		for _, r := range k.Tasks {
-			if job, _, _ := wire.SplitTask(r.Task); job == "job-2" {
+	for _, worker := range sim.workers {
+		for _, task := range worker.Tasks {
+			if job, _, _ := wire.SplitTask(task.Task); job == "job-2" {
 				high++
 			}
 		}
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job that fails everywhere backs off by itself.
+// A job that fails everywhere backs off as a whole.
 func TestFailingJobBacksOff(t *testing.T) {
 	sim := newSimulation(t, 4)
 	sim.runSteps(8)
@@ -25,7 +25,7 @@
 	require.NotZero(t, sim.scheduler.teams[red].jobs["job-1"].backoffUntil)
 }
 
-// Two jobs with an image each come to machines that have neither: each machine
+// Two jobs with an image each are placed on machines that have neither: each machine
 // fetches one image, and the tasks of a job stay together.
 func TestImagesAreFetchedOnSeparateMachines(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
@@ -33,36 +33,38 @@
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
 	sim.scheduler.timing.Waits = map[string]clock.Micros{"rescore": 4 * sec}
 	for i := range 2 {
-		sim.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) { j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2 })
+		sim.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) {
+			j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2
+		})
 	}
-	sim.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // something large is about
+	sim.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // a large task waits, so that those are small
 	sim.schedule()
 	images := map[string]map[string]bool{}
 	for id, m := range sim.scheduler.machines {
-		for _, b := range m.assignments {
+		for _, a := range m.assignments {
 			if images[id] == nil {
 				images[id] = map[string]bool{}
 			}
-			images[id][b.job.Image] = true
+			images[id][a.job.Image] = true
 		}
 	}
 	require.Len(t, images, 2)
-	for _, i := range images {
-		require.Len(t, i, 1)
+	for _, ofMachine := range images {
+		require.Len(t, ofMachine, 1)
 	}
 }
 
-// Where economy is in order, a job leaves the last bit of room that lacks its
-// image to others for as long as a fetch would take; then it takes it.
+// With economy a job leaves the last capacity on machines without its
+// image to others for as long as a fetch would take; then it uses it.
 func TestEconomyWaitsForImage(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 10, 0)
 	sim.scheduler.timing.Economy = true
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
 	sim.runSteps(8)
 	image := func(j *wire.Job) { j.Image, j.ImageGB = "img-1", 2 }
-	sim.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and is full
+	sim.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and no capacity left
 	sim.runSteps(4)
-	sim.addJob("job-2", 35, nil) // the others have room for one task
+	sim.addJob("job-2", 35, nil) // the others have capacity for one task
 	sim.runSteps(4)
 	require.Equal(t, 36, sim.runningTasks())
 	sim.addJob("job-3", 1, image)
@@ -87,37 +89,37 @@
 		sim.addJob("job-2", 4, func(j *wire.Job) { j.Class, j.RuntimeEstimateS, j.CPUs = "refit", 10, 1 })
 		sim.runSteps(4)
 		for _, id := range sim.machineIDs {
-			for _, r := range sim.workers[id].Tasks {
-				job, _, _ := wire.SplitTask(r.Task)
-				require.Equal(t, job == "job-1", sim.workers[id].Spot, "%s on %s", r.Task, id)
+			for _, task := range sim.workers[id].Tasks {
+				job, _, _ := wire.SplitTask(task.Task)
+				require.Equal(t, job == "job-1", sim.workers[id].Spot, "%s on %s", task.Task, id)
 			}
 		}
 		require.Equal(t, 5, sim.runningTasks())
 	}
 }
 
-// Urgent work takes all room there is, for as long as it likes; a large job of
-// low rank begins all the same.
+// Work of high priority takes all capacity there is, for as long as it runs; a large job of
+// low priority starts all the same.
 func TestLowPriorityJobStartsWithinBoundedTime(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 2, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 500, func(j *wire.Job) { j.Priority = "high" })
 	sim.runSteps(4)
 	sim.addJob("job-2", 100, nil)
-	begun := func() bool { return sim.scheduler.teams[red].jobs["job-2"].hasStarted() }
+	started := func() bool { return sim.scheduler.teams[red].jobs["job-2"].hasStarted() }
 	for range 4 * 160 {
-		if begun() {
+		if started() {
 			break
 		}
 		sim.runSteps(1)
 		for _, id := range sim.machineIDs { // a task ends now and then
-			for _, r := range sim.workers[id].InOrder() {
-				if r.Phase != wire.TaskExited && sim.rng.IntN(80) == 0 {
-					r.Phase, r.Cause = wire.TaskExited, wire.CauseDone
+			for _, task := range sim.workers[id].InOrder() {
+				if task.Phase != wire.TaskExited && sim.rng.IntN(80) == 0 {
+					task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
 		}
 	}
-	require.True(t, begun())
+	require.True(t, started())
 	require.Less(t, sim.now-sim.scheduler.teams[red].jobs["job-2"].acceptedAt, 240*sec)
 }
--- a/internal/scheduler/slow_machines_scenario_test.go
+++ b/internal/scheduler/slow_machines_scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Tasks take twice as long on one machine as on others: it is set aside. Where
+// Tasks take twice as long on one machine as on others: it is quarantined. Where
 // run times only vary, none is.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	for _, slow := range []bool{true, false} {
@@ -18,20 +18,20 @@
 		for i := range 6 {
 			sim.addJob(fmt.Sprintf("job-%d", i), 12, nil)
 		}
-		began := map[string]int{}
+		startedIn := map[string]int{} // step, by task
 		for step := range 200 {
 			sim.runSteps(1)
 			for _, id := range sim.machineIDs {
-				for _, k := range sim.workers[id].InOrder() {
-					if _, ok := began[k.Task]; !ok {
-						began[k.Task] = step
+				for _, task := range sim.workers[id].InOrder() {
+					if _, ok := startedIn[task.Task]; !ok {
+						startedIn[task.Task] = step
 					}
-					lasts := 7 + step%4
+					duration := 7 + step%4
 					if slow && id == "m-1" {
-						lasts = 18
+						duration = 18
 					}
-					if k.Phase != wire.TaskExited && step-began[k.Task] >= lasts {
-						k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
+					if task.Phase != wire.TaskExited && step-startedIn[task.Task] >= duration {
+						task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 					}
 				}
 			}
