--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -57,16 +57,16 @@
 }
 
 // SetZoneState applies the state of a zone.
-func (p *Server) SetZoneState(name string, r zone.Record) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.scheduler.SetZoneState(name, r, p.clock.Now())
-	wake(p.wake)
+func (s *Server) SetZoneState(name string, r zone.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.scheduler.SetZoneState(name, r, s.clock.Now())
+	s.scheduleWake.notify()
 }
 
 // ZoneEvidence counts for each zone what is known of its machines.
-func (p *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.scheduler.ZoneEvidence(misdirected)
+func (s *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scheduler.ZoneEvidence(misdirected)
 }
--- /dev/null
+++ b/wire/parse_test.go
@@ -0,0 +1,39 @@
+package wire
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Whatever is sent, a job that is accepted keeps to the protocol's bounds and
+// survives being stored.
+func FuzzParseJob(f *testing.F) {
+	f.Add([]byte(`{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle",` +
+		`"shards":1,"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`))
+	f.Add([]byte(`{"id":"job-1","shards":-1}`))
+	f.Add([]byte(`null`))
+	f.Fuzz(func(t *testing.T, body []byte) {
+		job, err := ParseJob(body)
+		if err != nil {
+			return
+		}
+		require.True(t, ValidJobID(job.ID))
+		require.True(t, job.Tasks >= 1 && job.Tasks <= MaxTasks)
+		require.True(t, job.CPUs >= 0 && job.MemGB >= 0 && job.GPUs >= 0)
+		stored, err := json.Marshal(job)
+		require.NoError(t, err)
+		var again Job
+		require.NoError(t, json.Unmarshal(stored, &again))
+		require.Equal(t, job.ID, again.ID)
+	})
+}
+
+// Of several missing fields the first is named, so that the answer is the same each time.
+func TestSubmissionWithoutSeveralFieldsNamesTheFirst(t *testing.T) {
+	for range 20 {
+		_, err := ParseJob([]byte(`{"id":"job-1","jobclass":"c","rank":"idle"}`))
+		require.EqualError(t, err, "field owner is missing")
+	}
+}
