--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
 // Status answers what a job's user may learn; nothing is known unless the team is led. While the outcome of a final write is
@@ -38,3 +39,10 @@
 	defer s.mu.Unlock()
 	return s.scheduler.TeamStatuses(s.clock.Now())
 }
+
+// ZoneEvidence counts for each zone what is known of its machines.
+func (s *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scheduler.ZoneEvidence(misdirected)
+}
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -11,6 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
+	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -125,6 +126,14 @@
 	s.scheduler.SetPrices(types)
 }
 
+// SetZoneState applies the state of a zone.
+func (s *Server) SetZoneState(name string, r zone.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.scheduler.SetZoneState(name, r, s.clock.Now())
+	s.scheduleWake.notify()
+}
+
 // Reconcile compares the teams that are scheduled with the leaderships of this process: it acquires those that it leads, under
 // a new term also those that it had, and releases the others. Polls fence lower terms of an acquired team at every
 // partition leader (docs/design.md, "Why the rules hold", 7).
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -55,18 +55,3 @@
 	}
 	return out
 }
-
-// SetZoneState applies the state of a zone.
-func (s *Server) SetZoneState(name string, r zone.Record) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.scheduler.SetZoneState(name, r, s.clock.Now())
-	s.scheduleWake.notify()
-}
-
-// ZoneEvidence counts for each zone what is known of its machines.
-func (s *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.scheduler.ZoneEvidence(misdirected)
-}
