--- a/internal/scheduler/constraints.go
+++ b/internal/scheduler/constraints.go
@@ -8,7 +8,7 @@
 
 // mayOffer reports whether a task of a job may be assigned to a machine now, apart from capacity.
 func (s *Scheduler) mayOffer(j *job, m *machineState, now clock.Micros) bool {
-	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && !j.awaitsZoneStage(m, s.zones, now)
+	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && s.zones.admits(m.Zone, j, now)
 }
 
 // fitsConstraints reports whether a machine may take one more task of a job, given where
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -18,30 +18,39 @@
 	spot        bool
 }
 
-// SetPrices sets what machines cost, by the cloud's catalog.
-func (s *Scheduler) SetPrices(types []wire.MachineType) {
-	s.prices = map[priceKey]float64{}
+// cpuPrices are the prices of a CPU, as parts of the highest.
+type cpuPrices map[priceKey]float64
+
+func newCPUPrices(types []wire.MachineType) cpuPrices {
+	out := cpuPrices{}
 	highest := 0.0
 	for _, t := range types {
 		cpus := max(t.CPUs, 1)
-		s.prices[priceKey{t.Name, false}] = t.Price / cpus
-		s.prices[priceKey{t.Name, true}] = t.SpotPrice / cpus
+		out[priceKey{t.Name, false}] = t.Price / cpus
+		out[priceKey{t.Name, true}] = t.SpotPrice / cpus
 		highest = max(highest, t.Price/cpus, t.SpotPrice/cpus)
 	}
-	for key := range s.prices {
+	for key := range out {
 		if highest > 0 {
-			s.prices[key] /= highest
+			out[key] /= highest
 		}
 	}
+	return out
 }
 
+// of returns the price on a machine; 0 where it is not known.
+func (p cpuPrices) of(m *machineState) float64 { return p[priceKey{m.Type, m.Spot}] }
+
+// SetPrices sets what machines cost, by the cloud's catalog.
+func (s *Scheduler) SetPrices(types []wire.MachineType) { s.prices = newCPUPrices(types) }
+
 // costInputs is what is known of a machine for a task of a job.
 func (s *Scheduler) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
 	in := placement.Machine{
 		HasImage:  m.hasImage(j),
 		Fetching:  m.fetchingJobs[j.ID] > 0,
 		Others:    len(m.fetchingJobs),
-		PricePart: s.prices[priceKey{m.Type, m.Spot}],
+		PricePart: s.prices.of(m),
 		Pace:      m.knownPace(),
 	}
 	if in.Fetching {
@@ -63,7 +72,7 @@
 // without costs then. No machine although decided means that the capacity is left to others for a moment: a machine
 // with the image may get some.
 func (s *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
-	fetch, _ := s.slowestFetchTime(j)
+	fetch, _ := s.fetchRates.slowest(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -82,7 +82,7 @@
 		return max(clock.Second, j.deadline()-now-clock.FromSeconds(j.RuntimeEstimateS))
 	}
 	// To be finished within a time is as good as a deadline.
-	if start := s.latestStart(j); start != math.MaxInt64 && now < start {
+	if start := s.timing.latestStart(j); start != math.MaxInt64 && now < start {
 		return start - now
 	}
 	return 0
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -9,20 +9,23 @@
 // SetFetchRates sets how fast machine types fetch images, in GB a second.
 func (s *Scheduler) SetFetchRates(rates map[string]float64) { s.fetchRates = rates }
 
+// fetchRates is how fast machine types fetch images, in GB a second by type. A type without a positive rate is not known.
+type fetchRates map[string]float64
+
 // fetchTime is how long a machine's type takes to fetch a job's image; ok is
 // false while that is not known.
-func (s *Scheduler) fetchTime(j *job, m *machineState) (fetch clock.Micros, ok bool) {
-	rate := s.fetchRates[m.Type]
+func (r fetchRates) fetchTime(j *job, m *machineState) (fetch clock.Micros, ok bool) {
+	rate := r[m.Type]
 	if rate <= 0 {
 		return 0, false
 	}
 	return clock.FromSeconds(j.ImageGB / rate), true
 }
 
-// slowestFetchTime is how long the image of a job is fetched by the slowest machine type
+// slowest is how long the image of a job is fetched by the slowest machine type
 // that it may go to; ok is false while that is not known.
-func (s *Scheduler) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
-	for name, rate := range s.fetchRates {
+func (r fetchRates) slowest(j *job) (fetch clock.Micros, ok bool) {
+	for name, rate := range r {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
 			continue
 		}
@@ -38,7 +41,7 @@
 // and not on one that must fetch it.
 func (s *Scheduler) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
 	within, ok := s.timing.Waits[j.Class]
-	fetch, known := s.fetchTime(j, m)
+	fetch, known := s.fetchRates.fetchTime(j, m)
 	return ok && known && now <= j.acceptedAt+within && now+fetch > j.acceptedAt+within
 }
 
@@ -49,7 +52,7 @@
 // others for a moment: its image is on some machines, and one of them may have capacity
 // sooner than the image is fetched. The time of a fetch is paid for as well.
 func (s *Scheduler) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
-	fetch, ok := s.fetchTime(j, list[0])
+	fetch, ok := s.fetchRates.fetchTime(j, list[0])
 	if !s.timing.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(list)*8 >= s.capacity.machines {
 		return false
 	}
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -197,7 +197,7 @@
 		ViewAge: s.viewAge(m, now),
 	}
 	if !m.hasImage(j) {
-		to.Fetch, _ = s.fetchTime(j, m)
+		to.Fetch, _ = s.fetchRates.fetchTime(j, m)
 	}
 	return to
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,18 +11,13 @@
 // victimCooldown is how long a task that was named as a victim is not named again: its partition leader stops it meanwhile.
 const victimCooldown = 2 * clock.Second
 
-// mayPreempt reports whether a job has waited long enough to take capacity from others.
-func (s *Scheduler) mayPreempt(j *job, now clock.Micros) bool {
-	return j.stalledSince != 0 && now >= j.stalledSince+s.timing.PreemptAfter
-}
-
 // preemptOwn stops tasks of lower priority of the job's own team, where the team's
 // limit leaves no room for it. It is placed once they are gone for certain.
 func (s *Scheduler) preemptOwn(j *job, now clock.Micros) {
 	if j.stalledSince == 0 {
 		j.stalledSince = now
 	}
-	if j.missesDeadline(now) || !s.mayPreempt(j, now) {
+	if j.missesDeadline(now) || !s.timing.mayPreempt(j, now) {
 		return
 	}
 	used := j.team.used.Plus(j.team.unaccountedCapacity)
@@ -60,7 +55,7 @@
 
 // preemptAnywhere looks for victims on all machines, once a job has waited for long enough.
 func (s *Scheduler) preemptAnywhere(j *job, now clock.Micros) selection {
-	if !s.mayPreempt(j, now) {
+	if !s.timing.mayPreempt(j, now) {
 		return selection{}
 	}
 	return s.preempt(j, &s.capacity.all, now)
@@ -75,7 +70,7 @@
 	if in == nil || j.missesDeadline(now) {
 		return selection{}
 	}
-	guaranteeDue := s.guaranteeDue(j, now)
+	guaranteeDue := s.timing.guaranteeDue(j, now)
 	maxPriority := j.maxVictimPriority(guaranteeDue)
 	if !hasTaskUpTo(&s.observedTasks.byPriority, maxPriority) || s.exhausted.hasNoVictims(j, guaranteeDue) {
 		return selection{}
@@ -109,12 +104,6 @@
 	return s.prefers(j, m, other)
 }
 
-// guaranteeDue reports whether nothing at all of a job has found capacity for most of the time within which guaranteed
-// work should start. Work of higher priority goes first, but a guarantee is not put off for long.
-func (s *Scheduler) guaranteeDue(j *job, now clock.Micros) bool {
-	return s.timing.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+s.timing.Guarantee*3/5
-}
-
 // maxVictimPriority is the highest priority of tasks that may be stopped for a job.
 func (j *job) maxVictimPriority(guaranteeDue bool) int {
 	switch {
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -2,22 +2,12 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// lateness is how late a job is.
-type lateness int
-
-const (
-	onTime        lateness = iota
-	pastDeadline           // but not by the longer measure of its class's objective
-	pastObjective          // by that as well: only the end of all work matters
-)
-
 // schedulingOrder is the queue: the jobs that have tasks to place, in order. What can still meet its
 // deadline goes first, by priority, guarantee, deadline and age; then what can still be
 // in time by the longer measure that an objective sets, in the same order; then
@@ -32,7 +22,7 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return s.compareJobs(a, b, now) })
+	slices.SortFunc(out, func(a, b *job) int { return s.timing.compareJobs(a, b, now) })
 	return out
 }
 
@@ -42,8 +32,8 @@
 }
 
 // compareJobs orders two jobs of the queue, see schedulingOrder.
-func (s *Scheduler) compareJobs(a, b *job, now clock.Micros) int {
-	lateA, lateB := s.latenessOf(a, now), s.latenessOf(b, now)
+func (t *Timing) compareJobs(a, b *job, now clock.Micros) int {
+	lateA, lateB := t.latenessOf(a, now), t.latenessOf(b, now)
 	if lateA != lateB {
 		return cmp.Compare(lateA, lateB)
 	}
@@ -67,7 +57,7 @@
 	if a.deadline() != b.deadline() {
 		return cmp.Compare(a.deadline(), b.deadline())
 	}
-	if startA, startB := s.latestStart(a), s.latestStart(b); startA != startB {
+	if startA, startB := t.latestStart(a), t.latestStart(b); startA != startB {
 		return cmp.Compare(startA, startB)
 	}
 	return cmp.Compare(a.ModRevision, b.ModRevision)
@@ -99,46 +89,7 @@
 	}
 }
 
-// latestStart is when a job's tasks should start so that it is finished within its
-// class's time: of jobs without a deadline, those with long tasks can wait least.
-func (s *Scheduler) latestStart(j *job) clock.Micros {
-	within, ok := s.timing.Finishes[j.Class]
-	if !ok {
-		return math.MaxInt64
-	}
-	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
-}
-
 // waitingWork is the work of a job that waits, in CPU seconds.
 func (j *job) waitingWork() float64 {
 	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
-
-// deadline is when a job should be done; the end of time without a deadline.
-func (j *job) deadline() clock.Micros {
-	if j.DeadlineS == nil {
-		return math.MaxInt64
-	}
-	return j.acceptedAt + clock.FromSeconds(*j.DeadlineS)
-}
-
-// missesDeadline reports whether a job can't meet its deadline any more.
-func (j *job) missesDeadline(now clock.Micros) bool {
-	return j.DeadlineS != nil && j.earliestFinish(now) > j.deadline()
-}
-
-// earliestFinish is when a job's last task may be over at best: tasks often end before their estimate.
-func (j *job) earliestFinish(now clock.Micros) clock.Micros {
-	return now + clock.FromSeconds(j.RuntimeEstimateS*0.7)
-}
-
-// latenessOf returns how late a job is.
-func (s *Scheduler) latenessOf(j *job, now clock.Micros) lateness {
-	if !j.missesDeadline(now) {
-		return onTime
-	}
-	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*s.timing.Times[j.Class]) {
-		return pastDeadline
-	}
-	return pastObjective
-}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -112,7 +112,7 @@
 func (s *Scheduler) updatePhase(a *assignment, view *peer.TaskView, now clock.Micros) {
 	if view.Phase == wire.TaskRunning && a.phase != wire.TaskRunning {
 		if a.runningSince == 0 {
-			s.recordWait(a.job, now)
+			s.distributions.recordWait(a.job, now)
 		}
 		a.job.lastStartAt, a.runningSince = now, now
 		// Its job may be over already: cancelled while the start was on its way.
@@ -144,7 +144,7 @@
 		}
 	}
 	if j.markDone(id.N); j.doneCount == j.Tasks && a != nil {
-		s.recordLateness(j, now)
+		s.distributions.recordLateness(j, now)
 	}
 	j.consecutiveErrors = 0
 	if j.acknowledgedTerms[id] != m.Term {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -133,7 +133,7 @@
 	a := newAssignment(j, task, m, now)
 	m.addAssignment(a)
 	m.available = m.available.Minus(j.Need)
-	if fetch, ok := s.fetchTime(j, m); ok && !m.hasImage(j) {
+	if fetch, ok := s.fetchRates.fetchTime(j, m); ok && !m.hasImage(j) {
 		m.imageFetchUntil, m.imageFetched = now+fetch, j.Image
 	}
 	for _, id := range choice.victims {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -56,20 +56,20 @@
 	legacyRecords bool // an earlier release has recorded machines: it left no watermarks
 	watermarks    map[string]watermarks
 
-	fetchRates     map[string]float64   // GB a second by machine type
-	prices         map[priceKey]float64 // of a CPU, as a part of the highest
-	capacity       capacityIndex        // machines that may get tasks
+	fetchRates     fetchRates
+	prices         cpuPrices
+	capacity       capacityIndex // machines that may get tasks
 	observedTasks  observedTaskCounts
 	largestTaskCPU int64           // micro-CPUs, as of this cycle
 	exhausted      exhaustedDemand // what found no capacity in this cycle
 
 	published      demandPublication
-	zones          map[string]*recovery.Gate // of zones to which work returns, by the clock here
+	zones          zoneGates
 	moves          moves
 	movesCheckedAt clock.Micros
 
 	counters      Counters
-	distributions map[string]distributions // by team
+	distributions teamDistributions
 }
 
 // Config of a scheduler.
@@ -99,9 +99,9 @@
 		watermarks:       map[string]watermarks{},
 		capacity:         capacityIndex{byImage: map[string]*machinesByLevel{}},
 		observedTasks:    observedTaskCounts{byCPU: map[int64]int{}},
-		zones:            map[string]*recovery.Gate{},
+		zones:            zoneGates{},
 		moves:            newMoves(c.Timing.Moves),
-		distributions:    map[string]distributions{},
+		distributions:    teamDistributions{},
 	}
 	for _, tm := range c.Teams {
 		s.teamConfigs[tm.Name] = tm
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -2,8 +2,6 @@
 
 import (
 	"hash/fnv"
-
-	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
 // prefers reports whether a machine is better than another for a task. Small tasks gather on the same
@@ -16,7 +14,7 @@
 		// Economy empties the expensive machines. But a job that would be late if a
 		// machine were taken from it keeps to those that are not taken, and
 		// the others leave them to such jobs.
-		return a.Spot != s.cannotAffordRetry(j)
+		return a.Spot != s.timing.cannotAffordRetry(j)
 	}
 	if j.Need.CPU*2 >= a.Cap.CPU || j.Need.CPU*2 >= b.Cap.CPU {
 		if leftA, leftB := a.available.Minus(j.Need).CPU, b.available.Minus(j.Need).CPU; leftA != leftB {
@@ -41,14 +39,6 @@
 	return h.Sum64()
 }
 
-// cannotAffordRetry reports whether the time for a job is too short to notice that a machine
-// was taken and run its tasks once more.
-func (s *Scheduler) cannotAffordRetry(j *job) bool {
-	twice := clock.FromSeconds(2*j.RuntimeEstimateS) + s.timing.Lease
-	within, ok := s.timing.Finishes[j.Class]
-	return ok && within < twice || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < twice
-}
-
 // onDemandMachines filters the machines that the cloud does not take back.
 func onDemandMachines(list []*machineState) (out []*machineState) {
 	for _, m := range list {
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -76,7 +76,7 @@
 // onDemandIfUrgent prefers machines that the cloud does not take back, for a job that could not afford a retry. With
 // economy prefers decides on that; without it the rented machines are its own, also in pieces.
 func (s *Scheduler) onDemandIfUrgent(j *job, list []*machineState) []*machineState {
-	if s.timing.Economy || !s.cannotAffordRetry(j) {
+	if s.timing.Economy || !s.timing.cannotAffordRetry(j) {
 		return list
 	}
 	return preferred(list, onDemandMachines(list))
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -16,27 +16,30 @@
 	lateness *telemetry.Distribution // by how much jobs with a deadline ended after it; 0 for those in time
 }
 
-func (s *Scheduler) distributionsOf(team string) distributions {
-	out, ok := s.distributions[team]
+// teamDistributions are distributions by team.
+type teamDistributions map[string]distributions
+
+func (d teamDistributions) of(team string) distributions {
+	out, ok := d[team]
 	if !ok {
 		out = distributions{telemetry.NewDistribution(), telemetry.NewDistribution()}
-		s.distributions[team] = out
+		d[team] = out
 	}
 	return out
 }
 
 // recordWait records how long a task waited that is seen running. Tasks of a job that had
 // to place some once more are left out: their waits began later than the job's.
-func (s *Scheduler) recordWait(j *job, now clock.Micros) {
+func (d teamDistributions) recordWait(j *job, now clock.Micros) {
 	if j.retries == 0 {
-		s.distributionsOf(j.team.Name).waits.Record(now - j.acceptedAt)
+		d.of(j.team.Name).waits.Record(now - j.acceptedAt)
 	}
 }
 
 // recordLateness records how late a job's last task was done.
-func (s *Scheduler) recordLateness(j *job, now clock.Micros) {
+func (d teamDistributions) recordLateness(j *job, now clock.Micros) {
 	if j.DeadlineS != nil {
-		s.distributionsOf(j.team.Name).lateness.Record(now - j.deadline())
+		d.of(j.team.Name).lateness.Record(now - j.deadline())
 	}
 }
 
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -7,18 +7,32 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// SetZoneState applies the state of a zone. What its partition leaders would not admit is not assigned; they
-// decide, whatever a scheduler assumes.
-func (s *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
+// zoneGates are the gates of the zones to which work returns, by the clock here. What a zone's partition leaders would not
+// admit is not assigned; they decide, whatever a scheduler assumes.
+type zoneGates map[string]*recovery.Gate
+
+// update applies the state of a zone.
+func (g zoneGates) update(name string, r zone.Record, now clock.Micros) {
 	if r.State != zone.Returning {
-		delete(s.zones, name)
+		delete(g, name)
 		return
 	}
-	if gate := s.zones[name]; gate != nil {
+	if gate := g[name]; gate != nil {
 		gate.SetStage(r.Stage, r.Held, now)
 		return
 	}
-	s.zones[name] = recovery.NewGate(r.Stage, r.Held, now)
+	g[name] = recovery.NewGate(r.Stage, r.Held, now)
+}
+
+// admits reports whether a zone admits a job: work does not return to it, or has come to the job's stage.
+func (g zoneGates) admits(zone string, j *job, now clock.Micros) bool {
+	gate := g[zone]
+	return gate == nil || j.stage <= gate.Stage(now)
+}
+
+// SetZoneState applies the state of a zone.
+func (s *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
+	s.zones.update(name, r, now)
 }
 
 // stageOf is the stage of a return that admits a job.
@@ -29,12 +43,6 @@
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
-// awaitsZoneStage reports whether work returns to a machine's zone, at a stage that does not admit a job yet.
-func (j *job) awaitsZoneStage(m *machineState, zones map[string]*recovery.Gate, now clock.Micros) bool {
-	gate := zones[m.Zone]
-	return gate != nil && j.stage > gate.Stage(now)
-}
-
 // ZoneEvidence counts for each zone how many of its machines are known, are not heard from, and are heard from but
 // not accounted for. Misdirected machines belong to other controllers and send their heartbeats to this one: it is
 // their controller that is unreachable, and not they.
