--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -16,13 +16,13 @@
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
-	h := sim.controllers[0]
-	batch := sim.scheduler.NextBatch(h.name)
-	ans := h.partitionState.HandleBatch(*batch, h.instance, sim.now)
+	c := sim.controllers[0]
+	batch := sim.scheduler.NextBatch(c.name)
+	ans := c.partitionState.HandleBatch(*batch, c.instance, sim.now)
 	sim.now += 5 * sec
-	h.partitionState.Tick(sim.now) // the resource lease expires unused
-	sim.poll(h, false)
-	sim.scheduler.HandleBatchResponse(h.name, batch, &ans, sim.now)
+	c.partitionState.Tick(sim.now) // the resource lease expires unused
+	sim.poll(c, false)
+	sim.scheduler.HandleBatchResponse(c.name, batch, &ans, sim.now)
 	require.Empty(t, sim.scheduler.teams[red].jobs["job-1"].assignments)
 	sim.runSteps(8)
 	require.Equal(t, 1, sim.runningTasks())
@@ -53,10 +53,10 @@
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
 	var at *controller
-	for _, h := range sim.controllers {
-		if batch := sim.scheduler.NextBatch(h.name); batch != nil {
-			at = h
-			h.partitionState.HandleBatch(*batch, h.instance, sim.now)
+	for _, c := range sim.controllers {
+		if batch := sim.scheduler.NextBatch(c.name); batch != nil {
+			at = c
+			c.partitionState.HandleBatch(*batch, c.instance, sim.now)
 		}
 	}
 	p := 0
@@ -73,12 +73,12 @@
 	sim.boot(at) // the answer is lost, the process too
 	sim.acquirePartition(p, sim.leaderOf[p])
 	for range 4 {
-		for _, h := range sim.controllers {
-			sim.poll(h, false)
+		for _, c := range sim.controllers {
+			sim.poll(c, false)
 		}
 		sim.schedule()
-		for _, h := range sim.controllers {
-			sim.sendBatch(h, true, true)
+		for _, c := range sim.controllers {
+			sim.sendBatch(c, true, true)
 		}
 		for _, id := range sim.machineIDs {
 			if sim.partitionOf(id) != p {
@@ -100,13 +100,13 @@
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
-	for _, h := range sim.controllers {
-		batch := sim.scheduler.NextBatch(h.name)
+	for _, c := range sim.controllers {
+		batch := sim.scheduler.NextBatch(c.name)
 		if batch == nil {
 			continue
 		}
 		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
-		sim.scheduler.HandleBatchResponse(h.name, batch, &ans, sim.now)
+		sim.scheduler.HandleBatchResponse(c.name, batch, &ans, sim.now)
 	}
 	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 1)
 	require.NotZero(t, sim.scheduler.teams[red].used.CPU, "it counts against the limit")
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -28,9 +28,9 @@
 	s.scheduler.CancelJob(red, id)
 	j := s.scheduler.teams[red].jobs[id]
 	for range 4 {
-		for _, h := range s.controllers {
-			s.sendBatch(h, true, true)
-			s.poll(h, false)
+		for _, c := range s.controllers {
+			s.sendBatch(c, true, true)
+			s.poll(c, false)
 		}
 	}
 	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "the partition leaders have acknowledged it")
@@ -59,8 +59,8 @@
 			busy := sim.busyMachines()
 			sim.cancelJob("job-1")
 			if x.restarted {
-				for p, h := range sim.controllers {
-					sim.boot(h)
+				for p, c := range sim.controllers {
+					sim.boot(c)
 					sim.acquirePartition(p, p)
 				}
 				for _, id := range sim.machineIDs {
@@ -84,9 +84,9 @@
 					}
 				}
 				sim.advance()
-				for _, h := range sim.controllers {
-					sim.poll(h, false)
-					sim.sendBatch(h, true, true)
+				for _, c := range sim.controllers {
+					sim.poll(c, false)
+					sim.sendBatch(c, true, true)
 				}
 				sim.schedule()
 				sim.checkInvariants("the cancelled job's machines are out of reach")
@@ -122,8 +122,8 @@
 			sim.runSteps(8)
 			sim.addJob("job-1", 1, nil)
 			sim.schedule()
-			for _, h := range sim.controllers {
-				sim.sendBatch(h, true, true)
+			for _, c := range sim.controllers {
+				sim.sendBatch(c, true, true)
 			}
 			at := ""
 			for id, m := range sim.scheduler.machines {
@@ -138,8 +138,8 @@
 				sim.runWithSilentMachine(at)
 				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "it may start yet")
 			}
-			for _, h := range sim.controllers {
-				require.True(t, j.cancelAcknowledged[h.instance], "its partition leaders know")
+			for _, c := range sim.controllers {
+				require.True(t, j.cancelAcknowledged[c.instance], "its partition leaders know")
 			}
 			x.resolve(sim, at)
 			require.True(t, sim.ended["job-1"])
@@ -169,9 +169,9 @@
 // runWithSilentMachine lets all go on for a moment but one machine, which sends no heartbeats.
 func (s *simulation) runWithSilentMachine(silent string) {
 	s.now += 200 * clock.Millisecond
-	for _, h := range s.controllers {
-		s.poll(h, false)
-		s.sendBatch(h, true, true)
+	for _, c := range s.controllers {
+		s.poll(c, false)
+		s.sendBatch(c, true, true)
 	}
 	for _, id := range s.machineIDs {
 		if id != silent {
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -19,12 +19,12 @@
 		sim.schedule()
 		examined = sim.scheduler.counters.Looked - before
 		require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 6)
-		for _, h := range sim.controllers {
-			sim.sendBatch(h, true, true)
-			in := sim.scheduler.NextPoll(h.name)
-			ans := h.partitionState.HandlePoll(in, h.instance, sim.now)
+		for _, c := range sim.controllers {
+			sim.sendBatch(c, true, true)
+			in := sim.scheduler.NextPoll(c.name)
+			ans := c.partitionState.HandlePoll(in, c.instance, sim.now)
 			polled += len(ans.Machines)
-			sim.scheduler.HandlePollResponse(h.name, in, &ans, sim.now)
+			sim.scheduler.HandlePollResponse(c.name, in, &ans, sim.now)
 		}
 		// A job for which no machine is large enough searches none of them.
 		sim.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -52,8 +52,8 @@
 				return
 			}
 		}
-		for _, h := range s.controllers {
-			s.poll(h, false)
+		for _, c := range s.controllers {
+			s.poll(c, false)
 			if reached() {
 				return
 			}
@@ -61,7 +61,7 @@
 			if reached() {
 				return
 			}
-			s.sendBatch(h, true, true)
+			s.sendBatch(c, true, true)
 			if reached() {
 				return
 			}
@@ -140,9 +140,9 @@
 	},
 	"answers to batches are lost": func(sim *simulation, _, _ string) {
 		for range 8 {
-			for _, h := range sim.controllers {
+			for _, c := range sim.controllers {
 				sim.schedule()
-				sim.sendBatch(h, true, false)
+				sim.sendBatch(c, true, false)
 			}
 		}
 	},
@@ -189,8 +189,8 @@
 // replaceSchedulerWithLateBatch replaces the scheduler, and lets the former one's last batches arrive afterwards.
 func (s *simulation) replaceSchedulerWithLateBatch() {
 	s.t.Helper()
-	for _, h := range s.controllers {
-		s.sendBatch(h, false, false)
+	for _, c := range s.controllers {
+		s.sendBatch(c, false, false)
 	}
 	s.newScheduler()
 	s.runSteps(2)
@@ -208,10 +208,10 @@
 			heartbeat(id)
 		}
 		s.advance()
-		for _, h := range s.controllers {
-			s.poll(h, false)
+		for _, c := range s.controllers {
+			s.poll(c, false)
 			s.schedule()
-			s.sendBatch(h, true, true)
+			s.sendBatch(c, true, true)
 		}
 		s.checkInvariants("going on")
 	}
@@ -327,14 +327,14 @@
 // step lets one thing happen.
 func (f *moveFaults) step() {
 	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
-	h, id := f.controllers[f.rng.IntN(2)], f.machineIDs[f.rng.IntN(len(f.machineIDs))]
+	c, id := f.controllers[f.rng.IntN(2)], f.machineIDs[f.rng.IntN(len(f.machineIDs))]
 	switch f.rng.IntN(12) {
 	case 0, 1:
-		f.poll(h, f.oneIn(5))
+		f.poll(c, f.oneIn(5))
 	case 2, 3:
 		f.schedule()
 	case 4, 5:
-		f.sendBatch(h, !f.oneIn(6), !f.oneIn(5))
+		f.sendBatch(c, !f.oneIn(6), !f.oneIn(5))
 	case 6, 7:
 		f.heartbeat(id, !f.oneIn(5))
 	case 8:
@@ -351,14 +351,14 @@
 			}
 		}
 	case 11:
-		f.leadersChangeOrCancel(h)
+		f.leadersChangeOrCancel(c)
 	}
 }
 
-func (f *moveFaults) leadersChangeOrCancel(h *controller) {
+func (f *moveFaults) leadersChangeOrCancel(c *controller) {
 	switch f.rng.IntN(16) {
 	case 0:
-		f.restart(h)
+		f.restart(c)
 	case 1:
 		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
 	case 2:
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -47,15 +47,15 @@
 // step lets one thing happen.
 func (f *randomFaults) step() {
 	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
-	h := f.controllers[f.rng.IntN(2)]
+	c := f.controllers[f.rng.IntN(2)]
 	id := f.machineIDs[f.rng.IntN(len(f.machineIDs))]
 	switch f.rng.IntN(18) {
 	case 0, 1:
-		f.poll(h, f.oneIn(4))
+		f.poll(c, f.oneIn(4))
 	case 2, 3:
 		f.scheduleWithLostWrites()
 	case 4, 5:
-		f.sendBatch(h, !f.oneIn(5), !f.oneIn(4))
+		f.sendBatch(c, !f.oneIn(5), !f.oneIn(4))
 	case 6, 7:
 		f.heartbeat(id, !f.oneIn(4))
 	case 8, 9:
@@ -72,7 +72,7 @@
 			f.addJob(fmt.Sprintf("job-%d", f.jobsAccepted), 3+f.rng.IntN(8), nil)
 		}
 	case 14:
-		f.leadersChange(h)
+		f.leadersChange(c)
 	case 15:
 		f.advance()
 	case 16:
@@ -114,10 +114,10 @@
 	}
 }
 
-func (f *randomFaults) leadersChange(h *controller) {
+func (f *randomFaults) leadersChange(c *controller) {
 	switch f.rng.IntN(12) {
 	case 0: // a controller's process crashes, and acquires its partitions anew
-		f.restart(h)
+		f.restart(c)
 	case 1: // another controller acquires a partition
 		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
 	case 2:
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -123,11 +123,11 @@
 }
 
 // boot starts a new process of a controller, which leads nothing yet.
-func (s *simulation) boot(h *controller) {
+func (s *simulation) boot(c *controller) {
 	s.restarts++
-	h.instance = fmt.Sprintf("%s-%d", h.name, s.restarts)
-	h.partitionState = partition.NewState(partition.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, s)
-	h.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
+	c.instance = fmt.Sprintf("%s-%d", c.name, s.restarts)
+	c.partitionState = partition.NewState(partition.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, s)
+	c.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
 // partitionOf is the partition of a machine.
@@ -149,10 +149,10 @@
 }
 
 // restart ends a controller's process. The next one acquires its partitions anew.
-func (s *simulation) restart(h *controller) {
-	s.boot(h)
+func (s *simulation) restart(c *controller) {
+	s.boot(c)
 	for p, at := range s.leaderOf {
-		if s.controllers[at] == h {
+		if s.controllers[at] == c {
 			s.acquirePartition(p, at)
 		}
 	}
@@ -201,8 +201,8 @@
 
 // partitionLeaderships are the leaderships of the partitions, as the scheduler's replica shows them.
 func (s *simulation) partitionLeaderships() (out []PartitionLeadership) {
-	for p, h := range s.leaderOf {
-		out = append(out, PartitionLeadership{Partition: p, Term: s.termOf[p], Host: s.controllers[h].name})
+	for p, c := range s.leaderOf {
+		out = append(out, PartitionLeadership{Partition: p, Term: s.termOf[p], Host: s.controllers[c].name})
 	}
 	return out
 }
@@ -225,30 +225,30 @@
 }
 
 // poll has the scheduler poll a partition leader; the answer may be lost.
-func (s *simulation) poll(h *controller, lost bool) {
-	in := s.scheduler.NextPoll(h.name)
-	ans := h.partitionState.HandlePoll(in, h.instance, s.now)
+func (s *simulation) poll(c *controller, lost bool) {
+	in := s.scheduler.NextPoll(c.name)
+	ans := c.partitionState.HandlePoll(in, c.instance, s.now)
 	ans.Holds = ans.Holds && !s.leadersWithoutReservations
 	if lost {
-		s.scheduler.MarkUnreachable(h.name)
+		s.scheduler.MarkUnreachable(c.name)
 		return
 	}
-	s.scheduler.HandlePollResponse(h.name, in, &ans, s.now)
+	s.scheduler.HandlePollResponse(c.name, in, &ans, s.now)
 }
 
 // sendBatch sends the scheduler's next batch to a partition leader; it may be delayed, or its answer lost.
-func (s *simulation) sendBatch(h *controller, reached, answered bool) {
-	batch := s.scheduler.NextBatch(h.name)
+func (s *simulation) sendBatch(c *controller, reached, answered bool) {
+	batch := s.scheduler.NextBatch(c.name)
 	if batch == nil {
 		return
 	}
 	if !reached {
-		s.lateBatches = append(s.lateBatches, lateBatch{h, h.partitionState, *batch})
+		s.lateBatches = append(s.lateBatches, lateBatch{c, c.partitionState, *batch})
 		return
 	}
-	ans := h.partitionState.HandleBatch(*batch, h.instance, s.now)
+	ans := c.partitionState.HandleBatch(*batch, c.instance, s.now)
 	if answered {
-		s.scheduler.HandleBatchResponse(h.name, batch, &ans, s.now)
+		s.scheduler.HandleBatchResponse(c.name, batch, &ans, s.now)
 	}
 }
 
@@ -292,12 +292,12 @@
 
 // advance does what is due: expired leases, records of machines, final states of jobs.
 func (s *simulation) advance() {
-	for _, h := range s.controllers {
-		for _, id := range h.partitionState.Tick(s.now) {
+	for _, c := range s.controllers {
+		for _, id := range c.partitionState.Tick(s.now) {
 			delete(s.machineRecords, id)
 			s.handleMachineRecord(id, false)
 		}
-		for id, r := range h.partitionState.UnrecordedMachines() {
+		for id, r := range c.partitionState.UnrecordedMachines() {
 			s.machineRecords[id] = r
 			s.handleMachineRecord(id, true)
 		}
@@ -324,8 +324,8 @@
 // handleMachineRecord shows a change of a machine's record to all.
 func (s *simulation) handleMachineRecord(id string, exists bool) {
 	s.scheduler.HandleMachineRecord(id, exists)
-	for _, h := range s.controllers {
-		h.partitionState.HandleMachineRecord(id, s.partitionOf(id), s.machineRecords[id], exists, s.now)
+	for _, c := range s.controllers {
+		c.partitionState.HandleMachineRecord(id, s.partitionOf(id), s.machineRecords[id], exists, s.now)
 	}
 }
 
@@ -339,13 +339,13 @@
 			s.deliverCommands(id, false, true)
 		}
 		s.advance()
-		for _, h := range s.controllers {
-			s.poll(h, false)
-			s.sendBatch(h, true, true)
+		for _, c := range s.controllers {
+			s.poll(c, false)
+			s.sendBatch(c, true, true)
 		}
 		s.schedule()
-		for _, h := range s.controllers {
-			s.sendBatch(h, true, true)
+		for _, c := range s.controllers {
+			s.sendBatch(c, true, true)
 		}
 		s.checkInvariants("without losses")
 	}
@@ -354,8 +354,8 @@
 // checkInvariants compares the rules with what the workers really run: no task on two machines, no team over its limit.
 func (s *simulation) checkInvariants(when string) {
 	s.t.Helper()
-	for _, h := range s.controllers {
-		require.False(s.t, s.scheduler.sessions[h.name].resync, "%s: a view did not fit the cached state", when)
+	for _, c := range s.controllers {
+		require.False(s.t, s.scheduler.sessions[c.name].resync, "%s: a view did not fit the cached state", when)
 	}
 	on := map[string]string{}
 	cpus := 0.0
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -25,12 +25,12 @@
 	sim.addJob("job-2", 2, nil)
 	for range 5 {
 		sim.now += 100 * clock.Millisecond
-		for _, h := range sim.controllers {
-			sim.poll(h, false)
+		for _, c := range sim.controllers {
+			sim.poll(c, false)
 		}
 		sim.schedule()
-		for _, h := range sim.controllers {
-			sim.sendBatch(h, true, true)
+		for _, c := range sim.controllers {
+			sim.sendBatch(c, true, true)
 		}
 		for _, id := range []string{"m-1", "m-3"} {
 			sim.heartbeat(id, true)
@@ -66,12 +66,12 @@
 			s.heartbeat(id, true)
 			s.deliverCommands(id, false, true)
 		}
-		for _, h := range s.controllers {
-			s.poll(h, false)
+		for _, c := range s.controllers {
+			s.poll(c, false)
 		}
 		s.schedule()
-		for _, h := range s.controllers {
-			s.sendBatch(h, true, true)
+		for _, c := range s.controllers {
+			s.sendBatch(c, true, true)
 		}
 		s.checkInvariants("unaccounted")
 	}
@@ -152,8 +152,8 @@
 		sim.runSteps(8)
 		sim.addJob(fmt.Sprintf("job-%d", sim.term), 2, nil)
 		sim.schedule()
-		for _, h := range sim.controllers {
-			for _, a := range sim.scheduler.sessions[h.name].pending.Asks {
+		for _, c := range sim.controllers {
+			for _, a := range sim.scheduler.sessions[c.name].pending.Asks {
 				require.False(t, seen[a.ID.Attempt])
 				seen[a.ID.Attempt] = true
 			}
