--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -3,8 +3,6 @@
 import (
 	"math/bits"
 	"slices"
-
-	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
 // machineSet is a set of machines. Its order depends only on what was added and removed.
@@ -118,67 +116,3 @@
 	x.usableCPU -= m.indexedCPU
 	x.machines--
 }
-
-// reindex updates a machine in the capacity index. It is called after every change of what its place depends on.
-func (s *Scheduler) reindex(m *machineState) { s.capacity.update(m, s.isSchedulable(m)) }
-
-// reindexLeader updates all machines of a partition leader in the capacity index.
-func (s *Scheduler) reindexLeader(host string) {
-	for _, m := range s.machines {
-		if m.leader == host {
-			s.reindex(m)
-		}
-	}
-}
-
-// setReachable records whether a partition leader is reachable.
-func (s *Scheduler) setReachable(host string, reachable bool) {
-	if session := s.sessions[host]; session.reachable != reachable {
-		session.reachable = reachable
-		s.reindexLeader(host)
-	}
-}
-
-// rejectionBackoff is how long no task is assigned to a machine after a rejection, unless a newer view comes before.
-const rejectionBackoff = 200 * clock.Millisecond
-
-// findCapacity filters machines that have capacity for a task of a job, a few times as many
-// as are sampled; for a small one many more, since it goes where its team's small tasks gather.
-func (s *Scheduler) findCapacity(j *job, in *machinesByLevel, now clock.Micros) (out []*machineState) {
-	if in == nil {
-		return nil
-	}
-	limit := 4 * s.timing.Sample
-	if s.isSmall(j) {
-		limit *= 10
-	}
-	in.walk(capacityLevel(j.Need.CPU), s.rng.Uint64(), func(m *machineState) bool {
-		s.counters.Looked++
-		if m.hasCapacity(j) && s.mayOffer(j, m, now) && !m.recentlyRejected(now) {
-			out = append(out, m)
-		}
-		return len(out) >= limit
-	})
-	return out
-}
-
-// hasCapacity reports whether a machine has capacity for a task of a job.
-func (m *machineState) hasCapacity(j *job) bool {
-	return j.Need.Fits(m.available) && m.available.Mem > 0
-}
-
-// recentlyRejected reports whether a machine's partition leader has rejected an assignment, and no newer view has come.
-func (m *machineState) recentlyRejected(now clock.Micros) bool {
-	return m.rejected && now < m.rejectedAt+rejectionBackoff
-}
-
-// findCapacityAnyImage filters machines that have capacity for a task of a job, those with its image first.
-func (s *Scheduler) findCapacityAnyImage(j *job, now clock.Micros) []*machineState {
-	list := s.findCapacity(j, s.capacity.withImage(j.Image), now)
-	for _, m := range s.findCapacity(j, &s.capacity.all, now) {
-		if !slices.Contains(list, m) {
-			list = append(list, m)
-		}
-	}
-	return list
-}
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -45,7 +45,7 @@
 func (s *Scheduler) SetPrices(types []wire.MachineType) { s.prices = newCPUPrices(types) }
 
 // costInputs is what is known of a machine for a task of a job.
-func (s *Scheduler) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
+func (s *selector) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
 	in := placement.Machine{
 		HasImage:  m.hasImage(j),
 		Fetching:  m.fetchingJobs[j.ID] > 0,
@@ -71,7 +71,7 @@
 // false where too little is known to weigh them, or none has capacity: selectMachine goes on as
 // without costs then. No machine although decided means that the capacity is left to others for a moment: a machine
 // with the image may get some.
-func (s *Scheduler) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
+func (s *selector) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
 	fetch, _ := s.fetchRates.slowest(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
@@ -95,7 +95,7 @@
 }
 
 // cheapest filters the machines that cost a task least, within a tie of each other.
-func (s *Scheduler) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
+func (s *selector) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
 	least := 0.0
 	costs := make([]float64, len(list))
 	for i, m := range list {
@@ -115,7 +115,7 @@
 
 // waitsForImageByCost reports whether a job leaves capacity to others for a moment: its image is on machines that are
 // in use now, and none of its tasks would start too late for it.
-func (s *Scheduler) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
+func (s *selector) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
 	wait := placement.WaitFor(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
 	if wait == 0 || !s.capacity.withImage(j.Image).hasMachines() {
 		return false
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -15,9 +15,9 @@
 		sim := newSimulationWithLimit(t, 9, machines, 0)
 		sim.runSteps(8)
 		sim.addJob("job-1", 6, nil)
-		before := sim.scheduler.counters.Looked
+		before := sim.scheduler.examined
 		sim.schedule()
-		examined = sim.scheduler.counters.Looked - before
+		examined = sim.scheduler.examined - before
 		require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 6)
 		for _, c := range sim.controllers {
 			sim.sendBatch(c, true, true)
@@ -28,9 +28,9 @@
 		}
 		// A job for which no machine is large enough searches none of them.
 		sim.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
-		before = sim.scheduler.counters.Looked
+		before = sim.scheduler.examined
 		sim.schedule()
-		require.Equal(t, before, sim.scheduler.counters.Looked)
+		require.Equal(t, before, sim.scheduler.examined)
 		return examined, polled
 	}
 	smallExamined, smallPolled := work(60)
@@ -45,9 +45,9 @@
 // waited for three times as long.
 func TestCycleAfterRestartExaminesEachMachineFewTimes(t *testing.T) {
 	s := schedulerAfterRestart(smallFleetSize)
-	before := s.counters.Looked
+	before := s.examined
 	s.Schedule(2 * sec)
 	require.Equal(t, smallFleetSize/2, s.teams[red].unaccountedCount)
 	require.Equal(t, s.largestMachine().Times(smallFleetSize/2), s.teams[red].unaccountedCapacity)
-	require.Less(t, s.counters.Looked-before, 4*smallFleetSize)
+	require.Less(t, s.examined-before, 4*smallFleetSize)
 }
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -39,7 +39,7 @@
 
 // imageFetchTooSlow reports whether a task can start in time on a machine that has its image,
 // and not on one that must fetch it.
-func (s *Scheduler) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
+func (s *selector) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
 	within, ok := s.timing.Waits[j.Class]
 	fetch, known := s.fetchRates.fetchTime(j, m)
 	return ok && known && now <= j.acceptedAt+within && now+fetch > j.acceptedAt+within
@@ -51,7 +51,7 @@
 // waitsForImage reports whether a job of an economical deployment should leave scarce capacity to
 // others for a moment: its image is on some machines, and one of them may have capacity
 // sooner than the image is fetched. The time of a fetch is paid for as well.
-func (s *Scheduler) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
+func (s *selector) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
 	fetch, ok := s.fetchRates.fetchTime(j, list[0])
 	if !s.timing.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(list)*8 >= s.capacity.machines {
 		return false
@@ -61,7 +61,7 @@
 
 // waitForImage reports whether a job still waits for a machine with its image, at most for so long from the first time
 // on, and not where half a fetch is all that is left until its tasks should start.
-func (s *Scheduler) waitForImage(j *job, fetch, maxWait, now clock.Micros) bool {
+func (s *selector) waitForImage(j *job, fetch, maxWait, now clock.Micros) bool {
 	if within, ok := s.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
 		return false
 	}
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -92,28 +92,6 @@
 	return heat
 }
 
-// isSchedulable reports whether a machine may get tasks, as far as it and its partition leader are known.
-func (s *Scheduler) isSchedulable(m *machineState) bool {
-	return m.Usable && s.isCurrent(m) && s.machines[m.ID] == m
-}
-
-// isCurrent reports whether a machine's state comes from its present partition leader, and that one is reachable.
-func (s *Scheduler) isCurrent(m *machineState) bool {
-	session := s.sessions[m.leader]
-	return session.reachable && session.instance == m.instance && session.partitionTerms[m.Part] == m.Term
-}
-
-// recomputeAvailable derives what a machine has available from its view and the assignments that it does not show yet.
-func (s *Scheduler) recomputeAvailable(m *machineState) {
-	m.available = m.Free
-	for _, a := range m.assignments {
-		if a.unanswered || a.instance == m.instance && a.term == m.Term && a.viewVersion > m.Version {
-			m.available = m.available.Minus(a.job.Need)
-		}
-	}
-	s.reindex(m)
-}
-
 // HandleMachineRecord applies a change of a machine's record in the key-value store.
 func (s *Scheduler) HandleMachineRecord(id string, exists bool) {
 	if exists {
@@ -134,14 +112,6 @@
 	}
 }
 
-// forgetSilent drops a machine that is silent, has no record and no assignments. An assignment without an answer
-// keeps it: the machine may come back with a new incarnation, and the assignment be accepted then.
-func (s *Scheduler) forgetSilent(m *machineState) {
-	if m.Silent && !s.recordedMachines[m.ID] && len(m.assignments) == 0 {
-		s.removeMachine(m)
-	}
-}
-
 // forgetMachine drops a machine that is gone for certain, with all its assignments.
 func (s *Scheduler) forgetMachine(m *machineState) {
 	for _, a := range m.assignmentsByAttempt() {
@@ -150,15 +120,6 @@
 	s.removeMachine(m)
 }
 
-// removeMachine removes a machine from the cache.
-func (s *Scheduler) removeMachine(m *machineState) {
-	for id := range m.tasks {
-		s.removeObservedTask(m, id)
-	}
-	delete(s.machines, m.ID)
-	s.reindex(m)
-}
-
 // MachineViews appends the cached state of all machines, for the autoscaler. An idle machine sends
 // no news of itself, so its idle time is what it was then and what has passed since.
 func (s *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -142,12 +142,6 @@
 	return c
 }
 
-// viewAge is how old what is known of a machine may be. A machine of which there is no news
-// is as it was for as long as its partition leader answers polls, which it does at least once a second.
-func (s *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
-	return now - max(m.updatedAt, s.sessions[m.leader].polledAt)
-}
-
 // tryMove starts a move of a task, or returns why it is not moved.
 func (s *Scheduler) tryMove(a *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
 	planner, j := s.moves.planner, a.job
--- a/internal/scheduler/observed_tasks.go
+++ b/internal/scheduler/observed_tasks.go
@@ -47,34 +47,3 @@
 	}
 	return false
 }
-
-// addObservedTask adds a task to a machine's state, or replaces it there.
-func (s *Scheduler) addObservedTask(m *machineState, t *observedTask) {
-	s.removeObservedTask(m, t.ID)
-	m.tasks[t.ID] = t
-	if t.isFetching() {
-		m.fetchingJobs[t.ID.Job]++
-	}
-	if t.counted = t.Phase != wire.TaskExited; t.counted {
-		m.tasksByPriority[t.Rank]++
-		s.observedTasks.add(t)
-	}
-}
-
-// removeObservedTask removes a task from a machine's state; it need not be there.
-func (s *Scheduler) removeObservedTask(m *machineState, id peer.TaskID) {
-	t := m.tasks[id]
-	if t == nil {
-		return
-	}
-	delete(m.tasks, id)
-	if t.isFetching() {
-		if m.fetchingJobs[id.Job]--; m.fetchingJobs[id.Job] == 0 {
-			delete(m.fetchingJobs, id.Job)
-		}
-	}
-	if t.counted {
-		m.tasksByPriority[t.Rank]--
-		s.observedTasks.remove(t)
-	}
-}
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -117,28 +117,3 @@
 	s.recomputeAvailable(m)
 	s.forgetSilent(m)
 }
-
-// updateObservedTasks applies a view's tasks, and returns those that are not on the machine any more. A view that is not
-// whole lists only changed tasks and those that left.
-func (s *Scheduler) updateObservedTasks(m *machineState, view *peer.MachineView, now clock.Micros) (left []peer.TaskID) {
-	listed := make(map[peer.TaskID]bool, len(view.Tasks))
-	for i := range view.Tasks {
-		s.addObservedTask(m, &observedTask{TaskView: view.Tasks[i], startedAt: now - view.Tasks[i].Since})
-		listed[view.Tasks[i].ID] = true
-	}
-	left = view.Left
-	if view.Whole {
-		left = nil
-		for id := range m.tasks {
-			if !listed[id] {
-				left = append(left, id)
-			}
-		}
-	}
-	for _, id := range left {
-		if !listed[id] {
-			s.removeObservedTask(m, id)
-		}
-	}
-	return left
-}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -54,7 +54,7 @@
 const preemptionCostStep = 5 * clock.Second
 
 // preemptAnywhere looks for victims on all machines, once a job has waited for long enough.
-func (s *Scheduler) preemptAnywhere(j *job, now clock.Micros) selection {
+func (s *selector) preemptAnywhere(j *job, now clock.Micros) selection {
 	if !s.timing.mayPreempt(j, now) {
 		return selection{}
 	}
@@ -66,7 +66,7 @@
 // work is lost. Work that is late already takes no capacity from others: it would
 // be as late, and what it stops would be late too. Like any search, it looks at
 // some of the machines in question, not at the fleet.
-func (s *Scheduler) preempt(j *job, in *machinesByLevel, now clock.Micros) (best selection) {
+func (s *selector) preempt(j *job, in *machinesByLevel, now clock.Micros) (best selection) {
 	if in == nil || j.missesDeadline(now) {
 		return selection{}
 	}
@@ -78,7 +78,7 @@
 	var bestCost clock.Micros
 	looked := 0
 	in.walk(0, s.rng.Uint64(), func(m *machineState) bool {
-		s.counters.Looked++
+		s.examined++
 		if !hasTaskUpTo(&m.tasksByPriority, maxPriority) || !s.mayOffer(j, m, now) {
 			return false
 		}
@@ -97,7 +97,7 @@
 }
 
 // prefersPreemption reports whether to preempt on a machine at a cost is better than on another.
-func (s *Scheduler) prefersPreemption(j *job, m *machineState, cost clock.Micros, other *machineState, otherCost clock.Micros) bool {
+func (s *selector) prefersPreemption(j *job, m *machineState, cost clock.Micros, other *machineState, otherCost clock.Micros) bool {
 	if a, b := cost/preemptionCostStep, otherCost/preemptionCostStep; a != b {
 		return a < b
 	}
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -11,7 +11,7 @@
 // batches. Its stages are
 //
 //   - queue: schedulingOrder lists the jobs with tasks to place, in order (queue_order.go);
-//   - filter: findCapacity collects machines with capacity for a task (capacity_index.go, constraints.go);
+//   - filter: findCapacity collects machines with capacity for a task (filter.go, capacity_index.go);
 //   - score: selectMachine picks one of them, by image, fragmentation and the team's order (selection.go, scoring.go),
 //     or by estimated costs (costs.go), or makes capacity (preemption.go);
 //   - reserve: reserve counts the assignment, takes its capacity off the cached machine and queues the message.
@@ -77,21 +77,6 @@
 	return machines, capacity
 }
 
-// largestMachine is the most that any machine seen offers.
-func (s *Scheduler) largestMachine() resources.Amounts {
-	out := resources.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9} // a thousand CPUs, before any was seen
-	s.counters.Looked += len(s.machines)
-	seen := false
-	for _, m := range s.machines {
-		if !seen {
-			out, seen = m.Cap, true
-			continue
-		}
-		out = resources.Amounts{CPU: max(out.CPU, m.Cap.CPU), GPU: max(out.GPU, m.Cap.GPU), Mem: max(out.Mem, m.Cap.Mem)}
-	}
-	return out
-}
-
 // scheduleJob places up to so many tasks of a job.
 func (s *Scheduler) scheduleJob(j *job, limit int, now clock.Micros) (placed int) {
 	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.offeredByFormer {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -39,32 +39,22 @@
 
 // Scheduler decides for the teams that this controller leads, on a cached state of all machines. It is not safe for
 // concurrent use: Server's lock guards it.
+//
+// It is built in layers, of which none knows those above it: machineCache is what is known of machines, selector chooses
+// machines for tasks, and Scheduler holds the teams, their jobs and assignments, and what is to be sent and written.
 type Scheduler struct {
-	timing      Timing
+	selector
 	instance    string // names this process
 	teamConfigs map[string]Team
 	wallMS      func() int64 // time of day in ms, good to the settings' bound
-	rng         *rand.Rand
-
-	teams            map[string]*team         // led here
-	machines         map[string]*machineState // of all partitions
-	sessions         map[string]*leaderSession
-	recordedMachines map[string]bool
 
+	teams         map[string]*team // led here
 	progress      map[string]map[chunkID]progress
 	chunkTasks    int  // tasks that a record of progress covers
 	legacyRecords bool // an earlier release has recorded machines: it left no watermarks
 	watermarks    map[string]watermarks
 
-	fetchRates     fetchRates
-	prices         cpuPrices
-	capacity       capacityIndex // machines that may get tasks
-	observedTasks  observedTaskCounts
-	largestTaskCPU int64           // micro-CPUs, as of this cycle
-	exhausted      exhaustedDemand // what found no capacity in this cycle
-
 	published      demandPublication
-	zones          zoneGates
 	moves          moves
 	movesCheckedAt clock.Micros
 
@@ -85,29 +75,24 @@
 // NewScheduler returns a scheduler that leads no team yet.
 func NewScheduler(c Config) *Scheduler {
 	s := &Scheduler{
-		timing:           c.Timing,
-		instance:         c.Instance,
-		teamConfigs:      map[string]Team{},
-		wallMS:           c.WallMS,
-		rng:              rand.New(rand.NewPCG(c.Seed, 1)),
-		teams:            map[string]*team{},
-		machines:         map[string]*machineState{},
-		sessions:         map[string]*leaderSession{},
-		recordedMachines: map[string]bool{},
-		progress:         map[string]map[chunkID]progress{},
-		chunkTasks:       ChunkTasks,
-		watermarks:       map[string]watermarks{},
-		capacity:         capacityIndex{byImage: map[string]*machinesByLevel{}},
-		observedTasks:    observedTaskCounts{byCPU: map[int64]int{}},
-		zones:            zoneGates{},
-		moves:            newMoves(c.Timing.Moves),
-		distributions:    teamDistributions{},
+		selector: selector{
+			machineCache: newMachineCache(c.Hosts),
+			timing:       c.Timing,
+			rng:          rand.New(rand.NewPCG(c.Seed, 1)),
+			zones:        zoneGates{},
+		},
+		instance:      c.Instance,
+		teamConfigs:   map[string]Team{},
+		wallMS:        c.WallMS,
+		teams:         map[string]*team{},
+		progress:      map[string]map[chunkID]progress{},
+		chunkTasks:    ChunkTasks,
+		watermarks:    map[string]watermarks{},
+		moves:         newMoves(c.Timing.Moves),
+		distributions: teamDistributions{},
 	}
 	for _, tm := range c.Teams {
 		s.teamConfigs[tm.Name] = tm
 	}
-	for _, host := range c.Hosts {
-		s.sessions[host] = newLeaderSession()
-	}
 	return s
 }
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -9,7 +9,7 @@
 // tasks find them; those take what is left with least capacity, from the other end.
 // Each team has an order of its own: schedulers that decide at the same time would
 // assign the same capacity otherwise.
-func (s *Scheduler) prefers(j *job, a, b *machineState) bool {
+func (s *selector) prefers(j *job, a, b *machineState) bool {
 	if a.Spot != b.Spot {
 		// Economy empties the expensive machines. But a job that would be late if a
 		// machine were taken from it keeps to those that are not taken, and
@@ -50,13 +50,13 @@
 }
 
 // isSmall reports whether a job's tasks are small beside the largest that waits or runs.
-func (s *Scheduler) isSmall(j *job) bool {
+func (s *selector) isSmall(j *job) bool {
 	return s.largestTaskCPU > 0 && j.Need.CPU*2 <= s.largestTaskCPU
 }
 
 // keepingLargeSlots filters the machines where a small task takes no place from a large
 // one: as many large tasks fit there with it as without. For a large task there are none.
-func (s *Scheduler) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
+func (s *selector) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
 	if !s.isSmall(j) {
 		return nil
 	}
@@ -69,7 +69,7 @@
 }
 
 // largestTask is the most CPUs, in micro-CPUs, that any task takes that waits or is seen on a machine.
-func (s *Scheduler) largestTask(queue []*job) (cpu int64) {
+func (s *selector) largestTask(queue []*job) (cpu int64) {
 	for _, j := range queue {
 		cpu = max(cpu, j.Need.CPU)
 	}
@@ -80,7 +80,7 @@
 }
 
 // sample draws n of the machines; it reorders the list.
-func (s *Scheduler) sample(from []*machineState, n int) []*machineState {
+func (s *selector) sample(from []*machineState, n int) []*machineState {
 	if len(from) <= n {
 		return from
 	}
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"math/rand/v2"
+
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
@@ -12,9 +14,22 @@
 	overGuarantee bool // victims may have the same or a higher priority: their team is beyond its guarantee
 }
 
+// selector chooses machines for tasks: it filters, scores and, where there is no capacity, finds victims. It changes neither
+// jobs, but for how long they have waited for an image, nor machines.
+type selector struct {
+	machineCache
+	timing         Timing
+	rng            *rand.Rand
+	fetchRates     fetchRates
+	prices         cpuPrices
+	zones          zoneGates
+	largestTaskCPU int64           // micro-CPUs, as of this cycle
+	exhausted      exhaustedDemand // what found no capacity in this cycle
+}
+
 // selectMachine chooses a machine for a task of a job: by estimated costs where these are configured and known, by
 // the best fit otherwise, by preemption where no machine has capacity.
-func (s *Scheduler) selectMachine(j *job, now clock.Micros) selection {
+func (s *selector) selectMachine(j *job, now clock.Micros) selection {
 	if s.exhausted.isExhausted(j) {
 		return s.preemptAnywhere(j, now)
 	}
@@ -27,7 +42,7 @@
 }
 
 // selectByFit chooses among the machines that have the image, if any has capacity, or among all.
-func (s *Scheduler) selectByFit(j *job, now clock.Micros) selection {
+func (s *selector) selectByFit(j *job, now clock.Micros) selection {
 	withImage := s.capacity.withImage(j.Image)
 	if list := s.findCapacity(j, withImage, now); len(list) > 0 {
 		j.noImageSince = 0
@@ -55,14 +70,14 @@
 }
 
 // bestFit scores machines that have the image: it prefers those where a small task leaves as many large slots.
-func (s *Scheduler) bestFit(j *job, list []*machineState) *machineState {
+func (s *selector) bestFit(j *job, list []*machineState) *machineState {
 	list = s.onDemandIfUrgent(j, list)
 	list = preferred(list, s.keepingLargeSlots(j, list))
 	return s.best(j, list)
 }
 
 // bestFitWithFetch scores machines that must fetch the image: beside bestFit it prefers those that fetch no other.
-func (s *Scheduler) bestFitWithFetch(j *job, list []*machineState, now clock.Micros) *machineState {
+func (s *selector) bestFitWithFetch(j *job, list []*machineState, now clock.Micros) *machineState {
 	list = s.onDemandIfUrgent(j, list)
 	if _, urgent := s.timing.Waits[j.Class]; urgent {
 		// To start soon counts for more than to leave large slots whole.
@@ -75,7 +90,7 @@
 
 // onDemandIfUrgent prefers machines that the cloud does not take back, for a job that could not afford a retry. With
 // economy prefers decides on that; without it the rented machines are its own, also in pieces.
-func (s *Scheduler) onDemandIfUrgent(j *job, list []*machineState) []*machineState {
+func (s *selector) onDemandIfUrgent(j *job, list []*machineState) []*machineState {
 	if s.timing.Economy || !s.timing.cannotAffordRetry(j) {
 		return list
 	}
@@ -91,7 +106,7 @@
 }
 
 // best draws a sample of machines for a task, all of them for a small one, and returns the best.
-func (s *Scheduler) best(j *job, list []*machineState) (best *machineState) {
+func (s *selector) best(j *job, list []*machineState) (best *machineState) {
 	if !s.isSmall(j) {
 		list = s.sample(list, s.timing.Sample)
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -25,6 +25,7 @@
 // Summary returns the state of scheduling in numbers.
 func (s *Scheduler) Summary() Summary {
 	out := Summary{Counters: s.counters}
+	out.Looked = s.examined
 	for _, tm := range s.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
