--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -23,8 +23,7 @@
 	queue := s.schedulingOrder(now)
 	s.updateUnaccountedCapacity()
 	limit := s.timing.Batch + waitingTasks(queue)/4
-	s.largestTaskCPU = s.largestTask(queue)
-	s.exhausted = exhaustedDemand{staged: len(s.zones) > 0}
+	s.startCycle(queue)
 	for _, j := range queue {
 		if j.firstTaskOverdue(now) {
 			placed += s.scheduleJob(j, 1, now)
@@ -43,10 +42,12 @@
 // before all else: however much has precedence, no job waits for ever to begin.
 const firstTaskDeadline = 150 * clock.Second
 
+// firstTaskOverdue reports whether a job has waited for its first task for too long.
 func (j *job) firstTaskOverdue(now clock.Micros) bool {
 	return !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline
 }
 
+// waitingTasks is how many tasks of the queue are neither done nor assigned.
 func waitingTasks(queue []*job) (n int) {
 	for _, j := range queue {
 		n += j.waiting()
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -27,6 +27,12 @@
 	exhausted      exhaustedDemand // what found no capacity in this cycle
 }
 
+// startCycle prepares a scheduling cycle for the jobs of the queue.
+func (s *selector) startCycle(queue []*job) {
+	s.largestTaskCPU = s.largestTask(queue)
+	s.exhausted = exhaustedDemand{staged: len(s.zones) > 0}
+}
+
 // selectMachine chooses a machine for a task of a job: by estimated costs where these are configured and known, by
 // the best fit otherwise, by preemption where no machine has capacity.
 func (s *selector) selectMachine(j *job, now clock.Micros) selection {
