--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -10,29 +10,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// Client calls one address and keeps a few connections open.
+const (
+	// minReadBuffer is how many bytes a client's connection can read at a time, at least.
+	minReadBuffer = 4 << 10
+	// maxKeptBuffer is the largest buffer that an idle connection keeps.
+	maxKeptBuffer = 64 << 10
+)
+
+// Client calls one address and keeps a few connections open. It is safe for concurrent use once Count was
+// called, if at all.
 type Client struct {
-	addr  string
-	keep  int
-	limit int
-	// traffic counts the requests, their answers and their bytes; it may be nil.
+	addr        string
+	maxIdle     int // connections kept open
+	maxResponse int // bytes of a body
+	// traffic counts the requests, their responses and their bytes; it may be nil.
 	traffic *telemetry.Traffic
 
-	mu   sync.Mutex
-	idle []*clientConn
+	mu   sync.Mutex // guards idle
+	idle []*clientConnection
 }
 
-type clientConn struct {
-	c   net.Conn
-	buf []byte
-}
-
-// NewClient makes a client for addr; answers over limit bytes are refused.
+// NewClient makes a client for addr that keeps so many idle connections; responses with a body over limit
+// bytes are an error.
 func NewClient(addr string, keep, limit int) *Client {
-	return &Client{addr: addr, keep: keep, limit: limit}
+	return &Client{addr: addr, maxIdle: keep, maxResponse: limit}
 }
 
-// Count has the client count its traffic.
+// Count has the client count its traffic. It is called before the first request.
 func (c *Client) Count(t *telemetry.Traffic) { c.traffic = t }
 
 // Addr is the address that the client calls.
@@ -41,103 +45,130 @@
 // Do sends one request and waits for its response until ctx ends. After an
 // error the request may have been executed, or may yet be executed later.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Response, error) {
-	k, err := c.get(ctx)
+	conn, err := c.acquire(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("connecting to %s: %w", c.addr, err)
 	}
-	stop := context.AfterFunc(ctx, func() { k.c.SetDeadline(time.Unix(1, 0)) }) //nolint:errcheck // the read tells
+	stop := context.AfterFunc(ctx, func() { conn.raw.SetDeadline(time.Unix(1, 0)) }) //nolint:errcheck // the read returns the error
 	request := AppendRequest(nil, method, c.addr, target, body)
-	r, err := k.roundTrip(request, c.limit)
-	if r != nil {
-		c.traffic.Message(len(r.Body), len(request))
+	response, err := conn.roundTrip(request, c.maxResponse)
+	if response != nil {
+		c.traffic.Message(len(response.Body), len(request))
 	}
+	// A connection whose deadline was set, or that failed, can't be used again.
 	if !stop() || err != nil {
-		k.c.Close()
+		conn.raw.Close()
 		if err == nil {
-			return r, nil
+			return response, nil
 		}
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
 		return nil, fmt.Errorf("%s %s: %w", method, target, err)
 	}
-	if r.Close {
-		k.c.Close()
+	if response.Close {
+		conn.raw.Close()
 	} else {
-		c.put(k)
+		c.release(conn)
 	}
-	return r, nil
+	return response, nil
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		k.c.Close()
+	for _, conn := range c.idle {
+		conn.raw.Close()
 	}
 	c.idle = nil
 }
 
-func (c *Client) get(ctx context.Context) (*clientConn, error) {
-	c.mu.Lock()
-	if n := len(c.idle); n > 0 {
-		k := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
-		return k, nil
+// acquire gives an idle connection, or a new one.
+func (c *Client) acquire(ctx context.Context) (*clientConnection, error) {
+	if conn := c.takeIdle(); conn != nil {
+		return conn, nil
 	}
-	c.mu.Unlock()
 	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp4", c.addr)
+	raw, err := d.DialContext(ctx, "tcp4", c.addr)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{c: conn}, nil
+	return &clientConnection{raw: raw}, nil
+}
+
+// takeIdle takes the connection used last off the idle ones, nil when there is none.
+func (c *Client) takeIdle() *clientConnection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := len(c.idle)
+	if n == 0 {
+		return nil
+	}
+	conn := c.idle[n-1]
+	c.idle = c.idle[:n-1]
+	return conn
 }
 
-func (c *Client) put(k *clientConn) {
+// release keeps a connection for later requests, or closes it when there are enough.
+func (c *Client) release(conn *clientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= c.keep {
-		k.c.Close()
+	if len(c.idle) >= c.maxIdle {
+		conn.raw.Close()
 		return
 	}
-	c.idle = append(c.idle, k)
+	c.idle = append(c.idle, conn)
 }
 
-func (k *clientConn) roundTrip(req []byte, limit int) (*Response, error) {
-	if _, err := k.c.Write(req); err != nil {
+// clientConnection is an open connection with its read buffer; one request at a time uses it.
+type clientConnection struct {
+	raw    net.Conn
+	buffer []byte
+}
+
+// roundTrip writes a request and reads its response.
+func (c *clientConnection) roundTrip(request []byte, maxBody int) (*Response, error) {
+	if _, err := c.raw.Write(request); err != nil {
 		return nil, err
 	}
-	k.buf = k.buf[:0]
-	whole := 0 // bytes of the response, once its head tells
+	c.buffer = c.buffer[:0]
+	responseBytes := 0 // of the whole response; 0 while its head doesn't say
 	for {
-		if len(k.buf) == cap(k.buf) {
-			k.buf = append(k.buf, make([]byte, max(4096, len(k.buf), min(whole, limit)-len(k.buf)))...)[:len(k.buf)]
-		}
-		n, err := k.c.Read(k.buf[len(k.buf):cap(k.buf)])
-		k.buf = k.buf[:len(k.buf)+n]
-		if len(k.buf) < whole && err == nil {
-			continue // a long list comes in many pieces: it is looked at once
+		readErr := c.read(responseBytes, maxBody)
+		if len(c.buffer) < responseBytes && readErr == nil {
+			continue // a long list comes in many pieces: it is parsed once
 		}
-		if whole == 0 {
-			if whole = responseSize(k.buf); len(k.buf) < whole && whole <= limit && err == nil {
+		if responseBytes == 0 {
+			responseBytes = responseSize(c.buffer)
+			if len(c.buffer) < responseBytes && responseBytes <= maxBody && readErr == nil {
 				continue
 			}
 		}
-		r, _, perr := ParseResponse(k.buf, limit)
-		if perr != nil {
-			return nil, perr
+		response, _, err := ParseResponse(c.buffer, maxBody)
+		if err != nil {
+			return nil, err
 		}
-		if r != nil {
-			if cap(k.buf) > 64<<10 {
-				k.buf = nil
+		if response != nil {
+			if cap(c.buffer) > maxKeptBuffer {
+				c.buffer = nil
 			}
-			return r, nil
+			return response, nil
 		}
-		if err != nil {
-			return nil, err
+		if readErr != nil {
+			return nil, readErr
 		}
 	}
 }
+
+// read appends what has arrived to the buffer, which grows at least to the expected size, within the limit.
+func (c *clientConnection) read(expected, limit int) error {
+	length := len(c.buffer)
+	if length == cap(c.buffer) {
+		growth := max(minReadBuffer, length, min(expected, limit)-length)
+		c.buffer = append(c.buffer, make([]byte, growth)...)[:length]
+	}
+	n, err := c.raw.Read(c.buffer[length:cap(c.buffer)])
+	c.buffer = c.buffer[:length+n]
+	return err
+}
--- a/internal/httpx/cost_test.go
+++ b/internal/httpx/parse_bench_test.go
@@ -16,7 +16,7 @@
 	answer := Response{Status: 200, Body: []byte(`{"id":"job-000412","phase":"running","done":3,"running":13}`)}
 	b.ReportAllocs()
 	for b.Loop() {
-		if r, _, err := ParseRequest(raw, bodyLimit); r == nil || err != nil {
+		if r, _, err := ParseRequest(raw, maxBody); r == nil || err != nil {
 			b.Fatal(err)
 		}
 		AppendResponse(nil, answer)
@@ -24,6 +24,8 @@
 }
 
 func BenchmarkUserPoll(b *testing.B) { benchmarkParse(b, userPoll) }
+
 func BenchmarkUserSubmission(b *testing.B) {
-	benchmarkParse(b, fmt.Sprintf("POST /api/jobs HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n%s", len(submittedJob), submittedJob))
+	const head = "POST /api/jobs HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
+	benchmarkParse(b, fmt.Sprintf(head, len(submittedJob))+submittedJob)
 }
--- /dev/null
+++ b/internal/policy/parameters_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/config"
+)
+
+func settings(kinds ...string) *config.Settings {
+	s := &config.Settings{}
+	for _, kind := range kinds {
+		s.Params.Objectives = append(s.Params.Objectives, config.Objective{Kind: kind})
+	}
+	return s
+}
+
+// Economy follows from the objectives: none asks for work without deadlines to be
+// finished within a fixed time.
+func TestEconomyFollowsFromObjectives(t *testing.T) {
+	economical, err := Parse("", settings("deadline", "guarantee"))
+	require.NoError(t, err)
+	require.True(t, economical.Economy)
+	early := settings("deadline", "finished")
+	early.Params.Objectives[0].Class = "nightly"
+	early.Params.Objectives[1].Class = "urgent"
+	early.Params.Objectives[1].WithinS = 70
+	early.Params.Workers.LeaseS = 16
+	quick, err := Parse("", early)
+	require.NoError(t, err)
+	require.False(t, quick.Economy)
+	require.Less(t, economical.IdleScaleInDelay, quick.IdleScaleInDelay)
+	// Guests that have minutes must not put off economy for everybody.
+	early.Params.Objectives[1].WithinS = 400
+	require.True(t, Economy(early))
+	early.Params.Objectives[1].WithinS = 70
+	// For work that has deadlines it is one more deadline.
+	early.Params.Objectives[1].Class = "nightly"
+	require.True(t, Economy(early))
+}
+
+func TestScriptOverridesDefaultsAndMistakesAreRejected(t *testing.T) {
+	p, err := Parse("_x = 4\nsample = _x * 2\nif economy:\n    batch = 7\n", settings("deadline"))
+	require.NoError(t, err)
+	require.Equal(t, 8, p.Sample)
+	require.Equal(t, 7, p.Batch)
+	require.Equal(t, 24*clock.Second, p.LeaderLeaseTTL)
+	for script, want := range map[string]string{
+		"sampel = 3":                          "sampel",
+		"sample = 'many'":                     "sample",
+		"sample = 0":                          "sample",
+		"hold_ttl_s = 3":                      "hold_renew_s",
+		"def f(:":                             "policy",
+		"while True:\n    pass":               "policy",
+		"x = [i for i in range(100000000)]\n": "steps",
+	} {
+		_, err := Parse(script, settings())
+		require.ErrorContains(t, err, want, script)
+	}
+}
+
+// A script of an earlier release goes on to work: a parameter's former name is accepted and recorded.
+func TestFormerParameterNameIsAcceptedAndRecorded(t *testing.T) {
+	for script, want := range map[string]clock.Micros{
+		"hire_backoff_s = 9":                         9 * clock.Second,
+		"rental_backoff_s = 7":                       7 * clock.Second,
+		"hire_backoff_s = 9\nrental_backoff_s = 7\n": 7 * clock.Second,
+	} {
+		p, err := Parse(script, settings())
+		require.NoError(t, err, script)
+		require.Equal(t, want, p.ScaleOutBackoff, script)
+		require.Equal(t, script[0] == 'h', len(p.Renamed) == 1, script)
+	}
+}
+
+func TestMistakesInHooksFlagsAndWeightsAreRejected(t *testing.T) {
+	for script, want := range map[string]string{
+		"veto_move = 1":                       "veto_move must be a function",
+		"def veto_move():\n    return True\n": "must take 1 argument",
+		"x = 1\ny = x / 0\n":                  "policy:2:7",
+		"fair_shares = 1":                     "fair_shares must be True or False",
+		"moves = 'yes'":                       "moves must be True or False",
+		"team_weights = 2":                    "must be a dict",
+		"team_weights = {'green': 2}":         `there is no team "green"`,
+		"team_weights = {'red': 0}":           "the weight of red must be a number",
+		"team_weights = {'red': 'much'}":      "the weight of red must be a number",
+		"share_fresh_s = 1":                   "share_fresh_s must be a number from 1.5",
+	} {
+		s := settings()
+		s.Params.Teams = []config.Team{{Name: "red"}}
+		_, err := Parse(script, s)
+		require.ErrorContains(t, err, want, script)
+	}
+	s := settings()
+	s.Params.Teams = []config.Team{{Name: "red"}}
+	p, err := Parse("team_weights = {'red': 2.5}\nfair_shares = True\nmoves = True\n", s)
+	require.NoError(t, err)
+	require.True(t, p.FairShares && p.Moves && !p.PlacementCosts)
+	require.Equal(t, map[string]float64{"red": 2.5}, p.TeamWeights)
+}
--- /dev/null
+++ b/internal/rebalance/planner_test.go
@@ -0,0 +1,107 @@
+package rebalance
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+)
+
+const sec = clock.Second
+
+var limits = Limits{Margin: 1.5, CoolDown: 120 * sec, PerTeam: 3, PerMachine: 2, Detect: 20 * sec}
+
+// slowMachineCandidate is a task with 60 s to go on a machine that takes twice as long as others.
+func slowMachineCandidate() *Candidate {
+	return &Candidate{Key: Key{"job-1", 0}, Team: "red", Machine: "m-1", Reason: SlowMachine, Ran: 40 * sec, Left: 60 * sec,
+		Unsaved: 5 * sec, CanSave: true, SaveFor: 2 * sec, Pace: 2, Heat: 1}
+}
+
+func coolDestination() *Destination { return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5} }
+
+func TestTaskThatMeetsALimitIsDeclinedWithReason(t *testing.T) {
+	for _, test := range []struct {
+		why    DeclineReason
+		change func(c *Candidate, to *Destination)
+	}{
+		{NotDeclined, func(*Candidate, *Destination) {}},
+		{StaleView, func(c *Candidate, _ *Destination) { c.ViewAge = 6 * sec }},
+		{StaleView, func(_ *Candidate, to *Destination) { to.ViewAge = 6 * sec }},
+		{CannotSave, func(c *Candidate, _ *Destination) { c.CanSave = false }},
+		{JustStarted, func(c *Candidate, _ *Destination) { c.Ran = 29 * sec }},
+		{NearlyDone, func(c *Candidate, _ *Destination) { c.Left = 9 * sec }},
+		{NoGain, func(c *Candidate, _ *Destination) { c.Left = 24 * sec }}, // 12 s for a cost of 8
+		{NoGain, func(_ *Candidate, to *Destination) { to.Fetch = 17 * sec }},
+		{NoGain, func(_ *Candidate, to *Destination) { to.Pace = 1.9 }},
+		{NoGain, func(c *Candidate, _ *Destination) { c.Pace = 0 }},
+		{NotCooler, func(_ *Candidate, to *Destination) { to.Heat = 1 }},
+	} {
+		c, to := slowMachineCandidate(), coolDestination()
+		test.change(c, to)
+		p := NewPlanner(limits)
+		why := p.Evaluate(c, 100*sec)
+		if why == NotDeclined {
+			_, _, why = p.Weigh(c, to, 100*sec)
+		}
+		require.Equal(t, test.why, why, "%+v to %+v", c, to)
+	}
+}
+
+// With an eviction notice a task is moved only if it would not complete by then, and can checkpoint in time.
+func TestMoveOnEvictionNoticeIsMadeOnlyWithGain(t *testing.T) {
+	for _, test := range []struct {
+		left, notice, save clock.Micros
+		want               DeclineReason
+	}{
+		{60 * sec, 40 * sec, 2 * sec, NotDeclined},
+		{20 * sec, 40 * sec, 2 * sec, NoGain}, // done by then, even if the notice is short
+		{60 * sec, 40 * sec, 20 * sec, NoGain},
+		{60 * sec, 0, 2 * sec, NoGain},
+	} {
+		c := slowMachineCandidate()
+		c.Reason, c.Left, c.NoticeLeft, c.SaveFor, c.Pace = SpotNotice, test.left, test.notice, test.save, 0
+		_, _, why := NewPlanner(limits).Weigh(c, coolDestination(), 100*sec)
+		require.Equal(t, test.want, why, "%+v", test)
+	}
+}
+
+// Budgets bound what moves in a minute, and a task that was moved stays where it is for a
+// while: no task is moved back and forth.
+func TestMovesBeyondBudgetsAreDeclined(t *testing.T) {
+	p := NewPlanner(limits)
+	now := 100 * sec
+	task := func(n int, machine string) *Candidate {
+		c := slowMachineCandidate()
+		c.Key.N, c.Machine = n, machine
+		return c
+	}
+	begin := func(n int, from, to string) {
+		d := coolDestination()
+		d.Machine = to
+		p.StartMove(task(n, from), d, 20*sec, 8*sec, now)
+	}
+	begin(0, "m-1", "m-2")
+	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+sec))
+	refused := p.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-budgetPeriod)
+	refused.Refused()
+	require.Equal(t, NotDeclined, p.Evaluate(task(9, "m-8"), now), "nothing was moved")
+	begin(1, "m-1", "m-3")
+	require.Equal(t, MachineBudget, p.Evaluate(task(2, "m-1"), now))
+	begin(2, "m-4", "m-2")
+	require.Equal(t, TeamBudget, p.Evaluate(task(3, "m-5"), now))
+	other := task(4, "m-6")
+	other.Team = "blue"
+	require.Equal(t, NotDeclined, p.Evaluate(other, now))
+	_, _, why := p.Weigh(other, coolDestination(), now)
+	require.Equal(t, MachineBudget, why, "m-2 has had two")
+	require.Equal(t, NotDeclined, p.Evaluate(task(3, "m-1"), now+budgetPeriod))
+	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+119*sec))
+	require.Equal(t, NotDeclined, p.Evaluate(task(0, "m-2"), now+120*sec))
+	p.Forget(now + 120*sec)
+	require.Empty(t, p.lastMoved)
+	require.Empty(t, p.teamMoves)
+	require.Empty(t, p.machineMoves)
+	require.Len(t, p.Recent("red"), 4)
+	require.Equal(t, Key{"job-1", 2}, p.Recent("red")[0].Key)
+}
