--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -65,11 +65,11 @@
 }
 
 // requestCancel has the present process of a partition leader notified of a job's cancellation, once.
-func (o *leaderSession) requestCancel(j *job) {
+func (l *leaderSession) requestCancel(j *job) {
 	c := peer.CancelJob{Job: j.ID, Team: j.Team}
-	inFlight := o.inFlight != nil && o.inFlightInstance == o.instance && slices.Contains(o.inFlight.Cancels, c)
-	if !inFlight && !slices.Contains(o.pending.Cancels, c) {
-		o.pending.Cancels = append(o.pending.Cancels, c)
+	inFlight := l.inFlight != nil && l.inFlightInstance == l.instance && slices.Contains(l.inFlight.Cancels, c)
+	if !inFlight && !slices.Contains(l.pending.Cancels, c) {
+		l.pending.Cancels = append(l.pending.Cancels, c)
 	}
 }
 
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -9,43 +9,85 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Moves has running tasks moved off machines that are to be drained.
+// Moves configures moves of running tasks off machines that are to be drained.
 type Moves struct {
 	rebalance.Limits
-	// Veto tells that the operators' script does not want a move. nil: nobody objects.
+	// Veto reports that the operators' script does not want a move. nil: no move is vetoed.
 	Veto func(rebalance.Record) bool
 }
 
-// move is a move under way: the task's binding at the source, and the lease at the destination.
+// move is a move under way: the task's assignment at the source, and the held lease at the destination.
 type move struct {
 	*rebalance.Move
 	source, destination *assignment
 }
 
+// moves are those under way, by both of their assignments.
+type moves struct {
+	planner       *rebalance.Planner // nil: moves are off
+	bySource      map[*assignment]*move
+	byDestination map[*assignment]*move
+}
+
+func newMoves(config *Moves) moves {
+	out := moves{bySource: map[*assignment]*move{}, byDestination: map[*assignment]*move{}}
+	if config != nil {
+		out.planner = rebalance.NewPlanner(config.Limits)
+	}
+	return out
+}
+
+func (m *moves) add(mv *move) { m.bySource[mv.source], m.byDestination[mv.destination] = mv, mv }
+
+func (m *moves) remove(mv *move) {
+	delete(m.bySource, mv.source)
+	delete(m.byDestination, mv.destination)
+}
+
+// underWay lists the moves in the order in which they began.
+func (m *moves) underWay() []*move {
+	out := make([]*move, 0, len(m.bySource))
+	for _, mv := range m.bySource {
+		out = append(out, mv)
+	}
+	slices.SortFunc(out, func(a, b *move) int { return int(a.destination.id.Attempt) - int(b.destination.id.Attempt) })
+	return out
+}
+
+// hasDestination reports whether a move to a machine is under way.
+func (m *moves) hasDestination(machine string) bool {
+	for a := range m.byDestination {
+		if a.machine == machine {
+			return true
+		}
+	}
+	return false
+}
+
 // moveInterval is how often moves are looked for.
 const moveInterval = clock.Second
 
-// moveTasks gives up moves that take too long and begins new ones, at times.
-func (d *Scheduler) moveTasks(now clock.Micros) {
-	if d.timing.Moves == nil || now < d.movesAt+moveInterval {
+// moveTasks gives up moves that take too long and starts new ones, once every moveInterval.
+func (s *Scheduler) moveTasks(now clock.Micros) {
+	if s.timing.Moves == nil || now < s.movesCheckedAt+moveInterval {
 		return
 	}
-	d.movesAt = now
-	for _, mv := range d.moves.underWay() {
-		d.act(mv, mv.Expire(now))
+	s.movesCheckedAt = now
+	for _, mv := range s.moves.underWay() {
+		s.applyMoveAction(mv, mv.Expire(now))
 	}
-	d.moves.book.Forget(now)
-	for _, m := range d.machines {
-		if reason, ok := d.drainReason(m); ok {
-			d.moveTasksOff(m, reason, now)
+	s.moves.planner.Forget(now)
+	for _, m := range s.machines {
+		if reason, ok := s.drainReason(m); ok {
+			s.moveTasksOff(m, reason, now)
 		}
 	}
 }
 
-// drainReason tells that a machine is to be drained, and why.
-func (d *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
+// drainReason reports whether a machine is to be drained, and why.
+func (s *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
 	switch {
-	case !m.Accounted || m.Silent || !d.isCurrent(m):
+	case !m.Accounted || m.Silent || !s.isCurrent(m):
 		return "", false // what is known of it may be old
 	case m.Noticed:
 		return rebalance.SpotNotice, true
@@ -55,227 +97,169 @@
 	return "", false
 }
 
-// moveTasksOff begins moves of a machine's tasks.
-func (d *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
-	for _, b := range m.inOrder() {
-		j := b.job
-		if b.orphaned || b.reserved || b.stopping || b.unanswered || b.phase != wire.TaskRunning || j.cancelling || j.finalWriteInFlight ||
-			j.assignments[b.id.N] != b || j.team.jobs[j.ID] != j || d.moves.ofSource[b] != nil {
+// moveTasksOff starts moves of a machine's tasks.
+func (s *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
+	for _, a := range m.assignmentsByAttempt() {
+		if !s.isMovable(a) {
 			continue
 		}
-		c := d.candidate(b, m, reason, now)
-		if why := d.tryMove(b, c, now); why != rebalance.NotDeclined {
-			d.moves.book.Decline(j.team.Name, why)
+		candidate := s.moveCandidate(a, m, reason, now)
+		if declined := s.tryMove(a, candidate, now); declined != rebalance.NotDeclined {
+			s.moves.planner.Decline(a.job.team.Name, declined)
 		}
 	}
 }
 
-// candidate is what is known of a task that is to be moved.
-func (d *Scheduler) candidate(b *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
-	j, age := b.job, now-m.updatedAt
-	c := &rebalance.Candidate{Key: rebalance.Key{Job: j.ID, N: b.id.N}, Team: j.team.Name, Machine: m.ID, Reason: reason,
-		CanSave: j.CheckpointIntervalS > 0, SaveFor: clock.FromSeconds(j.CheckpointDurationS), NoticeLeft: max(0, m.NoticeLeft-age), Pace: m.knownPace(), ViewAge: d.viewAge(m, now)}
-	if b.runningSince != 0 {
-		c.Ran = now - b.runningSince
-	}
-	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Pace, 1))-c.Ran)
-	c.Unsaved = min(clock.FromSeconds(j.CheckpointIntervalS), c.Ran) / 2
-	c.Heat = m.heat(m.available.CPU)
-	return c
-}
-
-// viewAge is how old what is known of a machine may be. A machine of which there is no news
-// is as it was for as long as its owner answers polls, which it does at least once a second.
-func (d *Scheduler) viewAge(m *machineState, now clock.Micros) clock.Micros {
-	return now - max(m.updatedAt, d.sessions[m.host].polledAt)
-}
-
-// knownPace is how long tasks take on a machine against elsewhere, 0 while too few have ended there.
-func (m *machineState) knownPace() float64 {
-	if m.paceSamples < slowTasks {
-		return 0
+// isMovable reports whether an assignment is a running task of an active job, and no move of it is under way.
+func (s *Scheduler) isMovable(a *assignment) bool {
+	j := a.job
+	if a.orphaned || a.reserved || a.stopping || a.unanswered || a.phase != wire.TaskRunning {
+		return false
 	}
-	return m.paceSum / float64(m.paceSamples)
+	return !j.cancelling && !j.finalWriteInFlight && j.isCurrent(a) && j.isActive() && s.moves.bySource[a] == nil
 }
 
-// heat is the share of a machine that is in use when so much is free, times its pace. One
-// that is to be taken away is hotter than any other.
-func (m *machineState) heat(free int64) float64 {
-	const takenAway = 1000
-	if m.Cap.CPU == 0 || m.Noticed {
-		return takenAway
+// moveCandidate is what is known of a task that is to be moved.
+func (s *Scheduler) moveCandidate(a *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
+	j, age := a.job, now-m.updatedAt
+	c := &rebalance.Candidate{
+		Key:        rebalance.Key{Job: j.ID, N: a.id.N},
+		Team:       j.team.Name,
+		Machine:    m.ID,
+		Reason:     reason,
+		CanSave:    j.CheckpointIntervalS > 0,
+		SaveFor:    clock.FromSeconds(j.CheckpointDurationS),
+		NoticeLeft: max(0, m.NoticeLeft-age),
+		Pace:       m.knownPace(),
+		ViewAge:    s.viewAge(m, now),
+		Heat:       m.heat(m.available.CPU),
 	}
-	heat := 1 - float64(free)/float64(m.Cap.CPU)
-	if pace := m.knownPace(); pace > 0 {
-		heat *= pace
+	if a.runningSince != 0 {
+		c.Ran = now - a.runningSince
 	}
-	return heat
+	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Pace, 1))-c.Ran)
+	c.Unsaved = min(clock.FromSeconds(j.CheckpointIntervalS), c.Ran) / 2
+	return c
 }
 
-// tryMove begins a move of a task, or tells why it is not moved.
-func (d *Scheduler) tryMove(b *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
-	book, j := d.moves.book, b.job
-	if why := book.Evaluate(c, now); why != rebalance.NotDeclined {
-		return why
+// tryMove starts a move of a task, or returns why it is not moved.
+func (s *Scheduler) tryMove(a *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
+	planner, j := s.moves.planner, a.job
+	if declined := planner.Evaluate(c, now); declined != rebalance.NotDeclined {
+		return declined
 	}
 	// The task counts twice until it is gone from the source.
-	if !withinQuota(j.team.used.Plus(j.team.unaccountedCapacity).Plus(j.Need), j.team.Limit) {
+	if !j.team.withinLimit(j.Need) {
 		return rebalance.TeamAtLimit
 	}
-	why := rebalance.NoRoom
-	for _, to := range d.destinations(j, b.machine, now) {
-		dest := d.destination(j, to, now)
-		gain, cost, declined := book.Weigh(c, dest, now)
-		if why = declined; declined != rebalance.NotDeclined {
+	reason := rebalance.NoRoom
+	for _, to := range s.machinesForMove(j, a.machine, now) {
+		destination := s.moveDestination(j, to, now)
+		gain, cost, declined := planner.Weigh(c, destination, now)
+		if reason = declined; declined != rebalance.NotDeclined {
 			continue
 		}
-		proposal := rebalance.Record{Team: c.Team, From: c.Machine, To: to.ID, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now}
-		if veto := d.timing.Moves.Veto; veto != nil && veto(proposal) {
+		proposal := rebalance.Record{
+			Team: c.Team, From: c.Machine, To: to.ID, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now,
+		}
+		if veto := s.timing.Moves.Veto; veto != nil && veto(proposal) {
 			return rebalance.Vetoed
 		}
-		d.begin(b, to, book.StartMove(c, dest, gain, cost, now), now)
+		s.startMove(a, to, planner.StartMove(c, destination, gain, cost, now), now)
 		return rebalance.NotDeclined
 	}
-	return why
+	return reason
 }
 
-// destinations lists machines with room for a task of a job, those with its image first.
-func (d *Scheduler) destinations(j *job, from string, now clock.Micros) (out []*machineState) {
-	for _, m := range d.findCapacityAnyImage(j, now) {
-		// An owner of an earlier version would start the task at once.
-		if m.ID != from && d.sessions[m.host].supportsReservations && !d.moves.to(m.ID) {
+// machinesForMove filters machines with capacity for a task of a job, those with its image first.
+func (s *Scheduler) machinesForMove(j *job, from string, now clock.Micros) (out []*machineState) {
+	for _, m := range s.findCapacityAnyImage(j, now) {
+		// A partition leader of an earlier version would start the task immediately.
+		if m.ID != from && s.sessions[m.leader].supportsReservations && !s.moves.hasDestination(m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (d *Scheduler) destination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
-	to := &rebalance.Destination{Machine: m.ID, Pace: m.knownPace(), Heat: m.heat(m.available.Minus(j.Need).CPU), ViewAge: d.viewAge(m, now)}
-	if !slices.Contains(m.Images, j.Image) {
-		to.Fetch, _ = d.fetchTime(j, m)
+// moveDestination is what is known of a machine that a task is to move to.
+func (s *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
+	to := &rebalance.Destination{
+		Machine: m.ID,
+		Pace:    m.knownPace(),
+		Heat:    m.heat(m.available.Minus(j.Need).CPU),
+		ViewAge: s.viewAge(m, now),
+	}
+	if !m.hasImage(j) {
+		to.Fetch, _ = s.fetchRates.fetchTime(j, m)
 	}
 	return to
 }
 
-// begin asks for a lease at the destination, which holds room and starts nothing.
-func (d *Scheduler) begin(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
-	j := source.job
-	j.team.attemptCounter++
-	b := &assignment{id: peer.TaskID{Job: j.ID, N: source.id.N, Attempt: j.team.term<<32 | j.team.attemptCounter}, job: j, machine: to.ID,
-		zone: to.Zone, term: to.Term, unanswered: true, reserved: true, instance: to.instance, assignedAt: now}
-	d.addAssignment(b, to)
-	to.available = to.available.Minus(j.Need)
-	d.reindex(to)
-	mv := &move{m, source, b}
-	d.moves.ofSource[source], d.moves.ofDestination[b] = mv, mv
-	d.counters.Moves++
-	o := d.sessions[to.host]
-	o.pending.Asks = append(o.pending.Asks, peer.Assignment{ID: b.id, Made: j.ModRevision, Team: j.team.Name, Rank: j.PriorityLevel, Need: j.Need, Image: j.Image,
-		ImageGB: j.ImageGB, Machine: to.ID, Term: to.Term, Covered: j.withinGuarantee, Hold: rebalance.HoldFor, Stage: int(j.stage) + 1})
+// startMove asks for a lease at the destination that holds capacity and starts nothing.
+func (s *Scheduler) startMove(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
+	a := newAssignment(source.job, source.id.N, to, now)
+	a.reserved = true
+	to.addAssignment(a)
+	to.available = to.available.Minus(a.job.Need)
+	s.reindex(to)
+	s.moves.add(&move{m, source, a})
+	s.counters.Moves++
+	message := a.message()
+	message.Hold = rebalance.HoldFor
+	session := s.sessions[to.leader]
+	session.pending.Asks = append(session.pending.Asks, message)
 }
 
-// act carries out what a move asks for.
-func (d *Scheduler) act(mv *move, a rebalance.Action) {
+// applyMoveAction carries out what a move's state calls for.
+func (s *Scheduler) applyMoveAction(mv *move, action rebalance.Action) {
 	if mv.Ended() {
-		delete(d.moves.ofSource, mv.source)
-		delete(d.moves.ofDestination, mv.destination)
+		s.moves.remove(mv)
 	}
-	switch a {
+	switch action {
 	case rebalance.StopSource:
-		d.requestStop(mv.source, mv.source.job.StopGraceS())
+		s.requestStop(mv.source, mv.source.job.StopGraceS())
 	case rebalance.StartDestination:
-		b := mv.destination
-		b.reserved = false
-		b.job.assignments[b.id.N] = b
-		if m := d.machines[b.machine]; m != nil {
-			o := d.sessions[m.host]
-			o.pending.Starts = append(o.pending.Starts, peer.StartTask{ID: b.id, Machine: b.machine, Team: b.job.team.Name})
+		a := mv.destination
+		a.reserved = false
+		a.job.assignments[a.id.N] = a
+		if m := s.machines[a.machine]; m != nil {
+			session := s.sessions[m.leader]
+			session.pending.Starts = append(session.pending.Starts, peer.StartTask{ID: a.id, Machine: a.machine, Team: a.job.team.Name})
 		}
-		d.counters.Moved++
+		s.counters.Moved++
 	case rebalance.ReleaseDestination:
 		mv.destination.orphaned = true
-		if !d.unask(mv.destination) {
-			d.requestStop(mv.destination, 0)
+		if !s.retractAssignment(mv.destination) {
+			s.requestStop(mv.destination, 0)
 		}
 	}
 }
 
-// unask takes back an ask that was not sent yet.
-func (d *Scheduler) unask(b *assignment) (done bool) {
-	m := d.machines[b.machine]
-	if m == nil || !b.unanswered {
-		return false
-	}
-	o := d.sessions[m.host]
-	before := len(o.pending.Asks)
-	o.pending.Asks = slices.DeleteFunc(o.pending.Asks, func(a peer.Assignment) bool { return a.ID == b.id })
-	if len(o.pending.Asks) == before {
-		return false
-	}
-	d.releaseAssignment(b)
-	d.recomputeAvailable(m)
-	return true
-}
-
-// moveStep tells a move, if there is one, that a binding is gone. started tells that the task
-// goes on at the destination and need not be placed. It can only if the binding was the task's
+// handleMoveAssignmentGone applies to a move, if there is one, that an assignment is gone. started reports that the task
+// goes on at the destination and need not be placed. It can only if the assignment was the task's
 // current one.
-func (d *Scheduler) moveStep(b *assignment, current bool) (started bool) {
-	if mv := d.moves.ofDestination[b]; mv != nil {
-		d.act(mv, mv.DestinationLost())
+func (s *Scheduler) handleMoveAssignmentGone(a *assignment, current bool) (started bool) {
+	if mv := s.moves.byDestination[a]; mv != nil {
+		s.applyMoveAction(mv, mv.DestinationLost())
 		return false
 	}
-	mv := d.moves.ofSource[b]
+	mv := s.moves.bySource[a]
 	if mv == nil {
 		return false
 	}
-	j := b.job
-	a := mv.SourceGone(current && !j.isDone(b.id.N) && !j.cancelling && !j.finalWriteInFlight && j.team.jobs[j.ID] == j && d.teams[j.team.Name] == j.team)
-	d.act(mv, a)
-	return a == rebalance.StartDestination
+	j := a.job
+	wanted := current && !j.isDone(a.id.N) && !j.cancelling && !j.finalWriteInFlight && j.isActive() && s.teams[j.team.Name] == j.team
+	action := mv.SourceGone(wanted)
+	s.applyMoveAction(mv, action)
+	return action == rebalance.StartDestination
 }
 
 // abandonMoves gives up the moves of a job, or of a whole team where no job is named.
-func (d *Scheduler) abandonMoves(tm *team, job string) {
-	for _, mv := range d.moves.underWay() {
+func (s *Scheduler) abandonMoves(tm *team, job string) {
+	for _, mv := range s.moves.underWay() {
 		if j := mv.source.job; j.team == tm && (job == "" || j.ID == job) {
-			d.act(mv, mv.Abandon())
-		}
-	}
-}
-
-// moves are those under way, by both of their bindings.
-type moves struct {
-	book          *rebalance.Planner
-	ofSource      map[*assignment]*move
-	ofDestination map[*assignment]*move
-}
-
-func newMoves(m *Moves) moves {
-	out := moves{ofSource: map[*assignment]*move{}, ofDestination: map[*assignment]*move{}}
-	if m != nil {
-		out.book = rebalance.NewPlanner(m.Limits)
-	}
-	return out
-}
-
-// underWay lists the moves in the order in which they began.
-func (m *moves) underWay() []*move {
-	out := make([]*move, 0, len(m.ofSource))
-	for _, mv := range m.ofSource {
-		out = append(out, mv)
-	}
-	slices.SortFunc(out, func(a, b *move) int { return int(a.destination.id.Attempt) - int(b.destination.id.Attempt) })
-	return out
-}
-
-// to tells that a move to a machine is under way.
-func (m *moves) to(machine string) bool {
-	for b := range m.ofDestination {
-		if b.machine == machine {
-			return true
+			s.applyMoveAction(mv, mv.Abandon())
 		}
 	}
-	return false
 }
--- /dev/null
+++ b/internal/scheduler/safety_scenario_test.go
@@ -0,0 +1,145 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+// Whatever is lost, late or repeated, and whoever crashes: no task on two
+// machines, no team over its limit, and in the end every job is done.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
+	seeds := uint64(300)
+	if testing.Short() {
+		seeds = 20
+	}
+	for seed := uint64(1); seed <= seeds; seed++ {
+		sim := newSimulationWithLimit(t, seed, 4, []float64{0, limitCPU}[seed%2])
+		faults := randomFaults{simulation: sim, rng: sim.rng}
+		sim.runSteps(8)
+		for step := range 500 {
+			faults.step()
+			sim.checkInvariants(fmt.Sprintf("seed %d step %d", seed, step))
+		}
+		for range 60 {
+			sim.runSteps(4)
+			sim.exitAll(wire.CauseDone)
+		}
+		require.Empty(t, sim.active, "seed %d: some job never ended", seed)
+	}
+}
+
+// randomFaults lets things happen to a simulation at random.
+type randomFaults struct {
+	*simulation
+	rng          *rand.Rand
+	jobsAccepted int
+}
+
+// oneIn reports true once in n times.
+func (f *randomFaults) oneIn(n int) bool { return f.rng.IntN(n) == 0 }
+
+// step lets one thing happen.
+func (f *randomFaults) step() {
+	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
+	c := f.controllers[f.rng.IntN(2)]
+	id := f.machineIDs[f.rng.IntN(len(f.machineIDs))]
+	switch f.rng.IntN(18) {
+	case 0, 1:
+		f.poll(c, f.oneIn(4))
+	case 2, 3:
+		f.scheduleWithLostWrites()
+	case 4, 5:
+		f.sendBatch(c, !f.oneIn(5), !f.oneIn(4))
+	case 6, 7:
+		f.heartbeat(id, !f.oneIn(4))
+	case 8, 9:
+		f.deliverCommands(id, f.oneIn(3), !f.oneIn(3))
+	case 10:
+		f.lateCommandsArrive()
+	case 11:
+		f.lateBatchArrives()
+	case 12:
+		f.someTasksExit(id)
+	case 13:
+		if f.jobsAccepted < 6 {
+			f.jobsAccepted++
+			f.addJob(fmt.Sprintf("job-%d", f.jobsAccepted), 3+f.rng.IntN(8), nil)
+		}
+	case 14:
+		f.leadersChange(c)
+	case 15:
+		f.advance()
+	case 16:
+		f.heartbeatCopyArrives()
+	case 17:
+		f.pauseOrCancel()
+	}
+}
+
+func (f *randomFaults) scheduleWithLostWrites() {
+	f.writeWatermarks(!f.oneIn(4), !f.oneIn(4))
+	f.scheduler.Schedule(f.now)
+	for key, m := range f.watermarks { // the replica shows them in the end
+		f.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
+	}
+}
+
+func (f *randomFaults) lateCommandsArrive() {
+	if len(f.lateCommands) > 0 {
+		late := f.lateCommands[f.rng.IntN(len(f.lateCommands))]
+		f.workers[late.machine].Orders(late.commands, f.now)
+	}
+}
+
+// lateBatchArrives lets a late batch reach the process that it was sent to, if that lives.
+func (f *randomFaults) lateBatchArrives() {
+	if len(f.lateBatches) > 0 {
+		if late := f.lateBatches[f.rng.IntN(len(f.lateBatches))]; late.controller.partitionState == late.sentTo {
+			late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
+		}
+	}
+}
+
+func (f *randomFaults) someTasksExit(id string) {
+	for _, task := range f.workers[id].InOrder() {
+		if task.Phase != wire.TaskExited && f.oneIn(2) {
+			task.Phase, task.Cause = wire.TaskExited, []string{wire.CauseDone, wire.CauseDone, wire.CauseError}[f.rng.IntN(3)]
+		}
+	}
+}
+
+func (f *randomFaults) leadersChange(c *controller) {
+	switch f.rng.IntN(12) {
+	case 0: // a controller's process crashes, and acquires its partitions anew
+		f.restart(c)
+	case 1: // another controller acquires a partition
+		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
+	case 2:
+		f.newScheduler()
+	}
+}
+
+// heartbeatCopyArrives lets a copy of a heartbeat come late, also of an earlier incarnation.
+func (f *randomFaults) heartbeatCopyArrives() {
+	if len(f.heartbeatCopies) > 0 {
+		heartbeat := f.heartbeatCopies[f.rng.IntN(len(f.heartbeatCopies))]
+		f.stateOf(heartbeat.Machine).HandleHeartbeat(&heartbeat, f.partitionOf(heartbeat.Machine), f.now)
+	}
+}
+
+func (f *randomFaults) pauseOrCancel() {
+	switch f.rng.IntN(20) {
+	case 0: // all controllers stand still, and go on as though no time had passed
+		f.now += clock.Micros(3+f.rng.IntN(40)) * sec
+	case 1:
+		if id := fmt.Sprintf("job-%d", 1+f.rng.IntN(6)); f.active[id] != nil {
+			f.scheduler.CancelJob(red, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scheduler/simulation_test.go
@@ -0,0 +1,408 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/fakes"
+	"github.com/merlinlatch/merlinlatch/internal/inventory"
+	"github.com/merlinlatch/merlinlatch/internal/jobs"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/resources"
+	"github.com/merlinlatch/merlinlatch/wire"
+)
+
+const (
+	sec      = clock.Second
+	lease    = 10 * sec
+	red      = "red"
+	limitCPU = 12 // of the team, where it has one
+)
+
+// controller is the partition leader part of a controller; a crash replaces its state.
+type controller struct {
+	name           string
+	instance       string
+	partitionState *partition.State
+}
+
+// lateCommands are commands that the network holds back.
+type lateCommands struct {
+	machine  string
+	commands wire.Orders
+}
+
+// lateBatch is a batch that the network holds back.
+type lateBatch struct {
+	controller *controller
+	sentTo     *partition.State // the process it was sent to
+	batch      peer.Batch
+}
+
+// simulation is a small cluster without I/O: partition leaders, one scheduler, workers, and a
+// network that loses, delays and repeats what the test asks it to.
+type simulation struct {
+	t                          *testing.T
+	now                        clock.Micros
+	rng                        *rand.Rand
+	cache                      *jobs.Cache
+	revision                   uint64
+	active                     map[string]*jobs.Job
+	controllers                []*controller
+	leaderOf                   []int
+	termOf                     []uint64
+	machineRecords             map[string]inventory.Record
+	workers                    map[string]*fakes.Worker
+	machineIDs                 []string
+	scheduler                  *Scheduler
+	term                       uint64
+	restarts                   int
+	lateCommands               []lateCommands
+	lateBatches                []lateBatch
+	heartbeatCopies            []wire.Heartbeat // that may come once more
+	ended                      map[string]bool
+	limit                      float64                   // CPUs; 0: none
+	watermarks                 map[string]WatermarkWrite // on record, with their mod revisions
+	legacyRecords              bool                      // an earlier release has recorded machines
+	moves                      *Moves                    // nil: off
+	leadersWithoutReservations bool                      // they hold no leases for tasks that are to move
+}
+
+// Active returns an active job; with Ended it makes the simulation the job cache of the partition leaders.
+func (s *simulation) Active(id string) (*jobs.Job, bool) { j, ok := s.active[id]; return j, ok }
+
+// Ended reports whether a job with that mod revision is over.
+func (s *simulation) Ended(id string, made uint64) bool {
+	_, final := s.cache.Final(id)
+	return final || s.active[id] == nil && s.revision >= made
+}
+
+// newSimulation returns a cluster of so many machines with a team that has a limit.
+func newSimulation(t *testing.T, machines int) *simulation {
+	t.Helper()
+	return newSimulationWithLimit(t, 1, machines, limitCPU)
+}
+
+// newSimulationWithLimit returns a cluster of so many machines with a team that may use so many CPUs; 0: any number.
+func newSimulationWithLimit(t *testing.T, seed uint64, machines int, limit float64) *simulation {
+	t.Helper()
+	sim := &simulation{
+		t:              t,
+		limit:          limit,
+		now:            100 * sec,
+		rng:            fakes.Rand(seed),
+		cache:          jobs.NewCache(),
+		revision:       10,
+		active:         map[string]*jobs.Job{},
+		machineRecords: map[string]inventory.Record{},
+		workers:        map[string]*fakes.Worker{},
+		ended:          map[string]bool{},
+		watermarks:     map[string]WatermarkWrite{},
+	}
+	for i := range 2 {
+		sim.controllers = append(sim.controllers, &controller{name: fmt.Sprintf("h%d", i)})
+		sim.boot(sim.controllers[i])
+		sim.leaderOf, sim.termOf = append(sim.leaderOf, i), append(sim.termOf, 0)
+	}
+	for i := range machines {
+		id := fmt.Sprintf("m-%d", i)
+		sim.machineIDs = append(sim.machineIDs, id)
+		sim.workers[id] = fakes.NewWorker(id, lease, sim.now)
+		sim.workers[id].Zone = []string{"a", "b"}[i/2%2]
+	}
+	for p := range sim.leaderOf {
+		sim.acquirePartition(p, p)
+	}
+	sim.newScheduler()
+	return sim
+}
+
+// boot starts a new process of a controller, which leads nothing yet.
+func (s *simulation) boot(c *controller) {
+	s.restarts++
+	c.instance = fmt.Sprintf("%s-%d", c.name, s.restarts)
+	c.partitionState = partition.NewState(partition.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, s)
+	c.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
+}
+
+// partitionOf is the partition of a machine.
+func (s *simulation) partitionOf(id string) int { return int(id[2]-'0') % len(s.leaderOf) }
+
+// acquirePartition moves the leadership of a partition to a controller, under a new term.
+func (s *simulation) acquirePartition(p, to int) {
+	s.controllers[s.leaderOf[p]].partitionState.ReleasePartition(p)
+	s.leaderOf[p] = to
+	s.termOf[p]++
+	s.revision++
+	found := map[string]inventory.Record{}
+	for id, r := range s.machineRecords {
+		if s.partitionOf(id) == p {
+			found[id] = r
+		}
+	}
+	s.controllers[to].partitionState.AcquirePartition(p, s.termOf[p], found, s.now)
+}
+
+// restart ends a controller's process. The next one acquires its partitions anew.
+func (s *simulation) restart(c *controller) {
+	s.boot(c)
+	for p, at := range s.leaderOf {
+		if s.controllers[at] == c {
+			s.acquirePartition(p, at)
+		}
+	}
+}
+
+// newScheduler replaces the scheduler: the former one is gone, and with it its memory.
+func (s *simulation) newScheduler() {
+	s.term++
+	s.revision++
+	s.scheduler = NewScheduler(Config{
+		Timing:   Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: s.moves},
+		Instance: fmt.Sprintf("scheduler-%d", s.term),
+		Teams:    []Team{{Name: red, Limit: resources.Capacity(s.limit, 0, 0)}},
+		Hosts:    []string{"h0", "h1"},
+		Seed:     s.term,
+		WallMS:   func() int64 { return 0 },
+	})
+	s.scheduler.legacyRecords = s.legacyRecords
+	for id := range s.machineRecords {
+		s.scheduler.HandleMachineRecord(id, true)
+	}
+	for key, m := range s.watermarks {
+		s.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
+	}
+	var list []*jobs.Job
+	for _, j := range s.active {
+		list = append(list, j)
+	}
+	s.scheduler.AcquireTeam(red, s.term, s.revision, list, s.now)
+}
+
+// writeWatermarks writes the scheduler's watermarks; the answer may be lost, or the write.
+func (s *simulation) writeWatermarks(written, answered bool) {
+	for _, m := range s.scheduler.PlanWatermarks(s.now, 4000) {
+		if !written || m.ModRevision != s.watermarks[m.Key].ModRevision {
+			continue
+		}
+		s.revision++
+		m.ModRevision = s.revision
+		s.watermarks[m.Key] = m
+		if answered {
+			s.scheduler.HandleWatermarkRecord(m.Key, m.Watermarks, m.ModRevision)
+		}
+	}
+}
+
+// partitionLeaderships are the leaderships of the partitions, as the scheduler's replica shows them.
+func (s *simulation) partitionLeaderships() (out []PartitionLeadership) {
+	for p, c := range s.leaderOf {
+		out = append(out, PartitionLeadership{Partition: p, Term: s.termOf[p], Host: s.controllers[c].name})
+	}
+	return out
+}
+
+// schedule runs a cycle of the scheduler, with watermarks written before it.
+func (s *simulation) schedule() {
+	s.writeWatermarks(true, true)
+	s.scheduler.Schedule(s.now)
+}
+
+// addJob has a job accepted that change may have changed.
+func (s *simulation) addJob(id string, tasks int, change func(*wire.Job)) {
+	s.revision++
+	spec := wire.Job{ID: id, Team: red, Priority: "normal", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
+	if change != nil {
+		change(&spec)
+	}
+	s.active[id] = jobs.New(jobs.Record{Job: spec}, s.revision)
+	s.scheduler.AddJob(s.active[id], s.now)
+}
+
+// poll has the scheduler poll a partition leader; the answer may be lost.
+func (s *simulation) poll(c *controller, lost bool) {
+	in := s.scheduler.NextPoll(c.name)
+	ans := c.partitionState.HandlePoll(in, c.instance, s.now)
+	ans.Holds = ans.Holds && !s.leadersWithoutReservations
+	if lost {
+		s.scheduler.MarkUnreachable(c.name)
+		return
+	}
+	s.scheduler.HandlePollResponse(c.name, in, &ans, s.now)
+}
+
+// sendBatch sends the scheduler's next batch to a partition leader; it may be delayed, or its answer lost.
+func (s *simulation) sendBatch(c *controller, reached, answered bool) {
+	batch := s.scheduler.NextBatch(c.name)
+	if batch == nil {
+		return
+	}
+	if !reached {
+		s.lateBatches = append(s.lateBatches, lateBatch{c, c.partitionState, *batch})
+		return
+	}
+	ans := c.partitionState.HandleBatch(*batch, c.instance, s.now)
+	if answered {
+		s.scheduler.HandleBatchResponse(c.name, batch, &ans, s.now)
+	}
+}
+
+// heartbeat has a worker send a heartbeat to its partition leader; the answer may be lost.
+func (s *simulation) heartbeat(id string, answered bool) {
+	worker, p := s.workers[id], s.partitionOf(id)
+	heartbeat := worker.Report(s.now)
+	if s.heartbeatCopies = append(s.heartbeatCopies, heartbeat); len(s.heartbeatCopies) > 40 {
+		s.heartbeatCopies = s.heartbeatCopies[1:]
+	}
+	ans, ok := s.stateOf(id).HandleHeartbeat(&heartbeat, p, s.now)
+	if ok && answered {
+		worker.Take(ans, s.now)
+	}
+}
+
+// deliverCommands carries commands to a worker: in time, late, or without the answer.
+func (s *simulation) deliverCommands(id string, late, answered bool) {
+	state := s.stateOf(id)
+	_, commands := state.NextDelivery(id, s.now)
+	if commands == nil {
+		return
+	}
+	if late {
+		s.lateCommands = append(s.lateCommands, lateCommands{id, *commands})
+		state.HandleDeliveryTimeout(id, commands, s.now)
+		return
+	}
+	answer, _ := s.workers[id].Orders(*commands, s.now)
+	if answered {
+		state.HandleDeliveryResponse(id, commands, &answer, s.now)
+	} else {
+		state.HandleDeliveryTimeout(id, commands, s.now)
+	}
+}
+
+// stateOf is the state of a machine's partition leader.
+func (s *simulation) stateOf(id string) *partition.State {
+	return s.controllers[s.leaderOf[s.partitionOf(id)]].partitionState
+}
+
+// advance does what is due: expired leases, records of machines, final states of jobs.
+func (s *simulation) advance() {
+	for _, c := range s.controllers {
+		for _, id := range c.partitionState.Tick(s.now) {
+			delete(s.machineRecords, id)
+			s.handleMachineRecord(id, false)
+		}
+		for id, r := range c.partitionState.UnrecordedMachines() {
+			s.machineRecords[id] = r
+			s.handleMachineRecord(id, true)
+		}
+	}
+	for _, j := range s.scheduler.CompletedJobs(s.scheduler.teams[red]) {
+		s.endJob(j.ID, wire.Done)
+	}
+	for id := range s.active {
+		j := s.scheduler.teams[red].jobs[id]
+		if j != nil && j.cancelling && s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()) {
+			s.endJob(id, wire.Cancelled)
+		}
+	}
+}
+
+// endJob writes the final state of a job.
+func (s *simulation) endJob(id, phase string) {
+	s.cache.AddFinal(id, jobs.Final{Phase: phase, Team: red})
+	s.ended[id] = true
+	delete(s.active, id)
+	s.scheduler.DropJob(id)
+}
+
+// handleMachineRecord shows a change of a machine's record to all.
+func (s *simulation) handleMachineRecord(id string, exists bool) {
+	s.scheduler.HandleMachineRecord(id, exists)
+	for _, c := range s.controllers {
+		c.partitionState.HandleMachineRecord(id, s.partitionOf(id), s.machineRecords[id], exists, s.now)
+	}
+}
+
+// runSteps runs the cluster without losses for a while.
+func (s *simulation) runSteps(steps int) {
+	s.t.Helper()
+	for range steps {
+		s.now += 250 * clock.Millisecond
+		for _, id := range s.machineIDs {
+			s.heartbeat(id, true)
+			s.deliverCommands(id, false, true)
+		}
+		s.advance()
+		for _, c := range s.controllers {
+			s.poll(c, false)
+			s.sendBatch(c, true, true)
+		}
+		s.schedule()
+		for _, c := range s.controllers {
+			s.sendBatch(c, true, true)
+		}
+		s.checkInvariants("without losses")
+	}
+}
+
+// checkInvariants compares the rules with what the workers really run: no task on two machines, no team over its limit.
+func (s *simulation) checkInvariants(when string) {
+	s.t.Helper()
+	for _, c := range s.controllers {
+		require.False(s.t, s.scheduler.sessions[c.name].resync, "%s: a view did not fit the cached state", when)
+	}
+	on := map[string]string{}
+	cpus := 0.0
+	for _, id := range s.machineIDs {
+		worker := s.workers[id]
+		worker.Check(s.now)
+		for _, t := range worker.Tasks {
+			if t.Phase == wire.TaskExited {
+				continue
+			}
+			require.Empty(s.t, on[t.Task], "%s: %s runs on two machines", when, t.Task)
+			on[t.Task] = id
+			job, _, _ := wire.SplitTask(t.Task)
+			if j := s.active[job]; j != nil {
+				cpus += j.CPUs
+			} else {
+				cpus += 2
+			}
+		}
+	}
+	if s.limit == 0 {
+		return
+	}
+	require.LessOrEqual(s.t, cpus, s.limit, "%s: the team is over its limit", when)
+}
+
+// exitAll ends all tasks that run, and returns how many they were.
+func (s *simulation) exitAll(cause string) (n int) {
+	for _, worker := range s.workers {
+		for _, t := range worker.Tasks {
+			if t.Phase != wire.TaskExited {
+				t.Phase, t.Cause = wire.TaskExited, cause
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// runningTasks is how many tasks the workers run.
+func (s *simulation) runningTasks() (n int) {
+	for _, worker := range s.workers {
+		for _, t := range worker.Tasks {
+			if t.Phase != wire.TaskExited {
+				n++
+			}
+		}
+	}
+	return n
+}
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -89,7 +89,7 @@
 // at most maxBytes.
 func (s *Scheduler) PlanWatermarks(now clock.Micros, maxBytes int) (out []WatermarkWrite) {
 	plan := watermarkPlan{
-		limitCPU: s.usableCPU/int64(aheadShare*max(1, len(s.teamConfigs))) + aheadCPU,
+		limitCPU: s.capacity.usableCPU/int64(aheadShare*max(1, len(s.teamConfigs))) + aheadCPU,
 		aheadCPU: map[*team]int64{},
 		raised:   map[*team]map[string]int{},
 	}
