--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -88,28 +88,36 @@
 func cannedPair() (a, b *cannedController) {
 	a = &cannedController{
 		teams: peer.TeamsResponse{Host: "a", Capacity: resources.Capacity(100, 8, 0), Yielded: 4,
-			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: resources.Capacity(10, 0, 0), Limit: resources.Capacity(40, 0, 0), Used: resources.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
+			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: resources.Capacity(10, 0, 0),
+				Limit: resources.Capacity(40, 0, 0), Used: resources.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
 				Waits:    telemetry.Quantiles{Count: 3, P50: 1_500_000, P95: 2_000_000, P99: 2_100_000},
 				Lateness: telemetry.Quantiles{Count: 1, P50: 100_000, P95: 200_000, P99: 300_000},
-				Moves:    []peer.MoveRecord{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made", Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
-				Unmoved:  []peer.DeclinedMoves{{Why: "gain below margin", Count: 5}}}},
-			Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.125}, {Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}},
-		zones: peer.ZonesResponse{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "north", State: "healthy", Machines: 99, Waiting: 2}}},
+				Moves: []peer.MoveRecord{{Task: "job-7/3", From: "m-1", To: "m-2", Reason: "slow", Outcome: "made",
+					Gain: 30_000_000, Cost: 4_500_000, Ago: 12_000_000}},
+				Unmoved: []peer.DeclinedMoves{{Why: "gain below margin", Count: 5}}}},
+			Standings: []fairshare.Standing{{Team: "red", Weight: 2, Share: 0.25, Taken: 0.125},
+				{Team: "blue", Weight: 1, Share: 0.75, Taken: 0.5}}},
+		zones: peer.ZonesResponse{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "north", State: "healthy", Machines: 99,
+			Waiting: 2}}},
 		events: []history.Event{
 			{AtMS: 1000, Controller: "a", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north"},
-			{AtMS: 9000, Controller: "a", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north", Note: "done"},
+			{AtMS: 9000, Controller: "a", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north",
+				Note: "done"},
 			{AtMS: 9500, Controller: "a", Kind: history.JobOver, Job: "job-7", Note: "done"},
 		},
 	}
 	b = &cannedController{
-		teams: peer.TeamsResponse{Host: "b", Capacity: resources.Capacity(50, 0, 0), Yielded: 1, Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
+		teams: peer.TeamsResponse{Host: "b", Capacity: resources.Capacity(50, 0, 0), Yielded: 1,
+			Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
 		zones: peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
-			{Zone: "north", State: "returning", Stage: "urgent", Held: true, Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3, AtMS: 1_000, Why: "1 of 10 machines not heard"},
+			{Zone: "north", State: "returning", Stage: "urgent", Held: true, Machines: 10, Unheard: 1, Unsettled: 2, Waiting: 3,
+				AtMS: 1_000, Why: "1 of 10 machines not heard"},
 			{Zone: "south", State: "healthy", Machines: 7}}},
 		hold: peer.ZoneHoldResponse{Done: true},
 		events: []history.Event{
 			{AtMS: 2500, Controller: "b", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south"},
-			{AtMS: 8000, Controller: "b", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south", Note: "stopped"},
+			{AtMS: 8000, Controller: "b", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south",
+				Note: "stopped"},
 			{AtMS: 9600, Controller: "b", Kind: history.JobOver, Job: "job-7", Note: "cancelled"},
 		},
 	}
@@ -148,7 +156,8 @@
 // A refusal of the controllers reaches the operator word for word; without shares the table has
 // fewer columns.
 func TestOperatorsCommandsKeepOutputWithoutFeatures(t *testing.T) {
-	refusing := &cannedController{teams: peer.TeamsResponse{Host: "a"}, zones: peer.ZonesResponse{Host: "a"}, hold: peer.ZoneHoldResponse{Refusal: "zone states are off"}}
+	refusing := &cannedController{teams: peer.TeamsResponse{Host: "a"}, zones: peer.ZonesResponse{Host: "a"},
+		hold: peer.ZoneHoldResponse{Refusal: "zone states are off"}}
 	s := serveCanned(t, refusing, refusing)
 	all := console.Controllers(s)[:2]
 	var out bytes.Buffer
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -26,8 +26,10 @@
 	{"hold_ttl_s", 1, 600}, {"hold_renew_s", 0.1, 60}, {"resign_after_s", 0.5, 600}, {"hold_grace_s", 0, 60}, {"hand_over_s", 0, 86400},
 	{"sample", 1, 1000}, {"batch", 1, 10000}, {"lease_ttl_s", 1, 600}, {"progress_every_s", 0.1, 60}, {"preempt_after_s", 0, 3600},
 	{"idle_return_s", 0, 86400}, {"spare_share", 0, 10}, {"boot_patience", 1, 100}, {"catchup_s", 1, 3600}, {"catchup_ordinary_s", 1, 3600},
-	{"rental_backoff_s", 0, 3600}, {"share_fresh_s", 1.5, 60}, {"share_withhold_s", 0, 30}, {"data_weight", 0, 100}, {"even_weight_s", 0, 3600},
-	{"price_weight_s", 0, 3600}, {"image_wait_s", 0, 60}, {"move_margin", 1, 100}, {"move_cool_down_s", 0, 86400}, {"moves_per_team", 0, 10000},
+	{"rental_backoff_s", 0, 3600}, {"share_fresh_s", 1.5, 60}, {"share_withhold_s", 0, 30}, {"data_weight", 0, 100},
+	{"even_weight_s", 0, 3600},
+	{"price_weight_s", 0, 3600}, {"image_wait_s", 0, 60}, {"move_margin", 1, 100}, {"move_cool_down_s", 0, 86400},
+	{"moves_per_team", 0, 10000},
 	{"moves_per_machine", 0, 10000}, {"zone_suspect_s", 1, 600}, {"zone_lost_s", 1, 600}, {"zone_back_s", 0, 600}, {"sick_errors", 1, 1000},
 }
 
@@ -167,7 +169,8 @@
 func TestPolicyRefusalsKeepTexts(t *testing.T) {
 	var out strings.Builder
 	scripts := []string{
-		"unknown = 1", "hold_ttl_s = 3", "team_weights = 1", `team_weights = {"green": 1}`, `team_weights = {"red": 0}`, `team_weights = {"red": "x"}`,
+		"unknown = 1", "hold_ttl_s = 3", "team_weights = 1", `team_weights = {"green": 1}`, `team_weights = {"red": 0}`,
+		`team_weights = {"red": "x"}`,
 		"veto_move = 1", "def veto_move(): return True", "recovery_stage = True", "def recovery_stage(a, b): return \"urgent\"",
 		"sample = ", "sample = absent", "sample = 1 // 0", "def f(n):\n  for i in range(n): pass\nf(10000000)",
 	}
@@ -204,7 +207,8 @@
 def veto_move(m):
     if dir(m) != ["cost_s", "destination", "gain_s", "job", "reason", "source", "task", "team"]:
         return True
-    return (m.team, m.job, m.task, m.source, m.destination, m.reason, m.gain_s, m.cost_s) != ("red", "job-7", 3, "m-1", "m-2", "slow", 2.5, 1.25)
+    return (m.team, m.job, m.task, m.source, m.destination, m.reason, m.gain_s, m.cost_s) != (
+        "red", "job-7", 3, "m-1", "m-2", "slow", 2.5, 1.25)
 `
 	k, err := policy.Parse(equal, fullSettings(t))
 	require.NoError(t, err)
@@ -272,7 +276,8 @@
 		{"deadline", []config.Objective{{Kind: "deadline", Class: "a"}}, true},
 		{"finished soon", []config.Objective{{Kind: "finished", Class: "a", WithinS: 127}}, false},
 		{"finished late", []config.Objective{{Kind: "finished", Class: "a", WithinS: 128}}, true},
-		{"finished soon with deadline", []config.Objective{{Kind: "finished", Class: "a", WithinS: 1}, {Kind: "deadline", Class: "a"}}, true},
+		{"finished soon with deadline", []config.Objective{{Kind: "finished", Class: "a", WithinS: 1},
+			{Kind: "deadline", Class: "a"}}, true},
 	} {
 		s := fullSettings(t)
 		s.Params.Objectives = c.objectives
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -123,13 +123,16 @@
 		path  string
 		value any
 	}{
-		{"host_name", nil}, {"host_name", 5}, {"listen", nil}, {"listen", "here"}, {"cluster_listen", "127.0.0.1"}, {"services.cloud", "x:1"},
-		{"services.state", ""}, {"services", []int{}}, {"others.addr", "b"}, {"others.host_name", nil}, {"others.host_name", "a"}, {"others.host_name", "b"},
+		{"host_name", nil}, {"host_name", 5}, {"listen", nil}, {"listen", "here"}, {"cluster_listen", "127.0.0.1"},
+		{"services.cloud", "x:1"},
+		{"services.state", ""}, {"services", []int{}}, {"others.addr", "b"}, {"others.host_name", nil}, {"others.host_name", "a"},
+		{"others.host_name", "b"},
 		{"params.machine_limits.core_share", -1}, {"params.machine_limits.memory_mb", -1}, {"params.machine_limits.fd_limit", -1},
 		{"params.count", -1}, {"params.workers.report_s", nil}, {"params.workers.lease_s", 0}, {"params.workers.cancel_s", -1},
 		{"params.workers.lease_s", "16"}, {"params.state.rps", nil}, {"params.state.write_rps", nil}, {"params.state.value_kb", nil},
 		{"params.state.txn_ops", nil}, {"params.state.txn_ops", 1.5}, {"params.cloud.rps", nil},
-		{"params.teams.name", nil}, {"params.teams.name", "red"}, {"params.teams.cpus", -1}, {"params.teams.gpus_max", -1}, {"params.teams.cpus_max", 1},
+		{"params.teams.name", nil}, {"params.teams.name", "red"}, {"params.teams.cpus", -1}, {"params.teams.gpus_max", -1},
+		{"params.teams.cpus_max", 1},
 	} {
 		_, err := config.Parse(settingsWith(t, c.path, c.value))
 		require.Error(t, err, "%s = %v", c.path, c.value)
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -38,8 +38,10 @@
 
 func wireSamples() []wireSample {
 	order := wire.Order{Verb: wire.VerbStop, Task: "job-7/3", Attempt: 1<<63 + 5, GraceS: wireSeconds(4.5)}
-	task := wire.TaskStatus{Task: "job-7/3", Attempt: 18446744073709551615, Phase: wire.TaskExited, Cause: wire.CauseNoRoom, Checkpointed: true}
-	kind := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemGB: 256.5, CacheGB: 100, FetchGBPS: 1.25, Price: 3.5, SpotPrice: 1.1, BootS: 45,
+	task := wire.TaskStatus{Task: "job-7/3", Attempt: 18446744073709551615, Phase: wire.TaskExited, Cause: wire.CauseNoRoom,
+		Checkpointed: true}
+	kind := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemGB: 256.5, CacheGB: 100, FetchGBPS: 1.25, Price: 3.5, SpotPrice: 1.1,
+		BootS: 45,
 		Zones: []string{"north", "south"}}
 	rental := wire.Instance{ID: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Phase: wire.MachineBooting, AgeS: 12.5}
 	item := wire.Item{Key: "job/1", Value: stdjson.RawMessage(`{"a":1}`), ModRevision: 9, LeaseID: 4}
@@ -53,7 +55,8 @@
 		{"job_state", &wire.JobState{ID: "job-7", Phase: wire.Running, Done: 3, Running: 13}, &wire.JobState{}},
 		{"error", &wire.Error{Error: "no <such> job & path", Leader: "b"}, &wire.Error{}},
 		{"task_report", &task, &wire.TaskStatus{}},
-		{"report", &wire.Heartbeat{Machine: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Incarnation: 5, Tick: 6, FencingToken: 7,
+		{"report", &wire.Heartbeat{Machine: "m-1", Addr: "10.0.0.2:9000", Type: "g8", Zone: "north", Spot: true, Incarnation: 5,
+			Tick: 6, FencingToken: 7,
 			EvictionNoticeS: wireSeconds(30), Tasks: []wire.TaskStatus{task}}, &wire.Heartbeat{}},
 		{"order", &order, &wire.Order{}},
 		{"report_answer", &wire.HeartbeatResponse{FencingToken: 8, Orders: []wire.Order{order}}, &wire.HeartbeatResponse{}},
@@ -93,7 +96,8 @@
 				fast, err := json.Marshal(message)
 				require.NoError(t, err)
 				require.Equal(t, string(std), string(fast), "the encoders differ")
-				for name, decode := range map[string]func([]byte, any) error{"encoding/json": stdjson.Unmarshal, "segmentio": json.Unmarshal} {
+				for name, decode := range map[string]func([]byte, any) error{"encoding/json": stdjson.Unmarshal,
+					"segmentio": json.Unmarshal} {
 					back := reflect.New(full.Type())
 					require.NoError(t, decode(std, back.Interface()), name)
 					require.Equal(t, message, back.Interface(), name)
@@ -111,23 +115,29 @@
 		value any
 	}{
 		{"path jobs", wire.PathJobs}, {"path ready", wire.PathReady}, {"path report", wire.PathHeartbeat}, {"path orders", wire.PathOrders},
-		{"path show", wire.PathShow}, {"path catalog", wire.PathCatalog}, {"path rentals", wire.PathInstances}, {"path return", wire.PathScaleIn},
+		{"path show", wire.PathShow}, {"path catalog", wire.PathCatalog}, {"path rentals", wire.PathInstances},
+		{"path return", wire.PathScaleIn},
 		{"path keys", wire.PathKeys}, {"path multi", wire.PathTxn}, {"path holds", wire.PathLeases}, {"path changes", wire.PathWatch},
-		{"limit body", wire.MaxBody}, {"limit tasks", wire.MaxTasks}, {"limit rental", wire.MaxScaleOut}, {"limit list", wire.MaxList}, {"limit multi", wire.MaxTxnBytes},
+		{"limit body", wire.MaxBody}, {"limit tasks", wire.MaxTasks}, {"limit rental", wire.MaxScaleOut},
+		{"limit list", wire.MaxList}, {"limit multi", wire.MaxTxnBytes},
 		{"job pending", wire.Pending}, {"job running", wire.Running}, {"job done", wire.Done}, {"job cancelled", wire.Cancelled},
-		{"task fetching", wire.TaskFetching}, {"task running", wire.TaskRunning}, {"task saving", wire.TaskCheckpointing}, {"task exited", wire.TaskExited},
-		{"cause done", wire.CauseDone}, {"cause stopped", wire.CauseStopped}, {"cause error", wire.CauseError}, {"cause no room", wire.CauseNoRoom},
+		{"task fetching", wire.TaskFetching}, {"task running", wire.TaskRunning}, {"task saving", wire.TaskCheckpointing},
+		{"task exited", wire.TaskExited},
+		{"cause done", wire.CauseDone}, {"cause stopped", wire.CauseStopped}, {"cause error", wire.CauseError},
+		{"cause no room", wire.CauseNoRoom},
 		{"cause busy", wire.CauseBusy}, {"cause no such", wire.CauseNoSuch},
 		{"verb run", wire.VerbRun}, {"verb stop", wire.VerbStop}, {"verb forget", wire.VerbForget},
 		{"machine booting", wire.MachineBooting}, {"machine running", wire.MachineRunning}, {"machine failed", wire.MachineFailed},
-		{"ranks", wire.Priorities}, {"level of idle", wire.PriorityLevel("idle")}, {"level of production", wire.PriorityLevel("production")}, {"level of another", wire.PriorityLevel("low")},
+		{"ranks", wire.Priorities}, {"level of idle", wire.PriorityLevel("idle")},
+		{"level of production", wire.PriorityLevel("production")}, {"level of another", wire.PriorityLevel("low")},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", c.name, c.value)
 	}
 	goldenFile(t, "wire/constants.txt", []byte(out.String()))
 }
 
-const wireJob = `{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle","shards":1,"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`
+const wireJob = `{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle","shards":1,` +
+	`"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`
 
 // A user is told these texts with a 400. Of several missing fields any may be named, so one is
 // missing at a time.
@@ -195,7 +205,8 @@
 		ok        bool
 	}{
 		{"job-7/3", "job-7", 3, true}, {"job-7/0000003", "job-7", 3, true}, {"a/b/99999", "a/b", 99999, true},
-		{"", "", 0, false}, {"/3", "", 0, false}, {"job-7/", "", 0, false}, {"job-7/x", "", 0, false}, {"job-7/-1", "", 0, false}, {"job-7/00000003", "", 0, false},
+		{"", "", 0, false}, {"/3", "", 0, false}, {"job-7/", "", 0, false}, {"job-7/x", "", 0, false}, {"job-7/-1", "", 0, false},
+		{"job-7/00000003", "", 0, false},
 	} {
 		job, n, ok := wire.SplitTask(c.name)
 		require.Equal(t, c.ok, ok, c.name)
@@ -250,7 +261,8 @@
 	require.NoError(t, err)
 	require.Len(t, items, 1)
 	require.EqualValues(t, 5, rev)
-	rev, err = c.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: "k", Value: map[string]int{"n": 1}, LeaseID: 3}, {Drop: "l"}}})
+	rev, err = c.Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: "k", Value: map[string]int{"n": 1}, LeaseID: 3},
+		{Drop: "l"}}})
 	require.NoError(t, err)
 	require.EqualValues(t, 7, rev)
 	hold, err := c.GrantLease(t.Context(), 24*time.Second)
@@ -292,8 +304,10 @@
 	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	placer := &wirePlacer{err: errors.New("nobody")}
 	book := jobs.NewCache()
-	f := api.New(api.Options{Store: view, Schedulers: placer, Peers: wireAlone{}, Jobs: book, Limits: map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)},
-		MaxRecordBytes: 4096, WallClock: func() time.Time { return time.UnixMilli(0) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	f := api.New(api.Options{Store: view, Schedulers: placer, Peers: wireAlone{}, Jobs: book,
+		Limits:         map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)},
+		MaxRecordBytes: 4096, WallClock: func() time.Time { return time.UnixMilli(0) },
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	var out strings.Builder
 	ask := func(what, method, rest, body string) {
 		r := f.Handle(t.Context(), &httpx.Request{Method: method, Body: []byte(body)}, rest)
