--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if err := a.cloud.call(ctx, http.MethodPost, wire.PathScaleIn, wire.HostList{Hosts: drained}, nil); err != nil {
-		a.log.Info("scale-in requested", "machines", drained, "error", err)
+		a.log.Warn("scale-in failed", "machines", drained, "error", err)
 		return
 	}
 	a.controllers.MarkMachinesGone(ctx, a.recordReturned(drained, batch))
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -97,13 +97,3 @@
 func errUnexpectedStatus(r *httpx.Response) error {
 	return fmt.Errorf("%w: unexpected status %d", ErrOutcomeUnknown, r.Status)
 }
-
-// pause waits for a time; it reports whether ctx went on for all of it.
-func pause(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -9,6 +9,7 @@
 
 	"github.com/segmentio/encoding/json"
 
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -21,8 +22,6 @@
 	// outage's end is noticed immediately, seldom enough for the request budget.
 	loadRetryPause  = 300 * time.Millisecond
 	watchRetryPause = 250 * time.Millisecond
-	// failureLogInterval is how many failures in a row go with one log event: an outage lasts many tries.
-	failureLogInterval = 32
 )
 
 // loadedPrefixes are the prefixes read at the start; final states are only followed.
@@ -83,10 +82,10 @@
 		if err == nil {
 			return true
 		}
-		if attempts%failureLogInterval == 1 {
+		if loop.LogsFailure(attempts) {
 			r.log.Warn("store load failed", "attempts", attempts, "error", err)
 		}
-		pause(ctx, loadRetryPause)
+		loop.Pause(ctx, loadRetryPause)
 	}
 	return false
 }
@@ -101,16 +100,16 @@
 		case errors.Is(err, ErrCompacted):
 			return
 		case err != nil:
-			if failures++; failures%failureLogInterval == 1 && ctx.Err() == nil {
+			if failures++; loop.LogsFailure(failures) && ctx.Err() == nil {
 				r.log.Warn("store watch failed", "error", err)
 			}
-			pause(ctx, watchRetryPause)
+			loop.Pause(ctx, watchRetryPause)
 			continue
 		}
 		failures = 0
 		r.applyChanges(changes)
 		if rest := minWatchInterval - time.Since(began); rest > 0 {
-			pause(ctx, rest)
+			loop.Pause(ctx, rest)
 		}
 	}
 }
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/time/rate"
 
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -84,7 +85,7 @@
 	}
 	for {
 		rev, err := p.commit(ctx, txn, writes, beforeSend)
-		if !errors.Is(err, errRateLimited) || !pause(ctx, rateLimitPause) {
+		if !errors.Is(err, errRateLimited) || !loop.Pause(ctx, rateLimitPause) {
 			return rev, err
 		}
 		writes = nil // taken by the first try
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -36,7 +36,7 @@
 	e.lastPeerContact = now
 	if incarnation, _ := e.election.Incarnation(); incarnation != "" && now-e.lastRenewal > e.timing.ResignAfter {
 		e.resign("store unreachable, peer reaches it")
-		e.notify()
+		e.wake.Notify()
 	}
 }
 
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -8,6 +8,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -20,8 +21,6 @@
 	// transferInterval is the least time from one pass with transfers to the next: the replica has shown their outcome by then, as
 	// a rule.
 	transferInterval = clock.Second
-	// failureLogInterval is how many failures in a row go with one log event: an outage lasts many tries.
-	failureLogInterval = 32
 )
 
 // Store is the part of the key-value store that the elector needs.
@@ -44,7 +43,7 @@
 	clock  clock.Clock
 	timing Timing
 	log    *slog.Logger
-	wake   chan struct{} // has Run go on before its pause is over
+	wake   loop.Signal // has Run go on before its pause is over
 
 	renewalFailures int // in a row; of Run's goroutine only
 
@@ -60,7 +59,7 @@
 
 // NewElector makes an elector around an election.
 func NewElector(election *Election, store Store, c clock.Clock, t Timing, log *slog.Logger) *Elector {
-	return &Elector{election: election, store: store, clock: c, timing: t, log: log, wake: make(chan struct{}, 1)}
+	return &Elector{election: election, store: store, clock: c, timing: t, log: log, wake: loop.NewSignal()}
 }
 
 // Apply takes events of the replica.
@@ -70,15 +69,7 @@
 		e.election.Apply(ev)
 	}
 	e.mu.Unlock()
-	e.notify()
-}
-
-// notify wakes Run.
-func (e *Elector) notify() {
-	select {
-	case e.wake <- struct{}{}:
-	default:
-	}
+	e.wake.Notify()
 }
 
 // Leading returns a leadership, and whether this process has it and may act on it now.
@@ -116,14 +107,14 @@
 		if e.hasIncarnation() {
 			attempts = 0
 			e.pass(ctx)
-			e.pause(ctx, passPause)
+			loop.PauseOrWake(ctx, passPause, e.wake)
 			continue
 		}
 		if err := e.register(ctx); err != nil {
-			if attempts++; attempts%failureLogInterval == 1 {
+			if attempts++; loop.LogsFailure(attempts) {
 				e.log.Warn("registration failed", "attempts", attempts, "error", err)
 			}
-			e.pause(ctx, retryPause)
+			loop.PauseOrWake(ctx, retryPause, e.wake)
 		}
 	}
 	return nil
@@ -136,17 +127,6 @@
 	return incarnation != ""
 }
 
-// pause waits for a time, until Run is woken, or until ctx ends.
-func (e *Elector) pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-e.wake:
-	case <-ctx.Done():
-	}
-}
-
 // actions is what one pass is to do for an incarnation, as decided at one moment.
 type actions struct {
 	incarnation string
--- a/internal/leaderelection/registration.go
+++ b/internal/leaderelection/registration.go
@@ -47,7 +47,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unreachable = unreachable
-	e.notify()
+	e.wake.Notify()
 }
 
 // publishReachability writes into this controller's registration whether its workers reach it.
--- a/internal/leaderelection/renewal.go
+++ b/internal/leaderelection/renewal.go
@@ -7,6 +7,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 )
 
 const (
@@ -43,9 +44,9 @@
 		}
 		return false
 	}
-	if e.renewalFailures++; e.renewalFailures%failureLogInterval == 1 {
+	if e.renewalFailures++; loop.LogsFailure(e.renewalFailures) {
 		e.log.Warn("lease renewal failed", "error", err)
 	}
-	e.pause(ctx, retryPause)
+	loop.PauseOrWake(ctx, retryPause, e.wake)
 	return false
 }
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connections.release(id, c) {
-		s.wake.notify()
+		s.wake.Notify()
 	}
 	now := s.clock.Now()
 	if err != nil {
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -11,6 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -46,7 +47,7 @@
 	loopDuty       *telemetry.Duty // rounds of Run's loop
 
 	misdirected misdirectedMachines // has its own lock
-	wake        wakeSignal          // wakes Run's loop to start deliveries
+	wake        loop.Signal         // wakes Run's loop to start deliveries
 	stopped     chan struct{}       // closed when Run ends: polls that wait are answered
 	background  sync.WaitGroup      // deliveries and writes of machine records; added to by Run's goroutine only
 	recording   sync.Mutex          // held by the goroutine that writes machine records
@@ -97,7 +98,7 @@
 		pollDuty:       opts.Telemetry.Duty("owner_poll"),
 		loopDuty:       opts.Telemetry.Duty("owner_tick"),
 		misdirected:    misdirectedMachines{byLeader: map[string]map[string]clock.Micros{}},
-		wake:           newWakeSignal(),
+		wake:           loop.NewSignal(),
 		stopped:        make(chan struct{}),
 		state:          NewState(opts.Timing, opts.Jobs),
 		records:        inventory.NewRecords(),
@@ -111,7 +112,7 @@
 // notifyChange has a change published to polls, and wakes Run's loop. mu is held.
 func (s *Server) notifyChange() {
 	s.publisher.schedule(s.state.Version(), publicationInterval(s.state.MachineCount(), s.publisher.waitingPolls))
-	s.wake.notify()
+	s.wake.Notify()
 }
 
 // leads reports whether a partition is led under a term at this moment. It is asked before anything is sent, after all
@@ -209,15 +210,3 @@
 		s.writeMachineRecords(ctx, unrecorded, drop)
 	})
 }
-
-// wakeSignal wakes a loop. Notifications that come before the loop looks count as one.
-type wakeSignal chan struct{}
-
-func newWakeSignal() wakeSignal { return make(wakeSignal, 1) }
-
-func (w wakeSignal) notify() {
-	select {
-	case w <- struct{}{}:
-	default:
-	}
-}
--- /dev/null
+++ b/internal/scheduler/broadcast.go
@@ -0,0 +1,15 @@
+package scheduler
+
+// broadcast wakes all goroutines that wait for a change. It has no lock of its own.
+type broadcast struct{ changed chan struct{} }
+
+func newBroadcast() broadcast { return broadcast{make(chan struct{})} }
+
+// next gives a channel that is closed by the next notification.
+func (b *broadcast) next() <-chan struct{} { return b.changed }
+
+// notify wakes all that wait.
+func (b *broadcast) notify() {
+	close(b.changed)
+	b.changed = make(chan struct{})
+}
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -61,7 +61,7 @@
 		if step.response != nil {
 			return *step.response
 		}
-		c.scheduleWake.notify()
+		c.scheduleWake.Notify()
 		if step.write && c.writeFinalState(ctx, step.job, step.partitions) == nil {
 			continue
 		}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -8,6 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -20,8 +21,8 @@
 	log       *slog.Logger
 	txnOps    int // operations that a transaction takes
 
-	scheduleWake signal // there may be something to decide
-	writeWake    signal // there may be something to write
+	scheduleWake loop.Signal // there may be something to decide
+	writeWake    loop.Signal // there may be something to write
 
 	mu        sync.Mutex
 	scheduler *Scheduler // guarded by mu, with the teams and jobs that it gives
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -8,6 +8,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -20,8 +21,6 @@
 	maxFinalWriteOperations = 12
 	// finalWriteRetryInterval spaces the attempts of one write.
 	finalWriteRetryInterval = 300 * time.Millisecond
-	// finalWriteLogEvery is how many attempts of one write make one log event: an outage lasts for many.
-	finalWriteLogEvery = 32
 	// maxUncertainCancelAttempts is after how many attempts the write of a cancellation without a definite answer is given
 	// up: its user asks again, and writeLoop goes on with it.
 	maxUncertainCancelAttempts = 3
@@ -96,7 +95,7 @@
 	}
 	tm.finalWritesInFlight++
 	w.lifetime.start(func() {
-		defer w.writeWake.notify()
+		defer w.writeWake.Notify()
 		if err := w.write(ctx, f); err != nil {
 			w.log.Warn("final state write failed", "team", tm.Name, "error", err)
 		}
@@ -124,7 +123,7 @@
 		if errors.Is(err, errTeamLost) {
 			return err
 		}
-		if attempt%finalWriteLogEvery == 1 {
+		if loop.LogsFailure(attempt) {
 			w.log.Warn("final state write retried", "job", f.jobs[0].ID, "jobs", len(f.jobs), "attempts", attempt, "error", err)
 		}
 		uncertain := w.noteFailure(f.jobs, err)
@@ -134,7 +133,7 @@
 		if errors.Is(err, kvstore.ErrConflict) && len(f.jobs) > 1 {
 			return w.writeSeparately(ctx, f)
 		}
-		pause(ctx, finalWriteRetryInterval)
+		loop.Pause(ctx, finalWriteRetryInterval)
 	}
 	return ctx.Err()
 }
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -7,6 +7,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
@@ -52,7 +53,7 @@
 			s.mu.Lock()
 			s.scheduler.MarkUnreachable(host)
 			s.mu.Unlock()
-			pause(ctx, unreachablePause)
+			loop.Pause(ctx, unreachablePause)
 		}
 	}
 	return nil
@@ -84,8 +85,8 @@
 // notifyUpdated wakes all that a partition leader's answer may let go on. The lock is held.
 func (s *Server) notifyUpdated() {
 	s.updated.notify()
-	s.scheduleWake.notify()
-	s.writeWake.notify()
+	s.scheduleWake.Notify()
+	s.writeWake.Notify()
 }
 
 // sendLoop sends batches to a partition leader, one at a time.
@@ -116,7 +117,7 @@
 		s.scheduler.MarkUnreachable(host)
 		s.mu.Unlock()
 		s.log.Debug("assignment batch unanswered", "peer", host, "error", err)
-		pause(ctx, unreachablePause)
+		loop.Pause(ctx, unreachablePause)
 		return
 	}
 	s.mu.Lock()
@@ -125,7 +126,7 @@
 	s.mu.Unlock()
 	if !sameInstance {
 		// What bears repeating goes to the new process, once a poll has shown it: not again and again until then.
-		pause(ctx, newInstancePause)
+		loop.Pause(ctx, newInstancePause)
 	}
 }
 
@@ -133,7 +134,7 @@
 func (s *Server) summaryLoop(ctx context.Context) error {
 	var last Counters
 	for ctx.Err() == nil {
-		pause(ctx, summaryInterval)
+		loop.Pause(ctx, summaryInterval)
 		s.mu.Lock()
 		summary := s.scheduler.Summary()
 		s.mu.Unlock()
@@ -180,7 +181,7 @@
 			s.Reconcile()
 		case <-s.scheduleWake:
 		}
-		pause(ctx, s.schedule())
+		loop.Pause(ctx, s.schedule())
 	}
 }
 
@@ -192,7 +193,7 @@
 	s.scheduler.Schedule(startedAt)
 	for host, batchWake := range s.batchWakes {
 		if s.scheduler.HasBatch(host, startedAt) {
-			batchWake.notify()
+			batchWake.Notify()
 		}
 	}
 	assigned := s.scheduler.Summary().Bound
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -55,7 +55,7 @@
 			return
 		}
 	}
-	w.scheduleWake.notify()
+	w.scheduleWake.Notify()
 }
 
 // changedRecords lists the records to write by team, and acknowledges attempts of jobs that have none.
--- a/internal/scheduler/replica_events.go
+++ b/internal/scheduler/replica_events.go
@@ -31,7 +31,7 @@
 	if machinesChanged {
 		s.scheduler.legacyRecords = s.records.HasLegacy()
 	}
-	s.scheduleWake.notify()
+	s.scheduleWake.Notify()
 }
 
 // applyJob takes an active record, which may also say that its job is over. The lock is held.
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -9,6 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/jobs"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
@@ -54,7 +55,7 @@
 	fairShares      bool                       // polls carry the teams' demands
 	scheduleMetrics *telemetry.Duty            // passes of the decision
 	pollMetrics     *telemetry.Duty            // answers to polls
-	batchWakes      map[string]signal          // by controller: there may be a batch to send
+	batchWakes      map[string]loop.Signal     // by controller: there may be a batch to send
 	records         *inventory.Records         // machine records of the replica; guarded by mu
 	lifetime        *lifetime
 
@@ -88,7 +89,7 @@
 	scheduler.chunkTasks = chunkTasks(o.MaxRecordBytes)
 	c := &core{
 		elections: o.Elections, jobs: o.Jobs, clock: o.Clock, log: o.Log, txnOps: o.TxnOps,
-		scheduleWake: newSignal(), writeWake: newSignal(),
+		scheduleWake: loop.NewSignal(), writeWake: loop.NewSignal(),
 		scheduler: scheduler, updated: newBroadcast(),
 	}
 	lifetime := newLifetime()
@@ -97,7 +98,7 @@
 		core: c, teams: o.Teams, partitions: o.Partitions, fairShares: o.FairShares,
 		scheduleMetrics: o.Telemetry.Duty("placer_round"),
 		pollMetrics:     o.Telemetry.Duty("placer_view"),
-		batchWakes:      map[string]signal{},
+		batchWakes:      map[string]loop.Signal{},
 		records:         inventory.NewRecords(),
 		lifetime:        lifetime,
 		watermarks:      &watermarkWriter{core: c, store: o.PriorityStore, maxRecordBytes: o.MaxRecordBytes},
@@ -107,7 +108,7 @@
 			finalStates: finalStates, lifetime: lifetime},
 	}
 	for host := range o.Partitions {
-		s.batchWakes[host] = newSignal()
+		s.batchWakes[host] = loop.NewSignal()
 	}
 	return s
 }
@@ -131,7 +132,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scheduler.SetZoneState(name, r, s.clock.Now())
-	s.scheduleWake.notify()
+	s.scheduleWake.Notify()
 }
 
 // Reconcile compares the teams that are scheduled with the leaderships of this process: it acquires those that it leads, under
@@ -160,6 +161,6 @@
 		for host := range s.partitions {
 			s.lifetime.start(func() { _ = s.poll(host, 0) }) // after an error the poll loop polls again
 		}
-		s.scheduleWake.notify()
+		s.scheduleWake.Notify()
 	}
 }
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
@@ -22,7 +23,7 @@
 // run writes watermarks at intervals until ctx ends.
 func (w *watermarkWriter) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, watermarkInterval)
+		loop.Pause(ctx, watermarkInterval)
 		w.mu.Lock()
 		writes := w.scheduler.PlanWatermarks(w.clock.Now(), w.maxRecordBytes)
 		w.mu.Unlock()
@@ -53,5 +54,5 @@
 	w.mu.Lock()
 	w.scheduler.HandleWatermarkRecord(write.Key, write.Watermarks, rev)
 	w.mu.Unlock()
-	w.scheduleWake.notify()
+	w.scheduleWake.Notify()
 }
