--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -13,17 +13,17 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cancelWithin is how long after the confirmation of its withdrawal a job's tasks may be there.
-const cancelWithin = 36 * time.Second
+// cancellationLimit is how long after the confirmation of its withdrawal a job's tasks may be there.
+const cancellationLimit = 36 * time.Second
 
-// cancelled is a job whose withdrawal was confirmed, when, and how often tasks of
+// confirmedCancellation is a job whose withdrawal was confirmed, when, and how often tasks of
 // it had started by then.
-type cancelled struct {
-	at     time.Time
-	starts int
+type confirmedCancellation struct {
+	confirmedAt time.Time
+	starts      int
 }
 
-func (c *cluster) starts(id string) (n int) {
+func (c *cluster) taskStarts(id string) (n int) {
 	for _, w := range c.workers {
 		for task, k := range w.Starts {
 			if strings.HasPrefix(task, id+"/") {
@@ -34,27 +34,27 @@
 	return n
 }
 
-// checkCancelled holds the workers' tasks against the withdrawals confirmed so far.
-func (c *cluster) checkCancelled() {
+// requireCancelledStopped holds the workers' tasks against the withdrawals confirmed so far.
+func (c *cluster) requireCancelledStopped() {
 	for id, told := range c.cancelled {
-		require.Equal(c.t, told.starts, c.starts(id), "%s has started after its withdrawal was confirmed", id)
-		if time.Since(told.at) <= cancelWithin {
+		require.Equal(c.t, told.starts, c.taskStarts(id), "%s has started after its withdrawal was confirmed", id)
+		if time.Since(told.confirmedAt) <= cancellationLimit {
 			continue
 		}
 		for _, w := range c.workers {
 			for _, k := range w.InOrder() {
 				require.False(c.t, k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/"),
-					"%s is on %s %v after its withdrawal was confirmed", k.Task, w.ID, time.Since(told.at))
+					"%s is on %s %v after its withdrawal was confirmed", k.Task, w.ID, time.Since(told.confirmedAt))
 			}
 		}
 	}
 }
 
-// on counts the tasks of a job on workers that report to a controller.
-func (c *cluster) on(host, id string) (n int) {
+// tasksOn counts the tasks of a job tasksOn workers that report to a controller.
+func (c *cluster) tasksOn(host, id string) (n int) {
 	for _, w := range c.workers {
 		for _, k := range w.InOrder() {
-			if c.at[w.ID] == host && k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/") {
+			if c.reportsTo[w.ID] == host && k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/") {
 				n++
 			}
 		}
@@ -62,20 +62,20 @@
 	return n
 }
 
-// anew ends a controller's process, starts another on the same host and waits
+// replaceProcess ends a controller's process, starts another on the same host and waits
 // until that one has the partitions again.
-func (c *cluster) anew(host string) {
+func (c *cluster) replaceProcess(host string) {
 	c.crash(host)
 	c.start(host)
 	for range 100 {
 		time.Sleep(50 * time.Millisecond)
 		held := 0
-		for part := range partsPerController * len(hosts) {
-			if _, mine := c.up[host].keeper.Leading(partition.Duty(part)); mine {
+		for part := range partitionsPerController * len(hosts) {
+			if _, mine := c.processes[host].elector.Leading(partition.Duty(part)); mine {
 				held++
 			}
 		}
-		if held >= partsPerController {
+		if held >= partitionsPerController {
 			return
 		}
 	}
@@ -88,7 +88,7 @@
 // same, also where the leader has just been replaced by a new process of its
 // host, before the withdrawal's last owner has taken it or while its end is on
 // its way to the state service: that process has never heard of the withdrawal.
-func TestAWithdrawalBeforeAnOutageReachesWhoeverHoldsTheMachines(t *testing.T) {
+func TestCancellationBeforeStoreOutageReachesPartitionLeaders(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		replaced string // when the leader's process is replaced
@@ -100,11 +100,11 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := busyCluster(t)
-				via := c.leader()
+				c := newBusyCluster(t)
+				via := c.unlimitedTeamLeader()
 				leader, third := "", ""
 				for _, h := range hosts {
-					if h != via && leader == "" && c.on(h, "job-1") > 0 {
+					if h != via && leader == "" && c.tasksOn(h, "job-1") > 0 {
 						leader = h
 					} else if h != via {
 						third = h
@@ -113,56 +113,56 @@
 				require.NotEmpty(t, leader, "some other controller has tasks of the job")
 				// Where it is unreachable, no worker hears the stops that the first process sends.
 				refuse := func() {
-					c.anew(leader)
-					c.up[leader].view.SetCut(true)
+					c.replaceProcess(leader)
+					c.processes[leader].storeClient.SetCut(true)
 				}
 				switch x.replaced {
 				case "after its answer":
 					c.unreachable[leader] = true
-					c.setCut(third, true)
-					require.Empty(t, c.cancel(via, "job-1"), "the third controller has not taken it")
+					c.setDisconnected(third, true)
+					require.Empty(t, c.cancelJob(via, "job-1"), "the third controller has not taken it")
 					refuse()
 					c.unreachable[leader] = false
-					c.setCut(third, false)
+					c.setDisconnected(third, false)
 				case "in flight":
 					c.unreachable[leader] = true
-					c.setBefore(func(host string, m wire.Txn) lot {
-						if host == via && strings.Contains(puts(m), kvstore.FinalJobPrefix+"job-1") && c.note("the end was on its way") == 1 {
+					c.setOnCommit(func(host string, m wire.Txn) txnOutcome {
+						if host == via && strings.Contains(writtenKeys(m), kvstore.FinalJobPrefix+"job-1") && c.addOccurrence("the end was on its way") == 1 {
 							refuse()
 							c.unreachable[leader] = false
 						}
-						return served
+						return txnServed
 					})
-					defer func() { require.NotZero(t, c.count("the end was on its way")) }()
+					defer func() { require.NotZero(t, c.occurrenceCount("the end was on its way")) }()
 				case "after the confirmation":
 					c.unreachable[leader] = true
 				default:
-					c.up[leader].view.SetCut(true)
+					c.processes[leader].storeClient.SetCut(true)
 				}
 				told := false
 				for range 8 {
-					if told = c.cancel(via, "job-1") == wire.Cancelled; told {
+					if told = c.cancelJob(via, "job-1") == wire.Cancelled; told {
 						break
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				require.True(t, told, "others confirm while the leader is refused")
 				if x.replaced == "after the confirmation" {
-					require.NotZero(t, c.on(leader, "job-1"), "its workers have not heard of it")
+					require.NotZero(t, c.tasksOn(leader, "job-1"), "its workers have not heard of it")
 					refuse() // it finds the end in its replica, as it has taken its partitions since
 					c.unreachable[leader] = false
 				}
 				time.Sleep(400 * time.Millisecond)
-				_, _, err := c.up[leader].view.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
+				_, _, err := c.processes[leader].storeClient.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
 				require.ErrorIs(t, err, kvstore.ErrRefused)
-				c.st.SetDown(true)
-				c.run(60*time.Second, 0)
-				require.Zero(t, c.running())
-				c.st.SetDown(false)
-				c.up[leader].view.SetCut(false)
-				c.run(30*time.Second, 0)
+				c.store.SetDown(true)
+				c.runFor(60*time.Second, 0)
+				require.Zero(t, c.runningTasks())
+				c.store.SetDown(false)
+				c.processes[leader].storeClient.SetCut(false)
+				c.runFor(30*time.Second, 0)
 				for _, h := range hosts {
-					require.Equal(t, wire.Cancelled, c.phase(h, "job-1"))
+					require.Equal(t, wire.Cancelled, c.jobPhase(h, "job-1"))
 				}
 			})
 		})
@@ -172,60 +172,60 @@
 // A withdrawal's end has no answer, and its placer ends. Where it was carried out, the job
 // is cancelled and stays so. Where it comes late, nobody has been told: the next placer
 // goes on with the job, and the late end changes nothing.
-func TestAWithdrawalWhosePlacerEnds(t *testing.T) {
+func TestUnansweredCancellationIsResolvedAfterTeamLeaderCrash(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		lot  lot
-	}{{"carried out, the answer is lost", answerLost}, {"carried out late", heldBack}} {
+		lot  txnOutcome
+	}{{"carried out, the answer is lost", responseLost}, {"carried out late", txnHeldBack}} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := busyCluster(t)
-				leader := c.leader()
-				c.setBefore(func(host string, m wire.Txn) lot {
-					if host == leader && strings.Contains(puts(m), kvstore.FinalJobPrefix) {
-						c.note("the end is written")
+				c := newBusyCluster(t)
+				leader := c.unlimitedTeamLeader()
+				c.setOnCommit(func(host string, m wire.Txn) txnOutcome {
+					if host == leader && strings.Contains(writtenKeys(m), kvstore.FinalJobPrefix) {
+						c.addOccurrence("the end is written")
 						return x.lot
 					}
-					return served
+					return txnServed
 				})
-				c.setBehind(leader, 4*time.Second) // it does not read its own write meanwhile
-				require.Empty(t, c.cancel(leader, "job-1"), "nothing is told while its end may be written or not")
-				require.Equal(t, "503", c.ask(leader, "job-1"))
-				require.NotZero(t, c.count("the end is written"))
+				c.setReplicaDelay(leader, 4*time.Second) // it does not read its own write meanwhile
+				require.Empty(t, c.cancelJob(leader, "job-1"), "nothing is told while its end may be written or not")
+				require.Equal(t, "503", c.queryJob(leader, "job-1"))
+				require.NotZero(t, c.occurrenceCount("the end is written"))
 				c.crash(leader)
-				c.setBehind(leader, 0)
-				c.setBefore(nil)
-				late := c.takeKept()
-				c.run(time.Second, 0)
+				c.setReplicaDelay(leader, 0)
+				c.setOnCommit(nil)
+				late := c.takeHeldTransactions()
+				c.runFor(time.Second, 0)
 				c.start(leader)
-				c.run(8*time.Second, 0)
-				if x.lot == answerLost {
-					require.Zero(t, c.running())
+				c.runFor(8*time.Second, 0)
+				if x.lot == responseLost {
+					require.Zero(t, c.runningTasks())
 					for _, h := range hosts {
-						require.Equal(t, wire.Cancelled, c.ask(h, "job-1"))
+						require.Equal(t, wire.Cancelled, c.queryJob(h, "job-1"))
 					}
 					return
 				}
-				require.Equal(t, 6, c.running(), "it goes on")
+				require.Equal(t, 6, c.runningTasks(), "it goes on")
 				for _, write := range late {
 					require.ErrorIs(t, write(), kvstore.ErrConflict)
 				}
-				c.run(15*time.Second, 3*time.Second)
+				c.runFor(15*time.Second, 3*time.Second)
 				for _, h := range hosts {
-					require.Equal(t, wire.Done, c.ask(h, "job-1"))
+					require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
 				}
 			})
 		})
 	}
 }
 
-// onAll submits a job of the team without a limit, each of whose tasks takes a whole machine.
-func onAll(id string, tasks int) string {
+// wholeMachineSubmission submits a job of the team without a limit, each of whose tasks takes a whole machine.
+func wholeMachineSubmission(id string, tasks int) string {
 	return strings.NewReplacer(`"red"`, `"blue"`, `"cpus":2`, `"cpus":8`).Replace(submission(id, tasks))
 }
 
-// puts lists the keys that a transaction writes.
-func puts(m wire.Txn) string {
+// writtenKeys lists the keys that a transaction writes.
+func writtenKeys(m wire.Txn) string {
 	var keys []string
 	for _, op := range m.Operations {
 		keys = append(keys, op.Put)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -30,99 +30,99 @@
 // process is one life of a controller.
 type process struct {
 	*Controller
-	view *fakes.KVClient
-	kill context.CancelFunc
+	storeClient *fakes.KVClient
+	kill        context.CancelFunc
 }
 
 // cluster is three controllers, a state service and workers, in a test's bubble
 // where time is virtual. Connections are calls; cut ones fail.
 type cluster struct {
-	t       *testing.T
-	st      *fakes.KVStore
-	clock   clock.Clock
-	workers []*fakes.Worker
-	at      map[string]string // the controller that a worker reports to
-	began   map[string]clock.Micros
-	reportS float64
-	txnOps  int
-	valueKB float64
-	teams   []config.Team     // red, with a limit, and blue where none are given
-	script  string            // the operators' policy
-	scripts map[string]string // of single hosts
-	zones   map[string]string // of the hosts; none: no zone
+	t            *testing.T
+	store        *fakes.KVStore
+	clock        clock.Clock
+	workers      []*fakes.Worker
+	reportsTo    map[string]string // the controller that a worker reports to
+	taskSeenAt   map[string]clock.Micros
+	heartbeatS   float64
+	txnOps       int
+	valueKB      float64
+	teams        []config.Team     // red, with a limit, and blue where none are given
+	policyScript string            // the operators' policy
+	hostScripts  map[string]string // of single hosts
+	hostZones    map[string]string // of the hosts; none: no zone
 
-	mu          sync.Mutex
-	up          map[string]*process
-	cut         map[string]bool          // hosts that no peer reaches
-	unreachable map[string]bool          // hosts that no worker reaches
-	still       map[string]chan struct{} // hosts that stand still, until these are closed
-	rng         *rand.Rand
-	noted       map[string]int                    // what has occurred, and how often
-	lateWrites  float64                           // share of transactions that are carried out late
-	before      func(host string, m wire.Txn) lot // decides on a transaction that arrives, before it is carried out
-	kept        []func() error                    // transactions held back
-	blue        map[string]bool                   // jobs of the team without a limit
-	ages        map[string]clock.Micros           // since when attempts run, where that lasts from one run to the next
-	hung        map[string]bool                   // workers that neither report nor hear
-	unheard     map[string]bool                   // workers whose reports arrive, and no answer
-	only        map[string]string                 // workers that reach this controller alone
-	copies      [][]byte                          // reports that were sent, where they are kept
-	keepCopies  bool
-	closely     func()                   // done every five milliseconds
-	behind      map[string]time.Duration // by how much the replica of a controller is late
-	lag         time.Duration            // of every word between controllers and workers
-	accepted    map[string]bool          // jobs that users were told are accepted
-	told        map[string]string
-	cancelled   map[string]cancelled // by job
+	mu                 sync.Mutex
+	processes          map[string]*process
+	disconnected       map[string]bool          // hosts that no peer reaches
+	unreachable        map[string]bool          // hosts that no worker reaches
+	paused             map[string]chan struct{} // hosts that stand still, until these are closed
+	rng                *rand.Rand
+	occurrences        map[string]int                           // what has occurred, and how often
+	delayedWriteShare  float64                                  // share of transactions that are carried out late
+	onCommit           func(host string, m wire.Txn) txnOutcome // decides on a transaction that arrives, before it is carried out
+	heldTransactions   []func() error                           // transactions held back
+	unlimitedJobs      map[string]bool                          // jobs of the team without a limit
+	attemptSeenAt      map[string]clock.Micros                  // since when attempts run, where that lasts from one run to the next
+	hungWorkers        map[string]bool                          // workers that neither report nor hear
+	unanswered         map[string]bool                          // workers whose reports arrive, and no answer
+	pinnedTo           map[string]string                        // workers that reach this controller alone
+	recordedHeartbeats [][]byte                                 // reports that were sent, where they are kept
+	recordsHeartbeats  bool
+	everyFiveMS        func()                   // done every five milliseconds
+	replicaDelay       map[string]time.Duration // by how much the replica of a controller is late
+	peerLatency        time.Duration            // of every word between controllers and workers
+	accepted           map[string]bool          // jobs that users were told are accepted
+	finalAnswers       map[string]string
+	cancelled          map[string]confirmedCancellation // by job
 }
 
-// reach gives the process that a peer reaches at a host, nil for none.
-func (c *cluster) reach(from, to string) *process {
+// processReachedBy gives the process that a peer reaches at a host, nil for none.
+func (c *cluster) processReachedBy(from, to string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[to] || c.cut[from] {
+	if c.disconnected[to] || c.disconnected[from] {
 		return nil
 	}
-	return c.up[to]
+	return c.processes[to]
 }
 
-func (c *cluster) setCut(host string, cut bool) {
+func (c *cluster) setDisconnected(host string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[host] = cut
+	c.disconnected[host] = cut
 }
 
-// line is a controller's connection to a peer.
-type line struct {
-	c    *cluster
-	to   string
-	from string
+// peerConnection is a controller's connection to a peer.
+type peerConnection struct {
+	cluster *cluster
+	to      string
+	from    string
 }
 
-var errCut = errors.New("cut")
+var errDisconnected = errors.New("cut")
 
-func (l line) Call(method string, in, out any, timeout time.Duration) error {
-	l.c.wait(l.from)
-	if g := l.c.gate(l.to); g != nil {
-		return l.late(g, method, in, out, timeout)
+func (l peerConnection) Call(method string, in, out any, timeout time.Duration) error {
+	l.cluster.awaitResume(l.from)
+	if g := l.cluster.pauseGate(l.to); g != nil {
+		return l.deliverLate(g, method, in, out, timeout)
 	}
 	err := l.deliver(method, in, out)
-	l.c.wait(l.from)
+	l.cluster.awaitResume(l.from)
 	return err
 }
 
-func (l line) deliver(method string, in, out any) error {
-	l.c.mu.Lock()
-	lag := l.c.lag
-	l.c.mu.Unlock()
+func (l peerConnection) deliver(method string, in, out any) error {
+	l.cluster.mu.Lock()
+	lag := l.cluster.peerLatency
+	l.cluster.mu.Unlock()
 	time.Sleep(lag)
 	defer time.Sleep(lag)
-	p := l.c.reach(l.from, l.to)
+	p := l.cluster.processReachedBy(l.from, l.to)
 	if p == nil {
 		time.Sleep(50 * time.Millisecond)
-		return errCut
+		return errDisconnected
 	}
-	s := &service{p.Controller}
+	s := &rpcService{p.Controller}
 	switch method {
 	case "Round":
 		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
@@ -144,16 +144,16 @@
 	return fmt.Errorf("no such method: %s", method)
 }
 
-func newCluster(t *testing.T, workers int) *cluster { return newClusterOf(t, workers, 0.5) }
+func newCluster(t *testing.T, workers int) *cluster { return newClusterWithInterval(t, workers, 0.5) }
 
-// newClusterOf makes a cluster whose workers report every so many seconds.
-func newClusterOf(t *testing.T, workers int, reportS float64) *cluster {
-	return newClusterWith(t, workers, &cluster{reportS: reportS, txnOps: 12, valueKB: 8})
+// newClusterWithInterval makes a cluster whose workers report every so many seconds.
+func newClusterWithInterval(t *testing.T, workers int, reportS float64) *cluster {
+	return newClusterWithOptions(t, workers, &cluster{heartbeatS: reportS, txnOps: 12, valueKB: 8})
 }
 
-func newClusterWith(t *testing.T, workers int, given *cluster) *cluster {
-	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewKVStore(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
-	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: wire.Catalog{
+func newClusterWithOptions(t *testing.T, workers int, given *cluster) *cluster {
+	c := &cluster{t: t, teams: given.teams, policyScript: given.policyScript, hostScripts: given.hostScripts, hostZones: given.hostZones, peerLatency: given.peerLatency, heartbeatS: given.heartbeatS, txnOps: given.txnOps, valueKB: given.valueKB, store: fakes.NewKVStore(), clock: clock.NewSteady(), processes: map[string]*process{}, disconnected: map[string]bool{}, paused: map[string]chan struct{}{}, unreachable: map[string]bool{}, reportsTo: map[string]string{}, taskSeenAt: map[string]clock.Micros{}, cancelled: map[string]confirmedCancellation{}, hungWorkers: map[string]bool{}, occurrences: map[string]int{}, replicaDelay: map[string]time.Duration{}, unlimitedJobs: map[string]bool{}, unanswered: map[string]bool{}, pinnedTo: map[string]string{}, accepted: map[string]bool{}, finalAnswers: map[string]string{}}
+	_, err := c.directClient().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: wire.Catalog{
 		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
@@ -161,10 +161,10 @@
 	}
 	for i := range workers {
 		c.workers = append(c.workers, fakes.NewWorker(fmt.Sprintf("m-%06d", i), 16*clock.Second, c.clock.Now()))
-		c.at[c.workers[i].ID] = hosts[i%3]
+		c.reportsTo[c.workers[i].ID] = hosts[i%3]
 	}
 	t.Cleanup(func() {
-		for _, p := range c.up {
+		for _, p := range c.processes {
 			if p != nil {
 				p.kill()
 			}
@@ -175,81 +175,81 @@
 }
 
 func (c *cluster) start(host string) {
-	set := &config.Settings{Host: host, Zone: c.zones[host]}
-	set.Params.Count = 3
-	set.Params.Teams = c.teams
+	settings := &config.Settings{Host: host, Zone: c.hostZones[host]}
+	settings.Params.Count = 3
+	settings.Params.Teams = c.teams
 	if c.teams == nil {
-		set.Params.Teams = []config.Team{{Name: "red", CPUsMax: 12}, {Name: "blue"}}
+		settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 12}, {Name: "blue"}}
 	}
-	set.Params.Workers.LeaseS = 16
-	set.Params.Workers.ReportS = c.reportS
-	set.Params.State.TxnOps = c.txnOps
-	set.Params.State.ValueKB = c.valueKB
-	set.Params.Cloud.RPS = 1
-	for _, zone := range c.zones {
-		if !slices.Contains(set.Params.Zones, zone) {
-			set.Params.Zones = append(set.Params.Zones, zone)
+	settings.Params.Workers.LeaseS = 16
+	settings.Params.Workers.ReportS = c.heartbeatS
+	settings.Params.State.TxnOps = c.txnOps
+	settings.Params.State.ValueKB = c.valueKB
+	settings.Params.Cloud.RPS = 1
+	for _, zone := range c.hostZones {
+		if !slices.Contains(settings.Params.Zones, zone) {
+			settings.Params.Zones = append(settings.Params.Zones, zone)
 		}
 	}
-	slices.Sort(set.Params.Zones)
+	slices.Sort(settings.Params.Zones)
 	peers := map[string]PeerClient{}
 	for _, h := range hosts {
 		if h != host {
-			set.Peers = append(set.Peers, config.Peer{Host: h, Zone: c.zones[h]})
-			peers[h] = line{c, h, host}
+			settings.Peers = append(settings.Peers, config.Peer{Host: h, Zone: c.hostZones[h]})
+			peers[h] = peerConnection{c, h, host}
 		}
 	}
-	script, own := c.scripts[host]
+	script, own := c.hostScripts[host]
 	if !own {
-		script = c.script
+		script = c.policyScript
 	}
-	knobs, err := policy.Parse(script, set)
+	parameters, err := policy.Parse(script, settings)
 	require.NoError(c.t, err)
 	ctx, kill := context.WithCancel(c.t.Context())
-	p := &process{view: &fakes.KVClient{KVStore: c.st}, kill: kill}
-	way := held{p.view, c, host}
-	p.Controller = assemble(&wiring{settings: set, parameters: knobs, store: way, priorityStore: way, userStore: way, peers: peers, seed: fakes.Seed,
+	p := &process{storeClient: &fakes.KVClient{KVStore: c.store}, kill: kill}
+	connection := faultyStore{p.storeClient, c, host}
+	p.Controller = assemble(&wiring{settings: settings, parameters: parameters, store: connection, priorityStore: connection, userStore: connection, peers: peers, seed: fakes.Seed,
 		log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	c.mu.Lock()
-	c.up[host] = p
+	c.processes[host] = p
 	c.mu.Unlock()
-	go p.duties(ctx) //nolint:errcheck // ends with the context
+	go p.runDuties(ctx) //nolint:errcheck // ends with the context
 }
 
 func (c *cluster) crash(host string) {
-	c.up[host].kill()
+	c.processes[host].kill()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.up[host] = nil
+	c.processes[host] = nil
 }
 
-func (c *cluster) do(host, method, path, body string) httpx.Response {
-	if c.up[host] == nil {
+func (c *cluster) request(host, method, path, body string) httpx.Response {
+	if c.processes[host] == nil {
 		return httpx.Response{}
 	}
 	r := &httpx.Request{Method: method, Path: path, Body: []byte(body)}
 	var job wire.Job
 	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == "blue" {
-		c.blue[job.ID] = true
+		c.unlimitedJobs[job.ID] = true
 	}
-	if g := c.gate(host); g != nil {
-		p := c.up[host]
+	if g := c.pauseGate(host); g != nil {
+		p := c.processes[host]
 		go func() { // nobody waits for the answer any more
 			<-g
-			p.handle(c.t.Context(), r)
+			p.handleRequest(c.t.Context(), r)
 		}()
 		return httpx.Response{}
 	}
-	return c.up[host].handle(c.t.Context(), r)
+	return c.processes[host].handleRequest(c.t.Context(), r)
 }
 
-// run lets time pass while workers report every second, and finishes tasks
+// runFor lets time pass while workers report every second, and finishes tasks
 // after lasts. It holds the rules against what runs.
-func (c *cluster) run(d, lasts time.Duration) { c.runAnd(d, lasts, func() {}) }
+func (c *cluster) runFor(d, lasts time.Duration) { c.runForEach(d, lasts, func() {}) }
 
-// runAnd is run with something done after every half second.
-func (c *cluster) runAnd(d, lasts time.Duration, then func()) {
-	began := c.ages
+// runForEach is run with something done after every half second.
+func (c *cluster) runForEach(d, lasts time.Duration, then func()) {
+	began := c.attemptSeenAt
 	if began == nil {
 		began = map[string]clock.Micros{}
 	}
@@ -258,7 +258,7 @@
 		on := map[string]string{}
 		red := 0.0
 		for _, w := range c.workers {
-			if c.hung[w.ID] {
+			if c.hungWorkers[w.ID] {
 				w.Check(now) // it is over with its lease, if it goes on after that
 			}
 			for _, k := range w.InOrder() {
@@ -266,59 +266,59 @@
 				if began[attempt] == 0 {
 					began[attempt] = now
 				}
-				if c.hung[w.ID] {
+				if c.hungWorkers[w.ID] {
 					continue
 				}
 				if lasts > 0 && k.Phase != wire.TaskExited && now > began[attempt]+clock.FromDuration(lasts) {
 					k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
-			if !c.hung[w.ID] {
-				c.report(w)
+			if !c.hungWorkers[w.ID] {
+				c.sendHeartbeat(w)
 			}
 			for _, k := range w.InOrder() {
 				if k.Phase != wire.TaskExited {
 					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
 					on[k.Task] = w.ID
-					if job, _, _ := wire.SplitTask(k.Task); !c.blue[job] {
+					if job, _, _ := wire.SplitTask(k.Task); !c.unlimitedJobs[job] {
 						red += 2
 					}
 				}
 			}
 		}
 		require.LessOrEqual(c.t, red, 12.0, "the team's limit")
-		c.checkCancelled()
-		if c.closely == nil {
+		c.requireCancelledStopped()
+		if c.everyFiveMS == nil {
 			time.Sleep(500 * time.Millisecond)
 		}
-		for step := 0; c.closely != nil && step < 100; step++ {
+		for step := 0; c.everyFiveMS != nil && step < 100; step++ {
 			time.Sleep(5 * time.Millisecond)
-			c.closely()
+			c.everyFiveMS()
 		}
 		then()
 	}
 }
 
-func (c *cluster) report(w *fakes.Worker) (answered bool) {
+func (c *cluster) sendHeartbeat(w *fakes.Worker) (answered bool) {
 	sent := c.clock.Now()
 	r := w.Report(sent)
 	r.Addr = "" // no way to the worker but by its reports
 	b, err := json.Marshal(r)
 	require.NoError(c.t, err)
-	if c.keepCopies {
-		c.copies = append(c.copies, b)
+	if c.recordsHeartbeats {
+		c.recordedHeartbeats = append(c.recordedHeartbeats, b)
 	}
-	if h := c.only[w.ID]; h != "" {
-		c.at[w.ID] = h
+	if h := c.pinnedTo[w.ID]; h != "" {
+		c.reportsTo[w.ID] = h
 	}
-	host := c.at[w.ID]
+	host := c.reportsTo[w.ID]
 	var resp httpx.Response
 	if !c.unreachable[host] {
-		resp = c.do(host, "POST", wire.PathHeartbeat, string(b))
+		resp = c.request(host, "POST", wire.PathHeartbeat, string(b))
 	}
 	var a wire.HeartbeatResponse
 	var e wire.Error
-	if c.unheard[w.ID] {
+	if c.unanswered[w.ID] {
 		resp = httpx.Response{}
 	}
 	switch {
@@ -327,18 +327,18 @@
 		w.Take(a, sent)
 		return true
 	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Leader != "":
-		c.at[w.ID] = e.Leader
+		c.reportsTo[w.ID] = e.Leader
 	default:
 		for i, h := range hosts {
 			if h == host {
-				c.at[w.ID] = hosts[(i+1)%3]
+				c.reportsTo[w.ID] = hosts[(i+1)%3]
 			}
 		}
 	}
 	return false
 }
 
-func (c *cluster) running() (n int) {
+func (c *cluster) runningTasks() (n int) {
 	for _, w := range c.workers {
 		for _, k := range w.InOrder() {
 			if k.Phase != wire.TaskExited {
@@ -349,8 +349,8 @@
 	return n
 }
 
-func (c *cluster) phase(host, id string) string {
-	r := c.do(host, "GET", wire.PathJobs+"/"+id, "")
+func (c *cluster) jobPhase(host, id string) string {
+	r := c.request(host, "GET", wire.PathJobs+"/"+id, "")
 	var s wire.JobState
 	if r.Status != 200 || json.Unmarshal(r.Body, &s) != nil {
 		return fmt.Sprint(r.Status)
@@ -363,12 +363,12 @@
 	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":5,"snap_every_s":0,"snap_s":0}`, id, tasks)
 }
 
-// runFleet lets time pass for a large fleet: workers report every five seconds
+// runFleetFor lets time pass for a large fleet: workers report every five seconds
 // and when something has changed. It holds the rules against what runs.
-func (c *cluster) runFleet(d, lasts time.Duration) { c.runFleetAnd(d, lasts, func() {}) }
+func (c *cluster) runFleetFor(d, lasts time.Duration) { c.runFleetForEach(d, lasts, func() {}) }
 
-// runFleetAnd is runFleet with something done after every half second.
-func (c *cluster) runFleetAnd(d, lasts time.Duration, then func()) {
+// runFleetForEach is runFleet with something done after every half second.
+func (c *cluster) runFleetForEach(d, lasts time.Duration, then func()) {
 	const step = 500 * time.Millisecond
 	again := map[string]bool{} // reports that nobody has answered: to the next controller a moment later
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
@@ -377,15 +377,15 @@
 		for i, w := range c.workers {
 			changed := n%10 == i%10 || again[w.ID]
 			for key, k := range w.Tasks {
-				if c.began[key] == 0 {
-					c.began[key], changed = now, true
+				if c.taskSeenAt[key] == 0 {
+					c.taskSeenAt[key], changed = now, true
 				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > c.began[key]+clock.FromDuration(lasts) {
+				if lasts > 0 && k.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(lasts) {
 					k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
 				}
 			}
 			if changed {
-				again[w.ID] = !c.report(w)
+				again[w.ID] = !c.sendHeartbeat(w)
 			}
 			for _, k := range w.Tasks {
 				if k.Phase != wire.TaskExited {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -17,10 +17,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// claims lists all claims as the state service has them.
-func (c *cluster) claims() map[string]leaderelection.Record {
+// leaderships lists all leaderships as the state service has them.
+func (c *cluster) leaderships() map[string]leaderelection.Record {
 	out := map[string]leaderelection.Record{}
-	items, _, err := c.direct().List(c.t.Context(), kvstore.LeaderPrefix)
+	items, _, err := c.directClient().List(c.t.Context(), kvstore.LeaderPrefix)
 	if err != nil {
 		return out // in an outage
 	}
@@ -32,9 +32,9 @@
 	return out
 }
 
-// moved counts the claims that have a new holder since.
-func (c *cluster) moved(before map[string]leaderelection.Record) (n int) {
-	for duty, r := range c.claims() {
+// leadershipsMoved counts the claims that have a new holder since.
+func (c *cluster) leadershipsMoved(before map[string]leaderelection.Record) (n int) {
+	for duty, r := range c.leaderships() {
 		if r.Term > before[duty].Term {
 			n++
 		}
@@ -42,21 +42,21 @@
 	return n
 }
 
-// busyCluster is six machines, each taken by a task of job-1.
-func busyCluster(t *testing.T) *cluster {
+// newBusyCluster is six machines, each taken by a task of job-1.
+func newBusyCluster(t *testing.T) *cluster {
 	c := newCluster(t, 6)
-	c.run(8*time.Second, 0)
-	require.Equal(t, 201, c.submit("a", onAll("job-1", 6), "job-1"))
-	c.run(4*time.Second, 0)
-	require.Equal(t, 6, c.running())
+	c.runFor(8*time.Second, 0)
+	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+	c.runFor(4*time.Second, 0)
+	require.Equal(t, 6, c.runningTasks())
 	return c
 }
 
-// leader is who places the jobs of the team blue.
-func (c *cluster) leader() string { return c.placerOf("blue") }
+// unlimitedTeamLeader is who places the jobs of the team blue.
+func (c *cluster) unlimitedTeamLeader() string { return c.teamLeader("blue") }
 
-func (c *cluster) placerOf(team string) string {
-	h, ok := c.claims()[scheduler.Duty(team)]
+func (c *cluster) teamLeader(team string) string {
+	h, ok := c.leaderships()[scheduler.Duty(team)]
 	require.True(c.t, ok)
 	return h.Leader
 }
@@ -64,18 +64,18 @@
 // isolate has a controller lose the state service and its peers, or reach them again;
 // the workers that report to it reach nobody else meanwhile.
 func (c *cluster) isolate(host string, alone bool) {
-	c.up[host].view.SetCut(alone)
-	c.setCut(host, alone)
-	clear(c.only)
+	c.processes[host].storeClient.SetCut(alone)
+	c.setDisconnected(host, alone)
+	clear(c.pinnedTo)
 	for _, w := range c.workers {
-		if alone && c.at[w.ID] == host {
-			c.only[w.ID] = host
+		if alone && c.reportsTo[w.ID] == host {
+			c.pinnedTo[w.ID] = host
 		}
 	}
 }
 
-// finish has a task done.
-func (c *cluster) finish(task string) {
+// finishTask has a task done.
+func (c *cluster) finishTask(task string) {
 	for _, w := range c.workers {
 		w.Finish(task, wire.CauseDone)
 	}
@@ -84,8 +84,8 @@
 // jobName is the id of a user's i-th job.
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
 
-// startedOnce holds that no task was ever started a second time.
-func (c *cluster) startedOnce() {
+// requireStartedOnce holds that no task was ever started a second time.
+func (c *cluster) requireStartedOnce() {
 	starts := map[string]int{}
 	for _, w := range c.workers {
 		for task, n := range w.Starts {
@@ -100,77 +100,77 @@
 // A controller loses the state service and its peers, not its workers and users. Others
 // take its duties once its hold is over, and jobs are withdrawn through them. Nobody
 // hears anything older from it, and its workers' tasks are gone in time.
-func TestWithdrawalsThroughTheSuccessorOfACutOffLeader(t *testing.T) {
+func TestCancellationThroughSuccessorOfIsolatedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := busyCluster(t)
-		leader := c.leader()
+		c := newBusyCluster(t)
+		leader := c.unlimitedTeamLeader()
 		c.isolate(leader, true)
-		require.NotEmpty(t, c.only)
+		require.NotEmpty(t, c.pinnedTo)
 		heard := 0
 		asking := func() {
-			if p := c.ask(leader, "job-1"); len(p) > 3 {
+			if p := c.queryJob(leader, "job-1"); len(p) > 3 {
 				heard++
 			}
 			for _, h := range hosts {
-				if h != leader && c.cancelled["job-1"].at.IsZero() {
-					c.cancel(h, "job-1")
+				if h != leader && c.cancelled["job-1"].confirmedAt.IsZero() {
+					c.cancelJob(h, "job-1")
 				}
 			}
 		}
-		c.runAnd(30*time.Second, 0, asking)
+		c.runForEach(30*time.Second, 0, asking)
 		require.NotZero(t, heard, "it has answered its users meanwhile")
-		require.NotEqual(t, leader, c.leader())
-		c.runAnd(15*time.Second, 0, asking)
-		require.False(t, c.cancelled["job-1"].at.IsZero(), "confirmed by its successor")
-		c.runAnd(45*time.Second, 0, asking)
-		require.Zero(t, c.running())
+		require.NotEqual(t, leader, c.unlimitedTeamLeader())
+		c.runForEach(15*time.Second, 0, asking)
+		require.False(t, c.cancelled["job-1"].confirmedAt.IsZero(), "confirmed by its successor")
+		c.runForEach(45*time.Second, 0, asking)
+		require.Zero(t, c.runningTasks())
 		c.isolate(leader, false)
-		c.runAnd(20*time.Second, 0, asking)
-		require.Equal(t, wire.Cancelled, c.ask(leader, "job-1"))
+		c.runForEach(20*time.Second, 0, asking)
+		require.Equal(t, wire.Cancelled, c.queryJob(leader, "job-1"))
 	})
 }
 
 // A zone with workers and a controller is cut off for longer than the workers' lease:
 // they reach that controller alone, and it nobody else.
-func TestAZoneThatIsCutOffForLongerThanALease(t *testing.T) {
+func TestIsolatedControllerAndWorkersRecoverAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := busyCluster(t)
-		zone := c.at[c.workers[0].ID]
-		before := c.claims()
+		c := newBusyCluster(t)
+		zone := c.reportsTo[c.workers[0].ID]
+		before := c.leaderships()
 		c.isolate(zone, true)
-		c.run(50*time.Second, 0)
-		require.GreaterOrEqual(t, c.moved(before), partsPerController, "its duties are others'")
-		for duty, r := range c.claims() {
+		c.runFor(50*time.Second, 0)
+		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "its duties are others'")
+		for duty, r := range c.leaderships() {
 			require.NotEqual(t, zone, r.Leader, duty)
 		}
 		for _, w := range c.workers {
-			require.Equal(t, c.only[w.ID] != "", w.Session > 1, "%s: its lease ended", w.ID)
+			require.Equal(t, c.pinnedTo[w.ID] != "", w.Session > 1, "%s: its lease ended", w.ID)
 		}
 		c.isolate(zone, false)
-		c.run(30*time.Second, 4*time.Second)
+		c.runFor(30*time.Second, 4*time.Second)
 		for _, h := range hosts {
-			require.Equal(t, wire.Done, c.ask(h, "job-1"))
+			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
 		}
 	})
 }
 
 // All controllers are away for longer than the workers' lease. Nothing is forgotten,
 // and what ran runs again, once.
-func TestAllControllersAreAwayForLongerThanALease(t *testing.T) {
+func TestTasksRestartAfterAllControllersDownBeyondLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := busyCluster(t)
+		c := newBusyCluster(t)
 		for _, h := range hosts {
 			c.crash(h)
 		}
-		c.run(20*time.Second, 0)
-		require.Zero(t, c.running(), "their leases have ended")
+		c.runFor(20*time.Second, 0)
+		require.Zero(t, c.runningTasks(), "their leases have ended")
 		for _, h := range hosts {
 			c.start(h)
 		}
-		c.run(8*time.Second, 0)
-		require.Equal(t, 6, c.running())
-		c.run(15*time.Second, 3*time.Second)
-		require.Equal(t, wire.Done, c.ask("b", "job-1"))
+		c.runFor(8*time.Second, 0)
+		require.Equal(t, 6, c.runningTasks())
+		c.runFor(15*time.Second, 3*time.Second)
+		require.Equal(t, wire.Done, c.queryJob("b", "job-1"))
 		for _, w := range c.workers {
 			require.EqualValues(t, 2, w.Session)
 		}
@@ -180,43 +180,43 @@
 // A leader ends while machines with long tasks hang, or don't hear the new leader's
 // answers. Back within their lease they go on with what they have; after it that has
 // gone elsewhere, or begins anew.
-func TestALeaderEndsWhileMachinesCannotBeReached(t *testing.T) {
+func TestLeaderCrashWithUnreachableMachinesRecoversTasks(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		by   func(c *cluster) map[string]bool
 		away time.Duration
 	}{
-		{"machines hang, not for long", func(c *cluster) map[string]bool { return c.hung }, 8 * time.Second},
-		{"machines hang for longer than a lease", func(c *cluster) map[string]bool { return c.hung }, 40 * time.Second},
-		{"answers are lost, not for long", func(c *cluster) map[string]bool { return c.unheard }, 8 * time.Second},
-		{"answers are lost for longer than a lease", func(c *cluster) map[string]bool { return c.unheard }, 40 * time.Second},
+		{"machines hang, not for long", func(c *cluster) map[string]bool { return c.hungWorkers }, 8 * time.Second},
+		{"machines hang for longer than a lease", func(c *cluster) map[string]bool { return c.hungWorkers }, 40 * time.Second},
+		{"answers are lost, not for long", func(c *cluster) map[string]bool { return c.unanswered }, 8 * time.Second},
+		{"answers are lost for longer than a lease", func(c *cluster) map[string]bool { return c.unanswered }, 40 * time.Second},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := busyCluster(t)
-				leader := c.at[c.workers[0].ID]
-				before := c.claims()
+				c := newBusyCluster(t)
+				leader := c.reportsTo[c.workers[0].ID]
+				before := c.leaderships()
 				away := 0
 				for _, w := range c.workers {
-					if c.at[w.ID] == leader {
+					if c.reportsTo[w.ID] == leader {
 						x.by(c)[w.ID] = true
 						away++
 					}
 				}
 				require.NotZero(t, away)
 				c.crash(leader)
-				c.run(500*time.Millisecond, 0)
+				c.runFor(500*time.Millisecond, 0)
 				c.start(leader)
-				c.run(x.away, 0)
-				require.GreaterOrEqual(t, c.moved(before), partsPerController, "a new process leads")
+				c.runFor(x.away, 0)
+				require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
 				clear(x.by(c))
-				c.run(12*time.Second, 0)
-				require.Equal(t, 6, c.running())
+				c.runFor(12*time.Second, 0)
+				require.Equal(t, 6, c.runningTasks())
 				if x.away < 16*time.Second {
-					c.startedOnce()
+					c.requireStartedOnce()
 				}
-				c.run(20*time.Second, 3*time.Second)
-				require.Equal(t, wire.Done, c.ask("b", "job-1"))
+				c.runFor(20*time.Second, 3*time.Second)
+				require.Equal(t, wire.Done, c.queryJob("b", "job-1"))
 			})
 		})
 	}
@@ -224,21 +224,21 @@
 
 // Old reports, from earlier attempts and sessions too, reach every controller just as
 // a new leader begins, and again when it has acted. They change nothing.
-func TestOldReportsReachEverybodyAsANewLeaderBegins(t *testing.T) {
+func TestReplayedHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
-		c.run(8*time.Second, 0)
-		c.keepCopies = true
-		require.Equal(t, 201, c.submit("a", onAll("job-1", 6), "job-1"))
-		c.run(3*time.Second, 0)
-		require.Equal(t, 6, c.running())
-		c.keepCopies = false
-		c.run(6*time.Second, 2*time.Second) // those tasks are done and forgotten
-		require.Equal(t, wire.Done, c.ask("a", "job-1"))
-		require.Equal(t, 201, c.submit("a", onAll("job-2", 6), "job-2"))
-		c.run(4*time.Second, 0)
-		require.Equal(t, 6, c.running())
-		old := c.copies
+		c.runFor(8*time.Second, 0)
+		c.recordsHeartbeats = true
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+		c.runFor(3*time.Second, 0)
+		require.Equal(t, 6, c.runningTasks())
+		c.recordsHeartbeats = false
+		c.runFor(6*time.Second, 2*time.Second) // those tasks are done and forgotten
+		require.Equal(t, wire.Done, c.queryJob("a", "job-1"))
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-2", 6), "job-2"))
+		c.runFor(4*time.Second, 0)
+		require.Equal(t, 6, c.runningTasks())
+		old := c.recordedHeartbeats
 		withTasks, answered := 0, map[int]int{}
 		deliver := func() {
 			for _, b := range old {
@@ -246,55 +246,55 @@
 					withTasks++
 				}
 				for _, h := range hosts {
-					if c.up[h] != nil {
-						answered[c.do(h, "POST", wire.PathHeartbeat, string(b)).Status]++
+					if c.processes[h] != nil {
+						answered[c.request(h, "POST", wire.PathHeartbeat, string(b)).Status]++
 					}
 				}
 			}
 		}
-		leader := c.at[c.workers[0].ID]
-		before := c.claims()
+		leader := c.reportsTo[c.workers[0].ID]
+		before := c.leaderships()
 		c.crash(leader)
 		c.start(leader)
 		for range 60 { // every 50 ms, from before it is registered on
 			deliver()
 			time.Sleep(50 * time.Millisecond)
 		}
-		c.runAnd(5*time.Second, 0, deliver)
+		c.runForEach(5*time.Second, 0, deliver)
 		require.NotZero(t, withTasks)
 		require.NotZero(t, answered[200], "to the new leader a report is news")
 		require.NotZero(t, answered[503], "and then it is not")
 		require.NotZero(t, answered[421])
-		require.GreaterOrEqual(t, c.moved(before), partsPerController, "a new process leads")
-		require.Equal(t, 6, c.running(), "what ran runs on")
-		c.startedOnce()
-		c.runAnd(10*time.Second, 3*time.Second, deliver)
+		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
+		require.Equal(t, 6, c.runningTasks(), "what ran runs on")
+		c.requireStartedOnce()
+		c.runForEach(10*time.Second, 3*time.Second, deliver)
 		for _, h := range hosts {
-			require.Equal(t, wire.Done, c.ask(h, "job-1"))
-			require.Equal(t, wire.Done, c.ask(h, "job-2"))
+			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
+			require.Equal(t, wire.Done, c.queryJob(h, "job-2"))
 		}
-		c.startedOnce()
+		c.requireStartedOnce()
 	})
 }
 
 // Machines are up at once and get work within a moment, while transactions come late
 // and the leader ends. No machine has a task without being on record.
-func TestNewMachinesWhileWritesLagAndTheLeaderEnds(t *testing.T) {
+func TestNewMachinesGetTasksOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2)
-		c.run(8*time.Second, 0)
-		require.Equal(t, 201, c.submit("a", onAll("job-1", 6), "job-1"))
-		c.run(2*time.Second, 0)
-		require.Equal(t, 2, c.running())
-		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), kvstore.MachinePrefix) {
-				c.note("a record was held back")
-				return heldBack
+		c.runFor(8*time.Second, 0)
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+		c.runFor(2*time.Second, 0)
+		require.Equal(t, 2, c.runningTasks())
+		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
+			if strings.Contains(writtenKeys(m), kvstore.MachinePrefix) {
+				c.addOccurrence("a record was held back")
+				return txnHeldBack
 			}
-			return served
+			return txnServed
 		})
 		recorded := func() {
-			on := c.recorded()
+			on := c.recordedMachines()
 			for _, w := range c.workers {
 				if len(w.Tasks) > 0 {
 					require.True(c.t, on[w.ID], "%s has tasks and no record", w.ID)
@@ -304,77 +304,77 @@
 		for i := 2; i < 6; i++ {
 			w := fakes.NewWorker(fmt.Sprintf("m-%06d", i), 16e6, c.clock.Now())
 			c.workers = append(c.workers, w)
-			c.at[w.ID] = hosts[i%3]
+			c.reportsTo[w.ID] = hosts[i%3]
 		}
 		for i := range 3 {
-			c.runAnd(3*time.Second, 0, recorded)
-			leader := []string{c.leader(), c.at[c.workers[2].ID], c.at[c.workers[5].ID]}[i]
+			c.runForEach(3*time.Second, 0, recorded)
+			leader := []string{c.unlimitedTeamLeader(), c.reportsTo[c.workers[2].ID], c.reportsTo[c.workers[5].ID]}[i]
 			c.crash(leader)
 			c.start(leader)
 		}
-		c.runAnd(12*time.Second, 0, recorded)
-		require.Equal(t, 2, c.running())
-		require.Greater(t, c.count("a record was held back"), 1)
-		c.setBefore(nil)
-		c.release()
-		c.runAnd(12*time.Second, 0, recorded)
-		require.Equal(t, 6, c.running())
-		c.startedOnce()
-		c.run(10*time.Second, 3*time.Second)
-		require.Equal(t, wire.Done, c.ask("c", "job-1"))
+		c.runForEach(12*time.Second, 0, recorded)
+		require.Equal(t, 2, c.runningTasks())
+		require.Greater(t, c.occurrenceCount("a record was held back"), 1)
+		c.setOnCommit(nil)
+		c.releaseHeldTransactions()
+		c.runForEach(12*time.Second, 0, recorded)
+		require.Equal(t, 6, c.runningTasks())
+		c.requireStartedOnce()
+		c.runFor(10*time.Second, 3*time.Second)
+		require.Equal(t, wire.Done, c.queryJob("c", "job-1"))
 	})
 }
 
 // Leaders change ten times in two minutes: they end, are back within a moment or
 // seconds later, all of them or one alone, are refused and served again, also while the state service is out.
 // Jobs of two or three tasks end far apart over this, and some are withdrawn.
-func TestLeadersChangeTenTimes(t *testing.T) {
+func TestJobsEndOverTenLeaderChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
-		c.run(8*time.Second, 0)
+		c.runFor(8*time.Second, 0)
 		n := 0
 		cancelled := 0
 		users := func() {
-			if id := jobName(n); n < 24 && c.submit(hosts[n%3], submission(id, 2+n%2), id) == 201 {
+			if id := jobName(n); n < 24 && c.submitJob(hosts[n%3], submission(id, 2+n%2), id) == 201 {
 				n++
 			}
 			for i := range n {
-				c.ask(hosts[(n+i)%3], jobName(i))
+				c.queryJob(hosts[(n+i)%3], jobName(i))
 			}
-			if n > 6 && n%5 == 0 && c.cancel(hosts[n%3], jobName(n-2)) == wire.Cancelled {
+			if n > 6 && n%5 == 0 && c.cancelJob(hosts[n%3], jobName(n-2)) == wire.Cancelled {
 				cancelled++
 			}
 		}
 		// A job whose tasks end far apart: one of them right now, the last at the very end.
-		require.Equal(t, 201, c.submit("a", onAll("job-000099", 3), "job-000099"))
-		c.run(3*time.Second, 0)
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-000099", 3), "job-000099"))
+		c.runFor(3*time.Second, 0)
 		terms := map[uint64]bool{}
 		for i := range 10 {
-			leader := c.leader()
+			leader := c.unlimitedTeamLeader()
 			switch i % 5 {
 			case 0:
 				c.crash(leader)
 				time.Sleep(300 * time.Millisecond)
 				c.start(leader)
 			case 1:
-				c.up[leader].view.SetCut(true)
-				c.runAnd(8*time.Second, 6*time.Second, users)
-				c.up[leader].view.SetCut(false)
+				c.processes[leader].storeClient.SetCut(true)
+				c.runForEach(8*time.Second, 6*time.Second, users)
+				c.processes[leader].storeClient.SetCut(false)
 			case 2: // in an outage
-				c.st.SetDown(true)
-				c.runAnd(3*time.Second, 6*time.Second, users)
+				c.store.SetDown(true)
+				c.runForEach(3*time.Second, 6*time.Second, users)
 				c.crash(leader)
 				time.Sleep(200 * time.Millisecond)
 				c.start(leader)
-				c.runAnd(3*time.Second, 6*time.Second, users)
-				c.st.SetDown(false)
+				c.runForEach(3*time.Second, 6*time.Second, users)
+				c.store.SetDown(false)
 			case 3:
 				for _, h := range hosts {
 					c.crash(h)
 				}
 				time.Sleep(700 * time.Millisecond)
 				c.start(leader)
-				c.runAnd(2*time.Second, 6*time.Second, users)
+				c.runForEach(2*time.Second, 6*time.Second, users)
 				for _, h := range hosts {
 					if h != leader {
 						c.start(h)
@@ -382,25 +382,25 @@
 				}
 			case 4:
 				c.crash(leader)
-				c.runAnd(4*time.Second, 6*time.Second, users)
+				c.runForEach(4*time.Second, 6*time.Second, users)
 				c.start(leader)
 			}
-			c.runAnd(5*time.Second, 6*time.Second, users)
-			terms[c.claims()[scheduler.Duty("blue")].Term] = true
+			c.runForEach(5*time.Second, 6*time.Second, users)
+			terms[c.leaderships()[scheduler.Duty("blue")].Term] = true
 			if i == 4 {
-				c.finish("job-000099/1")
+				c.finishTask("job-000099/1")
 			}
 		}
 		require.GreaterOrEqual(t, len(terms), 10, "as many leaders")
 		require.NotZero(t, cancelled)
 		require.Equal(t, 24, n)
-		c.run(60*time.Second, 4*time.Second)
+		c.runFor(60*time.Second, 4*time.Second)
 		for i := range n {
 			for _, h := range hosts {
-				require.Contains(t, []string{wire.Done, wire.Cancelled}, c.ask(h, jobName(i)), jobName(i))
+				require.Contains(t, []string{wire.Done, wire.Cancelled}, c.queryJob(h, jobName(i)), jobName(i))
 			}
 		}
-		require.Equal(t, wire.Done, c.ask("a", "job-000099"))
+		require.Equal(t, wire.Done, c.queryJob("a", "job-000099"))
 		for _, w := range c.workers {
 			require.LessOrEqual(t, w.Starts["job-000099/1"], 1, "what was done stays done")
 		}
@@ -410,57 +410,57 @@
 // A job's tasks end far apart. The first is done, but writing that down has no answer
 // until the leader has ended: it is not run again, and the job is done with
 // its last task and not before.
-func TestTasksThatEndFarApartOverAChangeOfLeader(t *testing.T) {
+func TestCompletedTasksStayCompletedAcrossFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
-		c.run(8*time.Second, 0)
-		require.Equal(t, 201, c.submit("a", onAll("job-1", 3), "job-1"))
-		c.run(4*time.Second, 0)
-		require.Equal(t, 3, c.running())
-		c.setBefore(func(_ string, m wire.Txn) lot {
-			if strings.Contains(puts(m), kvstore.ProgressPrefix) {
-				c.note("progress was held back")
-				return heldBack
+		c.runFor(8*time.Second, 0)
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 3), "job-1"))
+		c.runFor(4*time.Second, 0)
+		require.Equal(t, 3, c.runningTasks())
+		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
+			if strings.Contains(writtenKeys(m), kvstore.ProgressPrefix) {
+				c.addOccurrence("progress was held back")
+				return txnHeldBack
 			}
-			return served
+			return txnServed
 		})
 		for n := range 2 {
-			c.finish(fmt.Sprintf("job-1/%d", n))
-			c.run(6*time.Second, 0)
-			require.Greater(t, c.count("progress was held back"), n, "what is done could not be written down")
-			before, leader := c.claims()[scheduler.Duty("blue")], c.leader()
-			late := c.takeKept()
+			c.finishTask(fmt.Sprintf("job-1/%d", n))
+			c.runFor(6*time.Second, 0)
+			require.Greater(t, c.occurrenceCount("progress was held back"), n, "what is done could not be written down")
+			before, leader := c.leaderships()[scheduler.Duty("blue")], c.unlimitedTeamLeader()
+			late := c.takeHeldTransactions()
 			c.crash(leader)
 			c.start(leader)
-			c.run(6*time.Second, 0)
-			require.Greater(t, c.claims()[scheduler.Duty("blue")].Term, before.Term)
+			c.runFor(6*time.Second, 0)
+			require.Greater(t, c.leaderships()[scheduler.Duty("blue")].Term, before.Term)
 			for _, write := range late {
 				require.ErrorIs(t, write(), kvstore.ErrConflict, "by a former leader")
 			}
-			require.Equal(t, wire.Running, c.ask("a", "job-1"))
-			require.Equal(t, 2-n, c.running())
+			require.Equal(t, wire.Running, c.queryJob("a", "job-1"))
+			require.Equal(t, 2-n, c.runningTasks())
 		}
-		c.setBefore(nil)
-		c.finish("job-1/2")
-		c.run(4*time.Second, 0)
+		c.setOnCommit(nil)
+		c.finishTask("job-1/2")
+		c.runFor(4*time.Second, 0)
 		for _, h := range hosts {
-			require.Equal(t, wire.Done, c.ask(h, "job-1"))
+			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
 		}
-		c.startedOnce()
+		c.requireStartedOnce()
 	})
 }
 
 // Jobs bound to one zone, or to any one of them, lose machines. They go on in that zone,
 // or begin again together.
-func TestJobsOfOneZoneLoseMachines(t *testing.T) {
+func TestZoneBoundJobsStayInZoneAfterMachineLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 8)
 		for i, w := range c.workers {
 			w.Zone = hosts[i%2] // a and b
 		}
-		c.run(8*time.Second, 0)
-		require.Equal(t, 201, c.submit("a", strings.Replace(onAll("job-1", 3), `"shape"`, `"one_zone":true,"shape"`, 1), "job-1"))
-		require.Equal(t, 201, c.submit("a", strings.Replace(onAll("job-2", 1), `"shape"`, `"yard":"b","shape"`, 1), "job-2"))
+		c.runFor(8*time.Second, 0)
+		require.Equal(t, 201, c.submitJob("a", strings.Replace(wholeMachineSubmission("job-1", 3), `"shape"`, `"one_zone":true,"shape"`, 1), "job-1"))
+		require.Equal(t, 201, c.submitJob("a", strings.Replace(wholeMachineSubmission("job-2", 1), `"shape"`, `"yard":"b","shape"`, 1), "job-2"))
 		together := func() {
 			zones := map[string]map[string]bool{"job-1": {}, "job-2": {}}
 			for _, w := range c.workers {
@@ -474,54 +474,54 @@
 			require.LessOrEqual(t, len(zones["job-1"]), 1)
 			require.NotContains(t, zones["job-2"], "a")
 		}
-		c.runAnd(5*time.Second, 0, together)
-		require.Equal(t, 4, c.running())
+		c.runForEach(5*time.Second, 0, together)
+		require.Equal(t, 4, c.runningTasks())
 		for round := range 3 {
 			lost := 0
 			for _, w := range c.workers {
-				if len(w.Tasks) > 0 && lost < 2 && !c.hung[w.ID] {
-					c.hung[w.ID] = true
+				if len(w.Tasks) > 0 && lost < 2 && !c.hungWorkers[w.ID] {
+					c.hungWorkers[w.ID] = true
 					lost++
 				}
 			}
 			require.Equal(t, 2, lost)
 			if round == 1 {
-				leader := c.leader()
+				leader := c.unlimitedTeamLeader()
 				c.crash(leader)
 				c.start(leader)
 			}
-			c.runAnd(25*time.Second, 0, together)
-			clear(c.hung)
-			c.runAnd(8*time.Second, 0, together)
-			require.Equal(t, 4, c.running())
+			c.runForEach(25*time.Second, 0, together)
+			clear(c.hungWorkers)
+			c.runForEach(8*time.Second, 0, together)
+			require.Equal(t, 4, c.runningTasks())
 		}
-		c.runAnd(30*time.Second, 3*time.Second, together)
-		require.Equal(t, wire.Done, c.ask("a", "job-1"))
-		require.Equal(t, wire.Done, c.ask("a", "job-2"))
+		c.runForEach(30*time.Second, 3*time.Second, together)
+		require.Equal(t, wire.Done, c.queryJob("a", "job-1"))
+		require.Equal(t, wire.Done, c.queryJob("a", "job-2"))
 	})
 }
 
 // More work than room, of all ranks, while every word between the controllers takes a
 // fifth of a second and a leader ends. The limit holds, and all of it is done.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadWithSlowLinksCompletesAllJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
-		c.run(8*time.Second, 0)
-		c.setLag(200 * time.Millisecond)
+		c.runFor(8*time.Second, 0)
+		c.setPeerLatency(200 * time.Millisecond)
 		const many = 16
 		ranks := []string{"idle", "normal", "high", "production"}
 		for i := range many {
 			body := strings.Replace(submission(jobName(i), 4), `"normal"`, fmt.Sprintf("%q", ranks[i%4]), 1)
-			require.Equal(t, 201, c.submit(hosts[i%3], body, jobName(i)))
+			require.Equal(t, 201, c.submitJob(hosts[i%3], body, jobName(i)))
 		}
-		c.run(5*time.Second, 2*time.Second)
-		require.Positive(t, c.running())
-		leader := c.leader()
+		c.runFor(5*time.Second, 2*time.Second)
+		require.Positive(t, c.runningTasks())
+		leader := c.unlimitedTeamLeader()
 		c.crash(leader)
 		c.start(leader)
-		c.run(90*time.Second, 2*time.Second)
+		c.runFor(90*time.Second, 2*time.Second)
 		for i := range many {
-			require.Equal(t, wire.Done, c.ask(hosts[i%3], jobName(i)), jobName(i))
+			require.Equal(t, wire.Done, c.queryJob(hosts[i%3], jobName(i)), jobName(i))
 		}
 	})
 }
--- a/internal/controller/idle_cost_test.go
+++ b/internal/controller/idle_cost_test.go
@@ -13,13 +13,13 @@
 func idleAllocations(t *testing.T, machines int) (allocations uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, machines)
-		c.run(8*time.Second, 0) // all machines are known and on record
+		c.runFor(8*time.Second, 0) // all machines are known and on record
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		time.Sleep(10 * time.Second)
 		runtime.ReadMemStats(&after)
 		for _, h := range hosts {
-			require.True(t, c.up[h].keeper.LeaseValid(), "the controllers are at work")
+			require.True(t, c.processes[h].elector.LeaseValid(), "the controllers are at work")
 		}
 		allocations = after.Mallocs - before.Mallocs
 	})
@@ -27,7 +27,7 @@
 }
 
 // Seconds in which nothing happens cost the same on a small fleet and on one eight times as large.
-func TestIdleSecondsDoNotCostMoreOnALargerFleet(t *testing.T) {
+func TestIdleAllocationsAreIndependentOfFleetSize(t *testing.T) {
 	small, large := idleAllocations(t, 12), idleAllocations(t, 96)
 	t.Log(small, large)
 	require.NotZero(t, small)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -14,10 +14,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// recorded lists the machines on record in the state service.
-func (c *cluster) recorded() map[string]bool {
+// recordedMachines lists the machines on record in the state service.
+func (c *cluster) recordedMachines() map[string]bool {
 	out := map[string]bool{}
-	items, _, err := c.direct().List(c.t.Context(), kvstore.MachinePrefix)
+	items, _, err := c.directClient().List(c.t.Context(), kvstore.MachinePrefix)
 	require.NoError(c.t, err)
 	for _, it := range items {
 		var g inventory.Group
@@ -34,7 +34,7 @@
 // one; then the transaction is carried out after all, and the owner ends. Whoever comes
 // next must find a machine with tasks on record: one that isn't counts as gone, its tasks
 // as free to run elsewhere.
-func TestALateDropOfARecordTakesNoMachineWithTasksOffIt(t *testing.T) {
+func TestDelayedMachineRecordDeletionKeepsMachineWithTasks(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		next bool // the owner ends before the machine is back
@@ -42,45 +42,45 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 6)
-				c.run(8*time.Second, 0)
-				require.Len(t, c.recorded(), 6)
+				c.runFor(8*time.Second, 0)
+				require.Len(t, c.recordedMachines(), 6)
 				lost := c.workers[0]
-				owner := c.at[lost.ID]
-				c.setBefore(func(_ string, m wire.Txn) lot {
+				owner := c.reportsTo[lost.ID]
+				c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
 					for _, cond := range m.Conditions {
-						if strings.HasPrefix(cond.Key, kvstore.MachinePrefix) && !strings.Contains(written(m), lost.ID) {
-							return heldBack
+						if strings.HasPrefix(cond.Key, kvstore.MachinePrefix) && !strings.Contains(writtenText(m), lost.ID) {
+							return txnHeldBack
 						}
 					}
-					return served
+					return txnServed
 				})
 				all := c.workers
 				c.workers = all[1:] // it is away for longer than its lease
-				c.run(18*time.Second, 0)
-				late := c.takeKept()
+				c.runFor(18*time.Second, 0)
+				late := c.takeHeldTransactions()
 				require.NotEmpty(t, late, "its record was to be dropped")
-				c.setBefore(nil)
+				c.setOnCommit(nil)
 				if x.next {
-					c.anew(owner)
+					c.replaceProcess(owner)
 				}
 				c.workers = all
-				require.Equal(t, 201, c.do("a", "POST", wire.PathJobs, onAll("job-1", 6)).Status)
-				c.run(6*time.Second, 0)
-				require.Equal(t, 6, c.running(), "it is used again")
+				require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, wholeMachineSubmission("job-1", 6)).Status)
+				c.runFor(6*time.Second, 0)
+				require.Equal(t, 6, c.runningTasks(), "it is used again")
 				for _, write := range late {
 					require.ErrorIs(t, write(), kvstore.ErrConflict)
 				}
-				c.crash(c.at[lost.ID])
-				require.True(t, c.recorded()[lost.ID], "it has a task")
-				c.run(45*time.Second, 0)
-				require.Equal(t, 6, c.running())
+				c.crash(c.reportsTo[lost.ID])
+				require.True(t, c.recordedMachines()[lost.ID], "it has a task")
+				c.runFor(45*time.Second, 0)
+				require.Equal(t, 6, c.runningTasks())
 			})
 		})
 	}
 }
 
-// written is what a transaction writes, as text.
-func written(m wire.Txn) string {
+// writtenText is what a transaction writes, as text.
+func writtenText(m wire.Txn) string {
 	b, err := json.Marshal(m.Operations)
 	if err != nil {
 		return ""
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -14,18 +14,18 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// ask asks a controller for a job and holds the answer against all that users were
+// queryJob asks a controller for a job and holds the answer against all that users were
 // told before: accepted, done and cancelled stay.
-func (c *cluster) ask(host, id string) string {
-	p := c.phase(host, id)
+func (c *cluster) queryJob(host, id string) string {
+	p := c.jobPhase(host, id)
 	switch {
 	case p == "404":
 		require.False(c.t, c.accepted[id], "%s says that it doesn't know %s, which is accepted", host, id)
 	case len(p) <= 3: // not answered for now
-	case c.told[id] != "":
-		require.Equal(c.t, c.told[id], p, "%s of %s, which was told as over", host, id)
+	case c.finalAnswers[id] != "":
+		require.Equal(c.t, c.finalAnswers[id], p, "%s of %s, which was told as over", host, id)
 	case p == wire.Done || p == wire.Cancelled:
-		c.told[id] = p
+		c.finalAnswers[id] = p
 		c.accepted[id] = true
 	default:
 		c.accepted[id] = true
@@ -33,28 +33,28 @@
 	return p
 }
 
-// submit submits a job, as its user does once more when there is no answer.
-func (c *cluster) submit(host, body, id string) (status int) {
-	r := c.do(host, "POST", wire.PathJobs, body)
+// submitJob submits a job, as its user does once more when there is no answer.
+func (c *cluster) submitJob(host, body, id string) (status int) {
+	r := c.request(host, "POST", wire.PathJobs, body)
 	require.False(c.t, c.accepted[id] && (r.Status == 400 || r.Status == 422), "%s refuses %s, which is accepted: %d", host, id, r.Status)
 	if r.Status == 200 || r.Status == 201 {
 		c.accepted[id] = true
 		var s wire.JobState
 		require.NoError(c.t, json.Unmarshal(r.Body, &s))
-		require.True(c.t, c.told[id] == "" || c.told[id] == s.Phase, "%s, a repeat at %s: %s after %s", id, host, s.Phase, c.told[id])
+		require.True(c.t, c.finalAnswers[id] == "" || c.finalAnswers[id] == s.Phase, "%s, a repeat at %s: %s after %s", id, host, s.Phase, c.finalAnswers[id])
 		if s.Phase == wire.Done || s.Phase == wire.Cancelled {
-			c.told[id] = s.Phase
+			c.finalAnswers[id] = s.Phase
 		}
 	}
 	return r.Status
 }
 
-// cancel withdraws a job as its user does, and takes note of the answer.
-func (c *cluster) cancel(host, id string) (phase string) {
-	return c.cancelAnswered(host, id, c.do(host, "POST", wire.PathJobs+"/"+id+"/withdraw", ""))
+// cancelJob withdraws a job as its user does, and takes note of the answer.
+func (c *cluster) cancelJob(host, id string) (phase string) {
+	return c.recordCancelResponse(host, id, c.request(host, "POST", wire.PathJobs+"/"+id+"/withdraw", ""))
 }
 
-func (c *cluster) cancelAnswered(host, id string, r httpx.Response) (phase string) {
+func (c *cluster) recordCancelResponse(host, id string, r httpx.Response) (phase string) {
 	require.False(c.t, r.Status == 404 && c.accepted[id], "%s doesn't know %s, which is accepted", host, id)
 	if r.Status != 200 {
 		return ""
@@ -63,10 +63,10 @@
 	if strings.Contains(string(r.Body), wire.Cancelled) {
 		phase = wire.Cancelled
 	}
-	require.True(c.t, c.told[id] == "" || c.told[id] == phase, "%s: %s after %s", id, phase, c.told[id])
-	c.told[id] = phase
+	require.True(c.t, c.finalAnswers[id] == "" || c.finalAnswers[id] == phase, "%s: %s after %s", id, phase, c.finalAnswers[id])
+	c.finalAnswers[id] = phase
 	if _, told := c.cancelled[id]; phase == wire.Cancelled && !told {
-		c.cancelled[id] = cancelled{at: time.Now(), starts: c.starts(id)}
+		c.cancelled[id] = confirmedCancellation{confirmedAt: time.Now(), starts: c.taskStarts(id)}
 	}
 	return phase
 }
@@ -76,63 +76,63 @@
 // once or at the end of the last task: whatever one of them was told, none is
 // told anything older. The same where the state service's answers are
 // lost while others read what was written, or its transactions come late.
-func TestNoAnswerIsOlderThanOneGiven(t *testing.T) {
+func TestUserAnswersNeverRegressAcrossControllers(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		lot  lot
+		lot  txnOutcome
 	}{
-		{"no other trouble", served},
-		{"answers of transactions are lost", answerLost},
-		{"answers of transactions are slow", answerSlow},
-		{"transactions come late", heldBack},
+		{"no other trouble", txnServed},
+		{"answers of transactions are lost", responseLost},
+		{"answers of transactions are slow", responseSlow},
+		{"transactions come late", txnHeldBack},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 6)
-				c.run(8*time.Second, 0)
-				c.setBehind(c.placerOf("red"), 400*time.Millisecond) // others read its writes before it does
+				c.runFor(8*time.Second, 0)
+				c.setReplicaDelay(c.teamLeader("red"), 400*time.Millisecond) // others read its writes before it does
 				meetsEnd := 0
 				ending := make(chan string, 1000) // jobs whose end is being written
 				near := map[string]time.Time{}
-				c.closely = func() {
+				c.everyFiveMS = func() {
 					for len(ending) > 0 {
 						near[<-ending] = time.Now()
 					}
 					for id, at := range near {
 						for _, h := range hosts {
-							c.ask(h, id)
+							c.queryJob(h, id)
 						}
 						if time.Since(at) < 20*time.Millisecond {
 							meetsEnd++
-							c.submit(hosts[meetsEnd%3], submission(id, 1), id)
-							c.cancel(hosts[(meetsEnd+1)%3], id)
+							c.submitJob(hosts[meetsEnd%3], submission(id, 1), id)
+							c.cancelJob(hosts[(meetsEnd+1)%3], id)
 						}
 						if time.Since(at) > 300*time.Millisecond {
 							delete(near, id)
 						}
 					}
 				}
-				c.setBefore(func(_ string, m wire.Txn) lot {
+				c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
 					for _, prefix := range []string{kvstore.ActiveJobPrefix, kvstore.FinalJobPrefix} {
-						if strings.Contains(puts(m), prefix) {
+						if strings.Contains(writtenKeys(m), prefix) {
 							if prefix == kvstore.FinalJobPrefix {
-								ending <- strings.TrimPrefix(strings.Fields(puts(m))[0], prefix)
+								ending <- strings.TrimPrefix(strings.Fields(writtenKeys(m))[0], prefix)
 							}
-							if c.note("a transaction")%2 == 0 {
-								c.note(prefix + " in trouble")
+							if c.addOccurrence("a transaction")%2 == 0 {
+								c.addOccurrence(prefix + " in trouble")
 								return x.lot
 							}
 						}
 					}
-					return served
+					return txnServed
 				})
 				const many = 12
 				closely := func(id, body string) {
 					for k := range 6 {
 						for _, h := range hosts {
-							c.ask(h, id)
+							c.queryJob(h, id)
 						}
-						c.submit(hosts[k%3], body, id)
+						c.submitJob(hosts[k%3], body, id)
 						time.Sleep(2 * time.Millisecond)
 					}
 				}
@@ -141,55 +141,55 @@
 					id, h := jobName(i), hosts[i%3]
 					body := submission(id, 1+i%2)
 					for try := 0; !c.accepted[id] && try < 30; try++ {
-						if c.submit(h, body, id) == 503 {
+						if c.submitJob(h, body, id) == 503 {
 							time.Sleep(300 * time.Millisecond)
 						}
 					}
 					require.True(t, c.accepted[id])
 					closely(id, body)
 					if i%3 == 1 {
-						c.cancel(hosts[(i+1)%3], id)
+						c.cancelJob(hosts[(i+1)%3], id)
 						closely(id, body)
 					}
-					c.run(500*time.Millisecond, 0)
-					c.release()
+					c.runFor(500*time.Millisecond, 0)
+					c.releaseHeldTransactions()
 				}
-				c.runAnd(20*time.Second, 1500*time.Millisecond, func() {
+				c.runForEach(20*time.Second, 1500*time.Millisecond, func() {
 					for i := range many {
 						id := jobName(i)
-						p := c.ask(hosts[i%3], id)
-						if again := i%3 == 1; c.told[id] == "" && (again || i%3 == 2 && p == wire.Running) {
-							c.cancel(hosts[(i+1)%3], id) // the others perhaps at the very end of their last task
+						p := c.queryJob(hosts[i%3], id)
+						if again := i%3 == 1; c.finalAnswers[id] == "" && (again || i%3 == 2 && p == wire.Running) {
+							c.cancelJob(hosts[(i+1)%3], id) // the others perhaps at the very end of their last task
 						}
-						if c.told[id] != "" {
+						if c.finalAnswers[id] != "" {
 							answered++
 							for _, h := range hosts {
-								c.ask(h, id)
-								c.submit(h, submission(id, 1+i%2), id)
-								c.cancel(h, id)
+								c.queryJob(h, id)
+								c.submitJob(h, submission(id, 1+i%2), id)
+								c.cancelJob(h, id)
 							}
 						}
 					}
-					c.release()
+					c.releaseHeldTransactions()
 				})
 				require.NotZero(t, answered)
 				require.NotZero(t, meetsEnd, "repeats and withdrawals at the very end")
-				c.setBefore(nil)
-				c.closely = nil
-				c.run(30*time.Second, time.Second)
+				c.setOnCommit(nil)
+				c.everyFiveMS = nil
+				c.runFor(30*time.Second, time.Second)
 				ends := map[string]int{}
 				for i := range many {
 					for _, h := range hosts {
-						require.NotEqual(t, "503", c.ask(h, jobName(i)))
+						require.NotEqual(t, "503", c.queryJob(h, jobName(i)))
 					}
-					ends[c.told[jobName(i)]]++
+					ends[c.finalAnswers[jobName(i)]]++
 				}
 				require.NotZero(t, ends[wire.Done])
 				require.GreaterOrEqual(t, ends[wire.Cancelled], many/3)
 				require.Equal(t, many, ends[wire.Done]+ends[wire.Cancelled])
-				if x.lot != served {
-					require.NotZero(t, c.count(kvstore.ActiveJobPrefix+" in trouble"), "an acceptance had no answer")
-					require.NotZero(t, c.count(kvstore.FinalJobPrefix+" in trouble"), "an end had no answer")
+				if x.lot != txnServed {
+					require.NotZero(t, c.occurrenceCount(kvstore.ActiveJobPrefix+" in trouble"), "an acceptance had no answer")
+					require.NotZero(t, c.occurrenceCount(kvstore.FinalJobPrefix+" in trouble"), "an end had no answer")
 				}
 			})
 		})
@@ -198,10 +198,10 @@
 
 // One-task jobs come four a second for minutes, a quarter of them withdrawn right away
 // or a moment later. All of them end, as they should, and soon.
-func TestASwarmOfSingleTasksAQuarterOfThemWithdrawn(t *testing.T) {
+func TestSingleTaskJobsCancelledInBurstsAllEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
-		c.run(8*time.Second, 0)
+		c.runFor(8*time.Second, 0)
 		type answer struct {
 			host, id string
 			httpx.Response
@@ -209,119 +209,119 @@
 		answers := make(chan answer, 100)
 		cancel := func(host, id string) { // nobody waits for another's answer
 			go func() {
-				answers <- answer{host, id, c.do(host, "POST", wire.PathJobs+"/"+id+"/withdraw", "")}
+				answers <- answer{host, id, c.request(host, "POST", wire.PathJobs+"/"+id+"/withdraw", "")}
 			}()
 		}
 		n, began := 0, time.Now()
-		c.runAnd(120*time.Second, time.Second, func() {
+		c.runForEach(120*time.Second, time.Second, func() {
 			for len(answers) > 0 {
-				if a := <-answers; c.cancelAnswered(a.host, a.id, a.Response) == "" {
+				if a := <-answers; c.recordCancelResponse(a.host, a.id, a.Response) == "" {
 					cancel(a.host, a.id)
 				}
 			}
 			for early := n; float64(n) < 4*time.Since(began).Seconds(); {
 				id := jobName(n)
-				require.Equal(t, 201, c.submit(hosts[n%3], strings.Replace(submission(id, 1), `"red"`, `"blue"`, 1), id))
+				require.Equal(t, 201, c.submitJob(hosts[n%3], strings.Replace(submission(id, 1), `"red"`, `"blue"`, 1), id))
 				switch n % 8 {
 				case 3:
 					cancel(hosts[(n+1)%3], id)
 				case 7:
 					// Placed by now, and not started: its machine has not reported since.
-					if id = jobName(early - 1); c.starts(id) == 0 && c.cancel(hosts[(n+2)%3], id) == wire.Cancelled {
-						c.note("withdrawn before its start")
+					if id = jobName(early - 1); c.taskStarts(id) == 0 && c.cancelJob(hosts[(n+2)%3], id) == wire.Cancelled {
+						c.addOccurrence("withdrawn before its start")
 					}
 				}
 				n++
 			}
 		})
-		c.run(15*time.Second, time.Second)
+		c.runFor(15*time.Second, time.Second)
 		require.GreaterOrEqual(t, n, 470, "four a second")
-		require.Greater(t, c.count("withdrawn before its start"), 40)
+		require.Greater(t, c.occurrenceCount("withdrawn before its start"), 40)
 		asked := 0
 		for i := range n {
 			for _, h := range hosts {
-				p := c.ask(h, jobName(i))
+				p := c.queryJob(h, jobName(i))
 				require.Contains(t, []string{wire.Done, wire.Cancelled}, p, jobName(i))
 			}
 			if i%8 == 3 {
-				require.Equal(t, wire.Cancelled, c.told[jobName(i)], jobName(i))
+				require.Equal(t, wire.Cancelled, c.finalAnswers[jobName(i)], jobName(i))
 				asked++
 			}
 		}
 		require.GreaterOrEqual(t, asked, n/8)
-		require.Zero(t, c.running())
+		require.Zero(t, c.runningTasks())
 	})
 }
 
 // Jobs are withdrawn all the while that one controller's duties move to the others
 // and come back to it.
-func TestWithdrawalsWhileDutiesChangeHands(t *testing.T) {
+func TestCancellationsDuringLeadershipTransfersAreConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
-		c.run(8*time.Second, 0)
-		leader := c.leader()
-		part := c.at[c.workers[0].ID]
-		before := c.claims()
+		c.runFor(8*time.Second, 0)
+		leader := c.unlimitedTeamLeader()
+		part := c.reportsTo[c.workers[0].ID]
+		before := c.leaderships()
 		n := 0
 		cancelling := func() {
 			id := jobName(n)
-			if c.submit(hosts[n%3], onAll(id, 2), id) == 201 {
+			if c.submitJob(hosts[n%3], wholeMachineSubmission(id, 2), id) == 201 {
 				n++
 			}
 			for i := max(0, n-8); i < n-1; i++ {
-				c.cancel(hosts[(n+i)%3], jobName(i))
+				c.cancelJob(hosts[(n+i)%3], jobName(i))
 			}
 		}
-		c.runAnd(4*time.Second, 0, cancelling)
+		c.runForEach(4*time.Second, 0, cancelling)
 		for _, h := range []string{leader, part} {
-			c.up[h].view.SetCut(true)
-			c.runAnd(9*time.Second, 0, cancelling)
-			c.up[h].view.SetCut(false)
-			c.runAnd(30*time.Second, 0, cancelling)
+			c.processes[h].storeClient.SetCut(true)
+			c.runForEach(9*time.Second, 0, cancelling)
+			c.processes[h].storeClient.SetCut(false)
+			c.runForEach(30*time.Second, 0, cancelling)
 		}
-		c.run(20*time.Second, 0)
+		c.runFor(20*time.Second, 0)
 		moved := 0
-		for duty, h := range c.claims() {
+		for duty, h := range c.leaderships() {
 			if h.Term > before[duty].Term+1 {
 				moved++
 			}
 		}
-		require.GreaterOrEqual(t, moved, partsPerController, "duties have gone and come back")
+		require.GreaterOrEqual(t, moved, partitionsPerController, "duties have gone and come back")
 		for i := range n {
-			c.cancel("a", jobName(i))
+			c.cancelJob("a", jobName(i))
 			for _, h := range hosts {
-				require.Equal(t, wire.Cancelled, c.ask(h, jobName(i)))
+				require.Equal(t, wire.Cancelled, c.queryJob(h, jobName(i)))
 			}
 		}
-		c.run(3*time.Second, 0)
+		c.runFor(3*time.Second, 0)
 		require.Greater(t, n, 30)
-		require.Zero(t, c.running())
+		require.Zero(t, c.runningTasks())
 	})
 }
 
 // A job that has found no room yet is withdrawn while a controller that holds machines
 // can't be reached: nobody was asked for room, so nobody need be told.
-func TestAWaitingJobIsWithdrawnAtOnce(t *testing.T) {
+func TestWaitingJobIsCancelledWithPartitionLeaderUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := busyCluster(t)
-		require.Equal(t, 6, c.running(), "all machines are in use")
-		require.Equal(t, 201, c.submit("a", onAll("job-2", 2), "job-2"))
-		c.run(4*time.Second, 0)
-		leader := c.leader()
+		c := newBusyCluster(t)
+		require.Equal(t, 6, c.runningTasks(), "all machines are in use")
+		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-2", 2), "job-2"))
+		c.runFor(4*time.Second, 0)
+		leader := c.unlimitedTeamLeader()
 		for _, h := range hosts {
 			if h != leader {
-				c.setCut(h, true)
+				c.setDisconnected(h, true)
 				break
 			}
 		}
-		require.Equal(t, wire.Cancelled, c.cancel(leader, "job-2"))
-		require.Empty(t, c.cancel(leader, "job-1"), "that one has to be told of")
+		require.Equal(t, wire.Cancelled, c.cancelJob(leader, "job-2"))
+		require.Empty(t, c.cancelJob(leader, "job-1"), "that one has to be told of")
 		for _, h := range hosts {
-			c.setCut(h, false)
+			c.setDisconnected(h, false)
 		}
-		c.run(5*time.Second, 0)
-		require.Equal(t, wire.Cancelled, c.ask("a", "job-1"))
-		require.Equal(t, wire.Cancelled, c.ask("a", "job-2"))
-		require.Zero(t, c.starts("job-2"))
+		c.runFor(5*time.Second, 0)
+		require.Equal(t, wire.Cancelled, c.queryJob("a", "job-1"))
+		require.Equal(t, wire.Cancelled, c.queryJob("a", "job-2"))
+		require.Zero(t, c.taskStarts("job-2"))
 	})
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -14,14 +14,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// zoneBook holds the states of zones as the replica shows them.
-type zoneBook struct {
+// zoneStates holds the states of zones as the replica shows them.
+type zoneStates struct {
 	mu      sync.Mutex
 	records map[string]autoscaler.ZoneRecord
 }
 
 // apply takes an event; changed gives the zone that it is about.
-func (b *zoneBook) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
+func (b *zoneStates) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
 	name, ok := strings.CutPrefix(e.Key, kvstore.ZonePrefix)
 	if !ok {
 		return "", r, false
@@ -37,42 +37,42 @@
 }
 
 // ZoneRecords gives the states on record.
-func (n *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
-	n.zones.mu.Lock()
-	defer n.zones.mu.Unlock()
-	out := make(map[string]autoscaler.ZoneRecord, len(n.zones.records))
-	for name, r := range n.zones.records {
+func (c *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
+	c.zones.mu.Lock()
+	defer c.zones.mu.Unlock()
+	out := make(map[string]autoscaler.ZoneRecord, len(c.zones.records))
+	for name, r := range c.zones.records {
 		out[name] = r
 	}
 	return out
 }
 
 // ZoneEvidence tells what is known of each zone's machines.
-func (n *Controller) ZoneEvidence() map[string]zone.Evidence {
-	return n.placer.ZoneEvidence(n.owner.MisdirectedMachines())
+func (c *Controller) ZoneEvidence() map[string]zone.Evidence {
+	return c.scheduler.ZoneEvidence(c.partitions.MisdirectedMachines())
 }
 
 // applyZone takes a zone's state from the replica, where states are followed.
-func (n *Controller) applyZone(e kvstore.Event) {
-	name, r, changed := n.zones.apply(e)
-	if !changed || !n.followZones {
+func (c *Controller) applyZone(e kvstore.Event) {
+	name, r, changed := c.zones.apply(e)
+	if !changed || !c.followsZoneStates {
 		return
 	}
-	n.owner.SetZoneState(name, r)
-	n.placer.SetZoneState(name, r)
+	c.partitions.SetZoneState(name, r)
+	c.scheduler.SetZoneState(name, r)
 	note := string(r.State)
 	if r.State == zone.Returning {
 		note += " " + r.Stage.String()
 	}
-	n.history.Add(history.Event{Kind: history.ZoneChanged, Zone: name, Note: note})
+	c.history.Add(history.Event{Kind: history.ZoneChanged, Zone: name, Note: note})
 }
 
 // zoneStatuses tells how each zone stands.
-func (n *Controller) zoneStatuses() []peer.ZoneStatus {
-	evidence, records, gates := n.ZoneEvidence(), n.ZoneRecords(), n.owner.AdmittedStages()
-	waiting := peer.WaitingByStage(n.placer.Demands())
-	out := make([]peer.ZoneStatus, 0, len(n.set.Params.Zones))
-	for _, name := range n.set.Params.Zones {
+func (c *Controller) zoneStatuses() []peer.ZoneStatus {
+	evidence, records, gates := c.ZoneEvidence(), c.ZoneRecords(), c.partitions.AdmittedStages()
+	waiting := peer.WaitingByStage(c.scheduler.Demands())
+	out := make([]peer.ZoneStatus, 0, len(c.settings.Params.Zones))
+	for _, name := range c.settings.Params.Zones {
 		r, e := records[name], evidence[name]
 		if r.State == "" {
 			r.State = zone.Healthy
@@ -96,11 +96,11 @@
 }
 
 // holdZone stops a return, or lets it go on, if this controller holds the fleet.
-func (n *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
-	if holder, ok := n.keeper.Leader(autoscaler.Duty); ok {
+func (c *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
+	if holder, ok := c.elector.Leader(autoscaler.Duty); ok {
 		out.Holder = holder
 	}
-	err := n.fleet.HoldZone(context.Background(), in.Zone, in.Held)
+	err := c.autoscaler.HoldZone(context.Background(), in.Zone, in.Held)
 	switch {
 	case err == nil:
 		out.Done = true
