--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"maps"
 	"strings"
 	"sync"
 
@@ -11,49 +12,56 @@
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/recovery"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// zoneStates holds the states of zones as the replica shows them.
+// zoneStates holds the states of zones as the replica shows them. It is safe for concurrent use.
 type zoneStates struct {
 	mu      sync.Mutex
-	records map[string]autoscaler.ZoneRecord
+	records map[string]autoscaler.ZoneRecord // by zone
 }
 
-// apply takes an event; changed gives the zone that it is about.
-func (b *zoneStates) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
+func newZoneStates() zoneStates {
+	return zoneStates{records: map[string]autoscaler.ZoneRecord{}}
+}
+
+// apply takes an event. changed is whether it is about a zone; name and r are the zone then and its state, healthy
+// where the record is gone or can't be read.
+func (s *zoneStates) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
 	name, ok := strings.CutPrefix(e.Key, kvstore.ZonePrefix)
 	if !ok {
 		return "", r, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if e.Value == nil || json.Unmarshal(e.Value, &r) != nil {
-		delete(b.records, name)
+		delete(s.records, name)
 		return name, zone.Record{State: zone.Healthy}, true
 	}
-	b.records[name] = autoscaler.ZoneRecord{Record: r, ModRevision: e.ModRevision}
+	s.records[name] = autoscaler.ZoneRecord{Record: r, ModRevision: e.ModRevision}
 	return name, r, true
 }
 
-// ZoneRecords gives the states on record.
+// snapshot copies the records.
+func (s *zoneStates) snapshot() map[string]autoscaler.ZoneRecord {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return maps.Clone(s.records)
+}
+
+// ZoneRecords gives the states on record, by zone.
 func (c *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
-	c.zones.mu.Lock()
-	defer c.zones.mu.Unlock()
-	out := make(map[string]autoscaler.ZoneRecord, len(c.zones.records))
-	for name, r := range c.zones.records {
-		out[name] = r
-	}
-	return out
+	return c.zones.snapshot()
 }
 
-// ZoneEvidence tells what is known of each zone's machines.
+// ZoneEvidence gives what is known of each zone's machines.
 func (c *Controller) ZoneEvidence() map[string]zone.Evidence {
 	return c.scheduler.ZoneEvidence(c.partitions.MisdirectedMachines())
 }
 
-// applyZone takes a zone's state from the replica, where states are followed.
-func (c *Controller) applyZone(e kvstore.Event) {
+// applyZoneState takes a zone's state from the replica and hands it to the parts where states are followed.
+func (c *Controller) applyZoneState(e kvstore.Event) {
 	name, r, changed := c.zones.apply(e)
 	if !changed || !c.followsZoneStates {
 		return
@@ -67,38 +75,45 @@
 	c.history.Add(history.Event{Kind: history.ZoneChanged, Zone: name, Note: note})
 }
 
-// zoneStatuses tells how each zone stands.
+// zoneStatuses gives the status of each zone of the settings, as the console shows it.
 func (c *Controller) zoneStatuses() []peer.ZoneStatus {
-	evidence, records, gates := c.ZoneEvidence(), c.ZoneRecords(), c.partitions.AdmittedStages()
+	evidence, records, admitted := c.ZoneEvidence(), c.ZoneRecords(), c.partitions.AdmittedStages()
 	waiting := peer.WaitingByStage(c.scheduler.Demands())
 	out := make([]peer.ZoneStatus, 0, len(c.settings.Params.Zones))
 	for _, name := range c.settings.Params.Zones {
-		r, e := records[name], evidence[name]
-		if r.State == "" {
-			r.State = zone.Healthy
-		}
-		s := peer.ZoneStatus{Zone: name, State: string(r.State), Held: r.Held, Flaps: r.Flaps, AtMS: r.AtMS, Why: r.Why,
-			Machines: e.Machines, Unheard: e.Unheard, Unsettled: e.Unsettled}
-		if r.State == zone.Returning {
-			s.Stage = r.Stage.String()
-			for stage, n := range waiting {
-				if stage > r.Stage {
-					s.Waiting += n
-				}
-			}
+		status := zoneStatus(name, records[name].Record, evidence[name], waiting)
+		if stage, ok := admitted[name]; ok {
+			status.Admits = stage.String()
 		}
-		if g, ok := gates[name]; ok {
-			s.Admits = g.String()
-		}
-		out = append(out, s)
+		out = append(out, status)
 	}
 	return out
 }
 
-// holdZone stops a return, or lets it go on, if this controller holds the fleet.
+// zoneStatus is a zone's status; waiting is the number of waiting tasks by the stage that admits them.
+func zoneStatus(name string, r zone.Record, evidence zone.Evidence, waiting map[recovery.Stage]int) peer.ZoneStatus {
+	if r.State == "" {
+		r.State = zone.Healthy
+	}
+	status := peer.ZoneStatus{Zone: name, State: string(r.State), Held: r.Held, Flaps: r.Flaps, AtMS: r.AtMS, Why: r.Why,
+		Machines: evidence.Machines, Unheard: evidence.Unheard, Unsettled: evidence.Unsettled}
+	if r.State != zone.Returning {
+		return status
+	}
+	status.Stage = r.Stage.String()
+	for stage, tasks := range waiting {
+		if stage > r.Stage {
+			status.Waiting += tasks
+		}
+	}
+	return status
+}
+
+// holdZone holds a zone's return, or lets it go on, where this controller leads the fleet. Where it does not the
+// answer has neither Done nor a refusal, only who leads it.
 func (c *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
-	if holder, ok := c.elector.Leader(autoscaler.Duty); ok {
-		out.Holder = holder
+	if leader, ok := c.elector.Leader(autoscaler.Duty); ok {
+		out.Holder = leader
 	}
 	err := c.autoscaler.HoldZone(context.Background(), in.Zone, in.Held)
 	switch {
