--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -31,7 +31,7 @@
 func (c *Controller) applyCatalog(raw json.RawMessage) {
 	var catalog wire.Catalog
 	if err := json.Unmarshal(raw, &catalog); err != nil || len(catalog.Types) == 0 {
-		c.log.Error("the kept catalog is not understood", "err", err)
+		c.log.Error("stored catalog invalid", "error", err)
 		return
 	}
 	c.catalog.set(catalog)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -118,20 +118,20 @@
 	g.Go(func() error { return c.telemetry.Run(ctx) })
 	g.Go(func() error { return c.autoscaler.Run(ctx) })
 	g.Go(func() error { return c.runDuties(ctx) })
-	c.log.Info("merlinlatch is up", "listen", c.settings.Listen)
+	c.log.Info("controller started", "listen", c.settings.Listen)
 	return g.Wait()
 }
 
 // logLimits logs which limits are too small, not sufficient for a large fleet, or assumed.
 func (c *Controller) logLimits() {
 	for _, reason := range c.settings.Degradations() {
-		c.log.Error("a limit is very small", "what", reason)
+		c.log.Error("resource limit insufficient", "reason", reason)
 	}
 	for _, reason := range c.settings.Insufficient(config.LargeFleet) {
-		c.log.Info("a setting does not suffice for a large fleet", "machines", config.LargeFleet, "what", reason)
+		c.log.Info("setting insufficient for large fleet", "machines", config.LargeFleet, "reason", reason)
 	}
 	for _, reason := range c.settings.Assumed {
-		c.log.Info("a limit is not given", "what", reason)
+		c.log.Info("resource limit assumed", "reason", reason)
 	}
 }
 
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -42,7 +42,7 @@
 	}
 	var out peer.SubmitResponse
 	if err := c.peers[host].Call(methodSubmit, peer.SubmitRequest{Body: body}, &out, submitForwardTimeout); err != nil {
-		c.log.Debug("handing a submission on", "peer", host, "err", err)
+		c.log.Debug("submission forwarding failed", "peer", host, "error", err)
 		return r, false
 	}
 	return httpx.Response{Status: out.Status, Body: out.Body, RetryAfter: out.RetryAfter}, out.Status != 0
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -92,7 +92,7 @@
 		}
 		var out peer.Heartbeat
 		if err := client.Call(methodHeartbeat, c.heartbeat(), &out, peerHeartbeatTimeout); err != nil {
-			c.log.Debug("greeting", "peer", host, "err", err)
+			c.log.Debug("peer heartbeat failed", "peer", host, "error", err)
 			continue
 		}
 		c.elector.ObservePeer(out.Contact)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -77,7 +77,7 @@
 			contradicts = observed.workersReachPeersOnly()
 		}
 		if state.observe(contradicts) {
-			c.log.Info("whether workers reach this controller has changed", "unreachable", state.unreachable)
+			c.log.Warn("worker reachability changed", "unreachable", state.unreachable)
 			c.elector.SetUnreachable(state.unreachable)
 		}
 	}
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	if zones := w.settings.Params.Zones; len(zones) < 2 {
-		w.log.Info("zone_return is on, and there are fewer than two zones: it does nothing", "zones", zones)
+		w.log.Warn("zone return disabled", "zones", zones, "reason", "fewer than two zones")
 		return false
 	}
 	return true
