--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -9,79 +9,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
-	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cancellationLimit is how long after the confirmation of its withdrawal a job's tasks may be there.
-const cancellationLimit = 36 * time.Second
-
-// confirmedCancellation is a job whose withdrawal was confirmed, when, and how often tasks of
-// it had started by then.
-type confirmedCancellation struct {
-	confirmedAt time.Time
-	starts      int
-}
-
-func (c *cluster) taskStarts(id string) (n int) {
-	for _, w := range c.workers {
-		for task, k := range w.Starts {
-			if strings.HasPrefix(task, id+"/") {
-				n += k
-			}
-		}
-	}
-	return n
-}
-
-// requireCancelledStopped holds the workers' tasks against the withdrawals confirmed so far.
-func (c *cluster) requireCancelledStopped() {
-	for id, told := range c.cancelled {
-		require.Equal(c.t, told.starts, c.taskStarts(id), "%s has started after its withdrawal was confirmed", id)
-		if time.Since(told.confirmedAt) <= cancellationLimit {
-			continue
-		}
-		for _, w := range c.workers {
-			for _, k := range w.InOrder() {
-				require.False(c.t, k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/"),
-					"%s is on %s %v after its withdrawal was confirmed", k.Task, w.ID, time.Since(told.confirmedAt))
-			}
-		}
-	}
-}
-
-// tasksOn counts the tasks of a job tasksOn workers that report to a controller.
-func (c *cluster) tasksOn(host, id string) (n int) {
-	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
-			if c.reportsTo[w.ID] == host && k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/") {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// replaceProcess ends a controller's process, starts another on the same host and waits
-// until that one has the partitions again.
-func (c *cluster) replaceProcess(host string) {
-	c.crash(host)
-	c.start(host)
-	for range 100 {
-		time.Sleep(50 * time.Millisecond)
-		held := 0
-		for part := range partitionsPerController * len(hosts) {
-			if _, mine := c.processes[host].elector.Leading(partition.Duty(part)); mine {
-				held++
-			}
-		}
-		if held >= partitionsPerController {
-			return
-		}
-	}
-	require.Fail(c.t, "the new process has not taken its partitions")
-}
-
 // The state service refuses the leading controller alone; another confirms a
 // withdrawal; then the service is out for all, for longer than cancel_s, while
 // workers report to the old leader. The job's tasks are gone in time all the
@@ -219,16 +149,35 @@
 	}
 }
 
-// wholeMachineSubmission submits a job of the team without a limit, each of whose tasks takes a whole machine.
-func wholeMachineSubmission(id string, tasks int) string {
-	return strings.NewReplacer(`"red"`, `"blue"`, `"cpus":2`, `"cpus":8`).Replace(submission(id, tasks))
-}
-
-// writtenKeys lists the keys that a transaction writes.
-func writtenKeys(m wire.Txn) string {
-	var keys []string
-	for _, op := range m.Operations {
-		keys = append(keys, op.Put)
-	}
-	return strings.Join(keys, " ")
+// A controller loses the state service and its peers, not its workers and users. Others
+// take its duties once its hold is over, and jobs are withdrawn through them. Nobody
+// hears anything older from it, and its workers' tasks are gone in time.
+func TestCancellationThroughSuccessorOfIsolatedLeader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newBusyCluster(t)
+		leader := c.unlimitedTeamLeader()
+		c.isolate(leader, true)
+		require.NotEmpty(t, c.pinnedTo)
+		heard := 0
+		asking := func() {
+			if p := c.queryJob(leader, "job-1"); len(p) > 3 {
+				heard++
+			}
+			for _, h := range hosts {
+				if h != leader && c.cancelled["job-1"].confirmedAt.IsZero() {
+					c.cancelJob(h, "job-1")
+				}
+			}
+		}
+		c.runForEach(30*time.Second, 0, asking)
+		require.NotZero(t, heard, "it has answered its users meanwhile")
+		require.NotEqual(t, leader, c.unlimitedTeamLeader())
+		c.runForEach(15*time.Second, 0, asking)
+		require.False(t, c.cancelled["job-1"].confirmedAt.IsZero(), "confirmed by its successor")
+		c.runForEach(45*time.Second, 0, asking)
+		require.Zero(t, c.runningTasks())
+		c.isolate(leader, false)
+		c.runForEach(20*time.Second, 0, asking)
+		require.Equal(t, wire.Cancelled, c.queryJob(leader, "job-1"))
+	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -20,7 +19,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
-	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -76,74 +75,6 @@
 	cancelled          map[string]confirmedCancellation // by job
 }
 
-// processReachedBy gives the process that a peer reaches at a host, nil for none.
-func (c *cluster) processReachedBy(from, to string) *process {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.disconnected[to] || c.disconnected[from] {
-		return nil
-	}
-	return c.processes[to]
-}
-
-func (c *cluster) setDisconnected(host string, cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.disconnected[host] = cut
-}
-
-// peerConnection is a controller's connection to a peer.
-type peerConnection struct {
-	cluster *cluster
-	to      string
-	from    string
-}
-
-var errDisconnected = errors.New("cut")
-
-func (l peerConnection) Call(method string, in, out any, timeout time.Duration) error {
-	l.cluster.awaitResume(l.from)
-	if g := l.cluster.pauseGate(l.to); g != nil {
-		return l.deliverLate(g, method, in, out, timeout)
-	}
-	err := l.deliver(method, in, out)
-	l.cluster.awaitResume(l.from)
-	return err
-}
-
-func (l peerConnection) deliver(method string, in, out any) error {
-	l.cluster.mu.Lock()
-	lag := l.cluster.peerLatency
-	l.cluster.mu.Unlock()
-	time.Sleep(lag)
-	defer time.Sleep(lag)
-	p := l.cluster.processReachedBy(l.from, l.to)
-	if p == nil {
-		time.Sleep(50 * time.Millisecond)
-		return errDisconnected
-	}
-	s := &rpcService{p.Controller}
-	switch method {
-	case "Round":
-		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
-	case "Poll":
-		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
-	case "Hello":
-		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
-	case "Status":
-		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
-	case "Submit":
-		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
-	case "Demand":
-		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
-	case "HoldZone":
-		return s.HoldZone(in.(peer.ZoneHoldRequest), out.(*peer.ZoneHoldResponse))
-	case "Withdraw":
-		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
-	}
-	return fmt.Errorf("no such method: %s", method)
-}
-
 func newCluster(t *testing.T, workers int) *cluster { return newClusterWithInterval(t, workers, 0.5) }
 
 // newClusterWithInterval makes a cluster whose workers report every so many seconds.
@@ -243,158 +174,35 @@
 	return c.processes[host].handleRequest(c.t.Context(), r)
 }
 
-// runFor lets time pass while workers report every second, and finishes tasks
-// after lasts. It holds the rules against what runs.
-func (c *cluster) runFor(d, lasts time.Duration) { c.runForEach(d, lasts, func() {}) }
-
-// runForEach is run with something done after every half second.
-func (c *cluster) runForEach(d, lasts time.Duration, then func()) {
-	began := c.attemptSeenAt
-	if began == nil {
-		began = map[string]clock.Micros{}
-	}
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		now := c.clock.Now()
-		on := map[string]string{}
-		red := 0.0
-		for _, w := range c.workers {
-			if c.hungWorkers[w.ID] {
-				w.Check(now) // it is over with its lease, if it goes on after that
-			}
-			for _, k := range w.InOrder() {
-				attempt := fmt.Sprint(w.ID, k.Task, k.Attempt)
-				if began[attempt] == 0 {
-					began[attempt] = now
-				}
-				if c.hungWorkers[w.ID] {
-					continue
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > began[attempt]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-				}
-			}
-			if !c.hungWorkers[w.ID] {
-				c.sendHeartbeat(w)
-			}
-			for _, k := range w.InOrder() {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-					if job, _, _ := wire.SplitTask(k.Task); !c.unlimitedJobs[job] {
-						red += 2
-					}
-				}
-			}
-		}
-		require.LessOrEqual(c.t, red, 12.0, "the team's limit")
-		c.requireCancelledStopped()
-		if c.everyFiveMS == nil {
-			time.Sleep(500 * time.Millisecond)
-		}
-		for step := 0; c.everyFiveMS != nil && step < 100; step++ {
-			time.Sleep(5 * time.Millisecond)
-			c.everyFiveMS()
-		}
-		then()
-	}
-}
-
-func (c *cluster) sendHeartbeat(w *fakes.Worker) (answered bool) {
-	sent := c.clock.Now()
-	r := w.Report(sent)
-	r.Addr = "" // no way to the worker but by its reports
-	b, err := json.Marshal(r)
-	require.NoError(c.t, err)
-	if c.recordsHeartbeats {
-		c.recordedHeartbeats = append(c.recordedHeartbeats, b)
-	}
-	if h := c.pinnedTo[w.ID]; h != "" {
-		c.reportsTo[w.ID] = h
-	}
-	host := c.reportsTo[w.ID]
-	var resp httpx.Response
-	if !c.unreachable[host] {
-		resp = c.request(host, "POST", wire.PathHeartbeat, string(b))
-	}
-	var a wire.HeartbeatResponse
-	var e wire.Error
-	if c.unanswered[w.ID] {
-		resp = httpx.Response{}
-	}
-	switch {
-	case resp.Status == 200:
-		require.NoError(c.t, json.Unmarshal(resp.Body, &a))
-		w.Take(a, sent)
-		return true
-	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Leader != "":
-		c.reportsTo[w.ID] = e.Leader
-	default:
-		for i, h := range hosts {
-			if h == host {
-				c.reportsTo[w.ID] = hosts[(i+1)%3]
+// replaceProcess ends a controller's process, starts another on the same host and waits
+// until that one has the partitions again.
+func (c *cluster) replaceProcess(host string) {
+	c.crash(host)
+	c.start(host)
+	for range 100 {
+		time.Sleep(50 * time.Millisecond)
+		held := 0
+		for part := range partitionsPerController * len(hosts) {
+			if _, mine := c.processes[host].elector.Leading(partition.Duty(part)); mine {
+				held++
 			}
 		}
-	}
-	return false
-}
-
-func (c *cluster) runningTasks() (n int) {
-	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
-			if k.Phase != wire.TaskExited {
-				n++
-			}
+		if held >= partitionsPerController {
+			return
 		}
 	}
-	return n
-}
-
-func (c *cluster) jobPhase(host, id string) string {
-	r := c.request(host, "GET", wire.PathJobs+"/"+id, "")
-	var s wire.JobState
-	if r.Status != 200 || json.Unmarshal(r.Body, &s) != nil {
-		return fmt.Sprint(r.Status)
-	}
-	return s.Phase
-}
-
-func submission(id string, tasks int) string {
-	return fmt.Sprintf(`{"id":%q,"jobclass":"x","owner":"red","shape":"array","rank":"normal","shards":%d,"cpus":2,"accelerators":0,
-	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":5,"snap_every_s":0,"snap_s":0}`, id, tasks)
+	require.Fail(c.t, "the new process has not taken its partitions")
 }
 
-// runFleetFor lets time pass for a large fleet: workers report every five seconds
-// and when something has changed. It holds the rules against what runs.
-func (c *cluster) runFleetFor(d, lasts time.Duration) { c.runFleetForEach(d, lasts, func() {}) }
+// directClient is a way to the state service that no controller's trouble concerns.
+func (c *cluster) directClient() *fakes.KVClient { return &fakes.KVClient{KVStore: c.store} }
 
-// runFleetForEach is runFleet with something done after every half second.
-func (c *cluster) runFleetForEach(d, lasts time.Duration, then func()) {
-	const step = 500 * time.Millisecond
-	again := map[string]bool{} // reports that nobody has answered: to the next controller a moment later
-	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
-		now := c.clock.Now()
-		on := map[string]string{}
-		for i, w := range c.workers {
-			changed := n%10 == i%10 || again[w.ID]
-			for key, k := range w.Tasks {
-				if c.taskSeenAt[key] == 0 {
-					c.taskSeenAt[key], changed = now, true
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
-				}
-			}
-			if changed {
-				again[w.ID] = !c.sendHeartbeat(w)
-			}
-			for _, k := range w.Tasks {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-				}
-			}
-		}
-		time.Sleep(step)
-		then()
-	}
+// newBusyCluster is six machines, each taken by a task of job-1.
+func newBusyCluster(t *testing.T) *cluster {
+	c := newCluster(t, 6)
+	c.runFor(8*time.Second, 0)
+	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+	c.runFor(4*time.Second, 0)
+	require.Equal(t, 6, c.runningTasks())
+	return c
 }
--- a/internal/controller/controller_failures_test.go
+++ b/internal/controller/controller_failures_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -154,48 +153,3 @@
 		}
 	})
 }
-
-// All controllers of a fleet of 1,800 machines end at once, come back within
-// moments of each other, and are restarted one after the other right behind
-// that. What runs goes on, nothing runs twice, and every accepted job is
-// answered for all along and done in the end.
-func TestFleetKeepsRunningWhenAllControllersRestart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newClusterWithInterval(t, 1800, 5)
-		c.runFleetFor(8*time.Second, 0)
-		const many = 24
-		for i := range many {
-			body := strings.Replace(submission(fmt.Sprintf("job-%d", i), 100+i), `"red"`, `"blue"`, 1)
-			require.Equal(t, 201, c.request(hosts[i%3], "POST", wire.PathJobs, body).Status)
-		}
-		c.runFleetFor(8*time.Second, 0)
-		tasks := many*100 + many*(many-1)/2
-		require.Equal(t, tasks, c.runningTasks())
-		for _, h := range hosts {
-			c.crash(h)
-		}
-		c.runFleetFor(3*time.Second, 0)
-		for i, h := range hosts {
-			time.Sleep(time.Duration(i) * 150 * time.Millisecond)
-			c.start(h)
-		}
-		c.runFleetFor(4*time.Second, 0)
-		for _, h := range hosts {
-			require.Equal(t, 200, c.request(h, "GET", wire.PathReady, "").Status, "ready soon")
-			c.crash(h)
-			time.Sleep(200 * time.Millisecond)
-			c.start(h)
-			c.runFleetFor(5*time.Second, 0)
-			for i := range many {
-				require.NotEqual(t, "404", c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
-			}
-		}
-		c.runFleetFor(10*time.Second, 0)
-		require.Equal(t, tasks, c.runningTasks(), "what ran before runs still")
-		c.requireStartedOnce()
-		c.runFleetFor(20*time.Second, time.Second)
-		for i := range many {
-			require.Equal(t, wire.Done, c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
-		}
-	})
-}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
@@ -12,124 +11,10 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
-	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// leaderships lists all leaderships as the state service has them.
-func (c *cluster) leaderships() map[string]leaderelection.Record {
-	out := map[string]leaderelection.Record{}
-	items, _, err := c.directClient().List(c.t.Context(), kvstore.LeaderPrefix)
-	if err != nil {
-		return out // in an outage
-	}
-	for _, it := range items {
-		var r leaderelection.Record
-		require.NoError(c.t, json.Unmarshal(it.Value, &r))
-		out[strings.TrimPrefix(it.Key, kvstore.LeaderPrefix)] = r
-	}
-	return out
-}
-
-// leadershipsMoved counts the claims that have a new holder since.
-func (c *cluster) leadershipsMoved(before map[string]leaderelection.Record) (n int) {
-	for duty, r := range c.leaderships() {
-		if r.Term > before[duty].Term {
-			n++
-		}
-	}
-	return n
-}
-
-// newBusyCluster is six machines, each taken by a task of job-1.
-func newBusyCluster(t *testing.T) *cluster {
-	c := newCluster(t, 6)
-	c.runFor(8*time.Second, 0)
-	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
-	c.runFor(4*time.Second, 0)
-	require.Equal(t, 6, c.runningTasks())
-	return c
-}
-
-// unlimitedTeamLeader is who places the jobs of the team blue.
-func (c *cluster) unlimitedTeamLeader() string { return c.teamLeader("blue") }
-
-func (c *cluster) teamLeader(team string) string {
-	h, ok := c.leaderships()[scheduler.Duty(team)]
-	require.True(c.t, ok)
-	return h.Leader
-}
-
-// isolate has a controller lose the state service and its peers, or reach them again;
-// the workers that report to it reach nobody else meanwhile.
-func (c *cluster) isolate(host string, alone bool) {
-	c.processes[host].storeClient.SetCut(alone)
-	c.setDisconnected(host, alone)
-	clear(c.pinnedTo)
-	for _, w := range c.workers {
-		if alone && c.reportsTo[w.ID] == host {
-			c.pinnedTo[w.ID] = host
-		}
-	}
-}
-
-// finishTask has a task done.
-func (c *cluster) finishTask(task string) {
-	for _, w := range c.workers {
-		w.Finish(task, wire.CauseDone)
-	}
-}
-
-// jobName is the id of a user's i-th job.
-func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
-
-// requireStartedOnce holds that no task was ever started a second time.
-func (c *cluster) requireStartedOnce() {
-	starts := map[string]int{}
-	for _, w := range c.workers {
-		for task, n := range w.Starts {
-			starts[task] += n
-		}
-	}
-	for task, n := range starts {
-		require.Equal(c.t, 1, n, task)
-	}
-}
-
-// A controller loses the state service and its peers, not its workers and users. Others
-// take its duties once its hold is over, and jobs are withdrawn through them. Nobody
-// hears anything older from it, and its workers' tasks are gone in time.
-func TestCancellationThroughSuccessorOfIsolatedLeader(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newBusyCluster(t)
-		leader := c.unlimitedTeamLeader()
-		c.isolate(leader, true)
-		require.NotEmpty(t, c.pinnedTo)
-		heard := 0
-		asking := func() {
-			if p := c.queryJob(leader, "job-1"); len(p) > 3 {
-				heard++
-			}
-			for _, h := range hosts {
-				if h != leader && c.cancelled["job-1"].confirmedAt.IsZero() {
-					c.cancelJob(h, "job-1")
-				}
-			}
-		}
-		c.runForEach(30*time.Second, 0, asking)
-		require.NotZero(t, heard, "it has answered its users meanwhile")
-		require.NotEqual(t, leader, c.unlimitedTeamLeader())
-		c.runForEach(15*time.Second, 0, asking)
-		require.False(t, c.cancelled["job-1"].confirmedAt.IsZero(), "confirmed by its successor")
-		c.runForEach(45*time.Second, 0, asking)
-		require.Zero(t, c.runningTasks())
-		c.isolate(leader, false)
-		c.runForEach(20*time.Second, 0, asking)
-		require.Equal(t, wire.Cancelled, c.queryJob(leader, "job-1"))
-	})
-}
-
 // A zone with workers and a controller is cut off for longer than the workers' lease:
 // they reach that controller alone, and it nobody else.
 func TestIsolatedControllerAndWorkersRecoverAfterLeaseExpiry(t *testing.T) {
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"runtime"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -40,3 +41,73 @@
 		}
 	})
 }
+
+// All controllers of a fleet of 1,800 machines end at once, come back within
+// moments of each other, and are restarted one after the other right behind
+// that. What runs goes on, nothing runs twice, and every accepted job is
+// answered for all along and done in the end.
+func TestFleetKeepsRunningWhenAllControllersRestart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newClusterWithInterval(t, 1800, 5)
+		c.runFleetFor(8*time.Second, 0)
+		const many = 24
+		for i := range many {
+			body := strings.Replace(submission(fmt.Sprintf("job-%d", i), 100+i), `"red"`, `"blue"`, 1)
+			require.Equal(t, 201, c.request(hosts[i%3], "POST", wire.PathJobs, body).Status)
+		}
+		c.runFleetFor(8*time.Second, 0)
+		tasks := many*100 + many*(many-1)/2
+		require.Equal(t, tasks, c.runningTasks())
+		for _, h := range hosts {
+			c.crash(h)
+		}
+		c.runFleetFor(3*time.Second, 0)
+		for i, h := range hosts {
+			time.Sleep(time.Duration(i) * 150 * time.Millisecond)
+			c.start(h)
+		}
+		c.runFleetFor(4*time.Second, 0)
+		for _, h := range hosts {
+			require.Equal(t, 200, c.request(h, "GET", wire.PathReady, "").Status, "ready soon")
+			c.crash(h)
+			time.Sleep(200 * time.Millisecond)
+			c.start(h)
+			c.runFleetFor(5*time.Second, 0)
+			for i := range many {
+				require.NotEqual(t, "404", c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
+			}
+		}
+		c.runFleetFor(10*time.Second, 0)
+		require.Equal(t, tasks, c.runningTasks(), "what ran before runs still")
+		c.requireStartedOnce()
+		c.runFleetFor(20*time.Second, time.Second)
+		for i := range many {
+			require.Equal(t, wire.Done, c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
+		}
+	})
+}
+
+// Seconds in which nothing happens cost the same on a small fleet and on one eight times as large.
+func TestIdleAllocationsAreIndependentOfFleetSize(t *testing.T) {
+	small, large := idleAllocations(t, 12), idleAllocations(t, 96)
+	t.Log(small, large)
+	require.NotZero(t, small)
+	require.LessOrEqual(t, large, small+small/20)
+}
+
+// idleAllocations is what three controllers allocate in ten seconds in which nothing happens.
+func idleAllocations(t *testing.T, machines int) (allocations uint64) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, machines)
+		c.runFor(8*time.Second, 0) // all machines are known and on record
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		time.Sleep(10 * time.Second)
+		runtime.ReadMemStats(&after)
+		for _, h := range hosts {
+			require.True(t, c.processes[h].elector.LeaseValid(), "the controllers are at work")
+		}
+		allocations = after.Mallocs - before.Mallocs
+	})
+	return allocations
+}
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -9,26 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// recordedMachines lists the machines on record in the state service.
-func (c *cluster) recordedMachines() map[string]bool {
-	out := map[string]bool{}
-	items, _, err := c.directClient().List(c.t.Context(), kvstore.MachinePrefix)
-	require.NoError(c.t, err)
-	for _, it := range items {
-		var g inventory.Group
-		require.NoError(c.t, json.Unmarshal(it.Value, &g))
-		for id := range g {
-			out[id] = true
-		}
-	}
-	return out
-}
-
 // A machine falls silent for its lease, and the transaction that takes it off the
 // record has no answer. The machine is back, and gets work, from the same owner or the next
 // one; then the transaction is carried out after all, and the owner ends. Whoever comes
@@ -78,12 +61,3 @@
 		})
 	}
 }
-
-// writtenText is what a transaction writes, as text.
-func writtenText(m wire.Txn) string {
-	b, err := json.Marshal(m.Operations)
-	if err != nil {
-		return ""
-	}
-	return string(b)
-}
--- a/internal/controller/serving_test.go
+++ b/internal/controller/serving_test.go
@@ -65,35 +65,6 @@
 	})
 }
 
-// A withdrawal is told only when every owner has taken it; until then the user
-// is told at once to come back. Afterwards nothing of the job runs.
-func TestCancellationWaitsForEveryPartitionLeader(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 6)
-		c.runFor(5*time.Second, 0)
-		c.request("a", "POST", wire.PathJobs, submission("job-1", 6))
-		c.runFor(3*time.Second, 0)
-		require.Equal(t, 6, c.runningTasks())
-		placer, ok := c.processes["a"].elector.Leader("team-red")
-		require.True(t, ok)
-		other := map[string]string{"a": "b", "b": "c", "c": "a"}[placer]
-		c.setDisconnected(other, true)
-		r := c.request(placer, "POST", wire.PathJobs+"/job-1/withdraw", "")
-		require.Equal(t, 503, r.Status)
-		require.Positive(t, r.RetryAfter)
-		require.NotEqual(t, wire.Cancelled, c.jobPhase(placer, "job-1"))
-		c.setDisconnected(other, false)
-		c.runFor(2*time.Second, 0)
-		r = c.request(placer, "POST", wire.PathJobs+"/job-1/withdraw", "")
-		require.Equal(t, 200, r.Status, string(r.Body))
-		c.runFor(2*time.Second, 0)
-		require.Zero(t, c.runningTasks())
-		for _, h := range hosts {
-			require.Equal(t, wire.Cancelled, c.jobPhase(h, "job-1"))
-		}
-	})
-}
-
 func TestUnknownPathsAndMethodsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 0)
