--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -12,116 +11,156 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// The state service refuses the leading controller alone; another confirms a
-// withdrawal; then the service is out for all, for longer than cancel_s, while
+// replacement is when a partition leader's process is replaced by a new one of the same host.
+type replacement int
+
+const (
+	notReplaced                  replacement = iota
+	replacedAfterAcknowledgement             // after it has acknowledged the cancellation
+	replacedDuringFinalWrite                 // while the job's final state is being written
+	replacedAfterConfirmation                // after the confirmation
+)
+
+const occurrenceFinalWrite = "the final state was being written"
+
+// leaderReplacement is a cluster in which a partition leader is refused by the key-value store, and perhaps replaced,
+// around the cancellation of job-1.
+type leaderReplacement struct {
+	*cluster
+	teamLeader string // leads the job's team; users cancel through it
+	partition  string // leads partitions with tasks of the job
+	third      string // the remaining controller
+}
+
+func newLeaderReplacement(t *testing.T) *leaderReplacement {
+	r := &leaderReplacement{cluster: newBusyCluster(t)}
+	r.teamLeader = r.unlimitedTeamLeader()
+	for _, h := range hosts {
+		if h != r.teamLeader && r.partition == "" && r.tasksOn(h, "job-1") > 0 {
+			r.partition = h
+		} else if h != r.teamLeader {
+			r.third = h
+		}
+	}
+	require.NotEmpty(t, r.partition, "some other controller has tasks of the job")
+	return r
+}
+
+// replaceAndRefuse replaces the partition leader's process; the store refuses the new one as soon as it leads.
+func (r *leaderReplacement) replaceAndRefuse() {
+	r.replaceProcess(r.partition)
+	r.setStoreCut(r.partition, true)
+}
+
+// prepare has the partition leader refused or replaced before the cancellation that is confirmed. Where it is
+// replaced no worker hears the stops that its first process sends.
+func (r *leaderReplacement) prepare(when replacement) {
+	switch when {
+	case replacedAfterAcknowledgement:
+		r.unreachable[r.partition] = true
+		r.setDisconnected(r.third, true)
+		require.Empty(r.t, r.cancelJob(r.teamLeader, "job-1"), "the third controller has not acknowledged it")
+		r.replaceAndRefuse()
+		r.unreachable[r.partition] = false
+		r.setDisconnected(r.third, false)
+	case replacedDuringFinalWrite:
+		r.unreachable[r.partition] = true
+		r.setOnCommit(func(host string, m wire.Txn) txnOutcome {
+			final := host == r.teamLeader && writesTo(m, kvstore.FinalJobPrefix+"job-1")
+			if final && r.addOccurrence(occurrenceFinalWrite) == 1 {
+				r.replaceAndRefuse()
+				r.unreachable[r.partition] = false
+			}
+			return txnServed
+		})
+	case replacedAfterConfirmation:
+		r.unreachable[r.partition] = true
+	case notReplaced:
+		r.setStoreCut(r.partition, true)
+	}
+}
+
+// cancelUntilConfirmed cancels the job until others confirm it while the partition leader is refused.
+func (r *leaderReplacement) cancelUntilConfirmed() {
+	confirmed := false
+	for range 8 {
+		if confirmed = r.cancelJob(r.teamLeader, "job-1") == wire.Cancelled; confirmed {
+			break
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	require.True(r.t, confirmed, "others confirm while the leader is refused")
+}
+
+// The key-value store refuses the leader of partitions alone; others confirm a
+// cancellation; then the store is down for all, for longer than cancel_s, while
 // workers report to the old leader. The job's tasks are gone in time all the
 // same, also where the leader has just been replaced by a new process of its
-// host, before the withdrawal's last owner has taken it or while its end is on
-// its way to the state service: that process has never heard of the withdrawal.
+// host, before the last partition leader has acknowledged the cancellation or while the final state is
+// being written: that process has never received the cancellation.
 func TestCancellationBeforeStoreOutageReachesPartitionLeaders(t *testing.T) {
 	for _, x := range []struct {
-		name     string
-		replaced string // when the leader's process is replaced
+		name string
+		when replacement
 	}{
-		{"the leader stays", ""},
-		{"replaced after it has taken the withdrawal", "after its answer"},
-		{"replaced while the end is on its way", "in flight"},
-		{"replaced after the confirmation", "after the confirmation"},
+		{"the leader stays", notReplaced},
+		{"replaced after it has acknowledged the cancellation", replacedAfterAcknowledgement},
+		{"replaced while the final state is being written", replacedDuringFinalWrite},
+		{"replaced after the confirmation", replacedAfterConfirmation},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newBusyCluster(t)
-				via := c.unlimitedTeamLeader()
-				leader, third := "", ""
-				for _, h := range hosts {
-					if h != via && leader == "" && c.tasksOn(h, "job-1") > 0 {
-						leader = h
-					} else if h != via {
-						third = h
-					}
+				r := newLeaderReplacement(t)
+				r.prepare(x.when)
+				if x.when == replacedDuringFinalWrite {
+					defer func() { require.NotZero(t, r.occurrenceCount(occurrenceFinalWrite)) }()
 				}
-				require.NotEmpty(t, leader, "some other controller has tasks of the job")
-				// Where it is unreachable, no worker hears the stops that the first process sends.
-				refuse := func() {
-					c.replaceProcess(leader)
-					c.processes[leader].storeClient.SetCut(true)
-				}
-				switch x.replaced {
-				case "after its answer":
-					c.unreachable[leader] = true
-					c.setDisconnected(third, true)
-					require.Empty(t, c.cancelJob(via, "job-1"), "the third controller has not taken it")
-					refuse()
-					c.unreachable[leader] = false
-					c.setDisconnected(third, false)
-				case "in flight":
-					c.unreachable[leader] = true
-					c.setOnCommit(func(host string, m wire.Txn) txnOutcome {
-						if host == via && strings.Contains(writtenKeys(m), kvstore.FinalJobPrefix+"job-1") && c.addOccurrence("the end was on its way") == 1 {
-							refuse()
-							c.unreachable[leader] = false
-						}
-						return txnServed
-					})
-					defer func() { require.NotZero(t, c.occurrenceCount("the end was on its way")) }()
-				case "after the confirmation":
-					c.unreachable[leader] = true
-				default:
-					c.processes[leader].storeClient.SetCut(true)
-				}
-				told := false
-				for range 8 {
-					if told = c.cancelJob(via, "job-1") == wire.Cancelled; told {
-						break
-					}
-					time.Sleep(100 * time.Millisecond)
-				}
-				require.True(t, told, "others confirm while the leader is refused")
-				if x.replaced == "after the confirmation" {
-					require.NotZero(t, c.tasksOn(leader, "job-1"), "its workers have not heard of it")
-					refuse() // it finds the end in its replica, as it has taken its partitions since
-					c.unreachable[leader] = false
+				r.cancelUntilConfirmed()
+				if x.when == replacedAfterConfirmation {
+					require.NotZero(t, r.tasksOn(r.partition, "job-1"), "its workers have not heard of it")
+					r.replaceAndRefuse() // it finds the end in its replica, as it has taken its partitions since
+					r.unreachable[r.partition] = false
 				}
 				time.Sleep(400 * time.Millisecond)
-				_, _, err := c.processes[leader].storeClient.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
+				_, _, err := r.processes[r.partition].storeClient.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
 				require.ErrorIs(t, err, kvstore.ErrRefused)
-				c.store.SetDown(true)
-				c.runFor(60*time.Second, 0)
-				require.Zero(t, c.runningTasks())
-				c.store.SetDown(false)
-				c.processes[leader].storeClient.SetCut(false)
-				c.runFor(30*time.Second, 0)
+				r.store.SetDown(true)
+				r.runFor(60*time.Second, 0)
+				require.Zero(t, r.runningTasks())
+				r.store.SetDown(false)
+				r.setStoreCut(r.partition, false)
+				r.runFor(30*time.Second, 0)
 				for _, h := range hosts {
-					require.Equal(t, wire.Cancelled, c.jobPhase(h, "job-1"))
+					require.Equal(t, wire.Cancelled, r.jobPhase(h, "job-1"))
 				}
 			})
 		})
 	}
 }
 
-// A withdrawal's end has no answer, and its placer ends. Where it was carried out, the job
-// is cancelled and stays so. Where it comes late, nobody has been told: the next placer
-// goes on with the job, and the late end changes nothing.
+// The write of a cancelled job's final state has no answer, and its team's leader crashes. Where it was carried out, the job
+// is cancelled and stays so. Where it comes late, no user has been told: the next leader
+// goes on with the job, and the late write changes nothing.
 func TestUnansweredCancellationIsResolvedAfterTeamLeaderCrash(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		lot  txnOutcome
+		name    string
+		outcome txnOutcome
 	}{{"carried out, the answer is lost", responseLost}, {"carried out late", txnHeldBack}} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newBusyCluster(t)
 				leader := c.unlimitedTeamLeader()
 				c.setOnCommit(func(host string, m wire.Txn) txnOutcome {
-					if host == leader && strings.Contains(writtenKeys(m), kvstore.FinalJobPrefix) {
-						c.addOccurrence("the end is written")
-						return x.lot
+					if host == leader && writesTo(m, kvstore.FinalJobPrefix) {
+						c.addOccurrence(occurrenceFinalWrite)
+						return x.outcome
 					}
 					return txnServed
 				})
 				c.setReplicaDelay(leader, 4*time.Second) // it does not read its own write meanwhile
-				require.Empty(t, c.cancelJob(leader, "job-1"), "nothing is told while its end may be written or not")
+				require.Empty(t, c.cancelJob(leader, "job-1"), "no user is told while its end may be written or not")
 				require.Equal(t, "503", c.queryJob(leader, "job-1"))
-				require.NotZero(t, c.occurrenceCount("the end is written"))
+				require.NotZero(t, c.occurrenceCount(occurrenceFinalWrite))
 				c.crash(leader)
 				c.setReplicaDelay(leader, 0)
 				c.setOnCommit(nil)
@@ -129,7 +168,7 @@
 				c.runFor(time.Second, 0)
 				c.start(leader)
 				c.runFor(8*time.Second, 0)
-				if x.lot == responseLost {
+				if x.outcome == responseLost {
 					require.Zero(t, c.runningTasks())
 					for _, h := range hosts {
 						require.Equal(t, wire.Cancelled, c.queryJob(h, "job-1"))
@@ -137,8 +176,8 @@
 					return
 				}
 				require.Equal(t, 6, c.runningTasks(), "it goes on")
-				for _, write := range late {
-					require.ErrorIs(t, write(), kvstore.ErrConflict)
+				for _, commit := range late {
+					require.ErrorIs(t, commit(), kvstore.ErrConflict)
 				}
 				c.runFor(15*time.Second, 3*time.Second)
 				for _, h := range hosts {
@@ -149,35 +188,36 @@
 	}
 }
 
-// A controller loses the state service and its peers, not its workers and users. Others
-// take its duties once its hold is over, and jobs are withdrawn through them. Nobody
-// hears anything older from it, and its workers' tasks are gone in time.
+// A controller loses the key-value store and its peers, not its workers and users. Others
+// take its leaderships once its lease has expired, and jobs are cancelled through them. No user
+// is told anything older by it, and its workers' tasks are gone in time.
 func TestCancellationThroughSuccessorOfIsolatedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
 		leader := c.unlimitedTeamLeader()
-		c.isolate(leader, true)
+		c.setIsolated(leader, true)
 		require.NotEmpty(t, c.pinnedTo)
-		heard := 0
-		asking := func() {
-			if p := c.queryJob(leader, "job-1"); len(p) > 3 {
-				heard++
+		answers := 0
+		confirmed := func() bool { return !c.cancelled["job-1"].confirmedAt.IsZero() }
+		queryAndCancel := func() {
+			if p := c.queryJob(leader, "job-1"); isPhase(p) {
+				answers++
 			}
 			for _, h := range hosts {
-				if h != leader && c.cancelled["job-1"].confirmedAt.IsZero() {
+				if h != leader && !confirmed() {
 					c.cancelJob(h, "job-1")
 				}
 			}
 		}
-		c.runForEach(30*time.Second, 0, asking)
-		require.NotZero(t, heard, "it has answered its users meanwhile")
+		c.runForEach(30*time.Second, 0, queryAndCancel)
+		require.NotZero(t, answers, "it has answered its users meanwhile")
 		require.NotEqual(t, leader, c.unlimitedTeamLeader())
-		c.runForEach(15*time.Second, 0, asking)
-		require.False(t, c.cancelled["job-1"].confirmedAt.IsZero(), "confirmed by its successor")
-		c.runForEach(45*time.Second, 0, asking)
+		c.runForEach(15*time.Second, 0, queryAndCancel)
+		require.True(t, confirmed(), "by its successor")
+		c.runForEach(45*time.Second, 0, queryAndCancel)
 		require.Zero(t, c.runningTasks())
-		c.isolate(leader, false)
-		c.runForEach(20*time.Second, 0, asking)
+		c.setIsolated(leader, false)
+		c.runForEach(20*time.Second, 0, queryAndCancel)
 		require.Equal(t, wire.Cancelled, c.queryJob(leader, "job-1"))
 	})
 }
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -13,26 +13,30 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-func (c *cluster) setDisconnected(host string, cut bool) {
+// setDisconnected cuts a controller off from its peers, or connects it again.
+func (c *cluster) setDisconnected(host string, disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.disconnected[host] = cut
+	c.disconnected[host] = disconnected
 }
 
-// isolate has a controller lose the state service and its peers, or reach them again;
+// setStoreCut cuts a controller off from the key-value store, or connects it again.
+func (c *cluster) setStoreCut(host string, cut bool) { c.processes[host].storeClient.SetCut(cut) }
+
+// setIsolated has a controller lose the key-value store and its peers, or reach them again;
 // the workers that report to it reach nobody else meanwhile.
-func (c *cluster) isolate(host string, alone bool) {
-	c.processes[host].storeClient.SetCut(alone)
-	c.setDisconnected(host, alone)
+func (c *cluster) setIsolated(host string, isolated bool) {
+	c.setStoreCut(host, isolated)
+	c.setDisconnected(host, isolated)
 	clear(c.pinnedTo)
 	for _, w := range c.workers {
-		if alone && c.reportsTo[w.ID] == host {
+		if isolated && c.reportsTo[w.ID] == host {
 			c.pinnedTo[w.ID] = host
 		}
 	}
 }
 
-// setPeerLatency lets every word between controllers take a while, each way.
+// setPeerLatency lets every call between controllers take a while, each way.
 func (c *cluster) setPeerLatency(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +57,7 @@
 	c.delayedWriteShare = share
 }
 
-// pause has a controller pause still for a while: what it sends and what it is
+// pause pauses a controller for a while: what it sends and what it is
 // sent waits, and goes on as though no time had passed.
 func (c *cluster) pause(host string, d time.Duration) {
 	gate := make(chan struct{})
@@ -70,146 +74,172 @@
 	})
 }
 
-// pauseGate gives what to wait for while a controller stands still; nil when it does not.
+// pauseGate gives what to wait for while a controller is paused; nil when it is not.
 func (c *cluster) pauseGate(host string) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paused[host]
 }
 
+// awaitResume waits while a controller is paused.
 func (c *cluster) awaitResume(host string) {
-	if g := c.pauseGate(host); g != nil {
-		<-g
+	if gate := c.pauseGate(host); gate != nil {
+		<-gate
 	}
 }
 
-// txnOutcome is what becomes of a transaction: it is carried out and answered, carried out
-// without an answer or with a slow one, or held back until release, without an answer.
+// addOccurrence counts something that has occurred, and gives how often it has.
+func (c *cluster) addOccurrence(event string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.occurrences[event]++
+	return c.occurrences[event]
+}
+
+// occurrenceCount is how often something has occurred.
+func (c *cluster) occurrenceCount(event string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.occurrences[event]
+}
+
+// txnOutcome is what becomes of a transaction that arrives at the key-value store.
 type txnOutcome int
 
 const (
-	txnServed txnOutcome = iota
-	responseLost
-	responseSlow
-	txnHeldBack
+	txnServed    txnOutcome = iota // carried out and answered
+	responseLost                   // carried out, without an answer
+	responseSlow                   // carried out, with a slow answer
+	txnHeldBack                    // not carried out until the test does, without an answer
 )
 
-// setOnCommit has f decide on every transaction that arrives, before it is carried out.
+// slowResponse is by how much the answer of responseSlow is late.
+const slowResponse = 700 * time.Millisecond
+
+// setOnCommit has f decide on every transaction that arrives, before it is carried out; nil: all are served.
 func (c *cluster) setOnCommit(f func(host string, m wire.Txn) txnOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onCommit = f
 }
 
-// releaseHeldTransactions carries out the transactions that were held back.
-func (c *cluster) releaseHeldTransactions() {
-	for _, write := range c.takeHeldTransactions() {
-		write() //nolint:errcheck // it may come too late to change anything
+// commitOutcome decides on a transaction of a controller.
+func (c *cluster) commitOutcome(host string, m wire.Txn) txnOutcome {
+	c.mu.Lock()
+	decide := c.onCommit
+	c.mu.Unlock()
+	if decide == nil {
+		return txnServed
 	}
+	return decide(host, m)
 }
 
-// takeHeldTransactions takes the transactions that were held back so far, to carry them out later.
-func (c *cluster) takeHeldTransactions() []func() error {
+// drawDelay draws whether a transaction is carried out late, and by how much.
+func (c *cluster) drawDelay() (delay time.Duration, delayed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.heldTransactions
-	c.heldTransactions = nil
-	return kept
+	if c.rng == nil || c.rng.Float64() >= c.delayedWriteShare {
+		return 0, false
+	}
+	return time.Duration(2000+c.rng.IntN(10000)) * time.Millisecond, true
 }
 
-// addOccurrence counts something that has occurred, and gives how often it has.
-func (c *cluster) addOccurrence(what string) int {
+// holdBack keeps a transaction for takeHeldTransactions.
+func (c *cluster) holdBack(commit func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.occurrences[what]++
-	return c.occurrences[what]
+	c.heldTransactions = append(c.heldTransactions, commit)
 }
 
-func (c *cluster) occurrenceCount(what string) int {
+// takeHeldTransactions takes the transactions that were held back so far, to carry them out later.
+func (c *cluster) takeHeldTransactions() []func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.occurrences[what]
+	held := c.heldTransactions
+	c.heldTransactions = nil
+	return held
 }
 
-// faultyStore is a controller's way to the state service: it waits while the controller
-// stands still, and transactions may be carried out late and without an answer.
+// releaseHeldTransactions carries out the transactions that were held back.
+func (c *cluster) releaseHeldTransactions() {
+	for _, commit := range c.takeHeldTransactions() {
+		commit() //nolint:errcheck // it may come too late to change anything
+	}
+}
+
+// faultyStore is a controller's client of the key-value store: it waits while the controller
+// is paused, its replica may be late, and transactions may be carried out late or without an answer.
 type faultyStore struct {
 	*fakes.KVClient
 	cluster *cluster
 	host    string
 }
 
-func (h faultyStore) Get(ctx context.Context, key string) (wire.Item, bool, error) {
-	h.cluster.awaitResume(h.host)
-	return h.KVClient.Get(ctx, key)
+// Get waits while the controller is paused.
+func (s faultyStore) Get(ctx context.Context, key string) (wire.Item, bool, error) {
+	s.cluster.awaitResume(s.host)
+	return s.KVClient.Get(ctx, key)
 }
 
-func (h faultyStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	h.cluster.awaitResume(h.host)
-	id, err := h.KVClient.GrantLease(ctx, ttl)
-	h.cluster.awaitResume(h.host)
+// GrantLease waits while the controller is paused, with the answer too.
+func (s faultyStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	s.cluster.awaitResume(s.host)
+	id, err := s.KVClient.GrantLease(ctx, ttl)
+	s.cluster.awaitResume(s.host)
 	return id, err
 }
 
-func (h faultyStore) KeepAlive(ctx context.Context, id uint64, timeout time.Duration) error {
-	h.cluster.awaitResume(h.host)
-	err := h.KVClient.KeepAlive(ctx, id, timeout)
-	h.cluster.awaitResume(h.host)
+// KeepAlive waits while the controller is paused, with the answer too.
+func (s faultyStore) KeepAlive(ctx context.Context, id uint64, timeout time.Duration) error {
+	s.cluster.awaitResume(s.host)
+	err := s.KVClient.KeepAlive(ctx, id, timeout)
+	s.cluster.awaitResume(s.host)
 	return err
 }
 
-func (h faultyStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
-	ch, err := h.KVClient.Watch(ctx, prefix, rev, block)
-	h.cluster.mu.Lock()
-	behind := h.cluster.replicaDelay[h.host]
-	h.cluster.mu.Unlock()
-	time.Sleep(behind)
-	h.cluster.awaitResume(h.host)
-	return ch, err
+// Watch gives the changes late where the controller's replica is to be late.
+func (s faultyStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
+	changes, err := s.KVClient.Watch(ctx, prefix, rev, block)
+	s.cluster.mu.Lock()
+	delay := s.cluster.replicaDelay[s.host]
+	s.cluster.mu.Unlock()
+	time.Sleep(delay)
+	s.cluster.awaitResume(s.host)
+	return changes, err
 }
 
-func (h faultyStore) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
-	h.cluster.awaitResume(h.host)
-	h.cluster.mu.Lock()
-	before := h.cluster.onCommit
-	h.cluster.mu.Unlock()
-	if before != nil {
-		switch before(h.host, m) {
-		case responseLost:
-			h.KVClient.Commit(ctx, m) //nolint:errcheck // nobody hears of it
-			return 0, fmt.Errorf("%w: the answer is lost", kvstore.ErrOutcomeUnknown)
-		case responseSlow:
-			defer time.Sleep(700 * time.Millisecond)
-		case txnHeldBack:
-			h.cluster.mu.Lock()
-			defer h.cluster.mu.Unlock()
-			h.cluster.heldTransactions = append(h.cluster.heldTransactions, func() error {
-				_, err := h.cluster.directClient().Commit(context.WithoutCancel(ctx), m)
-				return err
-			})
-			return 0, fmt.Errorf("%w: held back", kvstore.ErrOutcomeUnknown)
-		}
-	}
-	h.cluster.mu.Lock()
-	late, after := h.cluster.rng != nil && h.cluster.rng.Float64() < h.cluster.delayedWriteShare, time.Duration(0)
-	if late {
-		after = time.Duration(2000+h.cluster.rng.IntN(10000)) * time.Millisecond
+// Commit carries a transaction out as onCommit decides, and of those that it lets pass some late, by the random draw.
+func (s faultyStore) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
+	s.cluster.awaitResume(s.host)
+	switch s.cluster.commitOutcome(s.host, m) {
+	case responseLost:
+		s.KVClient.Commit(ctx, m) //nolint:errcheck // its answer is lost
+		return 0, fmt.Errorf("%w: the answer is lost", kvstore.ErrOutcomeUnknown)
+	case responseSlow:
+		defer time.Sleep(slowResponse)
+	case txnHeldBack:
+		s.cluster.holdBack(func() error {
+			_, err := s.cluster.directClient().Commit(context.WithoutCancel(ctx), m)
+			return err
+		})
+		return 0, fmt.Errorf("%w: held back", kvstore.ErrOutcomeUnknown)
+	case txnServed:
 	}
-	h.cluster.mu.Unlock()
-	if late {
-		time.AfterFunc(after, func() { h.KVClient.Commit(context.WithoutCancel(ctx), m) }) //nolint:errcheck // nobody hears of it
-		return 0, fmt.Errorf("%w: held up", kvstore.ErrOutcomeUnknown)
+	if delay, delayed := s.cluster.drawDelay(); delayed {
+		time.AfterFunc(delay, func() { s.KVClient.Commit(context.WithoutCancel(ctx), m) }) //nolint:errcheck // its answer is lost
+		return 0, fmt.Errorf("%w: delayed", kvstore.ErrOutcomeUnknown)
 	}
-	rev, err := h.KVClient.Commit(ctx, m)
-	h.cluster.awaitResume(h.host)
+	rev, err := s.KVClient.Commit(ctx, m)
+	s.cluster.awaitResume(s.host)
 	return rev, err
 }
 
-func (h faultyStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
+// CommitWithCheck is Commit, unless sending fails.
+func (s faultyStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
-	return h.Commit(ctx, m)
+	return s.Commit(ctx, m)
 }
 
 // peerConnection is a controller's connection to a peer.
@@ -219,56 +249,57 @@
 	from    string
 }
 
-var errDisconnected = errors.New("cut")
+var errDisconnected = errors.New("disconnected")
 
-func (l peerConnection) Call(method string, in, out any, timeout time.Duration) error {
-	l.cluster.awaitResume(l.from)
-	if g := l.cluster.pauseGate(l.to); g != nil {
-		return l.deliverLate(g, method, in, out, timeout)
+// Call calls a peer's method. While the caller is paused the call waits; while the peer is, it times out and reaches
+// the peer later.
+func (p peerConnection) Call(method string, in, out any, timeout time.Duration) error {
+	p.cluster.awaitResume(p.from)
+	if gate := p.cluster.pauseGate(p.to); gate != nil {
+		return p.deliverLate(gate, method, in, out, timeout)
 	}
-	err := l.deliver(method, in, out)
-	l.cluster.awaitResume(l.from)
+	err := p.deliver(method, in, out)
+	p.cluster.awaitResume(p.from)
 	return err
 }
 
-// deliverLate delivers a call to a controller that stands still, once it goes on.
-func (l peerConnection) deliverLate(gate chan struct{}, method string, in, out any, timeout time.Duration) error {
+// deliverLate delivers a call to a controller that is paused, once it goes on.
+func (p peerConnection) deliverLate(gate chan struct{}, method string, in, out any, timeout time.Duration) error {
 	go func() {
 		<-gate
-		l.deliver(method, in, reflect.New(reflect.TypeOf(out).Elem()).Interface()) //nolint:errcheck // nobody hears of it
+		p.deliver(method, in, reflect.New(reflect.TypeOf(out).Elem()).Interface()) //nolint:errcheck // nobody waits any more
 	}()
 	time.Sleep(timeout)
 	return errDisconnected
 }
 
-func (l peerConnection) deliver(method string, in, out any) error {
-	l.cluster.mu.Lock()
-	lag := l.cluster.peerLatency
-	l.cluster.mu.Unlock()
-	time.Sleep(lag)
-	defer time.Sleep(lag)
-	p := l.cluster.processReachedBy(l.from, l.to)
-	if p == nil {
+// deliver calls a method of the process that the connection reaches now.
+func (p peerConnection) deliver(method string, in, out any) error {
+	p.cluster.mu.Lock()
+	latency := p.cluster.peerLatency
+	p.cluster.mu.Unlock()
+	time.Sleep(latency)
+	defer time.Sleep(latency)
+	target := p.cluster.processReachedBy(p.from, p.to)
+	if target == nil {
 		time.Sleep(50 * time.Millisecond)
 		return errDisconnected
 	}
-	s := &rpcService{p.Controller}
+	s := &rpcService{target.Controller}
 	switch method {
-	case "Round":
+	case methodBatch:
 		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
-	case "Poll":
+	case methodPoll:
 		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
-	case "Hello":
+	case methodHeartbeat:
 		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
-	case "Status":
+	case methodStatus:
 		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
-	case "Submit":
+	case methodSubmit:
 		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
-	case "Demand":
+	case methodDemand:
 		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
-	case "HoldZone":
-		return s.HoldZone(in.(peer.ZoneHoldRequest), out.(*peer.ZoneHoldResponse))
-	case "Withdraw":
+	case methodCancel:
 		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
 	}
 	return fmt.Errorf("no such method: %s", method)
--- a/internal/controller/cluster_run_test.go
+++ b/internal/controller/cluster_run_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"strings"
+	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
@@ -14,140 +15,180 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// runFor lets time pass while workers report every second, and finishes tasks
-// after lasts. It holds the rules against what runs.
-func (c *cluster) runFor(d, lasts time.Duration) { c.runForEach(d, lasts, func() {}) }
+// stepInterval is how often workers act while a test lets time pass.
+const stepInterval = 500 * time.Millisecond
 
-// runForEach is run with something done after every half second.
-func (c *cluster) runForEach(d, lasts time.Duration, then func()) {
-	began := c.attemptSeenAt
-	if began == nil {
-		began = map[string]clock.Micros{}
+// runFor lets time pass while workers send a heartbeat every stepInterval, and tasks are done once they have run for
+// runTime; zero: none is. It holds the rules against what runs: no task on two machines, no team over its
+// quota, nothing of a cancelled job.
+func (c *cluster) runFor(d, runTime time.Duration) { c.runForEach(d, runTime, func() {}) }
+
+// runForEach is runFor with then called after every step.
+func (c *cluster) runForEach(d, runTime time.Duration, then func()) {
+	seenAt := c.attemptSeenAt
+	if seenAt == nil {
+		seenAt = map[string]clock.Micros{}
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		now := c.clock.Now()
-		on := map[string]string{}
-		red := 0.0
-		for _, w := range c.workers {
-			if c.hungWorkers[w.ID] {
-				w.Check(now) // it is over with its lease, if it goes on after that
-			}
-			for _, k := range w.InOrder() {
-				attempt := fmt.Sprint(w.ID, k.Task, k.Attempt)
-				if began[attempt] == 0 {
-					began[attempt] = now
-				}
-				if c.hungWorkers[w.ID] {
-					continue
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > began[attempt]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-				}
-			}
-			if !c.hungWorkers[w.ID] {
-				c.sendHeartbeat(w)
-			}
-			for _, k := range w.InOrder() {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-					if job, _, _ := wire.SplitTask(k.Task); !c.unlimitedJobs[job] {
-						red += 2
-					}
-				}
-			}
-		}
-		require.LessOrEqual(c.t, red, 12.0, "the team's limit")
+		c.stepWorkers(seenAt, runTime)
 		c.requireCancelledStopped()
-		if c.everyFiveMS == nil {
-			time.Sleep(500 * time.Millisecond)
+		c.sleepStep()
+		then()
+	}
+}
+
+// stepWorkers has every worker run its tasks and send a heartbeat, one after the other.
+func (c *cluster) stepWorkers(seenAt map[string]clock.Micros, runTime time.Duration) {
+	now := c.clock.Now()
+	on := placements{}
+	limitedCPUs := 0.0
+	for _, w := range c.workers {
+		if c.hungWorkers[w.ID] {
+			w.Check(now) // its lease runs out, and it notices that once it goes on
+			advanceTasks(w, seenAt, now, 0)
+		} else {
+			advanceTasks(w, seenAt, now, runTime)
+			c.sendHeartbeat(w)
 		}
-		for step := 0; c.everyFiveMS != nil && step < 100; step++ {
-			time.Sleep(5 * time.Millisecond)
-			c.everyFiveMS()
+		on.add(c.t, w)
+		limitedCPUs += c.limitedCPUs(w)
+	}
+	require.LessOrEqual(c.t, limitedCPUs, float64(limitedTeamCPUs), "the team's limit")
+}
+
+// advanceTasks notes when attempts are first seen, and ends those that have run for runTime; zero: none.
+func advanceTasks(w *fakes.Worker, seenAt map[string]clock.Micros, now clock.Micros, runTime time.Duration) {
+	for _, k := range w.InOrder() {
+		attempt := attemptKey(w, k)
+		if seenAt[attempt] == 0 {
+			seenAt[attempt] = now
+		}
+		if runTime > 0 && k.Phase != wire.TaskExited && now > seenAt[attempt]+clock.FromDuration(runTime) {
+			k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
+		}
+	}
+}
+
+// attemptKey names an attempt on a machine.
+func attemptKey(w *fakes.Worker, k *wire.TaskStatus) string {
+	return fmt.Sprint(w.ID, k.Task, k.Attempt)
+}
+
+// placements maps running tasks to their machines.
+type placements map[string]string
+
+// add adds the tasks that run on a worker, and requires that none of them runs anywhere else.
+func (p placements) add(t *testing.T, w *fakes.Worker) {
+	t.Helper()
+	for _, k := range w.Tasks {
+		if k.Phase != wire.TaskExited {
+			require.Empty(t, p[k.Task], "%s runs on two machines", k.Task)
+			p[k.Task] = w.ID
+		}
+	}
+}
+
+// limitedCPUs is what the team with a limit uses on a worker.
+func (c *cluster) limitedCPUs(w *fakes.Worker) (cpus float64) {
+	for _, k := range w.Tasks {
+		if job, _, _ := wire.SplitTask(k.Task); k.Phase != wire.TaskExited && !c.unlimitedJobs[job] {
+			cpus += taskCPUs
 		}
-		then()
 	}
+	return cpus
 }
 
-// runFleetFor lets time pass for a large fleet: workers report every five seconds
-// and when something has changed. It holds the rules against what runs.
-func (c *cluster) runFleetFor(d, lasts time.Duration) { c.runFleetForEach(d, lasts, func() {}) }
+// sleepStep lets a step's time pass, and calls everyFiveMS meanwhile where it is set.
+func (c *cluster) sleepStep() {
+	const fineStep = 5 * time.Millisecond
+	if c.everyFiveMS == nil {
+		time.Sleep(stepInterval)
+		return
+	}
+	for step := 0; c.everyFiveMS != nil && step < int(stepInterval/fineStep); step++ {
+		time.Sleep(fineStep)
+		c.everyFiveMS()
+	}
+}
 
-// runFleetForEach is runFleet with something done after every half second.
-func (c *cluster) runFleetForEach(d, lasts time.Duration, then func()) {
-	const step = 500 * time.Millisecond
-	again := map[string]bool{} // reports that nobody has answered: to the next controller a moment later
+// runFleetFor lets time pass for a large fleet: workers send a heartbeat every ten steps
+// and when something has changed. It holds the rules against what runs: no task on two machines.
+func (c *cluster) runFleetFor(d, runTime time.Duration) {
+	const stepsPerHeartbeat = 10
+	resend := map[string]bool{} // workers whose heartbeat had no answer: to the next controller a moment later
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
 		now := c.clock.Now()
-		on := map[string]string{}
+		on := placements{}
 		for i, w := range c.workers {
-			changed := n%10 == i%10 || again[w.ID]
-			for key, k := range w.Tasks {
-				if c.taskSeenAt[key] == 0 {
-					c.taskSeenAt[key], changed = now, true
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
-				}
-			}
-			if changed {
-				again[w.ID] = !c.sendHeartbeat(w)
-			}
-			for _, k := range w.Tasks {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-				}
+			due := n%stepsPerHeartbeat == i%stepsPerHeartbeat || resend[w.ID]
+			if c.advanceFleetTasks(w, now, runTime) || due {
+				resend[w.ID] = !c.sendHeartbeat(w)
 			}
+			on.add(c.t, w)
 		}
-		time.Sleep(step)
-		then()
+		time.Sleep(stepInterval)
 	}
 }
 
+// advanceFleetTasks is advanceTasks for a large fleet; changed is whether an attempt was first seen or has ended.
+func (c *cluster) advanceFleetTasks(w *fakes.Worker, now clock.Micros, runTime time.Duration) (changed bool) {
+	for key, k := range w.Tasks {
+		if c.taskSeenAt[key] == 0 {
+			c.taskSeenAt[key], changed = now, true
+		}
+		if runTime > 0 && k.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(runTime) {
+			k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
+		}
+	}
+	return changed
+}
+
+// sendHeartbeat sends a worker's heartbeat to the controller that it reports to, and has it take the answer. Where there
+// is none the worker turns to the controller that the answer names, or to the next one.
 func (c *cluster) sendHeartbeat(w *fakes.Worker) (answered bool) {
 	sent := c.clock.Now()
 	r := w.Report(sent)
-	r.Addr = "" // no way to the worker but by its reports
-	b, err := json.Marshal(r)
+	r.Addr = "" // commands come in answers to heartbeats only
+	body, err := json.Marshal(r)
 	require.NoError(c.t, err)
 	if c.recordsHeartbeats {
-		c.recordedHeartbeats = append(c.recordedHeartbeats, b)
+		c.recordedHeartbeats = append(c.recordedHeartbeats, body)
 	}
 	if h := c.pinnedTo[w.ID]; h != "" {
 		c.reportsTo[w.ID] = h
 	}
 	host := c.reportsTo[w.ID]
-	var resp httpx.Response
+	var response httpx.Response
 	if !c.unreachable[host] {
-		resp = c.request(host, "POST", wire.PathHeartbeat, string(b))
+		response = c.post(host, wire.PathHeartbeat, string(body))
 	}
-	var a wire.HeartbeatResponse
-	var e wire.Error
 	if c.unanswered[w.ID] {
-		resp = httpx.Response{}
+		response = httpx.Response{}
 	}
+	var answer wire.HeartbeatResponse
+	var rejection wire.Error
 	switch {
-	case resp.Status == 200:
-		require.NoError(c.t, json.Unmarshal(resp.Body, &a))
-		w.Take(a, sent)
+	case response.Status == 200:
+		require.NoError(c.t, json.Unmarshal(response.Body, &answer))
+		w.Take(answer, sent)
 		return true
-	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Leader != "":
-		c.reportsTo[w.ID] = e.Leader
+	case response.Status == 421 && json.Unmarshal(response.Body, &rejection) == nil && rejection.Leader != "":
+		c.reportsTo[w.ID] = rejection.Leader
 	default:
-		for i, h := range hosts {
-			if h == host {
-				c.reportsTo[w.ID] = hosts[(i+1)%3]
-			}
-		}
+		c.reportsTo[w.ID] = nextHost(host)
 	}
 	return false
 }
 
+// nextHost is the host after another, in a ring.
+func nextHost(host string) string {
+	return map[string]string{"a": "b", "b": "c", "c": "a"}[host]
+}
+
+// runningTasks counts the tasks that run on all workers.
 func (c *cluster) runningTasks() (n int) {
 	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
+		for _, k := range w.Tasks {
 			if k.Phase != wire.TaskExited {
 				n++
 			}
@@ -156,21 +197,22 @@
 	return n
 }
 
+// taskStarts counts how often tasks of a job have started.
 func (c *cluster) taskStarts(id string) (n int) {
 	for _, w := range c.workers {
-		for task, k := range w.Starts {
+		for task, starts := range w.Starts {
 			if strings.HasPrefix(task, id+"/") {
-				n += k
+				n += starts
 			}
 		}
 	}
 	return n
 }
 
-// tasksOn counts the tasks of a job tasksOn workers that report to a controller.
+// tasksOn counts the tasks of a job that run on workers which report to a controller.
 func (c *cluster) tasksOn(host, id string) (n int) {
 	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
+		for _, k := range w.Tasks {
 			if c.reportsTo[w.ID] == host && k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/") {
 				n++
 			}
@@ -179,7 +221,7 @@
 	return n
 }
 
-// finishTask has a task done.
+// finishTask has a task done wherever it runs.
 func (c *cluster) finishTask(task string) {
 	for _, w := range c.workers {
 		w.Finish(task, wire.CauseDone)
@@ -188,6 +230,7 @@
 
 // requireStartedOnce holds that no task was ever started a second time.
 func (c *cluster) requireStartedOnce() {
+	c.t.Helper()
 	starts := map[string]int{}
 	for _, w := range c.workers {
 		for task, n := range w.Starts {
@@ -199,27 +242,29 @@
 	}
 }
 
-// cancellationLimit is how long after the confirmation of its withdrawal a job's tasks may be there.
+// cancellationLimit is how long after the confirmation of its cancellation a job's tasks may still run.
 const cancellationLimit = 36 * time.Second
 
-// confirmedCancellation is a job whose withdrawal was confirmed, when, and how often tasks of
+// confirmedCancellation is when a job's cancellation was confirmed, and how often tasks of
 // it had started by then.
 type confirmedCancellation struct {
 	confirmedAt time.Time
 	starts      int
 }
 
-// requireCancelledStopped holds the workers' tasks against the withdrawals confirmed so far.
+// requireCancelledStopped holds the workers' tasks against the cancellations confirmed so far: nothing has started
+// since, and after cancellationLimit nothing runs.
 func (c *cluster) requireCancelledStopped() {
-	for id, told := range c.cancelled {
-		require.Equal(c.t, told.starts, c.taskStarts(id), "%s has started after its withdrawal was confirmed", id)
-		if time.Since(told.confirmedAt) <= cancellationLimit {
+	for id, confirmed := range c.cancelled {
+		require.Equal(c.t, confirmed.starts, c.taskStarts(id), "%s has started after its cancellation was confirmed", id)
+		age := time.Since(confirmed.confirmedAt)
+		if age <= cancellationLimit {
 			continue
 		}
 		for _, w := range c.workers {
 			for _, k := range w.InOrder() {
 				require.False(c.t, k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/"),
-					"%s is on %s %v after its withdrawal was confirmed", k.Task, w.ID, time.Since(told.confirmedAt))
+					"%s is on %s %v after its cancellation was confirmed", k.Task, w.ID, age)
 			}
 		}
 	}
--- a/internal/controller/cluster_store_test.go
+++ b/internal/controller/cluster_store_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
@@ -13,12 +14,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// leaderships lists all leaderships as the state service has them.
+// directClient is a client of the key-value store that no controller's fault concerns.
+func (c *cluster) directClient() *fakes.KVClient { return &fakes.KVClient{KVStore: c.store} }
+
+// leaderships lists all leaderships as the key-value store has them, by duty; none in an outage.
 func (c *cluster) leaderships() map[string]leaderelection.Record {
 	out := map[string]leaderelection.Record{}
 	items, _, err := c.directClient().List(c.t.Context(), kvstore.LeaderPrefix)
 	if err != nil {
-		return out // in an outage
+		return out
 	}
 	for _, it := range items {
 		var r leaderelection.Record
@@ -28,7 +32,7 @@
 	return out
 }
 
-// leadershipsMoved counts the claims that have a new holder since.
+// leadershipsMoved counts the leaderships that have had a new leader since.
 func (c *cluster) leadershipsMoved(before map[string]leaderelection.Record) (n int) {
 	for duty, r := range c.leaderships() {
 		if r.Term > before[duty].Term {
@@ -38,16 +42,22 @@
 	return n
 }
 
-// unlimitedTeamLeader is who places the jobs of the team blue.
-func (c *cluster) unlimitedTeamLeader() string { return c.teamLeader("blue") }
+// unlimitedTeamLeader is the controller that leads the team without a limit.
+func (c *cluster) unlimitedTeamLeader() string { return c.teamLeader(unlimitedTeam) }
 
+// teamLeader is the controller that leads a team, as the key-value store says.
 func (c *cluster) teamLeader(team string) string {
-	h, ok := c.leaderships()[scheduler.Duty(team)]
+	r, ok := c.leaderships()[scheduler.Duty(team)]
 	require.True(c.t, ok)
-	return h.Leader
+	return r.Leader
+}
+
+// unlimitedTeamTerm is the term of the team without a limit.
+func (c *cluster) unlimitedTeamTerm() uint64 {
+	return c.leaderships()[scheduler.Duty(unlimitedTeam)].Term
 }
 
-// recordedMachines lists the machines on record in the state service.
+// recordedMachines lists the machines on record in the key-value store.
 func (c *cluster) recordedMachines() map[string]bool {
 	out := map[string]bool{}
 	items, _, err := c.directClient().List(c.t.Context(), kvstore.MachinePrefix)
@@ -62,7 +72,7 @@
 	return out
 }
 
-// writtenKeys lists the keys that a transaction writes.
+// writtenKeys lists the keys that a transaction writes, separated by spaces.
 func writtenKeys(m wire.Txn) string {
 	var keys []string
 	for _, op := range m.Operations {
@@ -71,6 +81,9 @@
 	return strings.Join(keys, " ")
 }
 
+// writesTo is whether a transaction writes a key with a prefix.
+func writesTo(m wire.Txn, prefix string) bool { return strings.Contains(writtenKeys(m), prefix) }
+
 // writtenText is what a transaction writes, as text.
 func writtenText(m wire.Txn) string {
 	b, err := json.Marshal(m.Operations)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,12 +1,14 @@
 package controller
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"sync"
 	"testing"
@@ -24,75 +26,140 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
+// Scenario tests run whole controllers, a key-value store and workers in a synctest bubble, where time is virtual. This
+// file has the cluster and its processes; cluster_run_test.go lets time pass and holds the rules against what runs,
+// cluster_users_test.go plays the users, cluster_faults_test.go the faults, cluster_store_test.go reads the store.
+
+// hosts are the controllers of every cluster.
 var hosts = []string{"a", "b", "c"}
 
+const (
+	// limitedTeam and unlimitedTeam are the teams of a cluster that is given none.
+	limitedTeam   = "red"
+	unlimitedTeam = "blue"
+	// limitedTeamCPUs is the quota of limitedTeam: six tasks of submission.
+	limitedTeamCPUs = 12
+	// taskCPUs is what a task of submission takes, of the 8 CPUs of a machine.
+	taskCPUs = 2
+	// workerLease is the workers' lease in all clusters.
+	workerLease = 16 * clock.Second
+)
+
 // process is one life of a controller.
 type process struct {
 	*Controller
-	storeClient *fakes.KVClient
-	kill        context.CancelFunc
+	storeClient *fakes.KVClient    // can be cut off from the store
+	kill        context.CancelFunc // ends the process at once
+}
+
+// clusterOptions are the settings of a cluster; zero values stand for the usual ones.
+type clusterOptions struct {
+	heartbeatS   float64           // heartbeat interval of the workers; 0.5
+	txnOps       int               // largest transaction of the store; 12
+	valueKB      float64           // largest value of the store; 8
+	teams        []config.Team     // limitedTeam and unlimitedTeam
+	policyScript string            // the operators' policy script, of all hosts but those in hostScripts
+	hostScripts  map[string]string // by host
+	hostZones    map[string]string // zone by host; none: no zones
+	peerLatency  time.Duration     // each way, of every call between controllers
 }
 
-// cluster is three controllers, a state service and workers, in a test's bubble
-// where time is virtual. Connections are calls; cut ones fail.
+func (o clusterOptions) withDefaults() clusterOptions {
+	o.heartbeatS = cmp.Or(o.heartbeatS, 0.5)
+	o.txnOps = cmp.Or(o.txnOps, 12)
+	o.valueKB = cmp.Or(o.valueKB, 8)
+	if o.teams == nil {
+		o.teams = []config.Team{{Name: limitedTeam, CPUsMax: limitedTeamCPUs}, {Name: unlimitedTeam}}
+	}
+	return o
+}
+
+// cluster is three controllers, a key-value store and workers. Connections are function calls; faults make them fail.
+// A test's own goroutine uses it, except for the fields after mu, which the controllers' goroutines read too.
 type cluster struct {
-	t            *testing.T
-	store        *fakes.KVStore
-	clock        clock.Clock
-	workers      []*fakes.Worker
-	reportsTo    map[string]string // the controller that a worker reports to
-	taskSeenAt   map[string]clock.Micros
-	heartbeatS   float64
-	txnOps       int
-	valueKB      float64
-	teams        []config.Team     // red, with a limit, and blue where none are given
-	policyScript string            // the operators' policy
-	hostScripts  map[string]string // of single hosts
-	hostZones    map[string]string // of the hosts; none: no zone
-
-	mu                 sync.Mutex
-	processes          map[string]*process
-	disconnected       map[string]bool          // hosts that no peer reaches
-	unreachable        map[string]bool          // hosts that no worker reaches
-	paused             map[string]chan struct{} // hosts that stand still, until these are closed
-	rng                *rand.Rand
-	occurrences        map[string]int                           // what has occurred, and how often
-	delayedWriteShare  float64                                  // share of transactions that are carried out late
-	onCommit           func(host string, m wire.Txn) txnOutcome // decides on a transaction that arrives, before it is carried out
-	heldTransactions   []func() error                           // transactions held back
-	unlimitedJobs      map[string]bool                          // jobs of the team without a limit
-	attemptSeenAt      map[string]clock.Micros                  // since when attempts run, where that lasts from one run to the next
-	hungWorkers        map[string]bool                          // workers that neither report nor hear
-	unanswered         map[string]bool                          // workers whose reports arrive, and no answer
-	pinnedTo           map[string]string                        // workers that reach this controller alone
-	recordedHeartbeats [][]byte                                 // reports that were sent, where they are kept
+	t       *testing.T
+	options clusterOptions
+	store   *fakes.KVStore
+	clock   clock.Clock
+	workers []*fakes.Worker
+
+	reportsTo          map[string]string // by worker: the controller that it sends its next heartbeat to
+	pinnedTo           map[string]string // by worker: the only controller that it reaches
+	hungWorkers        map[string]bool   // workers that send no heartbeats and get none answered
+	unanswered         map[string]bool   // workers whose heartbeats arrive, and whose answers are lost
+	unreachable        map[string]bool   // hosts that no worker reaches
 	recordsHeartbeats  bool
-	everyFiveMS        func()                   // done every five milliseconds
-	replicaDelay       map[string]time.Duration // by how much the replica of a controller is late
-	peerLatency        time.Duration            // of every word between controllers and workers
-	accepted           map[string]bool          // jobs that users were told are accepted
-	finalAnswers       map[string]string
-	cancelled          map[string]confirmedCancellation // by job
+	recordedHeartbeats [][]byte                // as sent while recordsHeartbeats was set
+	taskSeenAt         map[string]clock.Micros // by task and attempt, of runFleetFor
+	attemptSeenAt      map[string]clock.Micros // by machine, task and attempt; nil: each runFor begins anew
+	everyFiveMS        func()                  // called every five milliseconds while runFor lets time pass; may be nil
+
+	unlimitedJobs map[string]bool                  // jobs of unlimitedTeam
+	accepted      map[string]bool                  // jobs that some user was told are accepted
+	finalAnswers  map[string]string                // by job: the final phase that some user was told
+	cancelled     map[string]confirmedCancellation // by job
+
+	mu                sync.Mutex
+	processes         map[string]*process      // by host; nil: it is down
+	disconnected      map[string]bool          // hosts that no peer reaches
+	paused            map[string]chan struct{} // hosts that are paused until these are closed
+	peerLatency       time.Duration            // each way, of every call between controllers
+	replicaDelay      map[string]time.Duration // by host: by how much its replica is late
+	rng               *rand.Rand               // draws which transactions are delayed; nil: none
+	delayedWriteShare float64                  // share of transactions that are carried out late
+	heldTransactions  []func() error           // transactions that were held back
+	occurrences       map[string]int           // how often something has occurred
+	// onCommit decides on a transaction that arrives, before it is carried out; nil: all are served.
+	onCommit func(host string, m wire.Txn) txnOutcome
 }
 
-func newCluster(t *testing.T, workers int) *cluster { return newClusterWithInterval(t, workers, 0.5) }
+// newCluster makes a cluster with the usual settings.
+func newCluster(t *testing.T, workers int) *cluster {
+	return newClusterWithOptions(t, workers, clusterOptions{})
+}
 
-// newClusterWithInterval makes a cluster whose workers report every so many seconds.
-func newClusterWithInterval(t *testing.T, workers int, reportS float64) *cluster {
-	return newClusterWithOptions(t, workers, &cluster{heartbeatS: reportS, txnOps: 12, valueKB: 8})
+// newBusyCluster makes a cluster of six machines, each taken by a task of job-1.
+func newBusyCluster(t *testing.T) *cluster {
+	c := newCluster(t, 6)
+	c.runFor(8*time.Second, 0)
+	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+	c.runFor(4*time.Second, 0)
+	require.Equal(t, 6, c.runningTasks())
+	return c
 }
 
-func newClusterWithOptions(t *testing.T, workers int, given *cluster) *cluster {
-	c := &cluster{t: t, teams: given.teams, policyScript: given.policyScript, hostScripts: given.hostScripts, hostZones: given.hostZones, peerLatency: given.peerLatency, heartbeatS: given.heartbeatS, txnOps: given.txnOps, valueKB: given.valueKB, store: fakes.NewKVStore(), clock: clock.NewSteady(), processes: map[string]*process{}, disconnected: map[string]bool{}, paused: map[string]chan struct{}{}, unreachable: map[string]bool{}, reportsTo: map[string]string{}, taskSeenAt: map[string]clock.Micros{}, cancelled: map[string]confirmedCancellation{}, hungWorkers: map[string]bool{}, occurrences: map[string]int{}, replicaDelay: map[string]time.Duration{}, unlimitedJobs: map[string]bool{}, unanswered: map[string]bool{}, pinnedTo: map[string]string{}, accepted: map[string]bool{}, finalAnswers: map[string]string{}}
-	_, err := c.directClient().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: wire.Catalog{
-		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
+// newClusterWithOptions makes a cluster and starts its controllers. At the end of the test they end.
+func newClusterWithOptions(t *testing.T, workers int, options clusterOptions) *cluster {
+	c := &cluster{
+		t:             t,
+		options:       options.withDefaults(),
+		store:         fakes.NewKVStore(),
+		clock:         clock.NewSteady(),
+		reportsTo:     map[string]string{},
+		pinnedTo:      map[string]string{},
+		hungWorkers:   map[string]bool{},
+		unanswered:    map[string]bool{},
+		unreachable:   map[string]bool{},
+		taskSeenAt:    map[string]clock.Micros{},
+		unlimitedJobs: map[string]bool{},
+		accepted:      map[string]bool{},
+		finalAnswers:  map[string]string{},
+		cancelled:     map[string]confirmedCancellation{},
+		processes:     map[string]*process{},
+		disconnected:  map[string]bool{},
+		paused:        map[string]chan struct{}{},
+		peerLatency:   options.peerLatency,
+		replicaDelay:  map[string]time.Duration{},
+		occurrences:   map[string]int{},
+	}
+	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}
+	_, err := c.directClient().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: catalog}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
 		c.start(h)
 	}
 	for i := range workers {
-		c.workers = append(c.workers, fakes.NewWorker(fmt.Sprintf("m-%06d", i), 16*clock.Second, c.clock.Now()))
-		c.reportsTo[c.workers[i].ID] = hosts[i%3]
+		c.addWorker(i)
 	}
 	t.Cleanup(func() {
 		for _, p := range c.processes {
@@ -100,53 +167,77 @@
 				p.kill()
 			}
 		}
-		time.Sleep(time.Second) // whoever waits for a host that is down is back by then
+		time.Sleep(time.Second) // calls that wait for a host that is down are back by then
 	})
 	return c
 }
 
-func (c *cluster) start(host string) {
-	settings := &config.Settings{Host: host, Zone: c.hostZones[host]}
-	settings.Params.Count = 3
-	settings.Params.Teams = c.teams
-	if c.teams == nil {
-		settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 12}, {Name: "blue"}}
-	}
-	settings.Params.Workers.LeaseS = 16
-	settings.Params.Workers.ReportS = c.heartbeatS
-	settings.Params.State.TxnOps = c.txnOps
-	settings.Params.State.ValueKB = c.valueKB
-	settings.Params.Cloud.RPS = 1
-	for _, zone := range c.hostZones {
-		if !slices.Contains(settings.Params.Zones, zone) {
-			settings.Params.Zones = append(settings.Params.Zones, zone)
+// addWorker adds the cluster's i-th worker.
+func (c *cluster) addWorker(i int) {
+	w := fakes.NewWorker(fmt.Sprintf("m-%06d", i), workerLease, c.clock.Now())
+	c.workers = append(c.workers, w)
+	c.reportsTo[w.ID] = hosts[i%3]
+}
+
+// settingsOf gives the settings of a controller.
+func (c *cluster) settingsOf(host string) *config.Settings {
+	o := &c.options
+	settings := &config.Settings{Host: host, Zone: o.hostZones[host]}
+	p := &settings.Params
+	p.Count = len(hosts)
+	p.Teams = o.teams
+	p.Workers.LeaseS = workerLease.Seconds()
+	p.Workers.ReportS = o.heartbeatS
+	p.State.TxnOps = o.txnOps
+	p.State.ValueKB = o.valueKB
+	p.Cloud.RPS = 1
+	for _, zone := range o.hostZones {
+		if !slices.Contains(p.Zones, zone) {
+			p.Zones = append(p.Zones, zone)
 		}
 	}
-	slices.Sort(settings.Params.Zones)
-	peers := map[string]PeerClient{}
+	slices.Sort(p.Zones)
 	for _, h := range hosts {
 		if h != host {
-			settings.Peers = append(settings.Peers, config.Peer{Host: h, Zone: c.hostZones[h]})
-			peers[h] = peerConnection{c, h, host}
+			settings.Peers = append(settings.Peers, config.Peer{Host: h, Zone: o.hostZones[h]})
 		}
 	}
-	script, own := c.hostScripts[host]
+	return settings
+}
+
+// start starts a controller's process.
+func (c *cluster) start(host string) {
+	settings := c.settingsOf(host)
+	script, own := c.options.hostScripts[host]
 	if !own {
-		script = c.policyScript
+		script = c.options.policyScript
 	}
 	parameters, err := policy.Parse(script, settings)
 	require.NoError(c.t, err)
+	peers := map[string]PeerClient{}
+	for _, other := range settings.Peers {
+		peers[other.Host] = peerConnection{cluster: c, to: other.Host, from: host}
+	}
 	ctx, kill := context.WithCancel(c.t.Context())
 	p := &process{storeClient: &fakes.KVClient{KVStore: c.store}, kill: kill}
-	connection := faultyStore{p.storeClient, c, host}
-	p.Controller = assemble(&wiring{settings: settings, parameters: parameters, store: connection, priorityStore: connection, userStore: connection, peers: peers, seed: fakes.Seed,
-		log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	store := faultyStore{p.storeClient, c, host}
+	p.Controller = assemble(&wiring{
+		settings:      settings,
+		parameters:    parameters,
+		store:         store,
+		priorityStore: store,
+		userStore:     store,
+		peers:         peers,
+		seed:          fakes.Seed,
+		log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	c.mu.Lock()
 	c.processes[host] = p
 	c.mu.Unlock()
-	go p.runDuties(ctx) //nolint:errcheck // ends with the context
+	go p.runDuties(ctx) //nolint:errcheck // ends with the context; the bubble waits for it
 }
 
+// crash ends a controller's process at once.
 func (c *cluster) crash(host string) {
 	c.processes[host].kill()
 	c.mu.Lock()
@@ -154,55 +245,52 @@
 	c.processes[host] = nil
 }
 
+// replaceProcess ends a controller's process, starts another on the same host and waits
+// until that one leads its partitions again.
+func (c *cluster) replaceProcess(host string) {
+	c.crash(host)
+	c.start(host)
+	for range 100 {
+		time.Sleep(50 * time.Millisecond)
+		led := 0
+		for i := range partitionsPerController * len(hosts) {
+			if _, leading := c.processes[host].elector.Leading(partition.Duty(i)); leading {
+				led++
+			}
+		}
+		if led >= partitionsPerController {
+			return
+		}
+	}
+	require.Fail(c.t, "the new process has not taken its partitions")
+}
+
+// request sends a controller a request of a user, a worker or the load balancer. There is no answer, status 0, from a
+// host that is down or paused; one that is paused handles the request once it goes on.
 func (c *cluster) request(host, method, path, body string) httpx.Response {
-	if c.processes[host] == nil {
+	p := c.processes[host]
+	if p == nil {
 		return httpx.Response{}
 	}
 	r := &httpx.Request{Method: method, Path: path, Body: []byte(body)}
 	var job wire.Job
-	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == "blue" {
+	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == unlimitedTeam {
 		c.unlimitedJobs[job.ID] = true
 	}
-	if g := c.pauseGate(host); g != nil {
-		p := c.processes[host]
+	if gate := c.pauseGate(host); gate != nil {
 		go func() { // nobody waits for the answer any more
-			<-g
+			<-gate
 			p.handleRequest(c.t.Context(), r)
 		}()
 		return httpx.Response{}
 	}
-	return c.processes[host].handleRequest(c.t.Context(), r)
+	return p.handleRequest(c.t.Context(), r)
 }
 
-// replaceProcess ends a controller's process, starts another on the same host and waits
-// until that one has the partitions again.
-func (c *cluster) replaceProcess(host string) {
-	c.crash(host)
-	c.start(host)
-	for range 100 {
-		time.Sleep(50 * time.Millisecond)
-		held := 0
-		for part := range partitionsPerController * len(hosts) {
-			if _, mine := c.processes[host].elector.Leading(partition.Duty(part)); mine {
-				held++
-			}
-		}
-		if held >= partitionsPerController {
-			return
-		}
-	}
-	require.Fail(c.t, "the new process has not taken its partitions")
+func (c *cluster) get(host, path string) httpx.Response {
+	return c.request(host, http.MethodGet, path, "")
 }
 
-// directClient is a way to the state service that no controller's trouble concerns.
-func (c *cluster) directClient() *fakes.KVClient { return &fakes.KVClient{KVStore: c.store} }
-
-// newBusyCluster is six machines, each taken by a task of job-1.
-func newBusyCluster(t *testing.T) *cluster {
-	c := newCluster(t, 6)
-	c.runFor(8*time.Second, 0)
-	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
-	c.runFor(4*time.Second, 0)
-	require.Equal(t, 6, c.runningTasks())
-	return c
+func (c *cluster) post(host, path, body string) httpx.Response {
+	return c.request(host, http.MethodPost, path, body)
 }
--- a/internal/controller/controller_failures_test.go
+++ b/internal/controller/controller_failures_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(5*time.Second, 0)
-		c.request("a", "POST", wire.PathJobs, submission("job-1", 10))
+		c.post("a", wire.PathJobs, submission("job-1", 10))
 		c.runFor(3*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks())
 		for _, h := range hosts {
@@ -43,10 +43,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(5*time.Second, 0)
-		c.request("a", "POST", wire.PathJobs, submission("job-1", 12))
+		c.post("a", wire.PathJobs, submission("job-1", 12))
 		c.runFor(2*time.Second, 0)
 		c.store.SetDown(true)
-		r := c.request("b", "POST", wire.PathJobs, submission("job-2", 1))
+		r := c.post("b", wire.PathJobs, submission("job-2", 1))
 		require.Equal(t, 503, r.Status)
 		require.Positive(t, r.RetryAfter)
 		c.runFor(20*time.Second, 4*time.Second)
@@ -54,7 +54,7 @@
 		c.store.SetDown(false)
 		c.runFor(4*time.Second, 4*time.Second)
 		require.Equal(t, wire.Done, c.jobPhase("a", "job-1"))
-		require.Equal(t, 201, c.request("b", "POST", wire.PathJobs, submission("job-2", 1)).Status)
+		require.Equal(t, 201, c.post("b", wire.PathJobs, submission("job-2", 1)).Status)
 	})
 }
 
@@ -64,15 +64,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
 		c.runFor(5*time.Second, 0)
-		c.request("a", "POST", wire.PathJobs, submission("job-1", 12))
+		c.post("a", wire.PathJobs, submission("job-1", 12))
 		c.runFor(2*time.Second, 0)
 		holder, _ := c.processes["a"].elector.Leader("team-red")
-		c.processes[holder].storeClient.SetCut(true)
+		c.setStoreCut(holder, true)
 		c.runFor(16*time.Second, 0)
-		next, ok := c.processes[map[string]string{"a": "b", "b": "c", "c": "a"}[holder]].elector.Leader("team-red")
+		next, ok := c.processes[nextHost(holder)].elector.Leader("team-red")
 		require.True(t, ok)
 		require.NotEqual(t, holder, next)
-		require.Equal(t, 503, c.request(holder, "GET", wire.PathReady, "").Status)
+		require.Equal(t, 503, c.get(holder, wire.PathReady).Status)
 		c.runFor(40*time.Second, 4*time.Second)
 		require.Equal(t, wire.Done, c.jobPhase(next, "job-1"))
 	})
@@ -85,21 +85,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
 		c.runFor(5*time.Second, 0)
-		c.request("b", "POST", wire.PathJobs, submission("job-1", 10))
+		c.post("b", wire.PathJobs, submission("job-1", 10))
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks())
-		c.processes["a"].storeClient.SetCut(true)
+		c.setStoreCut("a", true)
 		c.setDisconnected("a", true)
 		c.runFor(8*time.Second, 0)
-		require.Equal(t, 503, c.request("a", "GET", wire.PathReady, "").Status)
-		require.Equal(t, 503, c.request("a", "POST", wire.PathJobs, submission("job-2", 1)).Status)
+		require.Equal(t, 503, c.get("a", wire.PathReady).Status)
+		require.Equal(t, 503, c.post("a", wire.PathJobs, submission("job-2", 1)).Status)
 		c.runFor(60*time.Second, 6*time.Second)
 		require.Equal(t, wire.Done, c.jobPhase("b", "job-1"), "others have taken its duties")
-		c.processes["a"].storeClient.SetCut(false)
+		c.setStoreCut("a", false)
 		c.setDisconnected("a", false)
 		c.runFor(10*time.Second, 0)
 		require.Equal(t, wire.Done, c.jobPhase("a", "job-1"))
-		require.Equal(t, 200, c.request("a", "GET", wire.PathReady, "").Status)
+		require.Equal(t, 200, c.get("a", wire.PathReady).Status)
 	})
 }
 
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 12)
 		c.runFor(5*time.Second, 0)
-		c.request("b", "POST", wire.PathJobs, submission("job-1", 6))
+		c.post("b", wire.PathJobs, submission("job-1", 6))
 		c.runFor(4*time.Second, 0)
 		before := c.runningTasks()
 		require.Equal(t, 6, before)
@@ -120,7 +120,7 @@
 			require.EqualValues(t, 1, w.Session, "its lease has ended")
 		}
 		c.requireStartedOnce()
-		require.Equal(t, 200, c.request("a", "GET", wire.PathReady, "").Status, "users are served")
+		require.Equal(t, 200, c.get("a", wire.PathReady).Status, "users are served")
 	})
 }
 
@@ -133,7 +133,7 @@
 		rng := fakes.Rand(3)
 		c.runFor(5*time.Second, 0)
 		for i := range 4 {
-			require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, submission(fmt.Sprintf("job-%d", i), 5)).Status)
+			require.Equal(t, 201, c.post("a", wire.PathJobs, submission(fmt.Sprintf("job-%d", i), 5)).Status)
 		}
 		for range 24 {
 			h := hosts[rng.IntN(3)]
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -22,7 +22,7 @@
 		c := newBusyCluster(t)
 		zone := c.reportsTo[c.workers[0].ID]
 		before := c.leaderships()
-		c.isolate(zone, true)
+		c.setIsolated(zone, true)
 		c.runFor(50*time.Second, 0)
 		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "its duties are others'")
 		for duty, r := range c.leaderships() {
@@ -31,7 +31,7 @@
 		for _, w := range c.workers {
 			require.Equal(t, c.pinnedTo[w.ID] != "", w.Session > 1, "%s: its lease ended", w.ID)
 		}
-		c.isolate(zone, false)
+		c.setIsolated(zone, false)
 		c.runFor(30*time.Second, 4*time.Second)
 		for _, h := range hosts {
 			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
@@ -132,7 +132,7 @@
 				}
 				for _, h := range hosts {
 					if c.processes[h] != nil {
-						answered[c.request(h, "POST", wire.PathHeartbeat, string(b)).Status]++
+						answered[c.post(h, wire.PathHeartbeat, string(b)).Status]++
 					}
 				}
 			}
@@ -172,7 +172,7 @@
 		c.runFor(2*time.Second, 0)
 		require.Equal(t, 2, c.runningTasks())
 		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
-			if strings.Contains(writtenKeys(m), kvstore.MachinePrefix) {
+			if writesTo(m, kvstore.MachinePrefix) {
 				c.addOccurrence("a record was held back")
 				return txnHeldBack
 			}
@@ -242,9 +242,9 @@
 				time.Sleep(300 * time.Millisecond)
 				c.start(leader)
 			case 1:
-				c.processes[leader].storeClient.SetCut(true)
+				c.setStoreCut(leader, true)
 				c.runForEach(8*time.Second, 6*time.Second, users)
-				c.processes[leader].storeClient.SetCut(false)
+				c.setStoreCut(leader, false)
 			case 2: // in an outage
 				c.store.SetDown(true)
 				c.runForEach(3*time.Second, 6*time.Second, users)
@@ -271,7 +271,7 @@
 				c.start(leader)
 			}
 			c.runForEach(5*time.Second, 6*time.Second, users)
-			terms[c.leaderships()[scheduler.Duty("blue")].Term] = true
+			terms[c.unlimitedTeamTerm()] = true
 			if i == 4 {
 				c.finishTask("job-000099/1")
 			}
@@ -303,7 +303,7 @@
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 3, c.runningTasks())
 		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
-			if strings.Contains(writtenKeys(m), kvstore.ProgressPrefix) {
+			if writesTo(m, kvstore.ProgressPrefix) {
 				c.addOccurrence("progress was held back")
 				return txnHeldBack
 			}
@@ -318,7 +318,7 @@
 			c.crash(leader)
 			c.start(leader)
 			c.runFor(6*time.Second, 0)
-			require.Greater(t, c.leaderships()[scheduler.Duty("blue")].Term, before.Term)
+			require.Greater(t, c.unlimitedTeamTerm(), before.Term)
 			for _, write := range late {
 				require.ErrorIs(t, write(), kvstore.ErrConflict, "by a former leader")
 			}
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -80,7 +80,7 @@
 
 // countOnTime counts each team's jobs that were on time.
 func (r burstRun) countOnTime(t *testing.T) onTimeByTeam {
-	given := &cluster{heartbeatS: 0.5, txnOps: 12, valueKB: 8}
+	given := clusterOptions{}
 	if r.fairShares {
 		given.policyScript = "fair_shares = True"
 	}
@@ -145,7 +145,7 @@
 func (c *cluster) submitForTeam(rng *rand.Rand, id, team string) (accepted bool) {
 	body := fmt.Sprintf(`{"id":%q,"jobclass":"x","owner":%q,"shape":"array","rank":"normal","shards":%d,"cpus":2,"accelerators":0,
 	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":4,"snap_every_s":0,"snap_s":0}`, id, team, tasksPerJob)
-	status := c.request(hosts[rng.IntN(len(hosts))], "POST", wire.PathJobs, body).Status
+	status := c.post(hosts[rng.IntN(len(hosts))], wire.PathJobs, body).Status
 	return status == 200 || status == 201
 }
 
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"runtime"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -19,13 +18,13 @@
 func TestFleetOf4000MachinesSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const machines, many, each = 4000, 8, 400
-		c := newClusterWithInterval(t, machines, 5)
+		c := newClusterWithOptions(t, machines, clusterOptions{heartbeatS: 5})
 		c.runFleetFor(8*time.Second, 0)
 		require.Len(t, c.recordedMachines(), machines)
 		require.Greater(t, machines/len(hosts), 4*peer.PageMachines, "an answer takes several pages")
 		for i := range many {
-			body := strings.Replace(submission(fmt.Sprintf("job-%d", i), each), `"red"`, `"blue"`, 1)
-			require.Equal(t, 201, c.request(hosts[i%3], "POST", wire.PathJobs, body).Status)
+			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), each)
+			require.Equal(t, 201, c.post(hosts[i%3], wire.PathJobs, body).Status)
 		}
 		c.runFleetFor(8*time.Second, 0)
 		require.Equal(t, many*each, c.runningTasks())
@@ -48,12 +47,12 @@
 // answered for all along and done in the end.
 func TestFleetKeepsRunningWhenAllControllersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClusterWithInterval(t, 1800, 5)
+		c := newClusterWithOptions(t, 1800, clusterOptions{heartbeatS: 5})
 		c.runFleetFor(8*time.Second, 0)
 		const many = 24
 		for i := range many {
-			body := strings.Replace(submission(fmt.Sprintf("job-%d", i), 100+i), `"red"`, `"blue"`, 1)
-			require.Equal(t, 201, c.request(hosts[i%3], "POST", wire.PathJobs, body).Status)
+			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), 100+i)
+			require.Equal(t, 201, c.post(hosts[i%3], wire.PathJobs, body).Status)
 		}
 		c.runFleetFor(8*time.Second, 0)
 		tasks := many*100 + many*(many-1)/2
@@ -68,7 +67,7 @@
 		}
 		c.runFleetFor(4*time.Second, 0)
 		for _, h := range hosts {
-			require.Equal(t, 200, c.request(h, "GET", wire.PathReady, "").Status, "ready soon")
+			require.Equal(t, 200, c.get(h, wire.PathReady).Status, "ready soon")
 			c.crash(h)
 			time.Sleep(200 * time.Millisecond)
 			c.start(h)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -47,7 +47,7 @@
 					c.replaceProcess(owner)
 				}
 				c.workers = all
-				require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, wholeMachineSubmission("job-1", 6)).Status)
+				require.Equal(t, 201, c.post("a", wire.PathJobs, wholeMachineSubmission("job-1", 6)).Status)
 				c.runFor(6*time.Second, 0)
 				require.Equal(t, 6, c.runningTasks(), "it is used again")
 				for _, write := range late {
--- a/internal/controller/serving_test.go
+++ b/internal/controller/serving_test.go
@@ -18,8 +18,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(5*time.Second, 0)
-		require.Equal(t, 200, c.request("a", "GET", wire.PathReady, "").Status)
-		require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, submission("job-1", 9)).Status)
+		require.Equal(t, 200, c.get("a", wire.PathReady).Status)
+		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-1", 9)).Status)
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks(), "as many as the limit of 12 CPUs allows")
 		require.Equal(t, wire.Running, c.jobPhase("b", "job-1"))
@@ -38,16 +38,16 @@
 // value: jobs run, are withdrawn, and stay known over restarts of all controllers.
 func TestJobsCompleteUnderMinimalStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClusterWithOptions(t, 4, &cluster{heartbeatS: 0.5, txnOps: 1, valueKB: 0.5})
+		c := newClusterWithOptions(t, 4, clusterOptions{txnOps: 1, valueKB: 0.5})
 		c.store.SetLimits(1, 512)
 		c.runFor(5*time.Second, 0)
 		for i := range 3 {
-			r := c.request("a", "POST", wire.PathJobs, submission(fmt.Sprintf("job-%d", i), 5))
+			r := c.post("a", wire.PathJobs, submission(fmt.Sprintf("job-%d", i), 5))
 			require.Equal(t, 201, r.Status, string(r.Body))
 		}
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks())
-		require.Equal(t, 200, c.request("b", "POST", wire.PathJobs+"/job-2/withdraw", "").Status)
+		require.Equal(t, 200, c.post("b", withdrawPath("job-2"), "").Status)
 		c.runFor(30*time.Second, 4*time.Second)
 		for range 2 {
 			for _, h := range hosts {
@@ -91,14 +91,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(5*time.Second, 0)
-		c.processes["a"].storeClient.SetCut(true)
+		c.setStoreCut("a", true)
 		c.runFor(2*time.Second, 0)
-		require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, submission("job-1", 2)).Status)
+		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-1", 2)).Status)
 		c.runFor(10*time.Second, 0)
-		require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, submission("job-2", 2)).Status)
+		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-2", 2)).Status)
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 4, c.runningTasks())
-		c.processes["a"].storeClient.SetCut(false)
+		c.setStoreCut("a", false)
 		c.runFor(20*time.Second, 4*time.Second)
 		for _, h := range hosts {
 			require.Equal(t, wire.Done, c.jobPhase(h, "job-1"))
--- a/internal/controller/task_moves_test.go
+++ b/internal/controller/task_moves_test.go
@@ -54,10 +54,10 @@
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(name, ", seed ", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					c := newClusterWithOptions(t, 8, &cluster{heartbeatS: 0.5, txnOps: 12, valueKB: 8, policyScript: "moves = True"})
+					c := newClusterWithOptions(t, 8, clusterOptions{policyScript: "moves = True"})
 					rng := fakes.Rand(seed)
 					c.runFor(8*time.Second, 0)
-					require.Equal(t, 201, c.request("a", "POST", wire.PathJobs, checkpointingSubmission("job-1", 3)).Status)
+					require.Equal(t, 201, c.post("a", wire.PathJobs, checkpointingSubmission("job-1", 3)).Status)
 					c.runFor(38*time.Second, 0)
 					require.Equal(t, 3, c.runningTasks())
 					left := 50.0
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -26,7 +26,7 @@
 	if on {
 		script += "zone_return = True\n"
 	}
-	c := newClusterWithOptions(t, 12, &cluster{heartbeatS: 0.5, txnOps: 12, valueKB: 8, policyScript: script,
+	c := newClusterWithOptions(t, 12, clusterOptions{policyScript: script,
 		hostZones: map[string]string{"a": "a", "b": "a", "c": "b"}})
 	for i, w := range c.workers {
 		if i%2 == 1 {
@@ -40,7 +40,7 @@
 
 // setZoneDisconnected cuts zone b off, with its controller and its workers, or joins it again.
 func (c *cluster) setZoneDisconnected(cut bool) {
-	c.processes["c"].storeClient.SetCut(cut)
+	c.setStoreCut("c", cut)
 	c.setDisconnected("c", cut)
 	clear(c.pinnedTo)
 	for _, w := range c.workers {
@@ -80,7 +80,7 @@
 // submitWithPriority submits a job of a rank at a controller that is not cut off. Its team has no limit.
 func (c *cluster) submitWithPriority(id, rank string, tasks int) {
 	body := strings.NewReplacer(`"red"`, `"blue"`, `"rank":"normal"`, fmt.Sprintf(`"rank":%q`, rank)).Replace(submission(id, tasks))
-	require.Equal(c.t, 201, c.request("a", "POST", wire.PathJobs, body).Status)
+	require.Equal(c.t, 201, c.post("a", wire.PathJobs, body).Status)
 }
 
 // historyEvents gathers the history of all controllers.
