--- a/internal/controller/controller_failures_test.go
+++ b/internal/controller/controller_failures_test.go
@@ -12,7 +12,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Every controller ends at once and comes back: what runs goes on, what was
+// All controllers crash together and come back: what runs goes on, what was
 // accepted is done, nothing runs twice.
 func TestRunningTasksContinueAfterAllControllersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -37,8 +37,8 @@
 	})
 }
 
-// The state service is out for 20 s: what runs goes on and more is started;
-// submissions are refused at once; what ended is told as done afterwards.
+// The key-value store is down for 20 s: what runs goes on and more is started;
+// submissions are rejected immediately; what ended is reported as done afterwards.
 func TestTasksRunDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
@@ -58,28 +58,28 @@
 	})
 }
 
-// One controller alone is refused by the state service: it gives its duties up
-// when a peer tells that it is not, and the others go on with them.
+// The key-value store refuses one controller alone: it resigns its leaderships
+// when a peer's heartbeat says that the peer is served, and the others acquire them.
 func TestLeadershipsMoveFromControllerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
 		c.runFor(5*time.Second, 0)
 		c.post("a", wire.PathJobs, submission("job-1", 12))
 		c.runFor(2*time.Second, 0)
-		holder, _ := c.processes["a"].elector.Leader("team-red")
-		c.setStoreCut(holder, true)
+		leader, _ := c.processes["a"].elector.Leader("team-red")
+		c.setStoreCut(leader, true)
 		c.runFor(16*time.Second, 0)
-		next, ok := c.processes[nextHost(holder)].elector.Leader("team-red")
+		next, ok := c.processes[nextHost(leader)].elector.Leader("team-red")
 		require.True(t, ok)
-		require.NotEqual(t, holder, next)
-		require.Equal(t, 503, c.get(holder, wire.PathReady).Status)
+		require.NotEqual(t, leader, next)
+		require.Equal(t, 503, c.get(leader, wire.PathReady).Status)
 		c.runFor(40*time.Second, 4*time.Second)
 		require.Equal(t, wire.Done, c.jobPhase(next, "job-1"))
 	})
 }
 
-// A controller loses the state service and its peers, not its workers: they go
-// on until its hold is over, and are somebody else's after it; no job is lost,
+// A controller loses the key-value store and its peers, not its workers: they go
+// on until its lease expires, and are other controllers' after it; no job is lost,
 // none runs twice, and its users are sent elsewhere.
 func TestControllerWithoutStoreAndPeersIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -94,7 +94,7 @@
 		require.Equal(t, 503, c.get("a", wire.PathReady).Status)
 		require.Equal(t, 503, c.post("a", wire.PathJobs, submission("job-2", 1)).Status)
 		c.runFor(60*time.Second, 6*time.Second)
-		require.Equal(t, wire.Done, c.jobPhase("b", "job-1"), "others have taken its duties")
+		require.Equal(t, wire.Done, c.jobPhase("b", "job-1"), "others lead what it led")
 		c.setStoreCut("a", false)
 		c.setDisconnected("a", false)
 		c.runFor(10*time.Second, 0)
@@ -103,8 +103,8 @@
 	})
 }
 
-// A controller loses its workers and nothing else: it hears from its peers that
-// they are with them, and hands them over before their leases end.
+// A controller loses its workers and nothing else: its peers' heartbeats say that
+// they report to the peers, and it transfers its partitions before the workers' leases expire.
 func TestControllerWithoutWorkersTransfersPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 12)
@@ -117,7 +117,7 @@
 		c.runFor(30*time.Second, 0)
 		require.Equal(t, before, c.runningTasks())
 		for _, w := range c.workers {
-			require.EqualValues(t, 1, w.Session, "its lease has ended")
+			require.EqualValues(t, 1, w.Session, "its lease has expired")
 		}
 		c.requireStartedOnce()
 		require.Equal(t, 200, c.get("a", wire.PathReady).Status, "users are served")
@@ -125,7 +125,7 @@
 }
 
 // Controllers are back within a fraction of a second, again and again, also
-// while others are taking claims. Every accepted job is known all the time and
+// while others are taking leaderships. Every accepted job is known all the time and
 // done in the end; nothing runs twice.
 func TestTasksRunOnceWhenControllersRestartRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -141,9 +141,9 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 			c.start(h)
 			c.runFor(time.Duration(500+rng.IntN(2500))*time.Millisecond, 6*time.Second)
-			for _, at := range hosts {
+			for _, other := range hosts {
 				for i := range 4 {
-					require.NotEqual(t, "404", c.jobPhase(at, fmt.Sprintf("job-%d", i)))
+					require.NotEqual(t, "404", c.jobPhase(other, fmt.Sprintf("job-%d", i)))
 				}
 			}
 		}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -9,29 +9,31 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
-	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A zone with workers and a controller is cut off for longer than the workers' lease:
-// they reach that controller alone, and it nobody else.
+// occurrenceHeldBack names that a write was held back.
+const occurrenceHeldBack = "a write was held back"
+
+// A controller and the workers that report to it are cut off for longer than the workers' lease:
+// they reach that controller alone, and it nobody else. Its leaderships move, the workers' leases expire, and all
+// of it recovers once they are connected again.
 func TestIsolatedControllerAndWorkersRecoverAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
-		zone := c.reportsTo[c.workers[0].ID]
+		isolated := c.reportsTo[c.workers[0].ID]
 		before := c.leaderships()
-		c.setIsolated(zone, true)
+		c.setIsolated(isolated, true)
 		c.runFor(50*time.Second, 0)
-		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "its duties are others'")
+		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "others lead what it led")
 		for duty, r := range c.leaderships() {
-			require.NotEqual(t, zone, r.Leader, duty)
+			require.NotEqual(t, isolated, r.Leader, duty)
 		}
 		for _, w := range c.workers {
-			require.Equal(t, c.pinnedTo[w.ID] != "", w.Session > 1, "%s: its lease ended", w.ID)
+			require.Equal(t, c.pinnedTo[w.ID] != "", w.Session > 1, "%s: its lease expired", w.ID)
 		}
-		c.setIsolated(zone, false)
+		c.setIsolated(isolated, false)
 		c.runFor(30*time.Second, 4*time.Second)
 		for _, h := range hosts {
 			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
@@ -39,8 +41,7 @@
 	})
 }
 
-// All controllers are away for longer than the workers' lease. Nothing is forgotten,
-// and what ran runs again, once.
+// All controllers are down for longer than the workers' lease. No job is lost, and what ran runs again, once.
 func TestTasksRestartAfterAllControllersDownBeyondLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
@@ -48,7 +49,7 @@
 			c.crash(h)
 		}
 		c.runFor(20*time.Second, 0)
-		require.Zero(t, c.runningTasks(), "their leases have ended")
+		require.Zero(t, c.runningTasks(), "their leases have expired")
 		for _, h := range hosts {
 			c.start(h)
 		}
@@ -62,14 +63,13 @@
 	})
 }
 
-// A leader ends while machines with long tasks hang, or don't hear the new leader's
-// answers. Back within their lease they go on with what they have; after it that has
-// gone elsewhere, or begins anew.
+// A leader crashes while machines with long tasks hang, or don't get the new leader's
+// answers. Back within their lease they go on with their tasks; after it those run elsewhere, or start anew.
 func TestLeaderCrashWithUnreachableMachinesRecoversTasks(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		by   func(c *cluster) map[string]bool
-		away time.Duration
+		name     string
+		affected func(c *cluster) map[string]bool
+		away     time.Duration
 	}{
 		{"machines hang, not for long", func(c *cluster) map[string]bool { return c.hungWorkers }, 8 * time.Second},
 		{"machines hang for longer than a lease", func(c *cluster) map[string]bool { return c.hungWorkers }, 40 * time.Second},
@@ -84,7 +84,7 @@
 				away := 0
 				for _, w := range c.workers {
 					if c.reportsTo[w.ID] == leader {
-						x.by(c)[w.ID] = true
+						x.affected(c)[w.ID] = true
 						away++
 					}
 				}
@@ -94,10 +94,10 @@
 				c.start(leader)
 				c.runFor(x.away, 0)
 				require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
-				clear(x.by(c))
+				clear(x.affected(c))
 				c.runFor(12*time.Second, 0)
 				require.Equal(t, 6, c.runningTasks())
-				if x.away < 16*time.Second {
+				if x.away < workerLease.Duration() {
 					c.requireStartedOnce()
 				}
 				c.runFor(20*time.Second, 3*time.Second)
@@ -107,8 +107,8 @@
 	}
 }
 
-// Old reports, from earlier attempts and sessions too, reach every controller just as
-// a new leader begins, and again when it has acted. They change nothing.
+// Copies of old heartbeats, of earlier attempts too, reach every controller just as
+// a new leader begins, and again when it has acted (argument 13). They change nothing.
 func TestReplayedHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
@@ -124,15 +124,15 @@
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks())
 		old := c.recordedHeartbeats
-		withTasks, answered := 0, map[int]int{}
-		deliver := func() {
-			for _, b := range old {
-				if strings.Contains(string(b), "job-1/") {
+		withTasks, statuses := 0, map[int]int{}
+		replay := func() {
+			for _, heartbeat := range old {
+				if strings.Contains(string(heartbeat), "job-1/") {
 					withTasks++
 				}
 				for _, h := range hosts {
 					if c.processes[h] != nil {
-						answered[c.post(h, wire.PathHeartbeat, string(b)).Status]++
+						statuses[c.post(h, wire.PathHeartbeat, string(heartbeat)).Status]++
 					}
 				}
 			}
@@ -142,18 +142,18 @@
 		c.crash(leader)
 		c.start(leader)
 		for range 60 { // every 50 ms, from before it is registered on
-			deliver()
+			replay()
 			time.Sleep(50 * time.Millisecond)
 		}
-		c.runForEach(5*time.Second, 0, deliver)
+		c.runForEach(5*time.Second, 0, replay)
 		require.NotZero(t, withTasks)
-		require.NotZero(t, answered[200], "to the new leader a report is news")
-		require.NotZero(t, answered[503], "and then it is not")
-		require.NotZero(t, answered[421])
+		require.NotZero(t, statuses[200], "the first copy is new to the new leader")
+		require.NotZero(t, statuses[503], "and the next is not")
+		require.NotZero(t, statuses[421])
 		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
 		require.Equal(t, 6, c.runningTasks(), "what ran runs on")
 		c.requireStartedOnce()
-		c.runForEach(10*time.Second, 3*time.Second, deliver)
+		c.runForEach(10*time.Second, 3*time.Second, replay)
 		for _, h := range hosts {
 			require.Equal(t, wire.Done, c.queryJob(h, "job-1"))
 			require.Equal(t, wire.Done, c.queryJob(h, "job-2"))
@@ -162,8 +162,8 @@
 	})
 }
 
-// Machines are up at once and get work within a moment, while transactions come late
-// and the leader ends. No machine has a task without being on record.
+// New machines get work within a moment, while writes of machine records are held back
+// and leaders crash. No machine has a task without being on record (argument 5).
 func TestNewMachinesGetTasksOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2)
@@ -173,36 +173,34 @@
 		require.Equal(t, 2, c.runningTasks())
 		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
 			if writesTo(m, kvstore.MachinePrefix) {
-				c.addOccurrence("a record was held back")
+				c.addOccurrence(occurrenceHeldBack)
 				return txnHeldBack
 			}
 			return txnServed
 		})
-		recorded := func() {
-			on := c.recordedMachines()
+		requireRecorded := func() {
+			recorded := c.recordedMachines()
 			for _, w := range c.workers {
 				if len(w.Tasks) > 0 {
-					require.True(c.t, on[w.ID], "%s has tasks and no record", w.ID)
+					require.True(c.t, recorded[w.ID], "%s has tasks and no record", w.ID)
 				}
 			}
 		}
 		for i := 2; i < 6; i++ {
-			w := fakes.NewWorker(fmt.Sprintf("m-%06d", i), 16e6, c.clock.Now())
-			c.workers = append(c.workers, w)
-			c.reportsTo[w.ID] = hosts[i%3]
+			c.addWorker(i)
 		}
 		for i := range 3 {
-			c.runForEach(3*time.Second, 0, recorded)
+			c.runForEach(3*time.Second, 0, requireRecorded)
 			leader := []string{c.unlimitedTeamLeader(), c.reportsTo[c.workers[2].ID], c.reportsTo[c.workers[5].ID]}[i]
 			c.crash(leader)
 			c.start(leader)
 		}
-		c.runForEach(12*time.Second, 0, recorded)
+		c.runForEach(12*time.Second, 0, requireRecorded)
 		require.Equal(t, 2, c.runningTasks())
-		require.Greater(t, c.occurrenceCount("a record was held back"), 1)
+		require.Greater(t, c.occurrenceCount(occurrenceHeldBack), 1)
 		c.setOnCommit(nil)
 		c.releaseHeldTransactions()
-		c.runForEach(12*time.Second, 0, recorded)
+		c.runForEach(12*time.Second, 0, requireRecorded)
 		require.Equal(t, 6, c.runningTasks())
 		c.requireStartedOnce()
 		c.runFor(10*time.Second, 3*time.Second)
@@ -210,90 +208,114 @@
 	})
 }
 
-// Leaders change ten times in two minutes: they end, are back within a moment or
-// seconds later, all of them or one alone, are refused and served again, also while the state service is out.
-// Jobs of two or three tasks end far apart over this, and some are withdrawn.
-func TestJobsEndOverTenLeaderChanges(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 6)
-		c.runFor(8*time.Second, 0)
-		n := 0
-		cancelled := 0
-		users := func() {
-			if id := jobName(n); n < 24 && c.submitJob(hosts[n%3], submission(id, 2+n%2), id) == 201 {
-				n++
-			}
-			for i := range n {
-				c.queryJob(hosts[(n+i)%3], jobName(i))
-			}
-			if n > 6 && n%5 == 0 && c.cancelJob(hosts[n%3], jobName(n-2)) == wire.Cancelled {
-				cancelled++
+// leaderChanges plays users of a cluster whose leaders change all the time.
+type leaderChanges struct {
+	*cluster
+	submitted int // jobs of limitedTeam
+	cancelled int // confirmed cancellations, repeats included
+}
+
+// changingLeaderJobs is how many jobs users submit while leaders change.
+const changingLeaderJobs = 24
+
+// longJob is a job whose tasks take whole machines and end far apart.
+const longJob = "job-000099"
+
+// act submits a job, queries all, and cancels one now and then.
+func (l *leaderChanges) act() {
+	n := l.submitted
+	if id := jobName(n); n < changingLeaderJobs && l.submitJob(hosts[n%3], submission(id, 2+n%2), id) == 201 {
+		l.submitted++
+		n++
+	}
+	for i := range n {
+		l.queryJob(hosts[(n+i)%3], jobName(i))
+	}
+	if n > 6 && n%5 == 0 && l.cancelJob(hosts[n%3], jobName(n-2)) == wire.Cancelled {
+		l.cancelled++
+	}
+}
+
+// runUsers lets time pass while users act.
+func (l *leaderChanges) runUsers(d time.Duration) { l.runForEach(d, 6*time.Second, l.act) }
+
+// restart crashes a controller and starts it again after a while.
+func (l *leaderChanges) restart(host string, after time.Duration) {
+	l.crash(host)
+	time.Sleep(after)
+	l.start(host)
+}
+
+// changeLeader makes the leader lose its leaderships, in the i-th way of five.
+func (l *leaderChanges) changeLeader(leader string, i int) {
+	switch i % 5 {
+	case 0: // it is back within a moment
+		l.restart(leader, 300*time.Millisecond)
+	case 1: // the key-value store refuses it alone
+		l.setStoreCut(leader, true)
+		l.runUsers(8 * time.Second)
+		l.setStoreCut(leader, false)
+	case 2: // in an outage of the key-value store
+		l.store.SetDown(true)
+		l.runUsers(3 * time.Second)
+		l.restart(leader, 200*time.Millisecond)
+		l.runUsers(3 * time.Second)
+		l.store.SetDown(false)
+	case 3: // all of them crash, and it is back before the others
+		for _, h := range hosts {
+			l.crash(h)
+		}
+		time.Sleep(700 * time.Millisecond)
+		l.start(leader)
+		l.runUsers(2 * time.Second)
+		for _, h := range hosts {
+			if h != leader {
+				l.start(h)
 			}
 		}
-		// A job whose tasks end far apart: one of them right now, the last at the very end.
-		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-000099", 3), "job-000099"))
-		c.runFor(3*time.Second, 0)
+	case 4: // it is down for seconds
+		l.crash(leader)
+		l.runUsers(4 * time.Second)
+		l.start(leader)
+	}
+}
+
+// Leaders change ten times in two minutes: they crash, are back within a moment or
+// seconds later, all of them or one alone, are refused and served again, also while the key-value store is down.
+// Jobs of two or three tasks end far apart over this, and some are cancelled.
+func TestJobsEndOverTenLeaderChanges(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l := &leaderChanges{cluster: newCluster(t, 6)}
+		l.runFor(8*time.Second, 0)
+		require.Equal(t, 201, l.submitJob("a", wholeMachineSubmission(longJob, 3), longJob))
+		l.runFor(3*time.Second, 0)
 		terms := map[uint64]bool{}
 		for i := range 10 {
-			leader := c.unlimitedTeamLeader()
-			switch i % 5 {
-			case 0:
-				c.crash(leader)
-				time.Sleep(300 * time.Millisecond)
-				c.start(leader)
-			case 1:
-				c.setStoreCut(leader, true)
-				c.runForEach(8*time.Second, 6*time.Second, users)
-				c.setStoreCut(leader, false)
-			case 2: // in an outage
-				c.store.SetDown(true)
-				c.runForEach(3*time.Second, 6*time.Second, users)
-				c.crash(leader)
-				time.Sleep(200 * time.Millisecond)
-				c.start(leader)
-				c.runForEach(3*time.Second, 6*time.Second, users)
-				c.store.SetDown(false)
-			case 3:
-				for _, h := range hosts {
-					c.crash(h)
-				}
-				time.Sleep(700 * time.Millisecond)
-				c.start(leader)
-				c.runForEach(2*time.Second, 6*time.Second, users)
-				for _, h := range hosts {
-					if h != leader {
-						c.start(h)
-					}
-				}
-			case 4:
-				c.crash(leader)
-				c.runForEach(4*time.Second, 6*time.Second, users)
-				c.start(leader)
-			}
-			c.runForEach(5*time.Second, 6*time.Second, users)
-			terms[c.unlimitedTeamTerm()] = true
+			l.changeLeader(l.unlimitedTeamLeader(), i)
+			l.runUsers(5 * time.Second)
+			terms[l.unlimitedTeamTerm()] = true
 			if i == 4 {
-				c.finishTask("job-000099/1")
+				l.finishTask(longJob + "/1")
 			}
 		}
 		require.GreaterOrEqual(t, len(terms), 10, "as many leaders")
-		require.NotZero(t, cancelled)
-		require.Equal(t, 24, n)
-		c.runFor(60*time.Second, 4*time.Second)
-		for i := range n {
+		require.NotZero(t, l.cancelled)
+		require.Equal(t, changingLeaderJobs, l.submitted)
+		l.runFor(60*time.Second, 4*time.Second)
+		for i := range l.submitted {
 			for _, h := range hosts {
-				require.Contains(t, []string{wire.Done, wire.Cancelled}, c.queryJob(h, jobName(i)), jobName(i))
+				require.Contains(t, []string{wire.Done, wire.Cancelled}, l.queryJob(h, jobName(i)), jobName(i))
 			}
 		}
-		require.Equal(t, wire.Done, c.queryJob("a", "job-000099"))
-		for _, w := range c.workers {
-			require.LessOrEqual(t, w.Starts["job-000099/1"], 1, "what was done stays done")
+		require.Equal(t, wire.Done, l.queryJob("a", longJob))
+		for _, w := range l.workers {
+			require.LessOrEqual(t, w.Starts[longJob+"/1"], 1, "what was done stays done")
 		}
 	})
 }
 
-// A job's tasks end far apart. The first is done, but writing that down has no answer
-// until the leader has ended: it is not run again, and the job is done with
+// A job's tasks end far apart. The first is done, but the write of its progress has no answer
+// until the leader has crashed: it is not run again, and the job is done with
 // its last task and not before.
 func TestCompletedTasksStayCompletedAcrossFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -304,7 +326,7 @@
 		require.Equal(t, 3, c.runningTasks())
 		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
 			if writesTo(m, kvstore.ProgressPrefix) {
-				c.addOccurrence("progress was held back")
+				c.addOccurrence(occurrenceHeldBack)
 				return txnHeldBack
 			}
 			return txnServed
@@ -312,15 +334,15 @@
 		for n := range 2 {
 			c.finishTask(fmt.Sprintf("job-1/%d", n))
 			c.runFor(6*time.Second, 0)
-			require.Greater(t, c.occurrenceCount("progress was held back"), n, "what is done could not be written down")
-			before, leader := c.leaderships()[scheduler.Duty("blue")], c.unlimitedTeamLeader()
+			require.Greater(t, c.occurrenceCount(occurrenceHeldBack), n, "progress could not be written")
+			before, leader := c.unlimitedTeamTerm(), c.unlimitedTeamLeader()
 			late := c.takeHeldTransactions()
 			c.crash(leader)
 			c.start(leader)
 			c.runFor(6*time.Second, 0)
-			require.Greater(t, c.unlimitedTeamTerm(), before.Term)
-			for _, write := range late {
-				require.ErrorIs(t, write(), kvstore.ErrConflict, "by a former leader")
+			require.Greater(t, c.unlimitedTeamTerm(), before)
+			for _, commit := range late {
+				require.ErrorIs(t, commit(), kvstore.ErrConflict, "by a former leader")
 			}
 			require.Equal(t, wire.Running, c.queryJob("a", "job-1"))
 			require.Equal(t, 2-n, c.runningTasks())
@@ -335,8 +357,8 @@
 	})
 }
 
-// Jobs bound to one zone, or to any one of them, lose machines. They go on in that zone,
-// or begin again together.
+// Jobs bound to a given zone, or to any one zone, lose machines. They go on in that zone,
+// or start again together.
 func TestZoneBoundJobsStayInZoneAfterMachineLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 8)
@@ -344,9 +366,11 @@
 			w.Zone = hosts[i%2] // a and b
 		}
 		c.runFor(8*time.Second, 0)
-		require.Equal(t, 201, c.submitJob("a", strings.Replace(wholeMachineSubmission("job-1", 3), `"shape"`, `"one_zone":true,"shape"`, 1), "job-1"))
-		require.Equal(t, 201, c.submitJob("a", strings.Replace(wholeMachineSubmission("job-2", 1), `"shape"`, `"yard":"b","shape"`, 1), "job-2"))
-		together := func() {
+		oneZone := strings.Replace(wholeMachineSubmission("job-1", 3), `"shape"`, `"one_zone":true,"shape"`, 1)
+		require.Equal(t, 201, c.submitJob("a", oneZone, "job-1"))
+		zoneB := strings.Replace(wholeMachineSubmission("job-2", 1), `"shape"`, `"yard":"b","shape"`, 1)
+		require.Equal(t, 201, c.submitJob("a", zoneB, "job-2"))
+		requireZones := func() {
 			zones := map[string]map[string]bool{"job-1": {}, "job-2": {}}
 			for _, w := range c.workers {
 				for _, k := range w.InOrder() {
@@ -359,9 +383,9 @@
 			require.LessOrEqual(t, len(zones["job-1"]), 1)
 			require.NotContains(t, zones["job-2"], "a")
 		}
-		c.runForEach(5*time.Second, 0, together)
+		c.runForEach(5*time.Second, 0, requireZones)
 		require.Equal(t, 4, c.runningTasks())
-		for round := range 3 {
+		for loss := range 3 {
 			lost := 0
 			for _, w := range c.workers {
 				if len(w.Tasks) > 0 && lost < 2 && !c.hungWorkers[w.ID] {
@@ -370,33 +394,33 @@
 				}
 			}
 			require.Equal(t, 2, lost)
-			if round == 1 {
+			if loss == 1 {
 				leader := c.unlimitedTeamLeader()
 				c.crash(leader)
 				c.start(leader)
 			}
-			c.runForEach(25*time.Second, 0, together)
+			c.runForEach(25*time.Second, 0, requireZones)
 			clear(c.hungWorkers)
-			c.runForEach(8*time.Second, 0, together)
+			c.runForEach(8*time.Second, 0, requireZones)
 			require.Equal(t, 4, c.runningTasks())
 		}
-		c.runForEach(30*time.Second, 3*time.Second, together)
+		c.runForEach(30*time.Second, 3*time.Second, requireZones)
 		require.Equal(t, wire.Done, c.queryJob("a", "job-1"))
 		require.Equal(t, wire.Done, c.queryJob("a", "job-2"))
 	})
 }
 
-// More work than room, of all ranks, while every word between the controllers takes a
-// fifth of a second and a leader ends. The limit holds, and all of it is done.
+// More work than resources, of all priorities, while every call between the controllers takes a
+// fifth of a second each way and a leader crashes. The quota holds, and all of it is done.
 func TestOverloadWithSlowLinksCompletesAllJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(8*time.Second, 0)
 		c.setPeerLatency(200 * time.Millisecond)
-		const many = 16
-		ranks := []string{"idle", "normal", "high", "production"}
-		for i := range many {
-			body := strings.Replace(submission(jobName(i), 4), `"normal"`, fmt.Sprintf("%q", ranks[i%4]), 1)
+		const jobs = 16
+		priorities := []string{"idle", "normal", "high", "production"}
+		for i := range jobs {
+			body := strings.Replace(submission(jobName(i), 4), `"normal"`, fmt.Sprintf("%q", priorities[i%4]), 1)
 			require.Equal(t, 201, c.submitJob(hosts[i%3], body, jobName(i)))
 		}
 		c.runFor(5*time.Second, 2*time.Second)
@@ -405,7 +429,7 @@
 		c.crash(leader)
 		c.start(leader)
 		c.runFor(90*time.Second, 2*time.Second)
-		for i := range many {
+		for i := range jobs {
 			require.Equal(t, wire.Done, c.queryJob(hosts[i%3], jobName(i)), jobName(i))
 		}
 	})
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -13,49 +13,49 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A fleet of 4,000 machines: all are on record, their owners' answers are read in several
-// pages, a controller that ends has its machines taken over, and every task runs once.
+// A fleet of 4,000 machines: all are on record, answers to polls are read in several
+// pages, the partitions of a controller that crashes are taken over, and every task runs once.
 func TestFleetOf4000MachinesSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const machines, many, each = 4000, 8, 400
+		const machines, jobs, tasksPerJob = 4000, 8, 400
 		c := newClusterWithOptions(t, machines, clusterOptions{heartbeatS: 5})
 		c.runFleetFor(8*time.Second, 0)
 		require.Len(t, c.recordedMachines(), machines)
 		require.Greater(t, machines/len(hosts), 4*peer.PageMachines, "an answer takes several pages")
-		for i := range many {
-			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), each)
+		for i := range jobs {
+			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), tasksPerJob)
 			require.Equal(t, 201, c.post(hosts[i%3], wire.PathJobs, body).Status)
 		}
 		c.runFleetFor(8*time.Second, 0)
-		require.Equal(t, many*each, c.runningTasks())
+		require.Equal(t, jobs*tasksPerJob, c.runningTasks())
 		c.crash("b")
 		c.runFleetFor(2*time.Second, 0)
 		c.start("b")
 		c.runFleetFor(25*time.Second, 0)
-		require.Equal(t, many*each, c.runningTasks(), "what ran before runs still")
+		require.Equal(t, jobs*tasksPerJob, c.runningTasks(), "what ran before runs still")
 		c.requireStartedOnce()
 		c.runFleetFor(15*time.Second, time.Second)
-		for i := range many {
+		for i := range jobs {
 			require.Equal(t, wire.Done, c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
 		}
 	})
 }
 
-// All controllers of a fleet of 1,800 machines end at once, come back within
-// moments of each other, and are restarted one after the other right behind
+// All controllers of a fleet of 1,800 machines crash together, come back within
+// moments of each other, and are restarted one after the other right after
 // that. What runs goes on, nothing runs twice, and every accepted job is
 // answered for all along and done in the end.
 func TestFleetKeepsRunningWhenAllControllersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithOptions(t, 1800, clusterOptions{heartbeatS: 5})
 		c.runFleetFor(8*time.Second, 0)
-		const many = 24
-		for i := range many {
+		const jobs = 24
+		for i := range jobs {
 			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), 100+i)
 			require.Equal(t, 201, c.post(hosts[i%3], wire.PathJobs, body).Status)
 		}
 		c.runFleetFor(8*time.Second, 0)
-		tasks := many*100 + many*(many-1)/2
+		tasks := jobs*100 + jobs*(jobs-1)/2
 		require.Equal(t, tasks, c.runningTasks())
 		for _, h := range hosts {
 			c.crash(h)
@@ -72,7 +72,7 @@
 			time.Sleep(200 * time.Millisecond)
 			c.start(h)
 			c.runFleetFor(5*time.Second, 0)
-			for i := range many {
+			for i := range jobs {
 				require.NotEqual(t, "404", c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
 			}
 		}
@@ -80,7 +80,7 @@
 		require.Equal(t, tasks, c.runningTasks(), "what ran before runs still")
 		c.requireStartedOnce()
 		c.runFleetFor(20*time.Second, time.Second)
-		for i := range many {
+		for i := range jobs {
 			require.Equal(t, wire.Done, c.jobPhase(hosts[i%3], fmt.Sprintf("job-%d", i)))
 		}
 	})
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -42,7 +42,11 @@
 		l.partitionZones = append(l.partitionZones, zoneOf[leaderelection.PreferredLeader(l.hosts, i, 0)])
 	}
 	for _, t := range p.Teams {
-		team := scheduler.Team{Name: t.Name, Guarantee: resources.Capacity(t.CPUs, t.GPUs, 0), Limit: resources.Capacity(t.CPUsMax, t.GPUsMax, 0)}
+		team := scheduler.Team{
+			Name:      t.Name,
+			Guarantee: resources.Capacity(t.CPUs, t.GPUs, 0),
+			Limit:     resources.Capacity(t.CPUsMax, t.GPUsMax, 0),
+		}
 		l.teams = append(l.teams, team)
 		l.limits[t.Name] = team.Limit
 	}
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -12,23 +12,23 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A machine falls silent for its lease, and the transaction that takes it off the
-// record has no answer. The machine is back, and gets work, from the same owner or the next
-// one; then the transaction is carried out after all, and the owner ends. Whoever comes
-// next must find a machine with tasks on record: one that isn't counts as gone, its tasks
-// as free to run elsewhere.
+// A machine is silent for its lease, and the transaction that deletes its
+// record has no answer. The machine is back, and gets work, from the same partition leader or the next
+// one; then the transaction is carried out after all, and the leader crashes. The next leader
+// must find a machine with tasks on record: one that isn't counts as gone, its tasks
+// as free to run elsewhere (argument 5).
 func TestDelayedMachineRecordDeletionKeepsMachineWithTasks(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		next bool // the owner ends before the machine is back
-	}{{"the same owner", false}, {"the next owner", true}} {
+		next bool // the leader's process is replaced before the machine is back
+	}{{"the same leader", false}, {"the next leader", true}} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 6)
 				c.runFor(8*time.Second, 0)
 				require.Len(t, c.recordedMachines(), 6)
 				lost := c.workers[0]
-				owner := c.reportsTo[lost.ID]
+				leader := c.reportsTo[lost.ID]
 				c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
 					for _, cond := range m.Conditions {
 						if strings.HasPrefix(cond.Key, kvstore.MachinePrefix) && !strings.Contains(writtenText(m), lost.ID) {
@@ -41,17 +41,17 @@
 				c.workers = all[1:] // it is away for longer than its lease
 				c.runFor(18*time.Second, 0)
 				late := c.takeHeldTransactions()
-				require.NotEmpty(t, late, "its record was to be dropped")
+				require.NotEmpty(t, late, "its record was to be deleted")
 				c.setOnCommit(nil)
 				if x.next {
-					c.replaceProcess(owner)
+					c.replaceProcess(leader)
 				}
 				c.workers = all
 				require.Equal(t, 201, c.post("a", wire.PathJobs, wholeMachineSubmission("job-1", 6)).Status)
 				c.runFor(6*time.Second, 0)
 				require.Equal(t, 6, c.runningTasks(), "it is used again")
-				for _, write := range late {
-					require.ErrorIs(t, write(), kvstore.ErrConflict)
+				for _, commit := range late {
+					require.ErrorIs(t, commit(), kvstore.ErrConflict)
 				}
 				c.crash(c.reportsTo[lost.ID])
 				require.True(t, c.recordedMachines()[lost.ID], "it has a task")
--- a/internal/controller/serving_test.go
+++ b/internal/controller/serving_test.go
@@ -12,7 +12,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job is submitted at one controller, placed by another, run, and told as
+// A job is submitted at one controller, placed by another, run, and reported as
 // done by a third.
 func TestJobsCompleteWithoutFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// A state service that takes one change a transaction and half a kilobyte a
-// value: jobs run, are withdrawn, and stay known over restarts of all controllers.
+// A key-value store that takes one change a transaction and half a kilobyte a
+// value: jobs run, are cancelled, and stay known over restarts of all controllers.
 func TestJobsCompleteUnderMinimalStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithOptions(t, 4, clusterOptions{txnOps: 1, valueKB: 0.5})
@@ -73,10 +73,17 @@
 			method, path, body string
 			status             int
 		}{
-			{"GET", "/", "", 404}, {"GET", "/api/jobsx", "", 404}, {"POST", wire.PathReady, "", 405},
-			{"GET", wire.PathHeartbeat, "", 405}, {"POST", wire.PathHeartbeat, "{", 400}, {"POST", wire.PathHeartbeat, `{"host":""}`, 400},
-			{"POST", wire.PathHeartbeat, `{"host":"a b","tenure":1,"tick":1}`, 400}, {"POST", wire.PathHeartbeat, `{"host":"a","tenure":-1}`, 400},
-			{"GET", wire.PathJobs, "", 405}, {"GET", wire.PathJobs + "/job-7", "", 404}, {"POST", wire.PathJobs + "/job-7/withdraw", "", 404},
+			{"GET", "/", "", 404},
+			{"GET", "/api/jobsx", "", 404},
+			{"POST", wire.PathReady, "", 405},
+			{"GET", wire.PathHeartbeat, "", 405},
+			{"POST", wire.PathHeartbeat, "{", 400},
+			{"POST", wire.PathHeartbeat, `{"host":""}`, 400},
+			{"POST", wire.PathHeartbeat, `{"host":"a b","tenure":1,"tick":1}`, 400},
+			{"POST", wire.PathHeartbeat, `{"host":"a","tenure":-1}`, 400},
+			{"GET", wire.PathJobs, "", 405},
+			{"GET", wire.PathJobs + "/job-7", "", 404},
+			{"POST", withdrawPath("job-7"), "", 404},
 		} {
 			r := c.request("a", x.method, x.path, x.body)
 			require.Equal(t, x.status, r.Status, "%s %s", x.method, x.path)
@@ -85,8 +92,8 @@
 	})
 }
 
-// A controller loses the state service, but neither its peers nor its workers.
-// Users who reach it are served all the same.
+// A controller loses the key-value store, but neither its peers nor its workers.
+// Users who reach it are served all the same: it forwards their submissions.
 func TestControllerWithoutStoreForwardsSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/merlinlatch/merlinlatch/internal/autoscaler"
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/history"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
@@ -19,11 +20,11 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// newTwoZoneCluster is a cluster with controllers and workers in zones a and b; a third controller is in a.
-// All machines of zone b are the controller c's.
-func newTwoZoneCluster(t *testing.T, on bool) *cluster {
+// newTwoZoneCluster makes a cluster with workers in zones a and b, controllers a and b in zone a and controller c in
+// zone b. The machines of zone b report to c. zoneReturn is whether work returns to a zone in stages.
+func newTwoZoneCluster(t *testing.T, zoneReturn bool) *cluster {
 	script := "history = True\n"
-	if on {
+	if zoneReturn {
 		script += "zone_return = True\n"
 	}
 	c := newClusterWithOptions(t, 12, clusterOptions{policyScript: script,
@@ -38,13 +39,13 @@
 	return c
 }
 
-// setZoneDisconnected cuts zone b off, with its controller and its workers, or joins it again.
-func (c *cluster) setZoneDisconnected(cut bool) {
-	c.setStoreCut("c", cut)
-	c.setDisconnected("c", cut)
+// setZoneDisconnected cuts zone b off, with its controller and its workers, or connects it again.
+func (c *cluster) setZoneDisconnected(disconnected bool) {
+	c.setStoreCut("c", disconnected)
+	c.setDisconnected("c", disconnected)
 	clear(c.pinnedTo)
 	for _, w := range c.workers {
-		if cut && w.Zone == "b" {
+		if disconnected && w.Zone == "b" {
 			c.pinnedTo[w.ID] = "c"
 		}
 	}
@@ -53,33 +54,35 @@
 // timetable is what is to be done at times while a cluster runs.
 type timetable []timedAction
 
+// timedAction is done once its time has come; do is nil after that.
 type timedAction struct {
 	at time.Time
 	do func()
 }
 
-func (p *timetable) after(d time.Duration, do func()) {
-	*p = append(*p, timedAction{time.Now().Add(d), do})
+// after adds what is to be done after a while.
+func (t *timetable) after(d time.Duration, do func()) {
+	*t = append(*t, timedAction{time.Now().Add(d), do})
 }
 
 // run does what is due.
-func (p *timetable) run() {
-	for i, x := range *p {
+func (t *timetable) run() {
+	for i, x := range *t {
 		if x.do != nil && !time.Now().Before(x.at) {
-			(*p)[i].do = nil
+			(*t)[i].do = nil
 			x.do()
 		}
 	}
 }
 
-// zoneState is the state on record.
+// zoneState is zone b's state on record, as a controller's replica shows it.
 func (c *cluster) zoneState(host string) zone.Record {
 	return c.processes[host].ZoneRecords()["b"].Record
 }
 
-// submitWithPriority submits a job of a rank at a controller that is not cut off. Its team has no limit.
-func (c *cluster) submitWithPriority(id, rank string, tasks int) {
-	body := strings.NewReplacer(`"red"`, `"blue"`, `"rank":"normal"`, fmt.Sprintf(`"rank":%q`, rank)).Replace(submission(id, tasks))
+// submitWithPriority submits a job of the team without a limit at a controller that is not cut off.
+func (c *cluster) submitWithPriority(id, priority string, tasks int) {
+	body := strings.Replace(unlimitedSubmission(id, tasks), `"rank":"normal"`, fmt.Sprintf(`"rank":%q`, priority), 1)
 	require.Equal(c.t, 201, c.post("a", wire.PathJobs, body).Status)
 }
 
@@ -102,7 +105,7 @@
 	return out
 }
 
-// earlyStarts lists the attempts that began in zone b between a moment and the stage that admits urgent work.
+// earlyStarts lists the attempts that started in zone b between a moment and the stage that admits urgent work.
 func (c *cluster) earlyStarts(afterMS int64) (out []history.Event) {
 	events := c.historyEvents()
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
@@ -121,7 +124,7 @@
 }
 
 // requireDoneOnce asks every controller for every job, and holds that each gives the same final answer,
-// that none has learnt a second one, and that somebody has learnt it. A controller that was cut off
+// that none has recorded a second one, and that some controller has recorded it. One that was cut off
 // as a job ended need not have: it asks others then.
 func (c *cluster) requireDoneOnce(ids ...string) {
 	for _, id := range ids {
@@ -129,26 +132,26 @@
 			require.Equal(c.t, wire.Done, c.jobPhase(h, id), "%s at %s", id, h)
 		}
 	}
-	over := map[string]map[string]int{}
+	finals := map[string]map[string]int{} // by job and controller
 	events := c.historyEvents()
 	for _, e := range events {
 		if e.Kind == history.JobOver {
-			if over[e.Job] == nil {
-				over[e.Job] = map[string]int{}
+			if finals[e.Job] == nil {
+				finals[e.Job] = map[string]int{}
 			}
-			over[e.Job][e.Controller]++
+			finals[e.Job][e.Controller]++
 		}
 	}
 	for _, id := range ids {
-		require.NotEmpty(c.t, over[id], "%s has no final answer", id)
-		for h, n := range over[id] {
+		require.NotEmpty(c.t, finals[id], "%s has no final answer", id)
+		for h, n := range finals[id] {
 			require.Equal(c.t, 1, n, "final answers of %s at %s", id, h)
 		}
 	}
 	require.Empty(c.t, history.Check(events, 0))
 }
 
-// A zone is cut off for longer than a lease and comes back. Work goes on in the other zone; when it
+// A zone is cut off for longer than a worker lease and comes back. Work goes on in the other zone; when it
 // is back, work returns in order: urgent, then services, then what can wait. Every job has one final answer.
 func TestZoneLossAndReturnAdmitsWorkInStages(t *testing.T) {
 	for seed := range uint64(4) {
@@ -162,7 +165,7 @@
 				c.setZoneDisconnected(true)
 				c.runFor(time.Duration(34+rng.IntN(12))*time.Second, 20*time.Second)
 				require.Equal(t, zone.Lost, c.zoneState("a").State)
-				// More than the zone that is left can hold: the rest waits for the return.
+				// More than the other zone can hold: the rest waits for the return.
 				c.submitWithPriority("job-3", "idle", 20)
 				c.submitWithPriority("job-4", "normal", 40)
 				c.submitWithPriority("job-5", "high", 30)
@@ -177,7 +180,7 @@
 				require.True(t, states["returning reconcile"] && states["returning urgent"], "%v", states)
 				c.runFor(150*time.Second, 8*time.Second)
 				require.Equal(t, zone.Healthy, c.zoneState("a").State)
-				require.Empty(t, c.earlyStarts(back), "nothing begins before machines are accounted for")
+				require.Empty(t, c.earlyStarts(back), "nothing starts before machines are accounted for")
 				first := c.firstStarts(back)
 				require.NotZero(t, first["job-5"], "urgent work has returned: %v", first)
 				for _, x := range [][2]string{{"job-5", "job-4"}, {"job-4", "job-3"}} {
@@ -191,46 +194,54 @@
 	}
 }
 
-// Whatever meets the return: no task is on two machines (run checks that), and every job has one final answer.
-func TestZoneReturnDuringFailuresKeepsRules(t *testing.T) {
-	for name, trouble := range map[string]func(c *cluster, later *timetable){
-		"the fleet's holder ends": func(c *cluster, later *timetable) {
-			h := c.leaderships()["fleet"].Leader
-			c.crash(h)
-			later.after(2*time.Second, func() { c.start(h) })
-		},
-		"the zone's controller ends": func(c *cluster, later *timetable) {
-			c.crash("c")
-			later.after(2*time.Second, func() { c.start("c") })
-		},
-		"the state service is out": func(c *cluster, later *timetable) {
-			c.store.SetDown(true)
-			later.after(8*time.Second, func() { c.store.SetDown(false) })
-		},
-		"the zone drops again, and again": func(c *cluster, later *timetable) {
-			for i := range 4 {
-				later.after(time.Duration(5+10*i)*time.Second, func() { c.setZoneDisconnected(true) })
-				later.after(time.Duration(10+10*i)*time.Second, func() { c.setZoneDisconnected(false) })
-			}
-		},
-		"reports arrive, answers don't": func(c *cluster, later *timetable) {
-			for _, w := range c.workers {
-				c.unanswered[w.ID] = w.Zone == "b"
-			}
-			later.after(10*time.Second, func() { clear(c.unanswered) })
-		},
-		"operators hold it": func(c *cluster, later *timetable) {
-			hold := func(held bool) {
-				for _, h := range hosts {
-					c.processes[h].holdZone(zoneHoldRequest(held))
-				}
+// zoneReturnFault is what happens while a zone returns; what ends it later goes to the timetable.
+type zoneReturnFault struct {
+	name  string
+	cause func(c *cluster, later *timetable)
+}
+
+var zoneReturnFaults = []zoneReturnFault{
+	{"the fleet's leader crashes", func(c *cluster, later *timetable) {
+		leader := c.leaderships()[autoscaler.Duty].Leader
+		c.crash(leader)
+		later.after(2*time.Second, func() { c.start(leader) })
+	}},
+	{"the zone's controller crashes", func(c *cluster, later *timetable) {
+		c.crash("c")
+		later.after(2*time.Second, func() { c.start("c") })
+	}},
+	{"the key-value store is down", func(c *cluster, later *timetable) {
+		c.store.SetDown(true)
+		later.after(8*time.Second, func() { c.store.SetDown(false) })
+	}},
+	{"the zone is lost again and again", func(c *cluster, later *timetable) {
+		for i := range 4 {
+			later.after(time.Duration(5+10*i)*time.Second, func() { c.setZoneDisconnected(true) })
+			later.after(time.Duration(10+10*i)*time.Second, func() { c.setZoneDisconnected(false) })
+		}
+	}},
+	{"heartbeats arrive, answers don't", func(c *cluster, later *timetable) {
+		for _, w := range c.workers {
+			c.unanswered[w.ID] = w.Zone == "b"
+		}
+		later.after(10*time.Second, func() { clear(c.unanswered) })
+	}},
+	{"operators hold it", func(c *cluster, later *timetable) {
+		hold := func(held bool) {
+			for _, h := range hosts {
+				c.processes[h].holdZone(peer.ZoneHoldRequest{Zone: "b", Held: held})
 			}
-			hold(true)
-			later.after(20*time.Second, func() { hold(false) })
-		},
-	} {
+		}
+		hold(true)
+		later.after(20*time.Second, func() { hold(false) })
+	}},
+}
+
+// Whatever happens during the return: no task is on two machines (runFor checks that), and every job has one final answer.
+func TestZoneReturnDuringFailuresKeepsRules(t *testing.T) {
+	for _, fault := range zoneReturnFaults {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprint(name, ", seed ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault.name, ", seed ", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := newTwoZoneCluster(t, true)
 					rng := fakes.Rand(seed)
@@ -243,7 +254,7 @@
 					c.setZoneDisconnected(false)
 					c.runFor(time.Duration(rng.IntN(12))*500*time.Millisecond, 25*time.Second)
 					var later timetable
-					trouble(c, &later)
+					fault.cause(c, &later)
 					c.runForEach(60*time.Second, 25*time.Second, later.run)
 					c.runFor(150*time.Second, 6*time.Second)
 					for _, id := range []string{"job-1", "job-2", "job-3"} {
@@ -258,7 +269,7 @@
 	}
 }
 
-// With the switch off a zone's drop is as it was: nothing is written, nothing is gated.
+// Where zone return is off a zone's loss has no stages: no zone state is written, nothing is gated.
 func TestZoneReturnDisabledWritesNoZoneStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTwoZoneCluster(t, false)
@@ -273,12 +284,12 @@
 	})
 }
 
-// An owner's gate: what a stage does not admit is refused, whatever a placer believes; and a record of
-// a return that ends opens it.
+// Every partition leader's gate follows the stages of a return, as its replica shows them, and is open once the
+// return has ended.
 func TestPartitionLeadersGateStagesByZoneState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTwoZoneCluster(t, true)
-		gated := map[string]map[recovery.Stage]bool{}
+		gated := map[string]map[recovery.Stage]bool{} // by controller
 		c.setZoneDisconnected(true)
 		c.runFor(45*time.Second, 0)
 		c.setZoneDisconnected(false)
@@ -301,7 +312,3 @@
 		}
 	})
 }
-
-func zoneHoldRequest(held bool) peer.ZoneHoldRequest {
-	return peer.ZoneHoldRequest{Zone: "b", Held: held}
-}
