--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -65,8 +65,7 @@
 // or a moment later. All of them end, as they should, and soon.
 func TestSingleTaskJobsCancelledInBurstsAllEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &burstUsers{cluster: newCluster(t, 6), responses: make(chan cancelResponse, 100)}
-		u.runFor(8*time.Second, 0)
+		u := &burstUsers{cluster: newSettledCluster(t, 6), responses: make(chan cancelResponse, 100)}
 		u.began = time.Now()
 		u.runForEach(120*time.Second, time.Second, u.act)
 		u.runFor(15*time.Second, time.Second)
@@ -92,8 +91,7 @@
 // and come back to it.
 func TestCancellationsDuringLeadershipTransfersAreConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 6)
-		c.runFor(8*time.Second, 0)
+		c := newSettledCluster(t, 6)
 		teamLeader := c.unlimitedTeamLeader()
 		partitionLeader := c.reportsTo[c.workers[0].ID]
 		before := c.leaderships()
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -123,6 +123,21 @@
 	c.onCommit = f
 }
 
+// holdBackWrites has every transaction held back that writes a key with a prefix, and counts them as
+// occurrenceHeldBack.
+func (c *cluster) holdBackWrites(prefix string) {
+	c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
+		if writesTo(m, prefix) {
+			c.addOccurrence(occurrenceHeldBack)
+			return txnHeldBack
+		}
+		return txnServed
+	})
+}
+
+// occurrenceHeldBack names that holdBackWrites has held a transaction back.
+const occurrenceHeldBack = "a write was held back"
+
 // commitOutcome decides on a transaction of a controller.
 func (c *cluster) commitOutcome(host string, m wire.Txn) txnOutcome {
 	c.mu.Lock()
@@ -273,7 +288,7 @@
 	return errDisconnected
 }
 
-// deliver calls a method of the process that the connection reaches now.
+// deliver calls a method, by its name on the wire, of the process that the connection reaches now.
 func (p peerConnection) deliver(method string, in, out any) error {
 	p.cluster.mu.Lock()
 	latency := p.cluster.peerLatency
@@ -287,19 +302,19 @@
 	}
 	s := &rpcService{target.Controller}
 	switch method {
-	case methodBatch:
+	case "Round":
 		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
-	case methodPoll:
+	case "Poll":
 		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
-	case methodHeartbeat:
+	case "Hello":
 		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
-	case methodStatus:
+	case "Status":
 		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
-	case methodSubmit:
+	case "Submit":
 		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
-	case methodDemand:
+	case "Demand":
 		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
-	case methodCancel:
+	case "Withdraw":
 		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
 	}
 	return fmt.Errorf("no such method: %s", method)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -75,7 +75,8 @@
 }
 
 // cluster is three controllers, a key-value store and workers. Connections are function calls; faults make them fail.
-// A test's own goroutine uses it, except for the fields after mu, which the controllers' goroutines read too.
+// The test's goroutine uses it, and callbacks of onCommit while it waits; the fields after mu are read by the
+// controllers' goroutines too.
 type cluster struct {
 	t       *testing.T
 	options clusterOptions
@@ -91,7 +92,7 @@
 	recordsHeartbeats  bool
 	recordedHeartbeats [][]byte                // as sent while recordsHeartbeats was set
 	taskSeenAt         map[string]clock.Micros // by task and attempt, of runFleetFor
-	attemptSeenAt      map[string]clock.Micros // by machine, task and attempt; nil: each runFor begins anew
+	attemptSeenAt      map[string]clock.Micros // by machine, task and attempt; nil: each runFor starts with none
 	everyFiveMS        func()                  // called every five milliseconds while runFor lets time pass; may be nil
 
 	unlimitedJobs map[string]bool                  // jobs of unlimitedTeam
@@ -118,10 +119,16 @@
 	return newClusterWithOptions(t, workers, clusterOptions{})
 }
 
+// newSettledCluster makes a cluster with the usual settings, and lets time pass until all machines are on record.
+func newSettledCluster(t *testing.T, workers int) *cluster {
+	c := newCluster(t, workers)
+	c.runFor(8*time.Second, 0)
+	return c
+}
+
 // newBusyCluster makes a cluster of six machines, each taken by a task of job-1.
 func newBusyCluster(t *testing.T) *cluster {
-	c := newCluster(t, 6)
-	c.runFor(8*time.Second, 0)
+	c := newSettledCluster(t, 6)
 	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
 	c.runFor(4*time.Second, 0)
 	require.Equal(t, 6, c.runningTasks())
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -13,9 +13,6 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// occurrenceHeldBack names that a write was held back.
-const occurrenceHeldBack = "a write was held back"
-
 // A controller and the workers that report to it are cut off for longer than the workers' lease:
 // they reach that controller alone, and it nobody else. Its leaderships move, the workers' leases expire, and all
 // of it recovers once they are connected again.
@@ -64,7 +61,7 @@
 }
 
 // A leader crashes while machines with long tasks hang, or don't get the new leader's
-// answers. Back within their lease they go on with their tasks; after it those run elsewhere, or start anew.
+// answers. Back within their lease they go on with their tasks; after it those run elsewhere, or start again.
 func TestLeaderCrashWithUnreachableMachinesRecoversTasks(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -111,8 +108,7 @@
 // a new leader begins, and again when it has acted (argument 13). They change nothing.
 func TestReplayedHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 6)
-		c.runFor(8*time.Second, 0)
+		c := newSettledCluster(t, 6)
 		c.recordsHeartbeats = true
 		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
 		c.runFor(3*time.Second, 0)
@@ -166,18 +162,11 @@
 // and leaders crash. No machine has a task without being on record (argument 5).
 func TestNewMachinesGetTasksOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 2)
-		c.runFor(8*time.Second, 0)
+		c := newSettledCluster(t, 2)
 		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
 		c.runFor(2*time.Second, 0)
 		require.Equal(t, 2, c.runningTasks())
-		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
-			if writesTo(m, kvstore.MachinePrefix) {
-				c.addOccurrence(occurrenceHeldBack)
-				return txnHeldBack
-			}
-			return txnServed
-		})
+		c.holdBackWrites(kvstore.MachinePrefix)
 		requireRecorded := func() {
 			recorded := c.recordedMachines()
 			for _, w := range c.workers {
@@ -285,8 +274,7 @@
 // Jobs of two or three tasks end far apart over this, and some are cancelled.
 func TestJobsEndOverTenLeaderChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &leaderChanges{cluster: newCluster(t, 6)}
-		l.runFor(8*time.Second, 0)
+		l := &leaderChanges{cluster: newSettledCluster(t, 6)}
 		require.Equal(t, 201, l.submitJob("a", wholeMachineSubmission(longJob, 3), longJob))
 		l.runFor(3*time.Second, 0)
 		terms := map[uint64]bool{}
@@ -319,18 +307,11 @@
 // its last task and not before.
 func TestCompletedTasksStayCompletedAcrossFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 6)
-		c.runFor(8*time.Second, 0)
+		c := newSettledCluster(t, 6)
 		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 3), "job-1"))
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 3, c.runningTasks())
-		c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
-			if writesTo(m, kvstore.ProgressPrefix) {
-				c.addOccurrence(occurrenceHeldBack)
-				return txnHeldBack
-			}
-			return txnServed
-		})
+		c.holdBackWrites(kvstore.ProgressPrefix)
 		for n := range 2 {
 			c.finishTask(fmt.Sprintf("job-1/%d", n))
 			c.runFor(6*time.Second, 0)
@@ -414,8 +395,7 @@
 // fifth of a second each way and a leader crashes. The quota holds, and all of it is done.
 func TestOverloadWithSlowLinksCompletesAllJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 4)
-		c.runFor(8*time.Second, 0)
+		c := newSettledCluster(t, 4)
 		c.setPeerLatency(200 * time.Millisecond)
 		const jobs = 16
 		priorities := []string{"idle", "normal", "high", "production"}
--- a/internal/controller/failure_combinations_test.go
+++ b/internal/controller/failure_combinations_test.go
@@ -16,7 +16,7 @@
 // Faults of all kinds coincide, from fixed seeds: controllers pause, crash, are
 // back within a moment, lose the key-value store, their peers, their workers, or some
 // of these; the store is down; transactions are carried out late; users
-// cancel and ask. Nothing runs twice, quotas hold, what users were told stays true, and
+// cancel and ask. Nothing runs twice, quotas hold, what users were answered stays true, and
 // 75 s after the last fault every job is answered for by every controller, and comes to its end.
 func TestRulesHoldUnderRandomFailureCombinations(t *testing.T) {
 	for seed := range uint64(8) {
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -97,8 +97,7 @@
 // idleAllocations is what three controllers allocate in ten seconds in which nothing happens.
 func idleAllocations(t *testing.T, machines int) (allocations uint64) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, machines)
-		c.runFor(8*time.Second, 0) // all machines are known and on record
+		c := newSettledCluster(t, machines)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		time.Sleep(10 * time.Second)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -24,8 +24,7 @@
 	}{{"the same leader", false}, {"the next leader", true}} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCluster(t, 6)
-				c.runFor(8*time.Second, 0)
+				c := newSettledCluster(t, 6)
 				require.Len(t, c.recordedMachines(), 6)
 				lost := c.workers[0]
 				leader := c.reportsTo[lost.ID]
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -70,8 +70,7 @@
 }
 
 func newImpatientUsers(t *testing.T) *impatientUsers {
-	u := &impatientUsers{cluster: newCluster(t, 6), ending: make(chan string, 1000), endingAt: map[string]time.Time{}}
-	u.runFor(8*time.Second, 0)
+	u := &impatientUsers{cluster: newSettledCluster(t, 6), ending: make(chan string, 1000), endingAt: map[string]time.Time{}}
 	u.setReplicaDelay(u.teamLeader(limitedTeam), 400*time.Millisecond) // others read its writes before it does
 	u.everyFiveMS = u.watchEnds
 	return u
