--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -122,7 +122,7 @@
 					r.unreachable[r.partition] = false
 				}
 				time.Sleep(400 * time.Millisecond)
-				_, _, err := r.processes[r.partition].storeClient.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
+				_, _, err := r.process(r.partition).storeClient.Get(t.Context(), kvstore.FinalJobPrefix+"job-1")
 				require.ErrorIs(t, err, kvstore.ErrRefused)
 				r.store.SetDown(true)
 				r.runFor(60*time.Second, 0)
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -168,7 +168,7 @@
 		c.post("a", wire.PathJobs, submission("job-1", 6))
 		c.runFor(3*time.Second, 0)
 		require.Equal(t, 6, c.runningTasks())
-		leader, ok := c.processes["a"].elector.Leader("team-red")
+		leader, ok := c.process("a").elector.Leader("team-red")
 		require.True(t, ok)
 		other := nextHost(leader)
 		c.setDisconnected(other, true)
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -21,7 +21,7 @@
 }
 
 // setStoreCut cuts a controller off from the key-value store, or connects it again.
-func (c *cluster) setStoreCut(host string, cut bool) { c.processes[host].storeClient.SetCut(cut) }
+func (c *cluster) setStoreCut(host string, cut bool) { c.process(host).storeClient.SetCut(cut) }
 
 // setIsolated has a controller lose the key-value store and its peers, or reach them again;
 // the workers that report to it reach nobody else meanwhile.
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -244,9 +244,16 @@
 	go p.runDuties(ctx) //nolint:errcheck // ends with the context; the bubble waits for it
 }
 
+// process gives a controller's process; nil while it is down.
+func (c *cluster) process(host string) *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.processes[host]
+}
+
 // crash ends a controller's process at once.
 func (c *cluster) crash(host string) {
-	c.processes[host].kill()
+	c.process(host).kill()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.processes[host] = nil
@@ -261,7 +268,7 @@
 		time.Sleep(50 * time.Millisecond)
 		led := 0
 		for i := range partitionsPerController * len(hosts) {
-			if _, leading := c.processes[host].elector.Leading(partition.Duty(i)); leading {
+			if _, leading := c.process(host).elector.Leading(partition.Duty(i)); leading {
 				led++
 			}
 		}
@@ -275,7 +282,7 @@
 // request sends a controller a request of a user, a worker or the load balancer. There is no answer, status 0, from a
 // host that is down or paused; one that is paused handles the request once it goes on.
 func (c *cluster) request(host, method, path, body string) httpx.Response {
-	p := c.processes[host]
+	p := c.process(host)
 	if p == nil {
 		return httpx.Response{}
 	}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -127,7 +127,7 @@
 					withTasks++
 				}
 				for _, h := range hosts {
-					if c.processes[h] != nil {
+					if c.process(h) != nil {
 						statuses[c.post(h, wire.PathHeartbeat, string(heartbeat)).Status]++
 					}
 				}
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -248,7 +248,7 @@
 // leadingProcess is the controller that leads a team by what it says itself.
 func (c *cluster) leadingProcess(t *testing.T, team string) string {
 	for _, h := range hosts {
-		if _, leading := c.processes[h].elector.Leading(scheduler.Duty(team)); leading {
+		if _, leading := c.process(h).elector.Leading(scheduler.Duty(team)); leading {
 			return h
 		}
 	}
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -103,7 +103,7 @@
 		time.Sleep(10 * time.Second)
 		runtime.ReadMemStats(&after)
 		for _, h := range hosts {
-			require.True(t, c.processes[h].elector.LeaseValid(), "the controllers are at work")
+			require.True(t, c.process(h).elector.LeaseValid(), "the controllers are at work")
 		}
 		allocations = after.Mallocs - before.Mallocs
 	})
--- a/internal/controller/task_moves_test.go
+++ b/internal/controller/task_moves_test.go
@@ -21,7 +21,8 @@
 
 // movedTasks counts the tasks that the schedulers have moved to another machine.
 func (c *cluster) movedTasks() (n int) {
-	for _, p := range c.processes {
+	for _, h := range hosts {
+		p := c.process(h)
 		if p == nil {
 			continue
 		}
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -77,7 +77,7 @@
 
 // zoneState is zone b's state on record, as a controller's replica shows it.
 func (c *cluster) zoneState(host string) zone.Record {
-	return c.processes[host].ZoneRecords()["b"].Record
+	return c.process(host).ZoneRecords()["b"].Record
 }
 
 // submitWithPriority submits a job of the team without a limit at a controller that is not cut off.
@@ -89,7 +89,7 @@
 // historyEvents gathers the history of all controllers.
 func (c *cluster) historyEvents() (out []history.Event) {
 	for _, h := range hosts {
-		out = append(out, c.processes[h].history.Page(0, 100_000).Events...)
+		out = append(out, c.process(h).history.Page(0, 100_000).Events...)
 	}
 	return out
 }
@@ -229,7 +229,7 @@
 	{"operators hold it", func(c *cluster, later *timetable) {
 		hold := func(held bool) {
 			for _, h := range hosts {
-				c.processes[h].holdZone(peer.ZoneHoldRequest{Zone: "b", Held: held})
+				c.process(h).holdZone(peer.ZoneHoldRequest{Zone: "b", Held: held})
 			}
 		}
 		hold(true)
@@ -278,8 +278,8 @@
 		c.runFor(40*time.Second, 20*time.Second)
 		c.setZoneDisconnected(false)
 		c.runFor(60*time.Second, 6*time.Second)
-		require.Empty(t, c.processes["a"].ZoneRecords())
-		require.Empty(t, c.processes["a"].partitions.AdmittedStages())
+		require.Empty(t, c.process("a").ZoneRecords())
+		require.Empty(t, c.process("a").partitions.AdmittedStages())
 		c.requireDoneOnce("job-1")
 	})
 }
@@ -298,7 +298,7 @@
 		}
 		c.runForEach(25*time.Second, 0, func() {
 			for _, h := range hosts {
-				if s, ok := c.processes[h].partitions.AdmittedStages()["b"]; ok {
+				if s, ok := c.process(h).partitions.AdmittedStages()["b"]; ok {
 					gated[h][s] = true
 				}
 			}
@@ -308,7 +308,7 @@
 		}
 		c.runFor(40*time.Second, 0)
 		for _, h := range hosts {
-			require.Empty(t, c.processes[h].partitions.AdmittedStages())
+			require.Empty(t, c.process(h).partitions.AdmittedStages())
 		}
 	})
 }
