--- /dev/null
+++ b/internal/controller/cluster_peers_test.go
@@ -0,0 +1,83 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"reflect"
+	"time"
+
+	"github.com/merlinlatch/merlinlatch/internal/peer"
+)
+
+// peerConnection is a controller's connection to a peer.
+type peerConnection struct {
+	cluster *cluster
+	to      string
+	from    string
+}
+
+var errDisconnected = errors.New("disconnected")
+
+// Call calls a peer's method. While the caller is paused the call waits; while the peer is, it times out and reaches
+// the peer later.
+func (p peerConnection) Call(method string, in, out any, timeout time.Duration) error {
+	p.cluster.awaitResume(p.from)
+	if gate := p.cluster.pauseGate(p.to); gate != nil {
+		return p.deliverLate(gate, method, in, out, timeout)
+	}
+	err := p.deliver(method, in, out)
+	p.cluster.awaitResume(p.from)
+	return err
+}
+
+// deliverLate delivers a call to a controller that is paused, once it goes on.
+func (p peerConnection) deliverLate(gate chan struct{}, method string, in, out any, timeout time.Duration) error {
+	go func() {
+		<-gate
+		p.deliver(method, in, reflect.New(reflect.TypeOf(out).Elem()).Interface()) //nolint:errcheck // nobody waits any more
+	}()
+	time.Sleep(timeout)
+	return errDisconnected
+}
+
+// deliver calls a method, by its name on the wire, of the process that the connection reaches now.
+func (p peerConnection) deliver(method string, in, out any) error {
+	p.cluster.mu.Lock()
+	latency := p.cluster.peerLatency
+	p.cluster.mu.Unlock()
+	time.Sleep(latency)
+	defer time.Sleep(latency)
+	target := p.cluster.processReachedBy(p.from, p.to)
+	if target == nil {
+		time.Sleep(50 * time.Millisecond)
+		return errDisconnected
+	}
+	s := &rpcService{target.Controller}
+	switch method {
+	case "Round":
+		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
+	case "Poll":
+		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
+	case "Hello":
+		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
+	case "Status":
+		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
+	case "Submit":
+		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
+	case "Demand":
+		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
+	case "Withdraw":
+		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
+	}
+	return fmt.Errorf("no such method: %s", method)
+}
+
+// processReachedBy gives the process that a peer reaches at a host, nil for none.
+func (c *cluster) processReachedBy(from, to string) *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.disconnected[to] || c.disconnected[from] {
+		return nil
+	}
+	return c.processes[to]
+}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,7 +28,8 @@
 
 // Scenario tests run whole controllers, a key-value store and workers in a synctest bubble, where time is virtual. This
 // file has the cluster and its processes; cluster_run_test.go lets time pass and holds the rules against what runs,
-// cluster_users_test.go plays the users, cluster_faults_test.go the faults, cluster_store_test.go reads the store.
+// cluster_users_test.go plays the users, cluster_faults_test.go the faults, cluster_faulty_store_test.go and
+// cluster_peers_test.go stand between the controllers and the store and their peers, cluster_store_test.go reads the store.
 
 // hosts are the controllers of every cluster.
 var hosts = []string{"a", "b", "c"}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -338,6 +338,30 @@
 	})
 }
 
+// runningZones are the zones in which tasks of a job run.
+func (c *cluster) runningZones(id string) map[string]bool {
+	zones := map[string]bool{}
+	for _, w := range c.workers {
+		for _, k := range w.Tasks {
+			if job, _, _ := wire.SplitTask(k.Task); job == id && k.Phase != wire.TaskExited {
+				zones[w.Zone] = true
+			}
+		}
+	}
+	return zones
+}
+
+// hangBusyWorkers hangs so many of the workers that have tasks, and gives how many it has found.
+func (c *cluster) hangBusyWorkers(most int) (n int) {
+	for _, w := range c.workers {
+		if len(w.Tasks) > 0 && n < most && !c.hungWorkers[w.ID] {
+			c.hungWorkers[w.ID] = true
+			n++
+		}
+	}
+	return n
+}
+
 // Jobs bound to a given zone, or to any one zone, lose machines. They go on in that zone,
 // or start again together.
 func TestZoneBoundJobsStayInZoneAfterMachineLoss(t *testing.T) {
@@ -352,29 +376,13 @@
 		zoneB := strings.Replace(wholeMachineSubmission("job-2", 1), `"shape"`, `"yard":"b","shape"`, 1)
 		require.Equal(t, 201, c.submitJob("a", zoneB, "job-2"))
 		requireZones := func() {
-			zones := map[string]map[string]bool{"job-1": {}, "job-2": {}}
-			for _, w := range c.workers {
-				for _, k := range w.InOrder() {
-					job, _, _ := wire.SplitTask(k.Task)
-					if k.Phase != wire.TaskExited {
-						zones[job][w.Zone] = true
-					}
-				}
-			}
-			require.LessOrEqual(t, len(zones["job-1"]), 1)
-			require.NotContains(t, zones["job-2"], "a")
+			require.LessOrEqual(t, len(c.runningZones("job-1")), 1)
+			require.NotContains(t, c.runningZones("job-2"), "a")
 		}
 		c.runForEach(5*time.Second, 0, requireZones)
 		require.Equal(t, 4, c.runningTasks())
 		for loss := range 3 {
-			lost := 0
-			for _, w := range c.workers {
-				if len(w.Tasks) > 0 && lost < 2 && !c.hungWorkers[w.ID] {
-					c.hungWorkers[w.ID] = true
-					lost++
-				}
-			}
-			require.Equal(t, 2, lost)
+			require.Equal(t, 2, c.hangBusyWorkers(2))
 			if loss == 1 {
 				leader := c.unlimitedTeamLeader()
 				c.crash(leader)
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -13,8 +13,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 )
 
-// partitionsPerController is how many partitions there are for each controller: enough to spread those of one that
-// fails evenly over the others. One transaction must be able to name all of them (argument 11), which may leave fewer.
+// partitionsPerController is how many partitions there are for each controller: several, so that those of one that
+// fails can be spread over the others. One transaction must be able to name all of them (argument 11), which may leave fewer.
 const partitionsPerController = 4
 
 // layout is what the settings say of the controllers, the duties and the teams. All controllers derive the same one from
