--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,13 +1,14 @@
 package controller
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"sync"
 	"testing"
@@ -20,381 +21,291 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
-	"github.com/merlinlatch/merlinlatch/internal/peer"
+	"github.com/merlinlatch/merlinlatch/internal/partition"
 	"github.com/merlinlatch/merlinlatch/internal/policy"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
+// Scenario tests run whole controllers, a key-value store and workers in a synctest bubble, where time is virtual. This
+// file has the cluster and its processes; cluster_run_test.go lets time pass and holds the rules against what runs,
+// cluster_users_test.go plays the users, cluster_faults_test.go the faults, cluster_faulty_store_test.go and
+// cluster_peers_test.go stand between the controllers and the store and their peers, cluster_store_test.go reads the store.
+
+// hosts are the controllers of every cluster.
 var hosts = []string{"a", "b", "c"}
 
+const (
+	// limitedTeam and unlimitedTeam are the teams of a cluster that is given none.
+	limitedTeam   = "red"
+	unlimitedTeam = "blue"
+	// limitedTeamCPUs is the quota of limitedTeam: six tasks of submission.
+	limitedTeamCPUs = 12
+	// taskCPUs is what a task of submission takes, of the 8 CPUs of a machine.
+	taskCPUs = 2
+	// workerLease is the workers' lease in all clusters.
+	workerLease = 16 * clock.Second
+)
+
 // process is one life of a controller.
 type process struct {
 	*Controller
-	view *fakes.KVClient
-	kill context.CancelFunc
+	storeClient *fakes.KVClient    // can be cut off from the store
+	kill        context.CancelFunc // ends the process at once
 }
 
-// cluster is three controllers, a state service and workers, in a test's bubble
-// where time is virtual. Connections are calls; cut ones fail.
-type cluster struct {
-	t       *testing.T
-	st      *fakes.KVStore
-	clock   clock.Clock
-	workers []*fakes.Worker
-	at      map[string]string // the controller that a worker reports to
-	began   map[string]clock.Micros
-	reportS float64
-	txnOps  int
-	valueKB float64
-	teams   []config.Team     // red, with a limit, and blue where none are given
-	script  string            // the operators' policy
-	scripts map[string]string // of single hosts
-	zones   map[string]string // of the hosts; none: no zone
-
-	mu          sync.Mutex
-	up          map[string]*process
-	cut         map[string]bool          // hosts that no peer reaches
-	unreachable map[string]bool          // hosts that no worker reaches
-	still       map[string]chan struct{} // hosts that stand still, until these are closed
-	rng         *rand.Rand
-	noted       map[string]int                    // what has occurred, and how often
-	lateWrites  float64                           // share of transactions that are carried out late
-	before      func(host string, m wire.Txn) lot // decides on a transaction that arrives, before it is carried out
-	kept        []func() error                    // transactions held back
-	blue        map[string]bool                   // jobs of the team without a limit
-	ages        map[string]clock.Micros           // since when attempts run, where that lasts from one run to the next
-	hung        map[string]bool                   // workers that neither report nor hear
-	unheard     map[string]bool                   // workers whose reports arrive, and no answer
-	only        map[string]string                 // workers that reach this controller alone
-	copies      [][]byte                          // reports that were sent, where they are kept
-	keepCopies  bool
-	closely     func()                   // done every five milliseconds
-	behind      map[string]time.Duration // by how much the replica of a controller is late
-	lag         time.Duration            // of every word between controllers and workers
-	accepted    map[string]bool          // jobs that users were told are accepted
-	told        map[string]string
-	cancelled   map[string]cancelled // by job
+// clusterOptions are the settings of a cluster; zero values stand for the usual ones.
+type clusterOptions struct {
+	heartbeatS   float64           // heartbeat interval of the workers; 0.5
+	txnOps       int               // largest transaction of the store; 12
+	valueKB      float64           // largest value of the store; 8
+	teams        []config.Team     // limitedTeam and unlimitedTeam
+	policyScript string            // the operators' policy script, of all hosts but those in hostScripts
+	hostScripts  map[string]string // by host
+	hostZones    map[string]string // zone by host; none: no zones
+	peerLatency  time.Duration     // each way, of every call between controllers
 }
 
-// reach gives the process that a peer reaches at a host, nil for none.
-func (c *cluster) reach(from, to string) *process {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cut[to] || c.cut[from] {
-		return nil
+func (o clusterOptions) withDefaults() clusterOptions {
+	o.heartbeatS = cmp.Or(o.heartbeatS, 0.5)
+	o.txnOps = cmp.Or(o.txnOps, 12)
+	o.valueKB = cmp.Or(o.valueKB, 8)
+	if o.teams == nil {
+		o.teams = []config.Team{{Name: limitedTeam, CPUsMax: limitedTeamCPUs}, {Name: unlimitedTeam}}
 	}
-	return c.up[to]
+	return o
 }
 
-func (c *cluster) setCut(host string, cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cut[host] = cut
-}
+// cluster is three controllers, a key-value store and workers. Connections are function calls; faults make them fail.
+// The test's goroutine uses it, and callbacks of onCommit while it waits; the fields after mu are read by the
+// controllers' goroutines too.
+type cluster struct {
+	t       *testing.T
+	options clusterOptions
+	store   *fakes.KVStore
+	clock   clock.Clock
+	workers []*fakes.Worker
 
-// line is a controller's connection to a peer.
-type line struct {
-	c    *cluster
-	to   string
-	from string
-}
+	reportsTo          map[string]string // by worker: the controller that it sends its next heartbeat to
+	pinnedTo           map[string]string // by worker: the only controller that it reaches
+	hungWorkers        map[string]bool   // workers that send no heartbeats and get none answered
+	unanswered         map[string]bool   // workers whose heartbeats arrive, and whose answers are lost
+	unreachable        map[string]bool   // hosts that no worker reaches
+	recordsHeartbeats  bool
+	recordedHeartbeats [][]byte                // as sent while recordsHeartbeats was set
+	taskSeenAt         map[string]clock.Micros // by task and attempt, of runFleetFor
+	attemptSeenAt      map[string]clock.Micros // by machine, task and attempt; nil: each runFor starts with none
+	everyFiveMS        func()                  // called every five milliseconds while runFor lets time pass; may be nil
 
-var errCut = errors.New("cut")
+	unlimitedJobs map[string]bool                  // jobs of unlimitedTeam
+	accepted      map[string]bool                  // jobs that some user was told are accepted
+	finalAnswers  map[string]string                // by job: the final phase that some user was told
+	cancelled     map[string]confirmedCancellation // by job
 
-func (l line) Call(method string, in, out any, timeout time.Duration) error {
-	l.c.wait(l.from)
-	if g := l.c.gate(l.to); g != nil {
-		return l.late(g, method, in, out, timeout)
-	}
-	err := l.deliver(method, in, out)
-	l.c.wait(l.from)
-	return err
+	mu                sync.Mutex
+	processes         map[string]*process      // by host; nil: it is down
+	disconnected      map[string]bool          // hosts that no peer reaches
+	paused            map[string]chan struct{} // hosts that are paused until these are closed
+	peerLatency       time.Duration            // each way, of every call between controllers
+	replicaDelay      map[string]time.Duration // by host: by how much its replica is late
+	rng               *rand.Rand               // draws which transactions are delayed; nil: none
+	delayedWriteShare float64                  // share of transactions that are carried out late
+	heldTransactions  []func() error           // transactions that were held back
+	occurrences       map[string]int           // how often something has occurred
+	// onCommit decides on a transaction that arrives, before it is carried out; nil: all are served.
+	onCommit func(host string, m wire.Txn) txnOutcome
 }
 
-func (l line) deliver(method string, in, out any) error {
-	l.c.mu.Lock()
-	lag := l.c.lag
-	l.c.mu.Unlock()
-	time.Sleep(lag)
-	defer time.Sleep(lag)
-	p := l.c.reach(l.from, l.to)
-	if p == nil {
-		time.Sleep(50 * time.Millisecond)
-		return errCut
-	}
-	s := &service{p.Controller}
-	switch method {
-	case "Round":
-		return s.Round(in.(peer.Batch), out.(*peer.BatchResponse))
-	case "Poll":
-		return s.Poll(in.(peer.PollRequest), out.(*peer.PollResponse))
-	case "Hello":
-		return s.Hello(in.(peer.Heartbeat), out.(*peer.Heartbeat))
-	case "Status":
-		return s.Status(in.(peer.JobRequest), out.(*peer.JobResponse))
-	case "Submit":
-		return s.Submit(in.(peer.SubmitRequest), out.(*peer.SubmitResponse))
-	case "Demand":
-		return s.Demand(in.(peer.Heartbeat), out.(*peer.DemandResponse))
-	case "HoldZone":
-		return s.HoldZone(in.(peer.ZoneHoldRequest), out.(*peer.ZoneHoldResponse))
-	case "Withdraw":
-		return s.Withdraw(in.(peer.JobRequest), out.(*peer.JobResponse))
-	}
-	return fmt.Errorf("no such method: %s", method)
+// newCluster makes a cluster with the usual settings.
+func newCluster(t *testing.T, workers int) *cluster {
+	return newClusterWithOptions(t, workers, clusterOptions{})
 }
 
-func newCluster(t *testing.T, workers int) *cluster { return newClusterOf(t, workers, 0.5) }
+// newSettledCluster makes a cluster with the usual settings, and lets time pass until all machines are on record.
+func newSettledCluster(t *testing.T, workers int) *cluster {
+	c := newCluster(t, workers)
+	c.runFor(8*time.Second, 0)
+	return c
+}
 
-// newClusterOf makes a cluster whose workers report every so many seconds.
-func newClusterOf(t *testing.T, workers int, reportS float64) *cluster {
-	return newClusterWith(t, workers, &cluster{reportS: reportS, txnOps: 12, valueKB: 8})
+// newBusyCluster makes a cluster of six machines, each taken by a task of job-1.
+func newBusyCluster(t *testing.T) *cluster {
+	c := newSettledCluster(t, 6)
+	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
+	c.runFor(4*time.Second, 0)
+	require.Equal(t, 6, c.runningTasks())
+	return c
 }
 
-func newClusterWith(t *testing.T, workers int, given *cluster) *cluster {
-	c := &cluster{t: t, teams: given.teams, script: given.script, scripts: given.scripts, zones: given.zones, lag: given.lag, reportS: given.reportS, txnOps: given.txnOps, valueKB: given.valueKB, st: fakes.NewKVStore(), clock: clock.NewSteady(), up: map[string]*process{}, cut: map[string]bool{}, still: map[string]chan struct{}{}, unreachable: map[string]bool{}, at: map[string]string{}, began: map[string]clock.Micros{}, cancelled: map[string]cancelled{}, hung: map[string]bool{}, noted: map[string]int{}, behind: map[string]time.Duration{}, blue: map[string]bool{}, unheard: map[string]bool{}, only: map[string]string{}, accepted: map[string]bool{}, told: map[string]string{}}
-	_, err := c.direct().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: wire.Catalog{
-		Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}}}})
+// newClusterWithOptions makes a cluster and starts its controllers. At the end of the test they end.
+func newClusterWithOptions(t *testing.T, workers int, options clusterOptions) *cluster {
+	c := &cluster{
+		t:             t,
+		options:       options.withDefaults(),
+		store:         fakes.NewKVStore(),
+		clock:         clock.NewSteady(),
+		reportsTo:     map[string]string{},
+		pinnedTo:      map[string]string{},
+		hungWorkers:   map[string]bool{},
+		unanswered:    map[string]bool{},
+		unreachable:   map[string]bool{},
+		taskSeenAt:    map[string]clock.Micros{},
+		unlimitedJobs: map[string]bool{},
+		accepted:      map[string]bool{},
+		finalAnswers:  map[string]string{},
+		cancelled:     map[string]confirmedCancellation{},
+		processes:     map[string]*process{},
+		disconnected:  map[string]bool{},
+		paused:        map[string]chan struct{}{},
+		peerLatency:   options.peerLatency,
+		replicaDelay:  map[string]time.Duration{},
+		occurrences:   map[string]int{},
+	}
+	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}
+	_, err := c.directClient().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: catalog}}})
 	require.NoError(t, err)
 	for _, h := range hosts {
 		c.start(h)
 	}
 	for i := range workers {
-		c.workers = append(c.workers, fakes.NewWorker(fmt.Sprintf("m-%06d", i), 16*clock.Second, c.clock.Now()))
-		c.at[c.workers[i].ID] = hosts[i%3]
+		c.addWorker(i)
 	}
 	t.Cleanup(func() {
-		for _, p := range c.up {
+		for _, p := range c.processes {
 			if p != nil {
 				p.kill()
 			}
 		}
-		time.Sleep(time.Second) // whoever waits for a host that is down is back by then
+		time.Sleep(time.Second) // calls that wait for a host that is down are back by then
 	})
 	return c
 }
 
-func (c *cluster) start(host string) {
-	set := &config.Settings{Host: host, Zone: c.zones[host]}
-	set.Params.Count = 3
-	set.Params.Teams = c.teams
-	if c.teams == nil {
-		set.Params.Teams = []config.Team{{Name: "red", CPUsMax: 12}, {Name: "blue"}}
-	}
-	set.Params.Workers.LeaseS = 16
-	set.Params.Workers.ReportS = c.reportS
-	set.Params.State.TxnOps = c.txnOps
-	set.Params.State.ValueKB = c.valueKB
-	set.Params.Cloud.RPS = 1
-	for _, zone := range c.zones {
-		if !slices.Contains(set.Params.Zones, zone) {
-			set.Params.Zones = append(set.Params.Zones, zone)
+// addWorker adds the cluster's i-th worker.
+func (c *cluster) addWorker(i int) {
+	w := fakes.NewWorker(fmt.Sprintf("m-%06d", i), workerLease, c.clock.Now())
+	c.workers = append(c.workers, w)
+	c.reportsTo[w.ID] = hosts[i%3]
+}
+
+// settingsOf gives the settings of a controller.
+func (c *cluster) settingsOf(host string) *config.Settings {
+	o := &c.options
+	settings := &config.Settings{Host: host, Zone: o.hostZones[host]}
+	p := &settings.Params
+	p.Count = len(hosts)
+	p.Teams = o.teams
+	p.Workers.LeaseS = workerLease.Seconds()
+	p.Workers.ReportS = o.heartbeatS
+	p.State.TxnOps = o.txnOps
+	p.State.ValueKB = o.valueKB
+	p.Cloud.RPS = 1
+	for _, zone := range o.hostZones {
+		if !slices.Contains(p.Zones, zone) {
+			p.Zones = append(p.Zones, zone)
 		}
 	}
-	slices.Sort(set.Params.Zones)
-	peers := map[string]PeerClient{}
+	slices.Sort(p.Zones)
 	for _, h := range hosts {
 		if h != host {
-			set.Peers = append(set.Peers, config.Peer{Host: h, Zone: c.zones[h]})
-			peers[h] = line{c, h, host}
+			settings.Peers = append(settings.Peers, config.Peer{Host: h, Zone: o.hostZones[h]})
 		}
 	}
-	script, own := c.scripts[host]
+	return settings
+}
+
+// start starts a controller's process.
+func (c *cluster) start(host string) {
+	settings := c.settingsOf(host)
+	script, own := c.options.hostScripts[host]
 	if !own {
-		script = c.script
+		script = c.options.policyScript
 	}
-	knobs, err := policy.Parse(script, set)
+	parameters, err := policy.Parse(script, settings)
 	require.NoError(c.t, err)
+	peers := map[string]PeerClient{}
+	for _, other := range settings.Peers {
+		peers[other.Host] = peerConnection{cluster: c, to: other.Host, from: host}
+	}
 	ctx, kill := context.WithCancel(c.t.Context())
-	p := &process{view: &fakes.KVClient{KVStore: c.st}, kill: kill}
-	way := held{p.view, c, host}
-	p.Controller = assemble(&wiring{settings: set, parameters: knobs, store: way, priorityStore: way, userStore: way, peers: peers, seed: fakes.Seed,
-		log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	p := &process{storeClient: &fakes.KVClient{KVStore: c.store}, kill: kill}
+	store := faultyStore{p.storeClient, c, host}
+	p.Controller = assemble(&wiring{
+		settings:      settings,
+		parameters:    parameters,
+		store:         store,
+		priorityStore: store,
+		userStore:     store,
+		peers:         peers,
+		seed:          fakes.Seed,
+		log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	c.mu.Lock()
-	c.up[host] = p
+	c.processes[host] = p
 	c.mu.Unlock()
-	go p.duties(ctx) //nolint:errcheck // ends with the context
+	go p.runDuties(ctx) //nolint:errcheck // ends with the context; the bubble waits for it
 }
 
-func (c *cluster) crash(host string) {
-	c.up[host].kill()
+// process gives a controller's process; nil while it is down.
+func (c *cluster) process(host string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.up[host] = nil
+	return c.processes[host]
 }
 
-func (c *cluster) do(host, method, path, body string) httpx.Response {
-	if c.up[host] == nil {
-		return httpx.Response{}
-	}
-	r := &httpx.Request{Method: method, Path: path, Body: []byte(body)}
-	var job wire.Job
-	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == "blue" {
-		c.blue[job.ID] = true
-	}
-	if g := c.gate(host); g != nil {
-		p := c.up[host]
-		go func() { // nobody waits for the answer any more
-			<-g
-			p.handle(c.t.Context(), r)
-		}()
-		return httpx.Response{}
-	}
-	return c.up[host].handle(c.t.Context(), r)
+// crash ends a controller's process at once.
+func (c *cluster) crash(host string) {
+	c.process(host).kill()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.processes[host] = nil
 }
 
-// run lets time pass while workers report every second, and finishes tasks
-// after lasts. It holds the rules against what runs.
-func (c *cluster) run(d, lasts time.Duration) { c.runAnd(d, lasts, func() {}) }
-
-// runAnd is run with something done after every half second.
-func (c *cluster) runAnd(d, lasts time.Duration, then func()) {
-	began := c.ages
-	if began == nil {
-		began = map[string]clock.Micros{}
-	}
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		now := c.clock.Now()
-		on := map[string]string{}
-		red := 0.0
-		for _, w := range c.workers {
-			if c.hung[w.ID] {
-				w.Check(now) // it is over with its lease, if it goes on after that
-			}
-			for _, k := range w.InOrder() {
-				attempt := fmt.Sprint(w.ID, k.Task, k.Attempt)
-				if began[attempt] == 0 {
-					began[attempt] = now
-				}
-				if c.hung[w.ID] {
-					continue
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > began[attempt]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-				}
-			}
-			if !c.hung[w.ID] {
-				c.report(w)
-			}
-			for _, k := range w.InOrder() {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-					if job, _, _ := wire.SplitTask(k.Task); !c.blue[job] {
-						red += 2
-					}
-				}
+// replaceProcess ends a controller's process, starts another on the same host and waits
+// until that one leads its partitions again.
+func (c *cluster) replaceProcess(host string) {
+	c.crash(host)
+	c.start(host)
+	for range 100 {
+		time.Sleep(50 * time.Millisecond)
+		led := 0
+		for i := range partitionsPerController * len(hosts) {
+			if _, leading := c.process(host).elector.Leading(partition.Duty(i)); leading {
+				led++
 			}
 		}
-		require.LessOrEqual(c.t, red, 12.0, "the team's limit")
-		c.checkCancelled()
-		if c.closely == nil {
-			time.Sleep(500 * time.Millisecond)
-		}
-		for step := 0; c.closely != nil && step < 100; step++ {
-			time.Sleep(5 * time.Millisecond)
-			c.closely()
+		if led >= partitionsPerController {
+			return
 		}
-		then()
 	}
+	require.Fail(c.t, "the new process has not taken its partitions")
 }
 
-func (c *cluster) report(w *fakes.Worker) (answered bool) {
-	sent := c.clock.Now()
-	r := w.Report(sent)
-	r.Addr = "" // no way to the worker but by its reports
-	b, err := json.Marshal(r)
-	require.NoError(c.t, err)
-	if c.keepCopies {
-		c.copies = append(c.copies, b)
-	}
-	if h := c.only[w.ID]; h != "" {
-		c.at[w.ID] = h
-	}
-	host := c.at[w.ID]
-	var resp httpx.Response
-	if !c.unreachable[host] {
-		resp = c.do(host, "POST", wire.PathHeartbeat, string(b))
-	}
-	var a wire.HeartbeatResponse
-	var e wire.Error
-	if c.unheard[w.ID] {
-		resp = httpx.Response{}
-	}
-	switch {
-	case resp.Status == 200:
-		require.NoError(c.t, json.Unmarshal(resp.Body, &a))
-		w.Take(a, sent)
-		return true
-	case resp.Status == 421 && json.Unmarshal(resp.Body, &e) == nil && e.Leader != "":
-		c.at[w.ID] = e.Leader
-	default:
-		for i, h := range hosts {
-			if h == host {
-				c.at[w.ID] = hosts[(i+1)%3]
-			}
-		}
+// request sends a controller a request of a user, a worker or the load balancer. There is no answer, status 0, from a
+// host that is down or paused; one that is paused handles the request once it goes on.
+func (c *cluster) request(host, method, path, body string) httpx.Response {
+	p := c.process(host)
+	if p == nil {
+		return httpx.Response{}
 	}
-	return false
-}
-
-func (c *cluster) running() (n int) {
-	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
-			if k.Phase != wire.TaskExited {
-				n++
-			}
-		}
+	r := &httpx.Request{Method: method, Path: path, Body: []byte(body)}
+	var job wire.Job
+	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == unlimitedTeam {
+		c.unlimitedJobs[job.ID] = true
 	}
-	return n
-}
-
-func (c *cluster) phase(host, id string) string {
-	r := c.do(host, "GET", wire.PathJobs+"/"+id, "")
-	var s wire.JobState
-	if r.Status != 200 || json.Unmarshal(r.Body, &s) != nil {
-		return fmt.Sprint(r.Status)
+	if gate := c.pauseGate(host); gate != nil {
+		go func() { // nobody waits for the answer any more
+			<-gate
+			p.handleRequest(c.t.Context(), r)
+		}()
+		return httpx.Response{}
 	}
-	return s.Phase
+	return p.handleRequest(c.t.Context(), r)
 }
 
-func submission(id string, tasks int) string {
-	return fmt.Sprintf(`{"id":%q,"jobclass":"x","owner":"red","shape":"array","rank":"normal","shards":%d,"cpus":2,"accelerators":0,
-	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":5,"snap_every_s":0,"snap_s":0}`, id, tasks)
+func (c *cluster) get(host, path string) httpx.Response {
+	return c.request(host, http.MethodGet, path, "")
 }
 
-// runFleet lets time pass for a large fleet: workers report every five seconds
-// and when something has changed. It holds the rules against what runs.
-func (c *cluster) runFleet(d, lasts time.Duration) { c.runFleetAnd(d, lasts, func() {}) }
-
-// runFleetAnd is runFleet with something done after every half second.
-func (c *cluster) runFleetAnd(d, lasts time.Duration, then func()) {
-	const step = 500 * time.Millisecond
-	again := map[string]bool{} // reports that nobody has answered: to the next controller a moment later
-	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
-		now := c.clock.Now()
-		on := map[string]string{}
-		for i, w := range c.workers {
-			changed := n%10 == i%10 || again[w.ID]
-			for key, k := range w.Tasks {
-				if c.began[key] == 0 {
-					c.began[key], changed = now, true
-				}
-				if lasts > 0 && k.Phase != wire.TaskExited && now > c.began[key]+clock.FromDuration(lasts) {
-					k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
-				}
-			}
-			if changed {
-				again[w.ID] = !c.report(w)
-			}
-			for _, k := range w.Tasks {
-				if k.Phase != wire.TaskExited {
-					require.Empty(c.t, on[k.Task], "%s runs on two machines", k.Task)
-					on[k.Task] = w.ID
-				}
-			}
-		}
-		time.Sleep(step)
-		then()
-	}
+func (c *cluster) post(host, path, body string) httpx.Response {
+	return c.request(host, http.MethodPost, path, body)
 }
