--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -35,7 +35,7 @@
 
 func newZoneFixture() *zoneFixture {
 	f := &zoneFixture{
-		evidence:     map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Unheard: 10}},
+		evidence:     map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, MissedHeartbeats: 10}},
 		records:      map[string]ZoneRecord{},
 		modRevisions: map[string]uint64{kvstore.LeaderPrefix + Duty: leaderRevision},
 		revision:     10,
--- a/internal/controller/cluster_run_test.go
+++ b/internal/controller/cluster_run_test.go
@@ -147,7 +147,7 @@
 // is none the worker turns to the controller that the answer names, or to the next one.
 func (c *cluster) sendHeartbeat(w *fakes.Worker) (answered bool) {
 	sent := c.clock.Now()
-	r := w.Report(sent)
+	r := w.Heartbeat(sent)
 	r.Addr = "" // commands come in answers to heartbeats only
 	body, err := json.Marshal(r)
 	require.NoError(c.t, err)
@@ -170,7 +170,7 @@
 	switch {
 	case response.Status == 200:
 		require.NoError(c.t, json.Unmarshal(response.Body, &answer))
-		w.Take(answer, sent)
+		w.HandleHeartbeatResponse(answer, sent)
 		return true
 	case response.Status == 421 && json.Unmarshal(response.Body, &rejection) == nil && rejection.Leader != "":
 		c.reportsTo[w.ID] = rejection.Leader
--- a/internal/controller/controller_failures_test.go
+++ b/internal/controller/controller_failures_test.go
@@ -117,7 +117,7 @@
 		c.runFor(30*time.Second, 0)
 		require.Equal(t, before, c.runningTasks())
 		for _, w := range c.workers {
-			require.EqualValues(t, 1, w.Session, "its lease has expired")
+			require.EqualValues(t, 1, w.Incarnation, "its lease has expired")
 		}
 		c.requireStartedOnce()
 		require.Equal(t, 200, c.get("a", wire.PathReady).Status, "users are served")
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -28,7 +28,7 @@
 			require.NotEqual(t, isolated, r.Leader, duty)
 		}
 		for _, w := range c.workers {
-			require.Equal(t, c.pinnedTo[w.ID] != "", w.Session > 1, "%s: its lease expired", w.ID)
+			require.Equal(t, c.pinnedTo[w.ID] != "", w.Incarnation > 1, "%s: its lease expired", w.ID)
 		}
 		c.setIsolated(isolated, false)
 		c.runFor(30*time.Second, 4*time.Second)
@@ -55,7 +55,7 @@
 		c.runFor(15*time.Second, 3*time.Second)
 		require.Equal(t, wire.Done, c.queryJob("b", "job-1"))
 		for _, w := range c.workers {
-			require.EqualValues(t, 2, w.Session)
+			require.EqualValues(t, 2, w.Incarnation)
 		}
 	})
 }
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -82,7 +82,7 @@
 func (a *Arbiter) claimants() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
-		out[team] = Claimant{Weight: a.weight(team), Used: u.All, Owed: u.Owed}
+		out[team] = Claimant{Weight: a.weight(team), Used: u.All, WithinGuarantee: u.WithinGuarantee}
 	}
 	for team, d := range a.demands {
 		c := out[team]
@@ -92,7 +92,7 @@
 			need := s.Need.Times(int64(s.Tasks))
 			c.Waiting = c.Waiting.Plus(need)
 			if s.Owed {
-				c.Owed = c.Owed.Plus(need)
+				c.WithinGuarantee = c.WithinGuarantee.Plus(need)
 			}
 		}
 		out[team] = c
@@ -112,8 +112,8 @@
 // waiting work of the same priority or a higher one that could start on the machine, and could not once
 // the assignment had its part. Work within a guarantee never yields. Resources are withheld for as many
 // tasks as wait, one on a machine, and for a bounded time: what nobody takes is open to every team.
-func (a *Arbiter) Yields(ask *Ask, room *Room, now clock.Micros) bool {
-	if ask.Owed || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || a.withheld.isOpen(room.Machine, now) {
+func (a *Arbiter) Yields(ask *Assignment, room *FreeCapacity, now clock.Micros) bool {
+	if ask.WithinGuarantee || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || a.withheld.isOpen(room.Machine, now) {
 		return false
 	}
 	team, ok := a.waitingTeam(ask, room, now)
@@ -126,13 +126,13 @@
 
 // exceedsShare tells that a team takes more than its share once it is granted the task:
 // dominant(used + need) > share.
-func (a *Arbiter) exceedsShare(ask *Ask) bool {
+func (a *Arbiter) exceedsShare(ask *Assignment) bool {
 	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+roundingTolerance
 }
 
 // waitingTeam finds a team below its share with waiting work that only fits the machine without the
 // asked task. Teams are looked at in order of their names, so that the answer is always the same.
-func (a *Arbiter) waitingTeam(ask *Ask, room *Room, now clock.Micros) (team string, ok bool) {
+func (a *Arbiter) waitingTeam(ask *Assignment, room *FreeCapacity, now clock.Micros) (team string, ok bool) {
 	remaining := *room
 	remaining.Free = room.Free.Minus(ask.Need)
 	for _, team := range slices.Sorted(maps.Keys(a.demands)) {
@@ -159,12 +159,12 @@
 	return Dominant(a.used[team].All, a.capacity) < a.shares[team]-roundingTolerance
 }
 
-// Granted adds a granted resource lease to the team's use, and takes its task off the team's demand.
-func (a *Arbiter) Granted(ask *Ask, machine string) {
+// RecordAccepted adds a granted resource lease to the team's use, and takes its task off the team's demand.
+func (a *Arbiter) RecordAccepted(ask *Assignment, machine string) {
 	u := a.used[ask.Team]
 	u.All = u.All.Plus(ask.Need)
-	if ask.Owed {
-		u.Owed = u.Owed.Plus(ask.Need)
+	if ask.WithinGuarantee {
+		u.WithinGuarantee = u.WithinGuarantee.Plus(ask.Need)
 	}
 	a.used[ask.Team] = u
 	a.withheld.release(machine)
@@ -173,11 +173,11 @@
 
 // reduceDemand takes a granted task off its team's demand: it doesn't wait any more, whatever its
 // scheduler has sent before. The shapes are cloned since they belong to the message.
-func (a *Arbiter) reduceDemand(ask *Ask) {
+func (a *Arbiter) reduceDemand(ask *Assignment) {
 	d := a.demands[ask.Team]
 	shapes := slices.Clone(d.Shapes)
 	for i := range shapes {
-		if s := &shapes[i]; s.Need == ask.Need && s.Rank == ask.Rank && s.Owed == ask.Owed && s.Tasks > 0 {
+		if s := &shapes[i]; s.Need == ask.Need && s.Rank == ask.Rank && s.Owed == ask.WithinGuarantee && s.Tasks > 0 {
 			s.Tasks--
 			d.Shapes = shapes
 			a.demands[ask.Team] = d
@@ -186,8 +186,8 @@
 	}
 }
 
-// Yielded is how many assignments have yielded since the start.
-func (a *Arbiter) Yielded() uint64 { return a.yielded }
+// YieldCount is how many assignments have yielded since the start.
+func (a *Arbiter) YieldCount() uint64 { return a.yielded }
 
 // Capacity is what the standings are fractions of.
 func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -12,10 +12,10 @@
 const sec = clock.Second
 
 // roomForOneTask is enough for one task.
-var roomForOneTask = &Room{Machine: "m-1", Type: "big", Zone: "a", Free: resources.Capacity(3, 0, 8)}
+var roomForOneTask = &FreeCapacity{Machine: "m-1", Type: "big", Zone: "a", Free: resources.Capacity(3, 0, 8)}
 
-func ask(team string, rank int) *Ask {
-	return &Ask{Team: team, Rank: rank, Need: resources.Request(2, 0, 1)}
+func ask(team string, rank int) *Assignment {
+	return &Assignment{Team: team, Rank: rank, Need: resources.Request(2, 0, 1)}
 }
 
 func shape(tasks int) Shape {
@@ -34,11 +34,11 @@
 	zoned, large, low := shape(5), shape(5), shape(5)
 	zoned.Zone, large.Need, low.Rank = "b", resources.Request(8, 0, 1), 0
 	owed := ask("hot", 1)
-	owed.Owed = true
+	owed.WithinGuarantee = true
 	for _, test := range []struct {
 		name  string
 		waits Shape
-		ask   *Ask
+		ask   *Assignment
 		want  bool
 	}{
 		{"a team above its share leaves room to one below", shape(5), ask("hot", 1), true},
@@ -81,7 +81,7 @@
 		next.Machine = string(rune('a' + i))
 		require.Equal(t, want, a.Yields(ask("hot", 1), &next, 10*sec), "machine %d", i)
 	}
-	a.Granted(ask("other", 1), "a")
+	a.RecordAccepted(ask("other", 1), "a")
 	third := *roomForOneTask
 	third.Machine = "c"
 	require.False(t, a.Yields(ask("hot", 1), &third, 10*sec), "one waits still, and has b kept for it")
@@ -92,7 +92,7 @@
 	a := arbiterUnderContention(shape(1))
 	a.UpdateUsage(resources.Capacity(100, 0, 200), map[string]Use{"hot": {All: resources.Capacity(98, 0, 50)}}, 10*sec)
 	require.True(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec))
-	a.Granted(ask("other", 1), roomForOneTask.Machine)
+	a.RecordAccepted(ask("other", 1), roomForOneTask.Machine)
 	require.False(t, a.Yields(ask("hot", 1), roomForOneTask, 10*sec+1), "the other team has its share")
 }
 
--- a/internal/fairshare/demand.go
+++ b/internal/fairshare/demand.go
@@ -26,8 +26,8 @@
 	Shapes []Shape
 }
 
-// Room is the free resources of one machine.
-type Room struct {
+// FreeCapacity is the free resources of one machine.
+type FreeCapacity struct {
 	Machine string
 	Type    string
 	Zone    string
@@ -36,23 +36,23 @@
 }
 
 // fitsRoom tells whether a task of the shape could start on the machine now.
-func (s *Shape) fitsRoom(r *Room) bool {
+func (s *Shape) fitsRoom(r *FreeCapacity) bool {
 	return s.Tasks > 0 && s.Need.Fits(r.Free) && (!r.Spot || s.Spot) && (s.Zone == "" || s.Zone == r.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, r.Type))
 }
 
-// Ask is a task for which a scheduler requests a resource lease.
-type Ask struct {
-	Team string
-	Rank int
-	Need resources.Amounts
-	Owed bool // within its team's guarantee
+// Assignment is a task for which a scheduler requests a resource lease.
+type Assignment struct {
+	Team            string
+	Rank            int
+	Need            resources.Amounts
+	WithinGuarantee bool // within its team's guarantee
 }
 
 // Use is what a team's tasks take at a partition leader, and the part that its guarantee covers.
 type Use struct {
-	All  resources.Amounts
-	Owed resources.Amounts
+	All             resources.Amounts
+	WithinGuarantee resources.Amounts
 }
 
 // Standing is a team's share, its use and its demand at one partition leader. The fields are wire format.
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -15,10 +15,10 @@
 
 // Claimant is a team that uses resources or waits for them.
 type Claimant struct {
-	Weight  float64           // its part of what is divided, relative to the others'
-	Used    resources.Amounts // by its tasks
-	Waiting resources.Amounts // what its waiting tasks would use
-	Owed    resources.Amounts // the part of both that its guarantee covers
+	Weight          float64           // its part of what is divided, relative to the others'
+	Used            resources.Amounts // by its tasks
+	Waiting         resources.Amounts // what its waiting tasks would use
+	WithinGuarantee resources.Amounts // the part of both that its guarantee covers
 }
 
 // resourceCount is how many kinds of resources there are: CPU, GPU, memory.
@@ -59,7 +59,7 @@
 		t.weight = 1
 	}
 	t.maxDominantShare = max(t.demand[0], t.demand[1], t.demand[2])
-	t.guaranteedShare = min(t.maxDominantShare, Dominant(c.Owed, capacity))
+	t.guaranteedShare = min(t.maxDominantShare, Dominant(c.WithinGuarantee, capacity))
 	t.final = t.maxDominantShare == 0
 	return t
 }
--- a/internal/fairshare/divide_test.go
+++ b/internal/fairshare/divide_test.go
@@ -28,10 +28,10 @@
 			map[string]Claimant{"a": {Weight: 3, Waiting: cpus(500)}, "b": {Weight: 1, Waiting: cpus(500)}},
 			map[string]float64{"a": 0.75, "b": 0.25}},
 		{"a guarantee comes first", cpus(100),
-			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(500), Owed: cpus(80)}},
+			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(500), WithinGuarantee: cpus(80)}},
 			map[string]float64{"a": 0.2, "b": 0.8}},
 		{"a guarantee is no more than the demand", cpus(100),
-			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(10), Owed: cpus(80)}},
+			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(10), WithinGuarantee: cpus(80)}},
 			map[string]float64{"a": 0.9, "b": 0.1}},
 		{"by the dominant resource", resources.Capacity(90, 0, 180),
 			map[string]Claimant{"a": {Waiting: resources.Capacity(100, 0, 400)}, "b": {Waiting: resources.Capacity(300, 0, 100)}},
@@ -72,7 +72,7 @@
 				Waiting: resources.Capacity(cpu, 0, mem),
 			}
 			if rng.IntN(4) == 0 {
-				c.Owed = resources.Capacity(float64(rng.IntN(10)), 0, 0)
+				c.WithinGuarantee = resources.Capacity(float64(rng.IntN(10)), 0, 0)
 			}
 			teams[fmt.Sprint(i)] = c
 		}
@@ -82,7 +82,7 @@
 			demand := fractions(c.Used.Plus(c.Waiting), capacity)
 			maxShare := max(demand[0], demand[1], demand[2])
 			require.LessOrEqual(t, shares[name], maxShare+1e-6)
-			require.GreaterOrEqual(t, shares[name], min(maxShare, Dominant(c.Owed, capacity))-1e-6)
+			require.GreaterOrEqual(t, shares[name], min(maxShare, Dominant(c.WithinGuarantee, capacity))-1e-6)
 			if maxShare > 0 {
 				for r := range resourceCount {
 					used[r] += shares[name] / maxShare * demand[r]
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -10,23 +10,23 @@
 
 // Worker is a machine's worker, by the protocol's page. Images take no time. It is not safe for concurrent use.
 type Worker struct {
-	ID        string
-	Type      string
-	Zone      string
-	Spot      bool
-	Lease     clock.Micros
-	Session   uint64 // incarnation
-	Tick      uint64
-	Token     uint64                      // highest fencing token seen
-	Tasks     map[string]*wire.TaskStatus // by name and attempt
-	Starts    map[string]int              // how often each task has started
-	NoticeS   *float64                    // eviction notice that its heartbeats carry
-	renewedAt clock.Micros                // start of the worker lease
+	ID           string
+	Type         string
+	Zone         string
+	Spot         bool
+	Lease        clock.Micros
+	Incarnation  uint64 // incarnation
+	Tick         uint64
+	FencingToken uint64                      // highest fencing token seen
+	Tasks        map[string]*wire.TaskStatus // by name and attempt
+	Starts       map[string]int              // how often each task has started
+	NoticeS      *float64                    // eviction notice that its heartbeats carry
+	renewedAt    clock.Micros                // start of the worker lease
 }
 
 // NewWorker makes a worker whose lease starts now.
 func NewWorker(id string, lease, now clock.Micros) *Worker {
-	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Session: 1, Tasks: map[string]*wire.TaskStatus{},
+	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Incarnation: 1, Tasks: map[string]*wire.TaskStatus{},
 		Starts: map[string]int{}, renewedAt: now}
 }
 
@@ -34,7 +34,7 @@
 func (w *Worker) Check(now clock.Micros) {
 	if now > w.renewedAt+w.Lease {
 		clear(w.Tasks)
-		w.Session++
+		w.Incarnation++
 		w.renewedAt = now
 	}
 }
@@ -42,12 +42,12 @@
 // Renew starts the worker's lease anew.
 func (w *Worker) Renew(now clock.Micros) { w.renewedAt = now }
 
-// Report makes the worker's next heartbeat.
-func (w *Worker) Report(now clock.Micros) wire.Heartbeat {
+// Heartbeat makes the worker's next heartbeat.
+func (w *Worker) Heartbeat(now clock.Micros) wire.Heartbeat {
 	w.Check(now)
 	w.Tick++
 	r := wire.Heartbeat{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Incarnation: w.Session, Tick: w.Tick, FencingToken: w.Token, EvictionNoticeS: w.NoticeS}
+		Incarnation: w.Incarnation, Tick: w.Tick, FencingToken: w.FencingToken, EvictionNoticeS: w.NoticeS}
 	for _, t := range w.InOrder() {
 		r.Tasks = append(r.Tasks, *t)
 	}
@@ -64,26 +64,26 @@
 	return out
 }
 
-// Take handles the response to a heartbeat that was sent at a time; false for a fencing token that is too low.
-func (w *Worker) Take(a wire.HeartbeatResponse, sent clock.Micros) bool {
-	if a.FencingToken < w.Token {
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent at a time; false for a fencing token that is too low.
+func (w *Worker) HandleHeartbeatResponse(a wire.HeartbeatResponse, sent clock.Micros) bool {
+	if a.FencingToken < w.FencingToken {
 		return false
 	}
-	w.Token = a.FencingToken
+	w.FencingToken = a.FencingToken
 	w.renewedAt = sent
 	w.execute(a.Orders)
 	return true
 }
 
-// Orders handles a delivery of commands; ok is false for a 409: its fencing token is too low, or it is meant for
+// HandleCommands handles a delivery of commands; ok is false for a 409: its fencing token is too low, or it is meant for
 // another incarnation.
-func (w *Worker) Orders(o wire.Orders, now clock.Micros) (r wire.Heartbeat, ok bool) {
+func (w *Worker) HandleCommands(o wire.Orders, now clock.Micros) (r wire.Heartbeat, ok bool) {
 	w.Check(now)
-	if ok = o.FencingToken >= w.Token && o.Incarnation == w.Session; ok {
-		w.Token = o.FencingToken
+	if ok = o.FencingToken >= w.FencingToken && o.Incarnation == w.Incarnation; ok {
+		w.FencingToken = o.FencingToken
 		w.execute(o.Orders)
 	}
-	return w.Report(now), ok
+	return w.Heartbeat(now), ok
 }
 
 // attemptName is the key of an attempt in Tasks.
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -61,9 +61,9 @@
 
 // Failures.
 const (
-	NoFailure    Failure = "none"
-	PlacerKilled Failure = "placer" // the hot team's leader is killed, and started again after restartAfter
-	OwnerStands  Failure = "owner"  // a controller that leads partitions is paused for pauseFor
+	NoFailure             Failure = "none"
+	SchedulerKilled       Failure = "placer" // the hot team's leader is killed, and started again after restartAfter
+	PartitionLeaderPaused Failure = "owner"  // a controller that leads partitions is paused for pauseFor
 )
 
 // ErrFailure means that a run has no such failure.
@@ -84,7 +84,7 @@
 // Run writes the results of the runs, fair shares off and on, with all seeds pooled. An error means that a run
 // failed or violated an invariant.
 func (h *HotTeams) Run(ctx context.Context, out io.Writer) error {
-	if !slices.Contains([]Failure{NoFailure, PlacerKilled, OwnerStands}, h.Failure) {
+	if !slices.Contains([]Failure{NoFailure, SchedulerKilled, PartitionLeaderPaused}, h.Failure) {
 		return ErrFailure
 	}
 	pooled := map[runVariant]*hotTeamsResult{}
@@ -253,7 +253,7 @@
 // injectFailure causes the failure of the run.
 func (h *HotTeams) injectFailure(ctx context.Context, c *cluster) error {
 	switch h.Failure {
-	case PlacerKilled:
+	case SchedulerKilled:
 		host := c.schedulerOf(hotTeam)
 		if host == "" {
 			return errNoLeader
@@ -261,7 +261,7 @@
 		c.kill(host)
 		time.Sleep(restartAfter)
 		return c.start(ctx, host)
-	case OwnerStands:
+	case PartitionLeaderPaused:
 		return c.pause("b", pauseFor)
 	}
 	return nil
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -102,7 +102,7 @@
 	if w.cut {
 		return wire.Heartbeat{}, false, false
 	}
-	heartbeat, accepted = w.Orders(delivery, f.clock.Now())
+	heartbeat, accepted = w.HandleCommands(delivery, f.clock.Now())
 	f.updateTasks(w)
 	heartbeat.Addr = w.addr
 	return heartbeat, accepted, true
@@ -120,7 +120,7 @@
 		if status.Phase == wire.TaskExited {
 			continue
 		}
-		attempt := fmt.Sprint(w.ID, status.Task, status.Attempt, w.Session)
+		attempt := fmt.Sprint(w.ID, status.Task, status.Attempt, w.Incarnation)
 		if f.startedAt[attempt] == 0 {
 			f.startedAt[attempt] = now
 			f.starts = append(f.starts, taskStart{status.Task, w.Zone, now})
@@ -197,7 +197,7 @@
 	sentAt = f.clock.Now()
 	w.Check(sentAt)
 	f.updateTasks(w)
-	heartbeat = w.Report(sentAt)
+	heartbeat = w.Heartbeat(sentAt)
 	heartbeat.Addr = w.addr
 	return heartbeat, sentAt, !w.cut || !f.cutFrom[f.hosts[w.controller]]
 }
@@ -207,7 +207,7 @@
 	f := w.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.Take(response, sentAt)
+	w.HandleHeartbeatResponse(response, sentAt)
 	f.updateTasks(w)
 }
 
--- a/internal/partition/acquisition_test.go
+++ b/internal/partition/acquisition_test.go
@@ -20,7 +20,7 @@
 	require.False(t, s.acquireLease(1, 2))
 	require.Equal(t, []string{"m-9"}, s.state.Drain([]peer.MachineRef{{ID: "m-9"}}, part, s.now), "one that never reported")
 	s.state.HandleMachinesGone([]peer.MachineRef{{ID: "m-1"}}, part, s.now)
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
 	require.False(t, ok, "a late heartbeat of a returned machine")
 }
--- a/internal/partition/cancellations_test.go
+++ b/internal/partition/cancellations_test.go
@@ -18,7 +18,7 @@
 	s.state.HandleDeliveryTimeout("m-1", late, s.now)
 	s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: "red"}}})
 	require.False(t, s.acquireLease(1, 2), "nothing of it may start any more")
-	s.worker.Orders(*late, s.now)
+	s.worker.HandleCommands(*late, s.now)
 	require.True(t, s.worker.Running("job-1/0"))
 	s.heartbeat()
 	require.False(t, s.worker.Running("job-1/0"))
@@ -113,7 +113,7 @@
 	s.now += sec
 	s.heartbeatTo(next)
 	require.False(t, s.worker.Running("job-1/0"))
-	_, ok := s.worker.Orders(*late, s.now)
+	_, ok := s.worker.HandleCommands(*late, s.now)
 	require.False(t, ok, "under a former term")
 }
 
@@ -128,7 +128,7 @@
 	s.cancelJob()
 	require.Len(t, s.tasks(), 1, "it may still start")
 	s.now += 3 * sec
-	_, ok := s.worker.Orders(*late, s.now)
+	_, ok := s.worker.HandleCommands(*late, s.now)
 	require.True(t, ok, "the worker has seen no higher token")
 	require.True(t, s.worker.Running("job-1/0"))
 	s.heartbeat()
@@ -136,7 +136,7 @@
 	s.heartbeat()
 	s.heartbeat()
 	require.Empty(t, s.tasks())
-	_, ok = s.worker.Orders(*late, s.now)
+	_, ok = s.worker.HandleCommands(*late, s.now)
 	require.False(t, ok, "a copy of it can't start the task once more")
 }
 
--- a/internal/partition/delivery_state_test.go
+++ b/internal/partition/delivery_state_test.go
@@ -26,7 +26,7 @@
 	s.now += sec
 	s.heartbeatTo(next)
 	require.True(t, next.machines["m-1"].accounted)
-	_, ok := s.worker.Orders(*late, s.now)
+	_, ok := s.worker.HandleCommands(*late, s.now)
 	require.False(t, ok)
 	require.False(t, s.worker.Running("job-1/0"))
 }
@@ -41,13 +41,13 @@
 	s.sendBatch(peer.Batch{Stops: []peer.StopTask{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
 
 	s.now += sec
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	ans, ok := s.state.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	require.Len(t, s.tasks(), 1, "the worker has not shown the new token: the run may still arrive")
-	_, executed := s.worker.Orders(*late, s.now)
+	_, executed := s.worker.HandleCommands(*late, s.now)
 	require.True(t, executed, "it does arrive")
-	s.worker.Take(ans, s.now)
+	s.worker.HandleHeartbeatResponse(ans, s.now)
 	require.False(t, s.worker.Running("job-1/0"), "the stop follows it")
 	s.heartbeat()
 	require.Len(t, s.tasks(), 1)
@@ -60,28 +60,28 @@
 	require.True(t, s.acquireLease(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
 	s.state.HandleDeliveryTimeout("m-1", late, s.now)
-	old := s.worker.Token
+	old := s.worker.FencingToken
 	s.heartbeat() // carries the run as well: it starts
 	require.True(t, s.worker.Running("job-1/0"))
 	s.worker.Finish("job-1/0", wire.CauseDone)
-	s.worker.Token = old // as if the answer with the new token were still under way
+	s.worker.FencingToken = old // as if the answer with the new token were still under way
 	s.now += sec
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	s.state.machines["m-1"].delivery.shownToken = old
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 	s.sendBatch(peer.Batch{Settles: []peer.Acknowledgement{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
 	s.now += sec
-	r = s.worker.Report(s.now)
+	r = s.worker.Heartbeat(s.now)
 	ans, _ := s.state.HandleHeartbeat(&r, 0, s.now)
 	for _, o := range ans.Orders {
 		require.NotEqual(t, wire.VerbForget, o.Verb)
 	}
-	s.worker.Take(ans, s.now)
+	s.worker.HandleHeartbeatResponse(ans, s.now)
 	s.heartbeat() // shows the new token: the late copy is dead, and the forget goes out
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
-	s.worker.Orders(*late, s.now)
+	s.worker.HandleCommands(*late, s.now)
 	require.Equal(t, 1, s.worker.Starts["job-1/0"])
 }
 
@@ -94,7 +94,7 @@
 	s.state.HandleDeliveryTimeout("m-1", o, s.now)
 	silence := func() {
 		s.now += sec
-		r := s.worker.Report(s.now)
+		r := s.worker.Heartbeat(s.now)
 		s.state.HandleHeartbeat(&r, 0, s.now) // its answer is lost
 	}
 	for range 4 {
@@ -118,18 +118,18 @@
 		s.heartbeat()
 	}
 	s.now += workerLease / 2 // a while after its last answered heartbeat
-	s.worker.Tick, s.worker.Token = 0, 0
+	s.worker.Tick, s.worker.FencingToken = 0, 0
 	s.worker.Renew(s.now)
 	require.True(t, s.acquireLease(0, 1))
 	_, o := s.state.NextDelivery("m-1", s.now)
-	after, done := s.worker.Orders(*o, s.now)
+	after, done := s.worker.HandleCommands(*o, s.now)
 	require.True(t, done)
 	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
 	require.False(t, s.acquireLease(1, 2), "nothing more for a worker whose restart was not announced")
 	for range 30 {
 		s.now += sec / 2
 		s.worker.Check(s.now)
-		if r := s.worker.Report(s.now); r.Tick < 8 { // it is silent before its ticks have caught up
+		if r := s.worker.Heartbeat(s.now); r.Tick < 8 { // it is silent before its ticks have caught up
 			s.state.HandleHeartbeat(&r, 0, s.now)
 		}
 		s.state.Tick(s.now)
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -150,5 +150,5 @@
 		return resources.Amounts{}, nil, 0
 	}
 	capacity, list = s.state.Standings(s.clock.Now())
-	return capacity, list, s.state.arbiter.Yielded()
+	return capacity, list, s.state.arbiter.YieldCount()
 }
--- a/internal/partition/heartbeats_test.go
+++ b/internal/partition/heartbeats_test.go
@@ -13,7 +13,7 @@
 // A heartbeat that was delayed by a network partition comes after newer ones.
 func TestHeartbeatOfFormerIncarnationIsRejected(t *testing.T) {
 	s := newScene(t)
-	held := s.worker.Report(s.now) // lists nothing
+	held := s.worker.Heartbeat(s.now) // lists nothing
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
 	s.heartbeat()
@@ -22,7 +22,7 @@
 	require.False(t, ok)
 	require.Len(t, s.tasks(), 1)
 
-	s.worker.Session = 2
+	s.worker.Incarnation = 2
 	s.worker.Tick = 0
 	s.heartbeat()
 	_, ok = s.state.HandleHeartbeat(&held, 0, s.now)
@@ -37,7 +37,7 @@
 	for n := range 2 { // the first delivery names the former incarnation and is rejected
 		require.True(t, s.acquireLease(n, uint64(n+1)))
 		_, o := s.state.NextDelivery("m-1", s.now)
-		r, _ := s.worker.Orders(*o, s.now)
+		r, _ := s.worker.HandleCommands(*o, s.now)
 		s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
 	}
 	require.True(t, s.worker.Running("job-1/1"))
@@ -52,13 +52,13 @@
 // change what later heartbeats said.
 func TestCopiesOfHeartbeatsKeepNoMachineAlive(t *testing.T) {
 	s := newScene(t)
-	early := s.worker.Report(s.now)
+	early := s.worker.Heartbeat(s.now)
 	_, ok := s.state.HandleHeartbeat(&early, 0, s.now)
 	require.True(t, ok)
 	require.True(t, s.acquireLease(0, 1))
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
-	last := s.worker.Report(s.now)
+	last := s.worker.Heartbeat(s.now)
 	s.state.HandleHeartbeat(&last, 0, s.now)
 	for range 30 { // the machine is gone; copies come for three leases
 		s.now += sec
@@ -82,14 +82,14 @@
 	for range 20 {
 		s.heartbeat()
 	}
-	s.worker.Session, s.worker.Tick = 2, 0
+	s.worker.Incarnation, s.worker.Tick = 2, 0
 	clear(s.worker.Tasks)
 	require.True(t, s.acquireLease(0, 1))
 	_, o := s.state.NextDelivery("m-1", s.now)
 	o.Incarnation = 2
-	after, _ := s.worker.Orders(*o, s.now)
+	after, _ := s.worker.HandleCommands(*o, s.now)
 	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
 	require.True(t, ok)
 }
@@ -98,10 +98,10 @@
 // worker is answered, and its worker lease goes on.
 func TestHeartbeatOvertakenByDeliveryResponseIsAnswered(t *testing.T) {
 	s := newScene(t)
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	require.True(t, s.acquireLease(0, 1))
 	_, o := s.state.NextDelivery("m-1", s.now)
-	after, done := s.worker.Orders(*o, s.now)
+	after, done := s.worker.HandleCommands(*o, s.now)
 	require.True(t, done)
 	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
 	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -99,7 +99,7 @@
 	m.idleSince = now
 	s.markTaskChanged(m, t)
 	if s.arbiter != nil {
-		s.arbiter.Granted(fairShareAsk(a), m.id)
+		s.arbiter.RecordAccepted(fairShareAsk(a), m.id)
 	}
 	if g := s.zoneGates[m.Zone]; g != nil {
 		g.startsUnderWay++
--- a/internal/partition/leases_test.go
+++ b/internal/partition/leases_test.go
@@ -51,7 +51,7 @@
 	_, o := s.state.NextDelivery("m-1", s.now)
 	require.Len(t, o.Orders, 1)
 	require.Equal(t, wire.VerbStop, o.Orders[0].Verb)
-	r, ok := s.worker.Orders(*o, s.now)
+	r, ok := s.worker.HandleCommands(*o, s.now)
 	require.True(t, ok)
 	s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
 	_, o = s.state.NextDelivery("m-1", s.now)
--- a/internal/partition/scenario_test.go
+++ b/internal/partition/scenario_test.go
@@ -32,12 +32,12 @@
 		s.deliverOrLose()
 	case 2:
 		if len(s.late) > 0 {
-			s.worker.Orders(*s.late[s.rng.IntN(len(s.late))], s.now)
+			s.worker.HandleCommands(*s.late[s.rng.IntN(len(s.late))], s.now)
 		}
 	case 3:
-		r := s.worker.Report(s.now)
+		r := s.worker.Heartbeat(s.now)
 		if ans, ok := s.state.HandleHeartbeat(&r, 0, s.now); ok && s.rng.IntN(3) > 0 {
-			s.worker.Take(ans, s.now)
+			s.worker.HandleHeartbeatResponse(ans, s.now)
 		}
 	case 4:
 		for _, v := range s.tasks() {
@@ -65,7 +65,7 @@
 		s.state.HandleDeliveryTimeout("m-1", o, s.now)
 		return
 	}
-	r, _ := s.worker.Orders(*o, s.now)
+	r, _ := s.worker.HandleCommands(*o, s.now)
 	s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
 }
 
@@ -106,12 +106,12 @@
 		{"receives deliveries only", func(s *scene) { s.deliver() }, 3 * workerLease, 2 * sec},
 		{"its answers to deliveries are lost", func(s *scene) {
 			if _, o := s.state.NextDelivery("m-1", s.now); o != nil {
-				s.worker.Orders(*o, s.now)
+				s.worker.HandleCommands(*o, s.now)
 				s.state.HandleDeliveryTimeout("m-1", o, s.now)
 			}
 		}, 3 * workerLease, 2 * sec},
 		{"heartbeats arrive, answers and deliveries don't", func(s *scene) {
-			r := s.worker.Report(s.now)
+			r := s.worker.Heartbeat(s.now)
 			s.state.HandleHeartbeat(&r, 0, s.now)
 		}, 3 * workerLease, workerLease + 2*sec},
 	} {
@@ -145,12 +145,12 @@
 func TestMachineReachedByDeliveriesOnlyKeepsNoLostTasks(t *testing.T) {
 	s := newRunningScene(t)
 	ended := 0
-	session := s.worker.Session
+	session := s.worker.Incarnation
 	for n := range 40 {
 		s.now += sec
 		s.state.Tick(s.now)
-		if s.worker.Check(s.now); s.worker.Session > session {
-			session = s.worker.Session
+		if s.worker.Check(s.now); s.worker.Incarnation > session {
+			session = s.worker.Incarnation
 			ended++
 		}
 		s.deliver()
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -81,10 +81,10 @@
 
 // heartbeatTo lets the worker report to a leader, and take the answer.
 func (s *scene) heartbeatTo(leader *State) wire.HeartbeatResponse {
-	r := s.worker.Report(s.now)
+	r := s.worker.Heartbeat(s.now)
 	ans, ok := leader.HandleHeartbeat(&r, 0, s.now)
 	if ok {
-		s.worker.Take(ans, s.now)
+		s.worker.HandleHeartbeatResponse(ans, s.now)
 	}
 	return ans
 }
@@ -135,7 +135,7 @@
 	if sent == nil {
 		return
 	}
-	r, _ := s.worker.Orders(*sent, s.now)
+	r, _ := s.worker.HandleCommands(*sent, s.now)
 	s.state.HandleDeliveryResponse("m-1", sent, &r, s.now)
 }
 
--- a/internal/partition/shares.go
+++ b/internal/partition/shares.go
@@ -44,7 +44,7 @@
 			u := used[t.team]
 			u.All = u.All.Plus(t.need)
 			if t.withinGuarantee {
-				u.Owed = u.Owed.Plus(t.need)
+				u.WithinGuarantee = u.WithinGuarantee.Plus(t.need)
 			}
 			used[t.team] = u
 		}
@@ -58,12 +58,12 @@
 		return false
 	}
 	s.updateUsage(now)
-	room := fairshare.Room{Machine: m.id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: free}
+	room := fairshare.FreeCapacity{Machine: m.id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: free}
 	return s.arbiter.Yields(fairShareAsk(a), &room, now)
 }
 
-func fairShareAsk(a *peer.Assignment) *fairshare.Ask {
-	return &fairshare.Ask{Team: a.Team, Rank: a.Rank, Need: a.Need, Owed: a.Covered}
+func fairShareAsk(a *peer.Assignment) *fairshare.Assignment {
+	return &fairshare.Assignment{Team: a.Team, Rank: a.Rank, Need: a.Need, WithinGuarantee: a.Covered}
 }
 
 // Standings gives the teams' shares of the machines that are led, and the capacity that they are of.
--- a/internal/partition/zones_test.go
+++ b/internal/partition/zones_test.go
@@ -40,7 +40,7 @@
 	require.True(t, s.acquireLease(1, 2), "priority normal is of the services")
 	s.heartbeat()
 	s.heartbeat()
-	s.worker.Session++
+	s.worker.Incarnation++
 	clear(s.worker.Tasks)
 	s.heartbeat()
 	require.True(t, s.acquireLease(2, 3), "one trial task in a new incarnation")
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -79,8 +79,8 @@
 	m.Outcome = o
 }
 
-// Granted handles the destination's acceptance: the lease is held.
-func (m *Move) Granted() Action {
+// LeaseAccepted handles the destination's acceptance: the lease is held.
+func (m *Move) LeaseAccepted() Action {
 	if m.state != leaseRequested {
 		return Nothing
 	}
@@ -88,9 +88,9 @@
 	return StopSource
 }
 
-// Refused handles the destination's rejection. The task has not been touched, so its cool-down is
+// LeaseRejected handles the destination's rejection. The task has not been touched, so its cool-down is
 // dropped: only the budgets delay the next attempt.
-func (m *Move) Refused() Action {
+func (m *Move) LeaseRejected() Action {
 	if m.state != moveEnded {
 		m.end(NoLease)
 		delete(m.planner.lastMoved, m.Key)
--- a/internal/rebalance/move_test.go
+++ b/internal/rebalance/move_test.go
@@ -14,8 +14,8 @@
 }
 
 var events = []moveEvent{
-	{"granted", (*Move).Granted},
-	{"refused", (*Move).Refused},
+	{"granted", (*Move).LeaseAccepted},
+	{"refused", (*Move).LeaseRejected},
 	{"destination lost", (*Move).DestinationLost},
 	{"source gone", func(m *Move) Action { return m.SourceGone(true) }},
 	{"source done", func(m *Move) Action { return m.SourceGone(false) }},
--- a/internal/rebalance/planner_test.go
+++ b/internal/rebalance/planner_test.go
@@ -84,7 +84,7 @@
 	begin(0, "m-1", "m-2")
 	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+sec))
 	refused := p.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-budgetPeriod)
-	refused.Refused()
+	refused.LeaseRejected()
 	require.Equal(t, NotDeclined, p.Evaluate(task(9, "m-8"), now), "nothing was moved")
 	begin(1, "m-1", "m-3")
 	require.Equal(t, MachineBudget, p.Evaluate(task(2, "m-1"), now))
--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -62,7 +62,7 @@
 func (s *Scheduler) handleAnswer(a *assignment, m *machineState, ans answer, now clock.Micros) {
 	mv := s.moves.byDestination[a]
 	if mv != nil && !ans.accepted {
-		s.applyMoveAction(mv, mv.Refused())
+		s.applyMoveAction(mv, mv.LeaseRejected())
 	}
 	switch {
 	case ans.yielded:
@@ -71,7 +71,7 @@
 		s.recomputeAvailable(m)
 		a.job.team.recordYielding(ans.leader, a.job.PriorityLevel, now)
 	case !ans.accepted:
-		s.counters.Refused++
+		s.counters.Rejected++
 		s.releaseAssignment(a)
 		// A newer view will show why; until it is here no task is assigned to the machine.
 		m.rejectedAt, m.rejected = now, true
@@ -86,7 +86,7 @@
 	a.unanswered, a.instance, a.viewVersion = false, ans.instance, ans.version
 	delete(a.job.team.yielding, ans.leader)
 	if mv := s.moves.byDestination[a]; mv != nil {
-		s.applyMoveAction(mv, mv.Granted())
+		s.applyMoveAction(mv, mv.LeaseAccepted())
 	}
 	if m.Accounted && m.instance == ans.instance {
 		// A poll may have shown the machine already as it was after the acceptance, with the
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -111,7 +111,7 @@
 	}{
 		{"a start is on its way", delayStart, func(sim *simulation, machine string) {
 			sim.now += 3 * sec
-			sim.workers[machine].Orders(sim.lateCommands[0].commands, sim.now)
+			sim.workers[machine].HandleCommands(sim.lateCommands[0].commands, sim.now)
 			sim.runSteps(4)
 		}},
 		{"the image is being fetched", startFetching, func(sim *simulation, _ string) { sim.runSteps(4) }},
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -149,8 +149,8 @@
 // logSummary logs the tasks and jobs as they are, and what has happened since the last summary.
 func (s *Server) logSummary(now Summary, last Counters) {
 	s.log.Info("scheduler summary",
-		"waiting", now.Waiting, "bound", now.Bound, "cancelling", now.CancellingJobs,
-		"placed", now.Placed-last.Placed, "rejected", now.Refused-last.Refused, "yielded", now.Yielded-last.Yielded,
+		"waiting", now.Waiting, "bound", now.Assigned, "cancelling", now.CancellingJobs,
+		"placed", now.Placed-last.Placed, "rejected", now.Rejected-last.Rejected, "yielded", now.Yielded-last.Yielded,
 		"preempted", now.Preempted-last.Preempted, "moves", now.Moves-last.Moves, "moved", now.Moved-last.Moved,
 		"done", now.Done-last.Done, "stopped", now.Stopped-last.Stopped, "failed", now.Failed-last.Failed, "lost", now.Lost-last.Lost,
 		"fetch_cpu_s", int((now.FetchCPUs - last.FetchCPUs).Seconds()))
@@ -196,7 +196,7 @@
 			batchWake.Notify()
 		}
 	}
-	assigned := s.scheduler.Summary().Bound
+	assigned := s.scheduler.Summary().Assigned
 	took := (s.clock.Now() - startedAt).Duration()
 	s.scheduleMetrics.Round(took)
 	return scheduleInterval(assigned, took)
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -93,7 +93,7 @@
 func (f *randomFaults) lateCommandsArrive() {
 	if len(f.lateCommands) > 0 {
 		late := f.lateCommands[f.rng.IntN(len(f.lateCommands))]
-		f.workers[late.machine].Orders(late.commands, f.now)
+		f.workers[late.machine].HandleCommands(late.commands, f.now)
 	}
 }
 
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -255,13 +255,13 @@
 // heartbeat has a worker send a heartbeat to its partition leader; the answer may be lost.
 func (s *simulation) heartbeat(id string, answered bool) {
 	worker, p := s.workers[id], s.partitionOf(id)
-	heartbeat := worker.Report(s.now)
+	heartbeat := worker.Heartbeat(s.now)
 	if s.heartbeatCopies = append(s.heartbeatCopies, heartbeat); len(s.heartbeatCopies) > 40 {
 		s.heartbeatCopies = s.heartbeatCopies[1:]
 	}
 	ans, ok := s.stateOf(id).HandleHeartbeat(&heartbeat, p, s.now)
 	if ok && answered {
-		worker.Take(ans, s.now)
+		worker.HandleHeartbeatResponse(ans, s.now)
 	}
 }
 
@@ -277,7 +277,7 @@
 		state.HandleDeliveryTimeout(id, commands, s.now)
 		return
 	}
-	answer, _ := s.workers[id].Orders(*commands, s.now)
+	answer, _ := s.workers[id].HandleCommands(*commands, s.now)
 	if answered {
 		state.HandleDeliveryResponse(id, commands, &answer, s.now)
 	} else {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -8,31 +8,31 @@
 
 // Counters is what happened since the start, for the logs.
 type Counters struct {
-	Placed, Refused, Preempted, Done, Stopped, Failed, Lost int
-	Yielded                                                 int          // rejected since other teams have a better right
-	Moves, Moved                                            int          // begun, and carried out
-	Looked                                                  int          // machines examined in search of capacity
-	FetchCPUs                                               clock.Micros // CPU time from placing tasks until they ran
+	Placed, Rejected, Preempted, Done, Stopped, Failed, Lost int
+	Yielded                                                  int          // rejected since other teams have a better right
+	Moves, Moved                                             int          // begun, and carried out
+	MachinesExamined                                         int          // machines examined in search of capacity
+	FetchCPUs                                                clock.Micros // CPU time from placing tasks until they ran
 }
 
 // Summary is the state of scheduling in numbers.
 type Summary struct {
-	Counters           // since the start
-	Waiting, Bound int // tasks
-	CancellingJobs int // whose final state is not written yet
+	Counters              // since the start
+	Waiting, Assigned int // tasks
+	CancellingJobs    int // whose final state is not written yet
 }
 
 // Summary returns the state of scheduling in numbers.
 func (s *Scheduler) Summary() Summary {
 	out := Summary{Counters: s.counters}
-	out.Looked = s.examined
+	out.MachinesExamined = s.examined
 	for _, tm := range s.teams {
 		for _, j := range tm.jobs {
 			if j.cancelling {
 				out.CancellingJobs++
 			}
 			out.Waiting += j.waiting()
-			out.Bound += len(j.assignments)
+			out.Assigned += len(j.assignments)
 		}
 	}
 	return out
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -54,10 +54,10 @@
 		switch {
 		case m.Silent || m.Overdue || !s.isCurrent(m):
 			if !misdirected[m.ID] {
-				e.Unheard++
+				e.MissedHeartbeats++
 			}
 		case !m.Accounted:
-			e.Unsettled++
+			e.Unaccounted++
 		}
 		out[m.Zone] = e
 	}
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -124,7 +124,7 @@
 	if z.Held {
 		return
 	}
-	z.Stage = recovery.Advance(z.Stage, o.now-z.since, recovery.Facts{Unsettled: e.Unsettled, Waiting: o.waiting})
+	z.Stage = recovery.Advance(z.Stage, o.now-z.since, recovery.Facts{Unsettled: e.Unaccounted, Waiting: o.waiting})
 	if z.Stage == recovery.Open {
 		z.State, z.Stage, z.Flaps = Healthy, recovery.Reconcile, 0
 	}
--- a/internal/zone/decider_test.go
+++ b/internal/zone/decider_test.go
@@ -24,7 +24,7 @@
 
 var (
 	allReachable = Evidence{Machines: 10}
-	allMissing   = Evidence{Machines: 10, Unheard: 10}
+	allMissing   = Evidence{Machines: 10, MissedHeartbeats: 10}
 )
 
 func newScenario(t *testing.T) *scenario {
@@ -60,14 +60,14 @@
 	s.run(9 * sec)
 	s.requireState("b", Lost, 0)
 	s.requireState("a", Healthy, 0)
-	s.b, s.waiting[recovery.Urgent], s.waiting[recovery.Services] = Evidence{Machines: 10, Unsettled: 4}, 5, 5
+	s.b, s.waiting[recovery.Urgent], s.waiting[recovery.Services] = Evidence{Machines: 10, Unaccounted: 4}, 5, 5
 	s.run(2 * sec)
 	s.requireState("b", Lost, 0)
 	s.run(3 * sec / 2)
 	s.requireState("b", Returning, recovery.Reconcile)
 	s.run(5 * sec)
 	s.requireState("b", Returning, recovery.Reconcile)
-	s.b.Unsettled = 0
+	s.b.Unaccounted = 0
 	s.run(sec / 2)
 	s.requireState("b", Returning, recovery.Urgent)
 	s.run(10 * sec)
@@ -83,9 +83,9 @@
 
 func TestZoneWithoutZoneLossStaysHealthy(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
-		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, Unheard: 5}},
+		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, MissedHeartbeats: 5}},
 		"no zone is reachable: the controller is cut off": {allMissing, allMissing},
-		"two machines fail":                               {allReachable, Evidence{Machines: 2, Unheard: 2}},
+		"two machines fail":                               {allReachable, Evidence{Machines: 2, MissedHeartbeats: 2}},
 		"the other zone has no machines":                  {Evidence{}, allMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -55,21 +55,23 @@
 
 // Evidence is what is known of a zone's machines.
 type Evidence struct {
-	Machines  int // that are known
-	Unheard   int // missing: whose heartbeats are overdue, or whose partition leader can't be reached
-	Unsettled int // reachable, and not accounted for by their partition leader yet
+	Machines         int // that are known
+	MissedHeartbeats int // missing: whose heartbeats are overdue, or whose partition leader can't be reached
+	Unaccounted      int // reachable, and not accounted for by their partition leader yet
 }
 
 // String is the evidence for records and logs.
 func (e Evidence) String() string {
-	return fmt.Sprintf("%d of %d machines not heard", e.Unheard, e.Machines)
+	return fmt.Sprintf("%d of %d machines not heard", e.MissedHeartbeats, e.Machines)
 }
 
 // mostMissing reports whether so many machines are missing, two thirds, that it is the zone and not they.
-func (e Evidence) mostMissing() bool { return e.Machines >= minMachines && 3*e.Unheard >= 2*e.Machines }
+func (e Evidence) mostMissing() bool {
+	return e.Machines >= minMachines && 3*e.MissedHeartbeats >= 2*e.Machines
+}
 
 // halfReachable reports whether at least half of the machines are reachable.
-func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.Unheard <= e.Machines }
+func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.MissedHeartbeats <= e.Machines }
 
 // Settings of a decider.
 type Settings struct {
