--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -12,6 +12,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 	"github.com/merlinlatch/merlinlatch/wire"
@@ -60,6 +61,8 @@
 	wallClock   func() time.Time
 	log         *slog.Logger
 
+	failures int // writes that failed in a row; used by the loop of step alone
+
 	mu           sync.Mutex
 	decider      *zone.Decider     // nil while not leading
 	modRevisions map[string]uint64 // of the zones' records, as last known
@@ -133,8 +136,12 @@
 func (z *zoneStates) step(ctx context.Context, leadership leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
 	z.decide(demands, now)
 	if err := z.save(ctx, leadership); err != nil {
-		z.log.Warn("zone state write failed", "error", err)
+		if z.failures++; loop.LogsFailure(z.failures) && ctx.Err() == nil {
+			z.log.Warn("zone state write failed", "error", err)
+		}
+		return
 	}
+	z.failures = 0
 }
 
 func (z *zoneStates) decide(demands []peer.Demand, now clock.Micros) {
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -7,6 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/inventory"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -101,9 +102,12 @@
 		for len(writes) > 0 {
 			n := s.fitTransaction(writes)
 			if err := s.commitRecords(ctx, partition, l, writes[:n]); err != nil {
-				s.log.Warn("machine record write failed", "partition", partition, "error", err)
+				if s.recordFailures++; loop.LogsFailure(s.recordFailures) && ctx.Err() == nil {
+					s.log.Warn("machine record write failed", "partition", partition, "error", err)
+				}
 				break
 			}
+			s.recordFailures = 0
 			writes = writes[n:]
 		}
 	}
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -52,6 +52,8 @@
 	background  sync.WaitGroup      // deliveries and writes of machine records; added to by Run's goroutine only
 	recording   sync.Mutex          // held by the goroutine that writes machine records
 
+	recordFailures int // writes of machine records that failed in a row; guarded by recording
+
 	// mu guards the fields below. It is not held while anything waits for the network or the store.
 	mu          sync.Mutex
 	state       *State
--- a/internal/partition/shares.go
+++ b/internal/partition/shares.go
@@ -7,9 +7,6 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// SetArbiter has contended resources divided among teams by fair shares.
-func (s *State) SetArbiter(a *fairshare.Arbiter) { s.arbiter = a }
-
 // updateDemands takes the teams' demands from their schedulers. Those of former team leaders are ignored.
 func (s *State) updateDemands(list []fairshare.Demand, now clock.Micros) {
 	if s.arbiter == nil {
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -96,7 +96,7 @@
 	tm.finalWritesInFlight++
 	w.lifetime.start(func() {
 		defer w.writeWake.Notify()
-		if err := w.write(ctx, f); err != nil {
+		if err := w.write(ctx, f); err != nil && ctx.Err() == nil {
 			w.log.Warn("final state write failed", "team", tm.Name, "error", err)
 		}
 		w.mu.Lock()
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -7,6 +7,7 @@
 
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
+	"github.com/merlinlatch/merlinlatch/internal/loop"
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 	"github.com/merlinlatch/merlinlatch/wire"
 )
@@ -22,7 +23,8 @@
 	store    Store
 	interval clock.Micros
 
-	startedAt clock.Micros // of the last write; used by writeLoop alone
+	startedAt clock.Micros // of the last write; used by writeLoop alone, as is failures
+	failures  int          // writes that failed in a row
 }
 
 // progressWrite is a record of a job's progress that is to be written.
@@ -96,9 +98,12 @@
 		rev, err := w.store.Commit(ctx, w.txn(leading, writes[:n]))
 		w.handleResult(writes[:n], rev, err)
 		if err != nil {
-			w.log.Warn("progress write failed", "error", err)
+			if w.failures++; loop.LogsFailure(w.failures) && ctx.Err() == nil {
+				w.log.Warn("progress write failed", "error", err)
+			}
 			return false
 		}
+		w.failures = 0
 		writes = writes[n:]
 	}
 	return true
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -18,6 +18,8 @@
 	*core
 	store          Store
 	maxRecordBytes int
+
+	failures int // writes that failed in a row; used by run alone
 }
 
 // run writes watermarks at intervals until ctx ends.
@@ -48,9 +50,12 @@
 		Operations: []wire.Operation{{Put: write.Key, Value: write.Watermarks}},
 	})
 	if err != nil {
-		w.log.Warn("watermark write failed", "team", write.Team, "error", err)
+		if w.failures++; loop.LogsFailure(w.failures) && ctx.Err() == nil {
+			w.log.Warn("watermark write failed", "team", write.Team, "error", err)
+		}
 		return
 	}
+	w.failures = 0
 	w.mu.Lock()
 	w.scheduler.HandleWatermarkRecord(write.Key, write.Watermarks, rev)
 	w.mu.Unlock()
