--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -26,63 +26,84 @@
 // Parameters is what the policy script sets. numberSpecs and flagSpecs hold the names in the script and
 // the bounds; default.star holds the defaults.
 type Parameters struct {
-	// Leadership: leases of controllers in the key-value store, and hand-over between controllers.
+	LeadershipParameters
+	SchedulingParameters
+	ScalingParameters
+	ShareParameters
+	CostParameters
+	MoveParameters
+	ZoneParameters
+
+	// History has events kept for the history command.
+	History bool
+	// Renamed are the parameters that the script set by a former name.
+	Renamed []RenamedParameter
+}
+
+// LeadershipParameters are the times of controllers' leases in the key-value store, and of hand-over between controllers.
+type LeadershipParameters struct {
 	LeaderLeaseTTL      clock.Micros
 	LeaderRenewInterval clock.Micros
 	ResignAfter         clock.Micros
 	TakeoverGrace       clock.Micros
 	TransferDelay       clock.Micros
+}
 
-	// Scheduling.
+// SchedulingParameters are sizes and times of schedulers and partition leaders.
+type SchedulingParameters struct {
 	Sample           int // machines drawn for each placement
 	Batch            int // tasks placed in one batch when little waits
 	RoomLeaseTTL     clock.Micros
 	ProgressEvery    clock.Micros
 	PreemptAfter     clock.Micros
 	QuarantineErrors int
+}
 
-	// Autoscaling.
-	Economy          bool
+// ScalingParameters are those of scaling out and in.
+type ScalingParameters struct {
+	Economy          bool // no more is scaled out than what waits has time for
 	IdleScaleInDelay clock.Micros
 	ScaleOutBackoff  clock.Micros
 	Catchup          clock.Micros
 	CatchupOrdinary  clock.Micros
 	SpareShare       float64
 	BootPatience     float64 // multiples of a machine's boot time
+}
 
-	// FairShares has partition leaders divide contended resources among teams.
-	FairShares    bool
+// ShareParameters are those of fair shares.
+type ShareParameters struct {
+	FairShares    bool // partition leaders divide contended resources among teams
 	ShareFresh    clock.Micros
 	ShareWithhold clock.Micros
 	TeamWeights   map[string]float64
+}
 
-	// PlacementCosts has machines weighed for a task by estimated seconds.
-	PlacementCosts bool
+// CostParameters are those of placement by costs.
+type CostParameters struct {
+	PlacementCosts bool // machines are weighed for a task by estimated seconds
 	DataWeight     float64
 	EvenWeight     float64
 	PriceWeight    float64
 	ImageWait      clock.Micros
+}
 
-	// Moves has running tasks moved off machines that are to be drained.
-	Moves        bool
+// MoveParameters are those of moves.
+type MoveParameters struct {
+	Moves        bool // running tasks are moved off machines that are to be drained
 	MoveMargin   float64
 	MoveCoolDown clock.Micros
 	TeamMoves    int // in a minute
-	MachineMoves int // in a minute
+	MachineMoves int // in a minute, from it and to it
 	vetoHook     *starlark.Function
+}
 
-	// ZoneReturn has work return to zones in stages.
-	ZoneReturn       bool
+// ZoneParameters are those of zones that are lost and return.
+type ZoneParameters struct {
+	ZoneReturn       bool // work returns to zones in stages
 	ZoneSuspectAfter clock.Micros
 	ZoneLostAfter    clock.Micros
 	ZoneReturnAfter  clock.Micros
 	stageHook        *starlark.Function
-
-	// History has events kept for the history command.
-	History bool
-
-	// Renamed are the parameters that the script set by a former name.
-	Renamed []RenamedParameter
 }
 
 // RenamedParameter is a parameter's former name and its present one.
@@ -128,7 +149,7 @@
 
 // Parse runs the embedded default and then the given script.
 func Parse(text string, s *config.Settings) (*Parameters, error) {
-	p := &Parameters{Economy: Economy(s)}
+	p := &Parameters{ScalingParameters: ScalingParameters{Economy: Economy(s)}}
 	predeclared := starlark.StringDict{"economy": starlark.Bool(p.Economy), "controllers": starlark.MakeInt(s.Params.Count)}
 	values, err := runScript("default.star", defaultScript, predeclared)
 	if err != nil {
