--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -29,7 +29,7 @@
 	return httpx.JSON(200, jobPhase{ID: id, Phase: cancelled.State.Phase})
 }
 
-// cancellationTarget gives the team of an active job, or the final state of one that is final in the
+// cancellationTarget returns the team of an active job, or the final state of one that is final in the
 // key-value store. The error is a rejection.
 func (h *Handler) cancellationTarget(ctx context.Context, id string) (final *jobs.Final, team string, err error) {
 	if j, ok := h.jobs.Active(id); ok {
--- a/internal/api/rejections.go
+++ b/internal/api/rejections.go
@@ -20,7 +20,7 @@
 	text   string
 }
 
-// Error gives the text that the user gets.
+// Error returns the text that the user gets.
 func (r *rejection) Error() string { return r.text }
 
 // Requests that can't succeed, whenever they are repeated.
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkAcceptable gives the rejection of a job that can't be accepted, or not now.
+// checkAcceptable returns the rejection of a job that can't be accepted, or not now.
 func (h *Handler) checkAcceptable(record jobs.Record) error {
 	if !h.KnowsMachineTypes() {
 		return errMachineTypesUnknown
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -22,7 +22,7 @@
 // that a state lasts, which is counted in seconds.
 const zoneStepInterval = 500 * time.Millisecond
 
-// ZoneSource gives what the fleet's leader decides the states of zones by.
+// ZoneSource provides what the fleet's leader decides the states of zones by.
 type ZoneSource interface {
 	// ZoneEvidence gives what is known of each zone's machines.
 	ZoneEvidence() map[string]zone.Evidence
@@ -69,7 +69,7 @@
 	unsaved      map[string]bool   // zones whose state is not on record as it was decided
 }
 
-// newZoneStates gives nil where the states of zones are not decided.
+// newZoneStates returns nil where the states of zones are not decided.
 func newZoneStates(o Options) *zoneStates {
 	if o.Zones.Source == nil {
 		return nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -44,7 +44,7 @@
 // to within a millionth of the span.
 func (m Micros) PlusDrift() Micros { return m + m/maxDriftPart }
 
-// Clock gives the steady time.
+// Clock returns the steady time.
 type Clock interface{ Now() Micros }
 
 // Steady is the process's steady clock. It may be used concurrently.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -268,5 +268,5 @@
 	return nil
 }
 
-// exceeds tells whether a guarantee is above a quota; a quota of 0 means none.
+// exceeds reports whether a guarantee is above a quota; a quota of 0 means none.
 func exceeds(guarantee, quota float64) bool { return quota > 0 && quota < guarantee }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -37,7 +37,7 @@
 	Call func(method string, in, out any, timeout time.Duration) error
 }
 
-// Controllers gives all controllers that the settings name, this one's first. Nothing is dialled yet.
+// Controllers returns all controllers that the settings name, this one's first. Nothing is dialled yet.
 func Controllers(set *config.Settings) []Controller {
 	out := []Controller{{set.Host, peer.NewClient(set.PeerListen, nil).Call}}
 	for _, p := range set.Peers {
@@ -84,7 +84,7 @@
 	}
 }
 
-// orDash gives "-" for an empty cell of a table.
+// orDash returns "-" for an empty cell of a table.
 func orDash(cell string) string {
 	if cell == "" {
 		return "-"
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// SchedulerOf gives the host that leads a team under the latest term, empty where none of the controllers
+// SchedulerOf returns the host that leads a team under the latest term, empty where none of the controllers
 // that answered does.
 func SchedulerOf(controllers []Controller, team string) (host string) {
 	responses, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// pauseGate gives what to wait for while a controller is paused; nil when it is not.
+// pauseGate returns what to wait for while a controller is paused; nil when it is not.
 func (c *cluster) pauseGate(host string) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_faulty_store_test.go
+++ b/internal/controller/cluster_faulty_store_test.go
@@ -119,7 +119,7 @@
 	return err
 }
 
-// Watch gives the changes late where the controller's replica is to be late.
+// Watch delivers the changes late where the controller's replica is to be late.
 func (s faultyStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	changes, err := s.KVClient.Watch(ctx, prefix, rev, block)
 	s.cluster.mu.Lock()
--- a/internal/controller/cluster_peers_test.go
+++ b/internal/controller/cluster_peers_test.go
@@ -72,7 +72,7 @@
 	return fmt.Errorf("no such method: %s", method)
 }
 
-// processReachedBy gives the process that a peer reaches at a host, nil for none.
+// processReachedBy returns the process that a peer reaches at a host, nil for none.
 func (c *cluster) processReachedBy(from, to string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -187,7 +187,7 @@
 	c.reportsTo[w.ID] = hosts[i%3]
 }
 
-// settingsOf gives the settings of a controller.
+// settingsOf returns the settings of a controller.
 func (c *cluster) settingsOf(host string) *config.Settings {
 	o := &c.options
 	settings := &config.Settings{Host: host, Zone: o.hostZones[host]}
@@ -245,7 +245,7 @@
 	go p.runDuties(ctx) //nolint:errcheck // ends with the context; the bubble waits for it
 }
 
-// process gives a controller's process; nil while it is down.
+// process returns a controller's process; nil while it is down.
 func (c *cluster) process(host string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -48,7 +48,7 @@
 	hotTeamNear        bool             // the hot team's leader leads all partitions, the others are 40 ms away
 }
 
-// options gives the cluster's settings for a run.
+// options returns the cluster's settings for a run.
 func (r *burstRun) options() clusterOptions {
 	o := clusterOptions{hostScripts: map[string]string{}}
 	if r.fairShares {
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// placementCosts gives what placement weighs; nil where that is off.
+// placementCosts returns what placement weighs; nil where that is off.
 func placementCosts(parameters *policy.Parameters) *scheduler.Costs {
 	if !parameters.PlacementCosts {
 		return nil
@@ -157,7 +157,7 @@
 	return &scheduler.Costs{ImageWait: parameters.ImageWait, Weights: weights}
 }
 
-// moveSettings gives the limits of moves; nil where they are off.
+// moveSettings returns the limits of moves; nil where they are off.
 func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.Moves {
 	if !parameters.Moves {
 		return nil
@@ -241,7 +241,7 @@
 // anyClass is the class of objectives that are for no class in particular.
 const anyClass = ""
 
-// shortestByClass gives the shortest time that objectives of a kind set for each class.
+// shortestByClass returns the shortest time that objectives of a kind set for each class.
 func shortestByClass(objectives []config.Objective, kind string) map[string]clock.Micros {
 	out := map[string]clock.Micros{}
 	for _, o := range objectives {
@@ -253,7 +253,7 @@
 	return out
 }
 
-// deadlineMultiples gives the largest multiple of its deadlines that objectives set for each class.
+// deadlineMultiples returns the largest multiple of its deadlines that objectives set for each class.
 func deadlineMultiples(objectives []config.Objective) map[string]float64 {
 	out := map[string]float64{}
 	for _, o := range objectives {
--- a/internal/controller/partition_clients.go
+++ b/internal/controller/partition_clients.go
@@ -16,7 +16,7 @@
 	pollMargin = 1500 * time.Millisecond
 )
 
-// partitionClients gives the scheduler a client for the partition server of each controller, this one included.
+// partitionClients returns a client for the partition server of each controller, this one included.
 func (c *Controller) partitionClients() map[string]scheduler.PartitionClient {
 	out := map[string]scheduler.PartitionClient{c.settings.Host: localPartition{c.partitions}}
 	for host, client := range c.peers {
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -94,7 +94,7 @@
 	return out
 }
 
-// firstStarts gives when the first task of each job was seen running in zone b after a moment.
+// firstStarts returns when the first task of each job was seen running in zone b after a moment.
 func (c *cluster) firstStarts(afterMS int64) map[string]int64 {
 	out := map[string]int64{}
 	for _, e := range c.historyEvents() {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -50,12 +50,12 @@
 	return maps.Clone(s.records)
 }
 
-// ZoneRecords gives the states on record, by zone.
+// ZoneRecords returns the states on record, by zone.
 func (c *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
 	return c.zones.snapshot()
 }
 
-// ZoneEvidence gives what is known of each zone's machines.
+// ZoneEvidence returns what is known of each zone's machines.
 func (c *Controller) ZoneEvidence() map[string]zone.Evidence {
 	return c.scheduler.ZoneEvidence(c.partitions.MisdirectedMachines())
 }
@@ -75,7 +75,7 @@
 	c.history.Add(history.Event{Kind: history.ZoneChanged, Zone: name, Note: note})
 }
 
-// zoneStatuses gives the status of each zone of the settings, as the console shows it.
+// zoneStatuses returns the status of each zone of the settings, as the console shows it.
 func (c *Controller) zoneStatuses() []peer.ZoneStatus {
 	evidence, records, admitted := c.ZoneEvidence(), c.ZoneRecords(), c.partitions.AdmittedStages()
 	waiting := peer.WaitingByStage(c.scheduler.Demands())
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -64,7 +64,7 @@
 // to the last count.
 const usageInterval = clock.Second / 2
 
-// UsageDue tells whether usage should be counted: some demand is known, and the last count is old.
+// UsageDue reports whether usage should be counted: some demand is known, and the last count is old.
 func (a *Arbiter) UsageDue(now clock.Micros) bool {
 	return len(a.demands) > 0 && (a.countedAt == 0 || now >= a.countedAt+usageInterval)
 }
@@ -78,7 +78,7 @@
 	a.shares = Divide(capacity, a.claimants())
 }
 
-// claimants gives the division's input: use and demand of each team, also demand that is too old.
+// claimants returns the division's input: use and demand of each team, also demand that is too old.
 func (a *Arbiter) claimants() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
@@ -108,7 +108,7 @@
 	return 1
 }
 
-// Yields tells that an assignment must yield: its team exceeds its share, and a team below its own has
+// Yields reports whether an assignment must yield: its team exceeds its share, and a team below its own has
 // waiting work of the same priority or a higher one that could start on the machine, and could not once
 // the assignment had its part. Work within a guarantee never yields. Resources are withheld for as many
 // tasks as wait, one on a machine, and for a bounded time: what nobody takes is open to every team.
@@ -124,7 +124,7 @@
 	return true
 }
 
-// exceedsShare tells that a team takes more than its share once it is granted the task:
+// exceedsShare reports whether a team takes more than its share once it is granted the task:
 // dominant(used + need) > share.
 func (a *Arbiter) exceedsShare(ask *Assignment) bool {
 	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+roundingTolerance
@@ -154,7 +154,7 @@
 	return "", false
 }
 
-// belowShare tells that a team takes less than its share: dominant(used) < share.
+// belowShare reports whether a team takes less than its share: dominant(used) < share.
 func (a *Arbiter) belowShare(team string) bool {
 	return Dominant(a.used[team].All, a.capacity) < a.shares[team]-roundingTolerance
 }
--- a/internal/fairshare/demand.go
+++ b/internal/fairshare/demand.go
@@ -35,7 +35,7 @@
 	Free    resources.Amounts
 }
 
-// fitsRoom tells whether a task of the shape could start on the machine now.
+// fitsRoom reports whether a task of the shape could start on the machine now.
 func (s *Shape) fitsRoom(r *FreeCapacity) bool {
 	return s.Tasks > 0 && s.Need.Fits(r.Free) && (!r.Spot || s.Spot) && (s.Zone == "" || s.Zone == r.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, r.Type))
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -24,7 +24,7 @@
 // resourceCount is how many kinds of resources there are: CPU, GPU, memory.
 const resourceCount = 3
 
-// fractions gives amounts as fractions of a capacity. A resource that the capacity has none of counts
+// fractions returns amounts as fractions of a capacity. A resource that the capacity has none of counts
 // as 0: work that needs it can't be placed here.
 func fractions(a, capacity resources.Amounts) (out [resourceCount]float64) {
 	for i, pair := range [resourceCount][2]int64{{a.CPU, capacity.CPU}, {a.GPU, capacity.GPU}, {a.Mem, capacity.Mem}} {
@@ -70,7 +70,7 @@
 	return min(t.maxDominantShare, max(t.guaranteedShare, level*t.weight))
 }
 
-// demandsExhausted tells whether the team demands one of the exhausted resources.
+// demandsExhausted reports whether the team demands one of the exhausted resources.
 func (t *teamShare) demandsExhausted(exhausted [resourceCount]bool) bool {
 	for r := range resourceCount {
 		if exhausted[r] && t.demand[r] > 0 {
@@ -83,7 +83,7 @@
 // roundingTolerance is how far the sum of a resource may exceed its capacity, as a fraction, by rounding.
 const roundingTolerance = 1e-9
 
-// Divide gives each team's share of a capacity as a fraction of its dominant resource: weighted max-min
+// Divide returns each team's share of a capacity as a fraction of its dominant resource: weighted max-min
 // fairness (progressive filling, as in Bertsekas and Gallager, Data Networks) of dominant shares. A team
 // gets no more than it demands and no less than its guarantee covers of that.
 //
@@ -162,7 +162,7 @@
 	return sum
 }
 
-// withinCapacity tells whether no resource is taken beyond its capacity.
+// withinCapacity reports whether no resource is taken beyond its capacity.
 func withinCapacity(sum [resourceCount]float64) bool {
 	return max(sum[0], sum[1], sum[2]) <= 1+roundingTolerance
 }
--- a/internal/fairshare/withholding.go
+++ b/internal/fairshare/withholding.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// isOpen tells whether a machine was withheld in vain and is open to every team for now.
+// isOpen reports whether a machine was withheld in vain and is open to every team for now.
 func (w *withholdings) isOpen(machine string, now clock.Micros) bool { return now < w.open[machine] }
 
 // withhold withholds a machine in favour of a team, unless it is withheld already; false once that has
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Running tells whether an attempt of a task runs here.
+// Running reports whether an attempt of a task runs here.
 func (w *Worker) Running(task string) bool {
 	for _, t := range w.Tasks {
 		if t.Task == task && t.Phase != wire.TaskExited {
--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// History gives one event a page.
+// History returns one event a page.
 func (c *cannedController) History(in peer.HistoryRequest, out *history.Page) error {
 	at := in.From
 	if at == 0 {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// commandsAddr gives an address on loopback at which nobody listens.
+// commandsAddr returns an address on loopback at which nobody listens.
 func commandsAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -17,7 +17,7 @@
 // update writes golden files that are not there. A file that is there is never overwritten.
 var update = flag.Bool("update", false, "write missing golden files")
 
-// sample gives a value of a type with every field set, nested ones too. The values differ from
+// sample returns a value of a type with every field set, nested ones too. The values differ from
 // each other and follow from the order of the fields, not from their names; a map has one entry.
 func sample[T any]() T {
 	var v T
@@ -62,7 +62,7 @@
 	}
 }
 
-// golden gives the content of a golden file. With -update a missing one is written first.
+// golden returns the content of a golden file. With -update a missing one is written first.
 func golden(t *testing.T, path string, now func() []byte) []byte {
 	t.Helper()
 	path = filepath.Join("testdata", path)
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// settingsWith gives the full settings with the field at a path of JSON names set, or left out
+// settingsWith returns the full settings with the field at a path of JSON names set, or left out
 // where value is nil.
 func settingsWith(t *testing.T, path string, value any) []byte {
 	t.Helper()
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -105,7 +105,7 @@
 	return byTask
 }
 
-// overlaps tells that two attempts on different machines ran at the same time for longer than the clocks may
+// overlaps reports whether two attempts on different machines ran at the same time for longer than the clocks may
 // differ. An attempt without a start or an end is left out: its machine's loss may not have been seen.
 func (r *attemptRun) overlaps(other *attemptRun, skewMS int64) bool {
 	if r.machine == other.machine || r.startedMS == 0 || other.startedMS == 0 || r.endedMS == 0 || other.endedMS == 0 {
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -81,7 +81,7 @@
 	More   bool
 }
 
-// Page gives at most so many events from a number on.
+// Page returns at most so many events from a number on.
 func (r *Ring) Page(from uint64, limit int) Page {
 	if r == nil {
 		return Page{}
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -84,7 +84,7 @@
 	c.idle = nil
 }
 
-// acquire gives an idle connection, or a new one.
+// acquire returns an idle connection, or a new one.
 func (c *Client) acquire(ctx context.Context) (*clientConnection, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -42,7 +42,7 @@
 	return n
 }
 
-// PlanWrites gives the writes that record some machines of a partition and drop the
+// PlanWrites returns the writes that record some machines of a partition and drop the
 // records of others, in the order of their keys; a value takes at most maxBytes. Machines that are recorded
 // already keep their keys, also where fresh has a new record of them.
 func (r *Records) PlanWrites(partition int, fresh Group, drop []string, maxBytes int) []Write {
@@ -69,7 +69,7 @@
 	groups  map[string]Group // by key, as they are to be
 }
 
-// edit gives the group of a key as it is to be, for changes.
+// edit returns the group of a key as it is to be, for changes.
 func (p *plan) edit(key string) Group {
 	if p.groups[key] == nil {
 		p.groups[key] = Group{}
@@ -78,7 +78,7 @@
 	return p.groups[key]
 }
 
-// writes gives the groups that differ from what is stored.
+// writes returns the groups that differ from what is stored.
 func (p *plan) writes() (out []Write) {
 	for _, key := range slices.Sorted(maps.Keys(p.groups)) {
 		stored := p.records.groups[key]
--- a/internal/inventory/plan_test.go
+++ b/internal/inventory/plan_test.go
@@ -41,7 +41,7 @@
 	return err
 }
 
-// stored gives all machines that a controller reads from the key-value store.
+// stored returns all machines that a controller reads from the key-value store.
 func (w *recordWriter) stored() Group {
 	w.t.Helper()
 	read := NewRecords()
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -146,7 +146,7 @@
 	return added, removed
 }
 
-// Find gives a machine's record.
+// Find returns a machine's record.
 func (r *Records) Find(id string) (Record, bool) {
 	key, ok := r.keyOf[id]
 	if !ok {
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -122,7 +122,7 @@
 	c.revision = max(c.revision, revision)
 }
 
-// Active gives an active job.
+// Active returns an active job.
 func (c *Cache) Active(id string) (*Job, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -143,7 +143,7 @@
 	return out
 }
 
-// Final gives the final state of a job, if it is known here.
+// Final returns the final state of a job, if it is known here.
 func (c *Cache) Final(id string) (Final, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -156,7 +156,7 @@
 // clusterCount counts the clusters of this process.
 var clusterCount atomic.Uint32
 
-// controllerIP gives the i-th controller of the n-th cluster an address of its own in the loopback
+// controllerIP assigns the i-th controller of the n-th cluster an address of its own in the loopback
 // range, so that clusters that run side by side don't take each other's ports.
 func controllerIP(n uint32, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, n%250, i+1)
--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -58,7 +58,7 @@
 	delete(s.deliveryCandidates, m.id)
 }
 
-// findOrAdd gives a machine that another duty names, adding it where its partition is led here; nil where it is not.
+// findOrAdd returns a machine that another duty names, adding it where its partition is led here; nil where it is not.
 func (s *State) findOrAdd(ref peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (m *machine, added bool) {
 	if m := s.machines[ref.ID]; m != nil {
 		return m, false
--- a/internal/partition/connections.go
+++ b/internal/partition/connections.go
@@ -40,7 +40,7 @@
 	return ok
 }
 
-// acquire gives a machine's connection to a delivery.
+// acquire lends a machine's connection to a delivery.
 func (c *workerConnections) acquire(id, addr string) *httpx.Client {
 	w := c.byMachine[id]
 	if w != nil && w.client.Addr() != addr {
--- a/internal/partition/delivery_state.go
+++ b/internal/partition/delivery_state.go
@@ -81,7 +81,7 @@
 	return out
 }
 
-// NextDelivery gives what to deliver to a worker's own address now, nil for nothing. A machine that is not accounted
+// NextDelivery returns what to deliver to a worker's own address now, nil for nothing. A machine that is not accounted
 // gets an empty delivery, which shows it this term's token. Until it is answered, its runs count as possibly still on
 // their way.
 func (s *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -134,14 +134,14 @@
 	s.state.SetZoneState(name, r, s.clock.Now())
 }
 
-// AdmittedStages gives the stages that this partition leader admits in zones to which work returns.
+// AdmittedStages returns the stages that this partition leader admits in zones to which work returns.
 func (s *Server) AdmittedStages() map[string]recovery.Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.AdmittedStages(s.clock.Now())
 }
 
-// Standings gives the teams' shares of the machines that are led, the capacity that they are of, and
+// Standings returns the teams' shares of the machines that are led, the capacity that they are of, and
 // how many assignments had to leave resources to other teams.
 func (s *Server) Standings() (capacity resources.Amounts, list []fairshare.Standing, yielded uint64) {
 	s.mu.Lock()
--- a/internal/partition/images.go
+++ b/internal/partition/images.go
@@ -15,7 +15,7 @@
 	imageGB map[string]float64 // by image, as last assigned
 }
 
-// afterUse gives a cache's images once one of them, or another one, has been used: the latest used, as many as the
+// afterUse returns a cache's images once one of them, or another one, has been used: the latest used, as many as the
 // cache holds. changed is false when they are the same.
 func (c *imageCatalog) afterUse(names []string, machineType, image string, gb float64) (used []string, changed bool) {
 	c.imageGB[image] = gb
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// recordedIn gives the recorded machines of a partition. mu is held.
+// recordedIn returns the recorded machines of a partition. mu is held.
 func (s *Server) recordedIn(partition int) inventory.Group {
 	found := inventory.Group{}
 	s.records.Each(func(id string, r inventory.Record) {
--- a/internal/partition/partitioning.go
+++ b/internal/partition/partitioning.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-// PartitionOf gives the partition of a machine.
+// PartitionOf returns the partition of a machine.
 func (p Partitioning) PartitionOf(machine, zone string) int {
 	list := p.byZone[zone]
 	if len(list) == 0 {
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -63,7 +63,7 @@
 	p.next = make(chan struct{})
 }
 
-// HandlePoll gives the machines that changed after a cursor, waiting for a change.
+// HandlePoll returns the machines that changed after a cursor, waiting for a change.
 func (s *Server) HandlePoll(in peer.PollRequest) peer.PollResponse {
 	s.awaitPublication(in)
 	began := time.Now()
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -104,7 +104,7 @@
 	return 2*n > len(addrs)
 }
 
-// probeAddresses gives the addresses of some recorded workers.
+// probeAddresses returns the addresses of some recorded workers.
 func (s *Server) probeAddresses() (addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/partition/shares.go
+++ b/internal/partition/shares.go
@@ -63,7 +63,7 @@
 	return &fairshare.Assignment{Team: a.Team, Rank: a.Rank, Need: a.Need, WithinGuarantee: a.Covered}
 }
 
-// Standings gives the teams' shares of the machines that are led, and the capacity that they are of.
+// Standings returns the teams' shares of the machines that are led, and the capacity that they are of.
 func (s *State) Standings(now clock.Micros) (capacity resources.Amounts, list []fairshare.Standing) {
 	if s.arbiter == nil {
 		return resources.Amounts{}, nil
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -96,16 +96,16 @@
 	}
 }
 
-// PartitionTerm gives the term of a partition that is led.
+// PartitionTerm returns the term of a partition that is led.
 func (s *State) PartitionTerm(partition int) (term uint64, ok bool) {
 	term, ok = s.terms[partition]
 	return term, ok
 }
 
-// PartitionTerms gives the partitions that are led, with their terms.
+// PartitionTerms returns the partitions that are led, with their terms.
 func (s *State) PartitionTerms() map[int]uint64 { return maps.Clone(s.terms) }
 
-// PartitionOf gives the partition of a machine that is known here.
+// PartitionOf returns the partition of a machine that is known here.
 func (s *State) PartitionOf(id string) (int, bool) {
 	m := s.machines[id]
 	if m == nil {
--- a/internal/partition/views.go
+++ b/internal/partition/views.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// HandlePoll gives the machines that changed after a scheduler's cursor, in order of their ids.
+// HandlePoll returns the machines that changed after a scheduler's cursor, in order of their ids.
 func (s *State) HandlePoll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
 	s.teamTerms.fence(in.Terms)
 	s.updateDemands(in.Demands, now)
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// AdmittedStages gives the stages of the zones to which work returns, as this partition leader admits it.
+// AdmittedStages returns the stages of the zones to which work returns, as this partition leader admits it.
 func (s *State) AdmittedStages(now clock.Micros) map[string]recovery.Stage {
 	out := make(map[string]recovery.Stage, len(s.zoneGates))
 	for name, g := range s.zoneGates {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -39,7 +39,7 @@
 	return &Client{addr: addr, traffic: traffic}
 }
 
-// connection gives the present connection, or dials one. Its errors wrap ErrUnavailable.
+// connection returns the present connection, or dials one. Its errors wrap ErrUnavailable.
 func (c *Client) connection() (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -31,7 +31,7 @@
 // remainingFetchShare is the part of a fetch in progress that is left on average.
 const remainingFetchShare = 0.5
 
-// Known tells whether enough is known of the image to estimate costs at all.
+// Known reports whether enough is known of the image to estimate costs at all.
 func (t *Task) Known() bool { return t.Fetch > 0 }
 
 // Cost is the cost of a machine in seconds: the time to fetch the image, the time by which a slow machine delays
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -63,7 +63,7 @@
 	return "{" + out.String() + "}"
 }
 
-// address gives the address of a hook's function, "<nil>" where there is none.
+// address returns the address of a hook's function, "<nil>" where there is none.
 func address[T any](hook *T) string {
 	if hook == nil {
 		return "<nil>"
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -117,7 +117,7 @@
 // that a machine is gone and start again.
 const minLongFinishLeases = 8
 
-// Economy tells whether scaling out may be economical: work need not finish earlier than its deadline.
+// Economy reports whether scaling out may be economical: work need not finish earlier than its deadline.
 // It may not where an objective asks for work without deadlines to be finished within a short fixed
 // time. A long fixed time, such as guests have, does not prevent economy for everybody, and for classes
 // with deadlines it is one more of them.
@@ -226,8 +226,8 @@
 	return out, nil
 }
 
-// acceptFormerNames gives the parameters that a script sets by a former name their present one, unless
-// the script sets that too, and records them in Renamed.
+// acceptFormerNames renames the parameters that a script sets by a former name, unless
+// it sets the present one too, and records them in Renamed.
 func (p *Parameters) acceptFormerNames(own starlark.StringDict) {
 	for _, r := range formerNames {
 		v, ok := own[r.Old]
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -71,7 +71,7 @@
 	deadline clock.Micros
 }
 
-// Ended tells that nothing is to be done any more.
+// Ended reports whether nothing is to be done any more.
 func (m *Move) Ended() bool { return m.state == moveEnded }
 
 func (m *Move) end(o Outcome) {
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Evaluate tells whether a task may be moved at all, before a destination is chosen.
+// Evaluate reports whether a task may be moved at all, before a destination is chosen.
 func (p *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
 	movedAt, moved := p.lastMoved[c.Key]
 	switch {
@@ -154,7 +154,7 @@
 	return NotDeclined
 }
 
-// Weigh tells whether a move to a destination is worth it: its gain exceeds its cost with a
+// Weigh reports whether a move to a destination is worth it: its gain exceeds its cost with a
 // margin, and the destination is cooler with the task than the source is now.
 func (p *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > maxViewAge {
@@ -251,7 +251,7 @@
 	return count
 }
 
-// Recent gives the latest moves of a team, the last one first.
+// Recent returns the latest moves of a team, the last one first.
 func (p *Planner) Recent(team string) (out []Record) {
 	for _, r := range slices.Backward(p.recent) {
 		if r.Team == team {
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -61,7 +61,7 @@
 // known reports whether there is such a stage: the number may come from a record.
 func (s Stage) known() bool { return s >= Reconcile && s <= Open }
 
-// StageOf gives the stage of a name.
+// StageOf returns the stage of a name.
 func StageOf(name string) (Stage, bool) {
 	if i := slices.Index(stageNames[:], name); i >= 0 {
 		return Stage(i), true
@@ -101,7 +101,7 @@
 	Waiting   map[Stage]int // tasks that wait, by the stage that admits them
 }
 
-// Advance gives the stage that follows when a stage has lasted for so long: the same, or the next.
+// Advance returns the stage that follows when a stage has lasted for so long: the same, or the next.
 func Advance(s Stage, lasted clock.Micros, f Facts) Stage {
 	switch {
 	case s >= Open:
--- a/internal/scheduler/broadcast.go
+++ b/internal/scheduler/broadcast.go
@@ -5,7 +5,7 @@
 
 func newBroadcast() broadcast { return broadcast{make(chan struct{})} }
 
-// next gives a channel that is closed by the next notification.
+// next returns a channel that is closed by the next notification.
 func (b *broadcast) next() <-chan struct{} { return b.changed }
 
 // notify wakes all that wait.
--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -73,11 +73,11 @@
 	}
 }
 
-// mayHaveBeenOffered tells whether any task of a job may ever have been assigned, at any partition leader. Where none was, only
+// mayHaveBeenOffered reports whether any task of a job may ever have been assigned, at any partition leader. Where none was, only
 // this scheduler could start one, and the cancellation needs no acknowledgement.
 func (j *job) mayHaveBeenOffered() bool { return j.offeredHere || j.offeredByFormer > 0 }
 
-// CancellationConfirmed tells whether the final state of a cancelled job may be written on the condition of these leaderships:
+// CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these leaderships:
 // the present process of each leader has the cancellation in memory, and nothing of the job can start any more. Processes
 // that have not acknowledged it are notified (docs/design.md, "Why the rules hold", 11).
 func (s *Scheduler) CancellationConfirmed(j *job, partitions []PartitionLeadership) bool {
@@ -106,7 +106,7 @@
 	return confirmed
 }
 
-// mayStillStart tells whether some task of a job may be about to start: its run command is on the way, it waits for its image,
+// mayStillStart reports whether some task of a job may be about to start: its run command is on the way, it waits for its image,
 // or a machine is unaccounted on which a former scheduler may have placed one.
 func (j *job) mayStillStart() bool {
 	notRunning := 0
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// beginFinalWrite tells whether the final state of a cancelled job is to be written now, by the caller, and marks it as in
+// beginFinalWrite reports whether the final state of a cancelled job is to be written now, by the caller, and marks it as in
 // flight then. The lock is held.
 func (c *canceller) beginFinalWrite(j *job, partitions []PartitionLeadership) bool {
 	if j.finalWriteInFlight || c.clock.Now() < j.finalWriteAfter || !c.scheduler.CancellationConfirmed(j, partitions) {
@@ -150,7 +150,7 @@
 	return err
 }
 
-// partitionLeaderships gives the leaderships of all partitions as the replica shows them.
+// partitionLeaderships returns the leaderships of all partitions as the replica shows them.
 func (c *canceller) partitionLeaderships() []PartitionLeadership {
 	out := make([]PartitionLeadership, 0, len(c.partitionDuties))
 	for i, duty := range c.partitionDuties {
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -32,7 +32,7 @@
 // errTeamLost means that a team is not led any more, or under another term.
 var errTeamLost = errors.New("team leadership lost")
 
-// teamCondition gives the condition that a team is still led under the term in which its jobs were taken.
+// teamCondition returns the condition that a team is still led under the term in which its jobs were taken.
 func (c *core) teamCondition(t *team) (wire.Condition, error) {
 	leadership, ok := c.elections.Leading(Duty(t.Name))
 	if !ok || leadership.Term != t.term {
@@ -41,7 +41,7 @@
 	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: leadership.ModRevision}, nil
 }
 
-// isActive tells whether a job is still this scheduler's to write about. The lock is held.
+// isActive reports whether a job is still this scheduler's to write about. The lock is held.
 func (c *core) isActive(j *job) bool {
 	return j.team.jobs[j.ID] == j && c.scheduler.teams[j.team.Name] == j.team
 }
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// batchSize gives how many of some jobs fit a transaction of at most so many operations, at least one. The lock is held.
+// batchSize returns how many of some jobs fit a transaction of at most so many operations, at least one. The lock is held.
 func (w *finalStateWriter) batchSize(ready []*job, limit int, inPlace bool) int {
 	operations := 0
 	for n, j := range ready {
@@ -79,7 +79,7 @@
 	return len(ready)
 }
 
-// operationCount gives how many operations the final state of a job takes. The lock is held.
+// operationCount returns how many operations the final state of a job takes. The lock is held.
 func (w *finalStateWriter) operationCount(j *job, inPlace bool) int {
 	n := 2 + len(w.scheduler.progress[j.ID])
 	if inPlace {
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// goldenLines gives the lines of a golden file.
+// goldenLines returns the lines of a golden file.
 func goldenLines(t *testing.T, name string) []string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/" + name)
--- a/internal/scheduler/lifetime.go
+++ b/internal/scheduler/lifetime.go
@@ -28,7 +28,7 @@
 	return true
 }
 
-// newContext gives a context that ends with the lifetime or when cancel is called, which its caller must do. A write that a
+// newContext returns a context that ends with the lifetime or when cancel is called, which its caller must do. A write that a
 // request begins lives under it: the request's own end must not leave the outcome of the write unknown.
 func (l *lifetime) newContext() (ctx context.Context, cancel context.CancelFunc) {
 	ctx, cancel = context.WithCancel(context.Background())
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -109,7 +109,7 @@
 	return true
 }
 
-// batchSize gives how many of some records to write in one transaction; 0 when the budget has no change to spare.
+// batchSize returns how many of some records to write in one transaction; 0 when the budget has no change to spare.
 func (w *progressWriter) batchSize(writes []progressWrite) int {
 	n := 1
 	for size := writes[0].size(); n < min(len(writes), w.txnOps) && size+writes[n].size() < wire.MaxTxnBytes; n++ {
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -33,7 +33,7 @@
 	return s.scheduler.MachineViews(to, s.clock.Now())
 }
 
-// TeamStatuses gives the state of each team that is led.
+// TeamStatuses returns the state of each team that is led.
 func (s *Server) TeamStatuses() []peer.TeamStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// watermarkOf gives a job's watermark on record.
+// watermarkOf returns a job's watermark on record.
 func (s *Scheduler) watermarkOf(team string, j *jobs.Job) (n int) {
 	if j.Watermarked {
 		return j.Tasks
--- a/internal/telemetry/distribution.go
+++ b/internal/telemetry/distribution.go
@@ -46,7 +46,7 @@
 	P50, P95, P99, Max clock.Micros
 }
 
-// Quantiles gives the quantiles of all durations recorded so far.
+// Quantiles returns the quantiles of all durations recorded so far.
 func (d *Distribution) Quantiles() Quantiles {
 	if d == nil || d.histogram.TotalCount() == 0 {
 		return Quantiles{}
@@ -60,7 +60,7 @@
 	}
 }
 
-// quantile gives one quantile, in percent.
+// quantile returns one quantile, in percent.
 func (d *Distribution) quantile(percent float64) clock.Micros {
 	return clock.Micros(d.histogram.ValueAtQuantile(percent)) * spanUnit
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -28,7 +28,7 @@
 	return &Reporter{log: log, runtime: newRuntimeReader(), duties: map[string]*Duty{}}
 }
 
-// Traffic gives the counters of one kind.
+// Traffic returns the counters of one kind.
 func (r *Reporter) Traffic(k Kind) *Traffic {
 	if r == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return &r.traffic[k]
 }
 
-// Duty gives the counters of a duty by its name; the first call makes them.
+// Duty returns the counters of a duty by its name; the first call makes them.
 func (r *Reporter) Duty(name string) *Duty {
 	if r == nil {
 		return nil
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -156,7 +156,7 @@
 	return z.Record, true
 }
 
-// Records gives the states of all zones.
+// Records returns the states of all zones.
 func (d *Decider) Records() map[string]Record {
 	out := make(map[string]Record, len(d.zones))
 	for name, z := range d.zones {
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -35,7 +35,7 @@
 	Estimate *float64 `json:"guess_s"`
 }
 
-// checkRequired gives an error that names the first field that is missing or null.
+// checkRequired returns an error that names the first field that is missing or null.
 func checkRequired(f *requiredFields) error {
 	for _, field := range []struct {
 		name    string
@@ -80,7 +80,7 @@
 	return job, job.check()
 }
 
-// check gives an error when a value is out of the protocol's bounds.
+// check returns an error when a value is out of the protocol's bounds.
 func (j *Job) check() error {
 	switch {
 	case !ValidJobID(j.ID):
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// checkAmounts gives an error when an amount or a duration is out of range, or a task takes nothing.
+// checkAmounts returns an error when an amount or a duration is out of range, or a task takes nothing.
 func (j *Job) checkAmounts() error {
 	for _, field := range []struct {
 		name  string
--- a/wire/users.go
+++ b/wire/users.go
@@ -23,7 +23,7 @@
 // Priorities are the priorities, lowest first.
 var Priorities = []string{"idle", "normal", "high", "production"}
 
-// PriorityLevel gives the place of a priority in Priorities, -1 when it is unknown.
+// PriorityLevel returns the place of a priority in Priorities, -1 when it is unknown.
 func PriorityLevel(priority string) int {
 	for level, p := range Priorities {
 		if p == priority {
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -90,7 +90,7 @@
 // maxTaskDigits bounds the digits of a task's number, so that it never overflows.
 const maxTaskDigits = 7
 
-// SplitTask gives the job and the number that a task's name is made of; ok is false when it is none.
+// SplitTask returns the job and the number that a task's name is made of; ok is false when it is none.
 func SplitTask(name string) (job string, n int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash <= 0 {
