--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -279,32 +279,32 @@
 	goldenFile(t, "wire/state_requests.txt", []byte(out.String()))
 }
 
-// wirePlacer answers as a team's placer would.
-type wirePlacer struct {
+// wireScheduler answers as the leader of a team would.
+type wireScheduler struct {
 	answer peer.JobResponse
 	err    error
 }
 
-func (p *wirePlacer) Status(context.Context, peer.JobRequest) (peer.JobResponse, error) {
+func (p *wireScheduler) Status(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
 
-func (p *wirePlacer) Cancel(context.Context, peer.JobRequest) (peer.JobResponse, error) {
+func (p *wireScheduler) Cancel(context.Context, peer.JobRequest) (peer.JobResponse, error) {
 	return p.answer, p.err
 }
 
-// wireAlone stands for other controllers of which none can be asked.
-type wireAlone struct{}
+// wireUnreachablePeers stands for other controllers of which none can be asked.
+type wireUnreachablePeers struct{}
 
-func (wireAlone) StoreUnreachable() bool               { return false }
-func (wireAlone) Submit([]byte) (httpx.Response, bool) { return httpx.Response{}, false }
+func (wireUnreachablePeers) StoreUnreachable() bool               { return false }
+func (wireUnreachablePeers) Submit([]byte) (httpx.Response, bool) { return httpx.Response{}, false }
 
 // Users see statuses, bodies and Retry-After; these are the bytes of the answers.
 func TestAnswersToUsersKeepForm(t *testing.T) {
 	view := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-	placer := &wirePlacer{err: errors.New("nobody")}
+	scheduler := &wireScheduler{err: errors.New("nobody")}
 	book := jobs.NewCache()
-	f := api.New(api.Options{Store: view, Schedulers: placer, Peers: wireAlone{}, Jobs: book,
+	f := api.New(api.Options{Store: view, Schedulers: scheduler, Peers: wireUnreachablePeers{}, Jobs: book,
 		Limits:         map[string]resources.Amounts{"t": resources.Capacity(64, 0, 0)},
 		MaxRecordBytes: 4096, WallClock: func() time.Time { return time.UnixMilli(0) },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -322,7 +322,8 @@
 	ask("repeated", "POST", "", wireJob)
 	ask("pending", "GET", "/job-1", "")
 	ask("not cancelled yet", "POST", "/job-1/withdraw", "")
-	placer.err, placer.answer = nil, peer.JobResponse{Known: true, Found: true, State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
+	scheduler.err, scheduler.answer = nil, peer.JobResponse{Known: true, Found: true,
+		State: wire.JobState{ID: "job-1", Phase: wire.Cancelled}}
 	ask("cancelled", "POST", "/job-1/withdraw", "")
 	book.AddFinal("job-2", jobs.Final{Phase: wire.Done, Team: "t", Tasks: 5})
 	ask("done", "GET", "/job-2", "")
