--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -6,9 +6,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// AcquirePartition takes the leadership of a partition. Every recorded machine may hold tasks of former
-// leaders until a heartbeat shows a token of this term, or until nobody has answered it for its worker lease, counted
-// from now at the latest (docs/design.md, argument 6).
+// AcquirePartition starts leading a partition under a term. Every recorded machine may hold tasks of former leaders
+// until a heartbeat reports a token of this term, or until no leader has answered a heartbeat for a whole worker
+// lease, which may have started as late as now (docs/design.md, argument 6).
 func (s *State) AcquirePartition(partition int, term uint64, recorded inventory.Group, now clock.Micros) {
 	s.ReleasePartition(partition)
 	s.terms[partition] = term
@@ -18,7 +18,7 @@
 	s.changes.version++
 }
 
-// ReleasePartition gives the leadership of a partition up, with all that is known of its machines.
+// ReleasePartition stops leading a partition and forgets its machines.
 func (s *State) ReleasePartition(partition int) {
 	if _, ok := s.terms[partition]; !ok {
 		return
@@ -32,7 +32,7 @@
 	s.changes.version++
 }
 
-// addMachine adds a machine of which nothing is known but its record.
+// addMachine adds a machine of which only its record is known.
 func (s *State) addMachine(id string, partition int, r inventory.Record, now clock.Micros) *machine {
 	m := &machine{
 		id:        id,
@@ -51,14 +51,15 @@
 	return m
 }
 
-// removeMachine removes a machine from the state.
+// removeMachine removes a machine and all that is known of it.
 func (s *State) removeMachine(m *machine) {
 	s.changes.remove(m)
 	delete(s.machines, m.id)
 	delete(s.deliveryCandidates, m.id)
 }
 
-// findOrAdd returns a machine that another duty names, adding it where its partition is led here; nil where it is not.
+// findOrAdd returns the machine that another component names. An unknown machine is added if this process leads its
+// partition; otherwise m is nil.
 func (s *State) findOrAdd(ref peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (m *machine, added bool) {
 	if m := s.machines[ref.ID]; m != nil {
 		return m, false
@@ -70,7 +71,8 @@
 	return s.addMachine(ref.ID, partition, inventory.Record{Zone: ref.Zone}, now), true
 }
 
-// HandleMachinesGone takes the word that machines are gone for certain: no attempt can run on them any more.
+// HandleMachinesGone records that machines are gone for certain, as the autoscaler reports: no attempt can run on
+// them any more.
 func (s *State) HandleMachinesGone(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) {
 	for _, ref := range list {
 		m, _ := s.findOrAdd(ref, partitionOf, now)
@@ -83,13 +85,15 @@
 	}
 }
 
-// Drain keeps machines free of new tasks and names those that hold neither task nor lease: they may be returned.
+// Drain returns the ids of the machines that can be returned to the cloud: those that hold neither tasks nor leases,
+// and those that are lost. It marks them as draining, so that they get no new tasks. Machines in use stay as they
+// are.
 func (s *State) Drain(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, ref := range list {
 		m, added := s.findOrAdd(ref, partitionOf, now)
 		switch {
 		case m == nil:
-		case added: // it has not reported yet
+		case added: // no heartbeat of it has arrived, so it has no tasks
 			m.draining = true
 			ready = append(ready, ref.ID)
 		case m.worker.lost() || len(m.tasks) == 0 && (m.accounted || m.record != recordPresent):
@@ -101,19 +105,19 @@
 	return ready
 }
 
-// HandleMachineRecord notes that a machine's record is in the key-value store, or gone from it. A record without a
-// machine, which a late copy of an old write brings back, counts as a machine that nothing is known of: it falls
-// silent, and its record is removed (docs/design.md, argument 5).
-func (s *State) HandleMachineRecord(id string, partition int, r inventory.Record, there bool, now clock.Micros) {
+// HandleMachineRecord records whether a machine's record is in the key-value store. A late copy of an old write can
+// bring back the record of a machine that does not exist any more. Such a machine is added like any other, becomes
+// silent, and has its record removed (docs/design.md, argument 5).
+func (s *State) HandleMachineRecord(id string, partition int, r inventory.Record, exists bool, now clock.Micros) {
 	m := s.machines[id]
-	if m == nil && there {
+	if m == nil && exists {
 		if _, ok := s.terms[partition]; !ok {
 			return
 		}
 		m = s.addMachine(id, partition, r, now)
 	}
-	state := unrecorded
-	if there {
+	state := recordAbsent
+	if exists {
 		state = recordPresent
 	}
 	if m != nil && m.record != state {
@@ -122,7 +126,7 @@
 	}
 }
 
-// UnrecordedMachines lists machines that report and are to be recorded.
+// UnrecordedMachines returns the machines that send heartbeats and whose records have yet to be written.
 func (s *State) UnrecordedMachines() inventory.Group {
 	var out inventory.Group
 	for id, m := range s.machines {
--- a/internal/partition/batches.go
+++ b/internal/partition/batches.go
@@ -5,18 +5,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// batchRetention is how long the last batch of a scheduler's process is remembered: by then the process is gone.
+// batchRetention is how long the last batch of a scheduler's process is remembered. The process is gone by the time
+// it is dropped.
 const batchRetention = 3600 * clock.Second
 
-// lastBatch is the latest batch of one process, with its response.
+// lastBatch is the latest batch of one scheduler process, with its response.
 type lastBatch struct {
 	seq       uint64
 	response  peer.BatchResponse
 	handledAt clock.Micros
 }
 
-// batchResponses are the last batches by the incarnation of the sending process: a repeat is answered alike and
-// changes nothing, and what is older than the last is rejected.
+// batchResponses holds the last batch of each scheduler process, by the incarnation of the process. A repeated batch
+// gets the same response and changes nothing; a batch older than the last one is rejected.
 type batchResponses map[string]lastBatch
 
 func (b batchResponses) expire(now clock.Micros) {
@@ -27,30 +28,31 @@
 	}
 }
 
-// HandleBatch carries out what a scheduler has for this partition leader.
+// HandleBatch carries out a scheduler's batch: cancellations, stops, starts, acknowledgements and slow machines
+// first, then the assignments.
 func (s *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
 	last := s.batches[in.From]
 	if in.Seq == last.seq && in.Seq != 0 {
 		return last.response
 	}
-	ans := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
+	response := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
 	if in.Seq < last.seq {
-		for i := range ans.Refused {
-			ans.Refused[i] = true
+		for i := range response.Refused {
+			response.Refused[i] = true
 		}
-		return ans
+		return response
 	}
 	s.teamTerms.fence(in.Terms)
 	s.applyCancellations(in.Cancels, in.Terms, now)
 	s.applyStops(in.Stops)
 	for i := range in.Starts {
-		s.startReserved(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
+		s.startReservedTask(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
 	}
 	s.applyAcknowledgements(in.Settles)
 	s.quarantineSlow(in.Slow)
-	s.decideAssignments(&in, &ans, now)
-	s.batches[in.From] = lastBatch{in.Seq, ans, now}
-	return ans
+	s.decideAssignments(&in, &response, now)
+	s.batches[in.From] = lastBatch{in.Seq, response, now}
+	return response
 }
 
 func (s *State) applyStops(list []peer.StopTask) {
@@ -70,22 +72,22 @@
 }
 
 // decideAssignments accepts or rejects the assignments of a batch, one after the other.
-func (s *State) decideAssignments(in *peer.Batch, ans *peer.BatchResponse, now clock.Micros) {
+func (s *State) decideAssignments(in *peer.Batch, response *peer.BatchResponse, now clock.Micros) {
 	for i := range in.Asks {
 		a := &in.Asks[i]
-		decision := s.acceptAssignment(a, in.Terms[a.Team], now)
-		ans.Refused[i] = decision != accepted
-		ans.Versions[i] = s.changes.version
-		if decision == yielded {
-			if ans.Yielded == nil {
-				ans.Yielded = make([]bool, len(in.Asks))
+		outcome := s.acceptAssignment(a, in.Terms[a.Team], now)
+		response.Refused[i] = outcome != accepted
+		response.Versions[i] = s.changes.version
+		if outcome == yielded {
+			if response.Yielded == nil {
+				response.Yielded = make([]bool, len(in.Asks))
 			}
-			ans.Yielded[i] = true
+			response.Yielded[i] = true
 		}
 	}
 }
 
-// findTask finds a task on a machine; t is nil where either is not known here.
+// findTask returns a task and its machine. t is nil if either is not known here.
 func (s *State) findTask(machineID string, id peer.TaskID) (m *machine, t *task) {
 	m = s.machines[machineID]
 	if m == nil {
--- a/internal/partition/cancellations_test.go
+++ b/internal/partition/cancellations_test.go
@@ -10,84 +10,88 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job is cancelled while its run command is on its way; the stop reaches the task.
+// A job is cancelled while a run command for one of its tasks is in an unanswered delivery. The command still arrives
+// and starts the task; the next heartbeat response must stop it.
 func TestCancellationStopsTaskWhoseRunIsInFlight(t *testing.T) {
-	s := newScene(t)
-	require.True(t, s.acquireLease(0, 1))
+	s := newFixture(t)
+	require.True(t, s.assign(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
 	s.state.HandleDeliveryTimeout("m-1", late, s.now)
 	s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: "red"}}})
-	require.False(t, s.acquireLease(1, 2), "nothing of it may start any more")
+	require.False(t, s.assign(1, 2), "no task of a cancelled job may start")
 	s.worker.HandleCommands(*late, s.now)
 	require.True(t, s.worker.Running("job-1/0"))
 	s.heartbeat()
 	require.False(t, s.worker.Running("job-1/0"))
 }
 
-// A former leader's task of a job that is over is found and stopped.
-func TestFoundTaskOfFinalJobIsStopped(t *testing.T) {
-	s := newScene(t)
-	require.True(t, s.acquireLease(0, 1))
+// A new partition leader finds a task that a former leader started, of a job that has ended since. It must stop the
+// task.
+func TestReportedTaskOfEndedJobIsStopped(t *testing.T) {
+	s := newFixture(t)
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	delete(s.jobs.active, "job-1")
-	next := newTestState(s.jobs)
-	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	successor := newTestState(s.jobs)
+	successor.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	for range 4 {
 		s.now += sec
-		s.heartbeatTo(next)
+		s.heartbeatTo(successor)
 	}
 	require.Empty(t, s.worker.Tasks)
 }
 
-// A task that was assigned is not stopped because this leader's replica is older than its job.
+// The replica of the partition leader is older than the job and does not show it as active. That is no proof that the
+// job has ended: its tasks must not be stopped.
 func TestAssignedTaskIsKeptWhileReplicaIsBehind(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	delete(s.jobs.active, "job-1")
-	s.jobs.rev = jobRevision - 1
-	require.True(t, s.acquireLease(0, 1))
+	s.jobs.revision = jobRevision - 1
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 }
 
-// A leader that has received no cancellation, but whose replica is newer than the job and does not show it, starts
-// nothing of it: the scheduler has lost its team, and was paused while the job was cancelled. What it assigned before
-// is stopped.
+// A scheduler lost its team and was paused while the job was cancelled, so the partition leader received no
+// cancellation. But its replica is newer than the job's record and does not show the job: the leader must start no
+// task of it, and stop those that were assigned before.
 func TestNoTaskOfEndedJobStarts(t *testing.T) {
-	s := newScene(t)
-	require.True(t, s.acquireLease(0, 1))
+	s := newFixture(t)
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
-	require.True(t, s.acquireLease(1, 2), "not sent yet")
+	require.True(t, s.assign(1, 2), "the assignment is accepted while the job is active, and no run command is sent yet")
 	delete(s.jobs.active, "job-1")
-	require.False(t, s.acquireLease(2, 3))
+	require.False(t, s.assign(2, 3))
 	s.heartbeat()
 	s.heartbeat()
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
-	require.Len(t, s.worker.Starts, 1, "the lease was not used either")
+	require.Len(t, s.worker.Starts, 1, "no run command is sent for the second lease")
 }
 
-// The key-value store has rejected this leader alone for ten minutes and more: its replica still shows the job as
-// active. It goes on rejecting what the cancellation forbade.
+// The key-value store rejects the requests of this leader alone for longer than cancellationRetention, so that its
+// replica still shows a cancelled job as active. The leader must keep the cancellation and reject assignments of the
+// job until the replica shows its end.
 func TestCancellationIsKeptWhileReplicaIsBehind(t *testing.T) {
-	s := newRunningScene(t)
+	s := newFixtureWithRunningTask(t)
 	s.cancelJob()
 	s.heartbeat()
 	for range 900 {
 		s.heartbeat()
 		s.state.Tick(s.now)
 	}
-	require.False(t, s.acquireLease(1, 2), "under the term that it was cancelled in")
+	require.False(t, s.assign(1, 2), "an assignment under the term of the cancellation is rejected")
 	delete(s.jobs.active, "job-1")
 	s.state.Tick(s.now)
-	require.Empty(t, s.state.cancellations, "the replica shows it now")
+	require.Empty(t, s.state.cancellations, "the cancellation is dropped once the replica shows the job's end")
 }
 
-// A delayed batch of a former team leader carries a cancellation that its successor knows nothing of: it was never
-// confirmed, and the job has been assigned anew.
+// A delayed batch of a former team leader carries a cancellation that was never confirmed. The present team leader
+// does not know of it and has assigned the job again, so the cancellation must be ignored.
 func TestCancellationOfFormerTeamLeaderIsIgnored(t *testing.T) {
-	s := newRunningScene(t)
+	s := newFixtureWithRunningTask(t)
 	s.state.teamTerms.fence(map[string]uint64{team: 2})
 	s.cancelJob()
 	s.heartbeat()
@@ -95,41 +99,42 @@
 	require.True(t, s.worker.Running("job-1/0"))
 }
 
-// The leader loses its partition while its stop is on its way. The next leader finds the end in its replica, stops
-// the task, and the old stop changes nothing more.
+// The leader loses its partition while its stop command is in a delivery. The next leader finds the end of the job in
+// its replica and stops the task itself. The worker must reject the delayed command of the former term.
 func TestStopInFlightIsRejectedUnderNextTerm(t *testing.T) {
-	s := newRunningScene(t)
+	s := newFixtureWithRunningTask(t)
 	s.cancelJob()
 	_, late := s.state.NextDelivery("m-1", s.now)
 	require.Len(t, late.Orders, 1)
 	s.state.ReleasePartition(0)
 	s.state.HandleDeliveryResponse("m-1", late, &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Tick: 99, FencingToken: 99 << 32}, s.now)
 	delete(s.jobs.active, "job-1")
-	next := newTestState(s.jobs)
-	next.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
+	successor := newTestState(s.jobs)
+	successor.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.now += sec
-	s.heartbeatTo(next)
-	require.True(t, s.worker.Running("job-1/0"), "its first answer brings the token, and no commands")
+	s.heartbeatTo(successor)
+	require.True(t, s.worker.Running("job-1/0"), "the first response brings the new token and no commands")
 	s.now += sec
-	s.heartbeatTo(next)
+	s.heartbeatTo(successor)
 	require.False(t, s.worker.Running("job-1/0"))
 	_, ok := s.worker.HandleCommands(*late, s.now)
-	require.False(t, ok, "under a former term")
+	require.False(t, ok, "the worker rejects commands under a former term")
 }
 
-// A run command and its answer are delayed for seconds, and the job is cancelled meanwhile. The leader doesn't say
-// that the attempt is gone until it can't arrive any more; when it does arrive, the next answer stops it.
+// A job is cancelled while a run command and its response are delayed for seconds. The leader must not report the
+// attempt as gone while the command can still arrive. When it does arrive, the next heartbeat response stops the
+// task.
 func TestDelayedRunCountsUntilItCannotArrive(t *testing.T) {
-	s := newScene(t)
-	require.True(t, s.acquireLease(0, 1))
+	s := newFixture(t)
+	require.True(t, s.assign(0, 1))
 	_, late := s.state.NextDelivery("m-1", s.now)
 	require.Len(t, late.Orders, 1)
 	s.state.HandleDeliveryTimeout("m-1", late, s.now)
 	s.cancelJob()
-	require.Len(t, s.tasks(), 1, "it may still start")
+	require.Len(t, s.tasks(), 1, "the run command may still arrive")
 	s.now += 3 * sec
 	_, ok := s.worker.HandleCommands(*late, s.now)
-	require.True(t, ok, "the worker has seen no higher token")
+	require.True(t, ok, "the worker has seen no higher token, so it executes the command")
 	require.True(t, s.worker.Running("job-1/0"))
 	s.heartbeat()
 	require.False(t, s.worker.Running("job-1/0"))
@@ -137,18 +142,19 @@
 	s.heartbeat()
 	require.Empty(t, s.tasks())
 	_, ok = s.worker.HandleCommands(*late, s.now)
-	require.False(t, ok, "a copy of it can't start the task once more")
+	require.False(t, ok, "a copy of the command must not start the task again")
 }
 
-// A scheduler of a later term assigns a task of a cancelled job: the cancellation was never confirmed, and is dropped.
+// A scheduler under a later term assigns a task of a cancelled job. The cancellation was never confirmed, since the
+// scheduler would know of it, and must be dropped.
 func TestAssignmentUnderLaterTeamTermDropsCancellation(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.cancelJob()
 	a := assignment(0, 1)
 	a.ID.Attempt = 2<<32 | 1
 	s.seq++
-	in := peer.Batch{From: "scheduler", Seq: s.seq, Terms: map[string]uint64{team: 2}, Asks: []peer.Assignment{a}}
-	require.False(t, s.state.HandleBatch(in, "me", s.now).Refused[0])
+	batch := peer.Batch{From: "scheduler", Seq: s.seq, Terms: map[string]uint64{team: 2}, Asks: []peer.Assignment{a}}
+	require.False(t, s.state.HandleBatch(batch, "me", s.now).Refused[0])
 	require.Empty(t, s.state.cancellations)
 	s.heartbeat()
 	s.heartbeat()
--- a/internal/partition/changes.go
+++ b/internal/partition/changes.go
@@ -7,11 +7,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// changeList numbers the changes of the machines and orders the machines by their last one, so that a poll costs
-// what has changed since its cursor, not what there is.
+// changeList numbers the changes of the machines and keeps the machines in the order of their last change. A poll
+// then costs in proportion to what has changed since its cursor, not to the size of the fleet.
 type changeList struct {
 	version  uint64     // number of the last change
-	machines *list.List // of *machine, the latest changed last
+	machines *list.List // of *machine, the most recently changed last
 }
 
 func newChangeList() changeList { return changeList{machines: list.New()} }
@@ -19,7 +19,7 @@
 func (l *changeList) add(m *machine)    { m.changeElement = l.machines.PushBack(m) }
 func (l *changeList) remove(m *machine) { l.machines.Remove(m.changeElement) }
 
-// mark gives a machine the next version.
+// mark gives a changed machine the next version.
 func (l *changeList) mark(m *machine) {
 	l.version++
 	m.version = l.version
@@ -40,56 +40,58 @@
 	return changed
 }
 
-// maxDepartedTasks bounds how many departed tasks a machine remembers: beyond it the older half is forgotten,
-// and schedulers that know only an older version get all tasks.
-const maxDepartedTasks = 256
+// maxRemovedTasks is the largest number of removed tasks that are remembered for a machine. Beyond it the older half
+// is dropped, and schedulers that know an older version of the machine get all of its tasks.
+const maxRemovedTasks = 256
 
-// departedTask is a task that has left its machine.
-type departedTask struct {
+// removedTask is a task that was removed from its machine.
+type removedTask struct {
 	id      peer.TaskID
-	version uint64 // of the view that shows it as departed
+	version uint64 // the machine's version at the removal
 }
 
-// departedTasks are the tasks that left a machine lately, the oldest first.
-type departedTasks struct {
-	tasks         []departedTask
-	completeSince uint64 // who knows the machine as of an earlier version gets all of its tasks
+// removedTasks holds the tasks that were recently removed from a machine, the oldest first.
+type removedTasks struct {
+	tasks         []removedTask
+	completeSince uint64 // a scheduler that knows only an earlier version gets all of the machine's tasks
 }
 
-func (d *departedTasks) add(id peer.TaskID, version uint64) {
-	d.tasks = append(d.tasks, departedTask{id, version})
-	if len(d.tasks) > maxDepartedTasks {
-		d.completeSince = d.tasks[maxDepartedTasks/2-1].version
-		d.tasks = slices.Delete(d.tasks, 0, maxDepartedTasks/2)
+func (d *removedTasks) add(id peer.TaskID, version uint64) {
+	d.tasks = append(d.tasks, removedTask{id, version})
+	if len(d.tasks) > maxRemovedTasks {
+		d.completeSince = d.tasks[maxRemovedTasks/2-1].version
+		d.tasks = slices.Delete(d.tasks, 0, maxRemovedTasks/2)
 	}
 }
 
-// reset forgets all: everybody gets all tasks as of a version.
-func (d *departedTasks) reset(version uint64) { d.tasks, d.completeSince = nil, version }
+// reset drops all removed tasks: a scheduler that knows only a version before this one gets all of the machine's
+// tasks.
+func (d *removedTasks) reset(version uint64) { d.tasks, d.completeSince = nil, version }
 
-// Version is the number of the last change.
+// Version returns the number of the last change.
 func (s *State) Version() uint64 { return s.changes.version }
 
-// markChanged has the machine's next view published.
+// markChanged makes the next poll return the machine.
 func (s *State) markChanged(m *machine) { s.changes.mark(m) }
 
-// markTaskChanged has the machine's next view show a task, and its commands looked at.
+// markTaskChanged makes the next poll return the machine with the task, and the next delivery check its commands.
 func (s *State) markTaskChanged(m *machine, t *task) {
 	s.changes.mark(m)
 	t.version = m.version
 	s.deliveryCandidates[m.id] = m
 }
 
-// markAllChanged has the machine's next view show all of its tasks, and its commands looked at.
+// markAllChanged makes the next poll return the machine with all of its tasks, and the next delivery check its
+// commands.
 func (s *State) markAllChanged(m *machine) {
 	s.changes.mark(m)
-	m.departed.reset(m.version)
+	m.removed.reset(m.version)
 	s.deliveryCandidates[m.id] = m
 }
 
-// removeTask takes a task off its machine.
+// removeTask removes a task from its machine.
 func (s *State) removeTask(m *machine, t *task) {
 	delete(m.tasks, t.id)
 	s.changes.mark(m)
-	m.departed.add(t.id, m.version)
+	m.removed.add(t.id, m.version)
 }
--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -5,32 +5,34 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// maxCommands keeps the line of an answer below the protocol's 64 KiB.
+// maxCommands bounds the commands in one message, so that its line stays below the protocol's limit of 64 KiB.
 const maxCommands = 400
 
-// jobEnded reports whether nothing of a task's job may run any more. For a task that was found, its job not
-// being active is proof: the record was there before the task's start, and the replica is as new as this leadership.
-// For one that was assigned here, the replica must be as new as its job's record (docs/design.md, argument 11).
+// jobEnded reports whether a task's job has ended, so that none of its tasks may run any more. For a found task it is
+// enough that the replica does not show the job as active: the job's record was stored before the task started, and
+// the replica is as new as this leadership. For a task that this leader assigned, the replica must also be as new as
+// the job's record; otherwise it may not have seen the job yet (docs/design.md, argument 11).
 func (s *State) jobEnded(t *task) bool {
 	return s.cancellations.has(t.id.Job) || s.jobs.Ended(t.id.Job, t.jobRevision)
 }
 
-// dueCommands collects what the worker should do now, maxCommands at most.
-func (s *State) dueCommands(m *machine, by route, now clock.Micros) []wire.Order {
+// dueCommands returns the commands that the worker should execute now, maxCommands at most, and records that they are
+// sent.
+func (s *State) dueCommands(m *machine, via route, now clock.Micros) []wire.Order {
 	tasks := m.tasksByAge(0)
 	s.stopTasksOfEndedJobs(m, tasks)
-	out := stopCommands(tasks, by, now)
+	out := stopCommands(tasks, via, now)
 	if !m.worker.lost() && m.record == recordPresent {
-		out = appendRunCommands(m, tasks, out, by, now)
+		out = appendRunCommands(m, tasks, out, via, now)
 	}
-	if by == viaHeartbeat {
+	if via == viaHeartbeat {
 		out = prependForgetCommands(m, tasks, out)
 	}
 	return out
 }
 
-// stopTasksOfEndedJobs decides to stop what runs of ended jobs; their exits need no scheduler's acknowledgement to
-// be forgotten.
+// stopTasksOfEndedJobs decides to stop the tasks of ended jobs. No scheduler acknowledges their exits any more, so
+// they count as acknowledged.
 func (s *State) stopTasksOfEndedJobs(m *machine, tasks []*task) {
 	for _, t := range tasks {
 		if !s.jobEnded(t) {
@@ -44,8 +46,8 @@
 	}
 }
 
-// stopCommands collects the stops that are due.
-func stopCommands(tasks []*task, by route, now clock.Micros) []wire.Order {
+// stopCommands returns the stop commands that are due.
+func stopCommands(tasks []*task, via route, now clock.Micros) []wire.Order {
 	out := []wire.Order{}
 	for _, t := range tasks {
 		if len(out) >= maxCommands {
@@ -56,9 +58,9 @@
 		}
 		grace := t.stopGraceS
 		if t.phase == wire.TaskCheckpointing && grace > 0 {
-			continue // it is being stopped, and checkpoints before
+			continue // the stop has arrived, and the task is taking its checkpoint
 		}
-		if by == viaDelivery {
+		if via == viaDelivery {
 			if !t.mayRedeliver(now) {
 				continue
 			}
@@ -71,9 +73,10 @@
 	return out
 }
 
-// appendRunCommands appends the runs that are due: of tasks that the worker has not listed yet, as far as its own
-// free resources suffice.
-func appendRunCommands(m *machine, tasks []*task, out []wire.Order, by route, now clock.Micros) []wire.Order {
+// appendRunCommands appends the run commands that are due: for tasks that the worker has not listed yet. The first
+// run command of a task waits until the resources of the tasks that may be running on the machine leave enough for
+// it.
+func appendRunCommands(m *machine, tasks []*task, out []wire.Order, via route, now clock.Micros) []wire.Order {
 	started, _ := m.resourcesInUse()
 	for _, t := range tasks {
 		if len(out) >= maxCommands {
@@ -89,7 +92,7 @@
 			started = started.Plus(t.need)
 			t.state = taskSent
 		}
-		if by == viaHeartbeat {
+		if via == viaHeartbeat {
 			t.runTick = m.worker.tick
 		} else {
 			if !t.mayRedeliver(now) {
@@ -102,9 +105,10 @@
 	return out
 }
 
-// prependForgetCommands puts the forgets that are due in front of other commands. They go only into answers to
-// heartbeats, and only when no copy of the run can arrive: the worker takes those answers in sequence, so no run that
-// was sent in an earlier one can arrive after the forget and start the attempt once more (docs/design.md, argument 2).
+// prependForgetCommands puts the forget commands that are due in front of other commands. A run command that arrives
+// after the forget would start the attempt a second time. So forget commands go only into responses to heartbeats,
+// which the worker processes in order, and only when no unanswered delivery can still bring the run command
+// (docs/design.md, argument 2).
 func prependForgetCommands(m *machine, tasks []*task, others []wire.Order) []wire.Order {
 	var out []wire.Order
 	for _, t := range tasks {
--- a/internal/partition/connections.go
+++ b/internal/partition/connections.go
@@ -7,73 +7,75 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// maxWorkerResponse bounds a worker's answer in bytes.
+// maxWorkerResponse is the largest response of a worker that is accepted, in bytes.
 const maxWorkerResponse = 256 << 10
 
-// workerConnections are the connections to workers' own addresses. Each machine has one at
-// most, and all of them together stay below a limit: a controller that is left alone with a fleet has the connections
-// of the workers' heartbeats to hold as well. At the limit the idle one that was used longest ago is closed.
+// workerConnections holds the connections to the workers' own addresses. Each machine has at most one, and their
+// total is limited, because a controller that leads a whole fleet alone also holds the connections of all workers'
+// heartbeats. At the limit the least recently used idle connection is closed to make way for a new one.
 //
-// Guarded by the Server's lock.
+// The Server's lock guards it.
 type workerConnections struct {
 	limit           int
 	byMachine       map[string]*workerConnection
-	idle            *list.List // of machine ids, the one used longest ago first
-	deliveryWaiting bool       // a delivery found none available
+	idle            *list.List // of machine ids, the least recently used first
+	deliveryWaiting bool       // a delivery found no connection available
 
 	traffic *telemetry.Traffic
 }
 
 type workerConnection struct {
 	client *httpx.Client
-	idle   *list.Element // nil while a delivery has it
+	idle   *list.Element // nil while a delivery uses the connection
 }
 
 func newWorkerConnections(limit int, traffic *telemetry.Traffic) *workerConnections {
 	return &workerConnections{limit: limit, traffic: traffic, byMachine: map[string]*workerConnection{}, idle: list.New()}
 }
 
-// available reports whether a delivery to a machine may start now. One that may not is remembered: release reports it.
+// available reports whether a delivery to a machine may start now. If not, the next release reports that a delivery
+// waits.
 func (c *workerConnections) available(id string) bool {
 	ok := len(c.byMachine) < c.limit || c.idle.Len() > 0 || c.byMachine[id] != nil
 	c.deliveryWaiting = c.deliveryWaiting || !ok
 	return ok
 }
 
-// acquire lends a machine's connection to a delivery.
+// acquire hands a machine's connection to a delivery, creating it if there is none to that address. available must
+// have returned true.
 func (c *workerConnections) acquire(id, addr string) *httpx.Client {
-	w := c.byMachine[id]
-	if w != nil && w.client.Addr() != addr {
+	conn := c.byMachine[id]
+	if conn != nil && conn.client.Addr() != addr {
 		c.close(id)
-		w = nil
+		conn = nil
 	}
-	if w == nil {
+	if conn == nil {
 		if len(c.byMachine) >= c.limit && c.idle.Len() > 0 {
 			c.close(c.idle.Front().Value.(string))
 		}
-		w = &workerConnection{client: httpx.NewClient(addr, 1, maxWorkerResponse)}
-		w.client.Count(c.traffic)
-		c.byMachine[id] = w
+		conn = &workerConnection{client: httpx.NewClient(addr, 1, maxWorkerResponse)}
+		conn.client.Count(c.traffic)
+		c.byMachine[id] = conn
 	}
-	if w.idle != nil {
-		c.idle.Remove(w.idle)
-		w.idle = nil
+	if conn.idle != nil {
+		c.idle.Remove(conn.idle)
+		conn.idle = nil
 	}
-	return w.client
+	return conn.client
 }
 
-// release takes a connection back from its delivery, and reports whether others wait for one.
+// release takes a connection back after its delivery, and reports whether another delivery waits for one.
 func (c *workerConnections) release(id string, client *httpx.Client) (deliveryWaiting bool) {
-	if w := c.byMachine[id]; w != nil && w.client == client {
-		w.idle = c.idle.PushBack(id)
+	if conn := c.byMachine[id]; conn != nil && conn.client == client {
+		conn.idle = c.idle.PushBack(id)
 	} else {
-		client.Close() // closed in the meantime
+		client.Close() // the machine's connection was closed or replaced in the meantime
 	}
 	deliveryWaiting, c.deliveryWaiting = c.deliveryWaiting, false
 	return deliveryWaiting
 }
 
-// retain closes the connections to machines that are not known any more.
+// retain closes the connections to machines that are no longer known.
 func (c *workerConnections) retain(known func(id string) bool) {
 	for id := range c.byMachine {
 		if !known(id) {
@@ -83,10 +85,10 @@
 }
 
 func (c *workerConnections) close(id string) {
-	w := c.byMachine[id]
-	if w.idle != nil {
-		c.idle.Remove(w.idle)
+	conn := c.byMachine[id]
+	if conn.idle != nil {
+		c.idle.Remove(conn.idle)
 	}
-	w.client.Close()
+	conn.client.Close()
 	delete(c.byMachine, id)
 }
--- a/internal/partition/connections_test.go
+++ b/internal/partition/connections_test.go
@@ -9,32 +9,32 @@
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 )
 
-// A controller that is left alone with 1,800 machines delivers to all of them and never has more connections to them
-// than its limit; deliveries that find none available wait for those that are in use.
+// A controller that alone leads 1,800 machines delivers to all of them and must never exceed its limit of
+// connections. Deliveries that find no connection wait until one is released.
 func TestWorkerConnectionsOfLargeFleetStayWithinLimit(t *testing.T) {
 	conns := newWorkerConnections(40, nil)
-	out := map[string]*httpx.Client{}
+	inUse := map[string]*httpx.Client{}
 	sent, waits := 0, 0
 	for i := 0; sent < 1800; i++ {
 		id := fmt.Sprintf("m-%d", i%1800)
-		if out[id] != nil {
+		if inUse[id] != nil {
 			continue
 		}
 		if !conns.available(id) {
 			waits++
-			for id, c := range out { // one comes back: others wait
+			for id, c := range inUse { // one delivery ends, while others wait
 				require.True(t, conns.release(id, c))
-				delete(out, id)
+				delete(inUse, id)
 				break
 			}
 			continue
 		}
-		out[id] = conns.acquire(id, "10.0.0.1:1")
+		inUse[id] = conns.acquire(id, "10.0.0.1:1")
 		sent++
 		require.LessOrEqual(t, len(conns.byMachine), 40)
 	}
 	require.Positive(t, waits)
-	for id, c := range out {
+	for id, c := range inUse {
 		conns.release(id, c)
 	}
 	require.Equal(t, 40, conns.idle.Len())
--- a/internal/partition/cost_test.go
+++ b/internal/partition/cost_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// The leadership of a partition of machines with tasks is acquired, and all of them report.
+// BenchmarkFailover acquires the leadership of a partition of machines with tasks, and lets all of them send a
+// heartbeat.
 func BenchmarkFailover(b *testing.B) { benchmarkFailover(b, smallFleet) }
 
 func benchmarkFailover(b *testing.B, machines int) {
@@ -57,9 +58,10 @@
 	}
 }
 
-// A heartbeat, a poll and a tick of which nothing is new allocate the same whatever the size of the fleet.
+// Heartbeats, polls and ticks without news are most of a leader's work. Their number of allocations must not grow
+// with the size of the fleet.
 func TestUnchangedWorkDoesNotAllocateMoreOnALargerFleet(t *testing.T) {
-	type cost struct{ report, poll, tick float64 }
+	type cost struct{ heartbeat, poll, tick float64 }
 	costs := map[int]cost{}
 	for _, machines := range []int{30, 600} {
 		l := newLoadedServer(t, machines)
@@ -73,15 +75,15 @@
 		}
 		next := 0
 		costs[machines] = cost{
-			report: testing.AllocsPerRun(100, func() {
+			heartbeat: testing.AllocsPerRun(100, func() {
 				l.server.HandleHeartbeat(body[next])
 				next++
 			}),
 			poll: testing.AllocsPerRun(100, func() { l.poll(cursor) }),
 			tick: testing.AllocsPerRun(100, l.idleTick),
 		}
-		require.Equal(t, cursor, l.poll(cursor).Cursor, "a heartbeat without news changes nothing")
+		require.Equal(t, cursor, l.poll(cursor).Cursor, "a heartbeat without news must not change the version")
 	}
 	require.Equal(t, costs[30], costs[600])
-	require.NotZero(t, costs[30].report)
+	require.NotZero(t, costs[30].heartbeat)
 }
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -12,21 +12,23 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// deliveryTimeout is how long a delivery may take; without an answer by then it counts as unanswered.
+// deliveryTimeout is the time that a delivery may take. After it the delivery counts as unanswered, and its commands
+// may still be executed.
 const deliveryTimeout = 1200 * time.Millisecond
 
-// Statuses with which a worker answers a delivery; both come with its status as a heartbeat.
+// These are the HTTP statuses of a worker's response to a delivery. Both come with the worker's status, in the form
+// of a heartbeat.
 const (
 	statusOK       = 200
-	statusRejected = 409 // it has seen a higher token, or is of another incarnation
+	statusRejected = 409 // the worker has seen a higher token, or is in another incarnation
 )
 
 var (
-	errUnexpectedResponse = errors.New("unexpected response")
-	errNotLeader          = errors.New("partition not led under this term")
+	errUnexpectedResponse = errors.New("worker sent an unexpected response to a command delivery")
+	errNotLeader          = errors.New("this process no longer leads the partition under the term of the commands")
 )
 
-// startDeliveries starts a delivery for each machine that has something to be delivered.
+// startDeliveries starts a delivery to each machine that needs one, as far as connections are available.
 func (s *Server) startDeliveries(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +39,7 @@
 			continue
 		}
 		if !s.connections.available(id) {
-			return // they are looked at again when a delivery is over
+			return // deliver wakes Run's loop when a connection is released
 		}
 		addr, orders := s.state.NextDelivery(id, now)
 		if orders == nil {
@@ -48,14 +50,14 @@
 	}
 }
 
-// deliver sends commands to one worker's own address and takes its answer.
-func (s *Server) deliver(ctx context.Context, id string, partition int, c *httpx.Client, orders *wire.Orders) {
+// deliver sends commands to one worker's own address and passes its response, or the timeout, to the State.
+func (s *Server) deliver(ctx context.Context, id string, partition int, client *httpx.Client, orders *wire.Orders) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	status, err := s.postCommands(ctx, partition, c, orders)
+	status, err := s.postCommands(ctx, partition, client, orders)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.connections.release(id, c) {
+	if s.connections.release(id, client) {
 		s.wake.Notify()
 	}
 	now := s.clock.Now()
@@ -68,27 +70,27 @@
 	s.notifyChange()
 }
 
-// postCommands sends commands while their partition is led under the term of their token, and gives the worker's status.
-// After an error the commands may have been executed, or may
-// yet be, except after errNotLeader.
-func (s *Server) postCommands(ctx context.Context, partition int, c *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
+// postCommands sends commands and returns the worker's status from the response. It sends nothing, and returns
+// errNotLeader, if this process no longer leads the partition under the term of the commands' token. After any other
+// error the worker may have executed the commands, or may still do so.
+func (s *Server) postCommands(ctx context.Context, partition int, client *httpx.Client, orders *wire.Orders) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(orders)
 	if err != nil {
-		return nil, fmt.Errorf("encoding commands: %w", err)
+		return nil, fmt.Errorf("encode commands for a worker: %w", err)
 	}
 	if !s.leads(partition, orders.FencingToken>>termShift) {
 		return nil, errNotLeader
 	}
-	resp, err := c.Do(ctx, "POST", wire.PathOrders, body)
+	resp, err := client.Do(ctx, "POST", wire.PathOrders, body)
 	if err != nil {
 		return nil, err
 	}
 	if resp.Status != statusOK && resp.Status != statusRejected {
 		return nil, fmt.Errorf("%w: status %d", errUnexpectedResponse, resp.Status)
 	}
-	var r wire.Heartbeat
-	if err := json.Unmarshal(resp.Body, &r); err != nil || r.Machine == "" {
+	var hb wire.Heartbeat
+	if err := json.Unmarshal(resp.Body, &hb); err != nil || hb.Machine == "" {
 		return nil, fmt.Errorf("%w: %.80s", errUnexpectedResponse, resp.Body)
 	}
-	return &r, nil
+	return &hb, nil
 }
--- a/internal/partition/delivery_state.go
+++ b/internal/partition/delivery_state.go
@@ -8,46 +8,48 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// termShift is where the partition's term begins in a fencing token; below it is the sequence.
+// termShift is the number of bits below the partition's term in a fencing token. They hold the sequence number.
 const termShift = 32
 
-// firstToken is the lowest fencing token of a term.
+// firstToken returns the lowest fencing token of a term.
 func firstToken(term uint64) uint64 { return term << termShift }
 
-// How long deliveries to a machine pause. Commands go with the answers to its heartbeats meanwhile, and the
-// next heartbeat that says something new ends the pause.
+// These intervals limit deliveries to one machine. Commands still go out in the responses to its heartbeats, and the
+// next heartbeat with news ends a pause.
 const (
-	probeInterval      = 500 * clock.Millisecond // between empty deliveries to an unaccounted machine
-	timeoutPause       = 2 * clock.Second        // after a delivery without an answer
-	wrongMachinePause  = 5 * clock.Second        // after an answer of another machine: the address is wrong
-	restartPauseMargin = clock.Second            // beyond the worker lease of a worker that began anew unannounced
+	probeInterval      = 500 * clock.Millisecond // between empty deliveries to a machine that is not accounted for
+	timeoutPause       = 2 * clock.Second        // after an unanswered delivery
+	wrongMachinePause  = 5 * clock.Second        // after a response of another machine: the address is wrong
+	restartPauseMargin = clock.Second            // added to the worker lease after a restart without a new incarnation
 )
 
-// deliveryState is the fencing and delivery of commands to one machine's worker.
+// deliveryState holds the fencing token of one machine and the state of command deliveries to its worker's own
+// address.
 //
-// A fencing token is (partition term, sequence). Workers reject commands under lower tokens than the highest they have
-// seen. Each delivery that had no answer raises the sequence: it may still be executed until the worker shows a
-// higher token (docs/design.md, arguments 1 and 2).
+// A fencing token is (partition term, sequence number). A worker rejects commands under a lower token than the
+// highest it has seen, so commands of former leaders and of abandoned deliveries change nothing. An unanswered
+// delivery increments the sequence number: the worker may still execute its commands until it reports a higher token
+// (docs/design.md, arguments 1 and 2).
 type deliveryState struct {
-	token       uint64       // what commands are sent with
-	shownToken  uint64       // the highest that the worker showed
-	inFlight    bool         // a delivery is on its way: there is one at most
-	sentTick    uint64       // the worker's tick when it was sent
-	pausedUntil clock.Micros // no delivery before
-	probedAt    clock.Micros // the last empty delivery, while the machine is unaccounted
-	unconfirmed bool         // a delivery had no answer, and no heartbeat has shown the raised token since
+	token         uint64       // the token of the next commands
+	reportedToken uint64       // the highest that the worker has reported as seen
+	inFlight      bool         // a delivery is under way; there is at most one
+	sentTick      uint64       // the latest known tick of the worker when the delivery was sent
+	pausedUntil   clock.Micros // no delivery before this time
+	probedAt      clock.Micros // time of the last empty delivery, while the machine is not accounted for
+	unconfirmed   bool         // a delivery was unanswered, and the worker has not reported the incremented token since
 }
 
-// ready reports whether a delivery may be sent now, as far as earlier ones are concerned.
+// ready reports whether earlier deliveries allow a new one now.
 func (d *deliveryState) ready(now clock.Micros) bool { return !d.inFlight && now >= d.pausedUntil }
 
-// runMayArrive reports whether a run command for a task may still be on its way in an unanswered delivery.
+// runMayArrive reports whether the worker may still execute a run command for a task from an unanswered delivery.
 func (d *deliveryState) runMayArrive(t *task) bool {
-	return t.unansweredToken != 0 && d.shownToken <= t.unansweredToken
+	return t.unansweredToken != 0 && d.reportedToken <= t.unansweredToken
 }
 
-// needsDelivery reports whether a machine is to be probed, or has a task whose start or stop its worker has not
-// shown yet.
+// needsDelivery reports whether the machine is not accounted for and has to be probed, or has a task whose start or
+// stop its worker has not confirmed yet.
 func (m *machine) needsDelivery() bool {
 	if !m.accounted && !m.draining {
 		return true
@@ -63,8 +65,8 @@
 	return false
 }
 
-// PendingDeliveries lists machines that should be delivered to now, or probed. Those that need no delivery any more
-// are looked at again when something about them changes.
+// PendingDeliveries lists the machines to deliver commands to, or to probe, now. A machine that needs no delivery is
+// dropped from the candidates until something about it changes.
 func (s *State) PendingDeliveries(now clock.Micros) []string {
 	var out []string
 	for id, m := range s.deliveryCandidates {
@@ -81,21 +83,21 @@
 	return out
 }
 
-// NextDelivery returns what to deliver to a worker's own address now, nil for nothing. A machine that is not accounted
-// gets an empty delivery, which shows it this term's token. Until it is answered, its runs count as possibly still on
-// their way.
-func (s *State) NextDelivery(id string, now clock.Micros) (addr string, o *wire.Orders) {
+// NextDelivery returns the commands to deliver to a worker's own address now, or nil. A machine that is not accounted
+// for gets an empty delivery, which brings it a token of this term. Until the response arrives, run commands of the
+// delivery count as possibly still on their way.
+func (s *State) NextDelivery(id string, now clock.Micros) (addr string, orders *wire.Orders) {
 	m := s.machines[id]
 	if m == nil || !m.delivery.ready(now) || m.worker.lost() || m.Addr == "" {
 		return "", nil
 	}
-	o = &wire.Orders{FencingToken: m.delivery.token, Incarnation: m.worker.incarnation, Orders: []wire.Order{}}
+	orders = &wire.Orders{FencingToken: m.delivery.token, Incarnation: m.worker.incarnation, Orders: []wire.Order{}}
 	if m.accounted {
-		o.Orders = s.dueCommands(m, viaDelivery, now)
-		if len(o.Orders) == 0 {
+		orders.Orders = s.dueCommands(m, viaDelivery, now)
+		if len(orders.Orders) == 0 {
 			return "", nil
 		}
-		m.markRunsUnanswered(o)
+		m.markRunsUnanswered(orders)
 	} else {
 		if now < m.delivery.probedAt+probeInterval {
 			return "", nil
@@ -103,22 +105,24 @@
 		m.delivery.probedAt = now
 	}
 	m.delivery.inFlight, m.delivery.sentTick = true, m.worker.tick
-	return m.Addr, o
+	return m.Addr, orders
 }
 
-// markRunsUnanswered notes that a delivery's runs may arrive as long as it is unanswered.
-func (m *machine) markRunsUnanswered(o *wire.Orders) {
-	for _, c := range o.Orders {
+// markRunsUnanswered records in the tasks of a delivery's run commands that the delivery is unanswered, so that the
+// commands may still arrive.
+func (m *machine) markRunsUnanswered(orders *wire.Orders) {
+	for _, c := range orders.Orders {
 		if c.Verb != wire.VerbRun {
 			continue
 		}
 		job, n, _ := wire.SplitTask(c.Task)
-		m.tasks[peer.TaskID{Job: job, N: n, Attempt: c.Attempt}].unansweredToken = o.FencingToken
+		m.tasks[peer.TaskID{Job: job, N: n, Attempt: c.Attempt}].unansweredToken = orders.FencingToken
 	}
 }
 
-// HandleDeliveryResponse takes the answer to a delivery: the worker's status after it.
-func (s *State) HandleDeliveryResponse(id string, sent *wire.Orders, r *wire.Heartbeat, now clock.Micros) {
+// HandleDeliveryResponse processes the response to a delivery: the worker's status after it executed or rejected the
+// commands.
+func (s *State) HandleDeliveryResponse(id string, sent *wire.Orders, hb *wire.Heartbeat, now clock.Micros) {
 	m := s.machines[id]
 	if m == nil || !m.delivery.inFlight || sent.FencingToken>>termShift != s.terms[m.partition] {
 		return
@@ -129,37 +133,38 @@
 			t.unansweredToken = 0
 		}
 	}
-	if r.Machine != id {
+	if hb.Machine != id {
 		m.delivery.pausedUntil = now + wrongMachinePause
 		return
 	}
-	if m.worker.contacted && r.Incarnation == m.worker.incarnation && r.Tick <= m.delivery.sentTick {
+	if m.worker.contacted && hb.Incarnation == m.worker.incarnation && hb.Tick <= m.delivery.sentTick {
 		s.handleUnannouncedRestart(m, now)
 		return
 	}
 	if !m.worker.contacted {
-		if m.worker.incarnation != r.Incarnation {
-			m.worker.incarnation, m.delivery.probedAt = r.Incarnation, 0 // the next delivery names the right one
+		if m.worker.incarnation != hb.Incarnation {
+			m.worker.incarnation, m.delivery.probedAt = hb.Incarnation, 0 // the next delivery is addressed to the right one
 		}
-		if r.FencingToken < firstToken(s.terms[m.partition]) {
+		if hb.FencingToken < firstToken(s.terms[m.partition]) {
 			return
 		}
 	}
-	s.applyHeartbeat(m, r, viaDelivery, now)
+	s.applyHeartbeat(m, hb, viaDelivery, now)
 }
 
-// handleUnannouncedRestart takes an answer that is no copy, and yet its tick is none that can follow those seen: the
-// worker has begun anew without a new incarnation. What was just delivered may run there, for a worker lease from now
-// at most, since its heartbeats are taken for copies and not answered. Nothing more is delivered to it.
+// handleUnannouncedRestart handles a response whose tick is no higher than one that was already known when the
+// delivery was sent: the worker has restarted without a new incarnation. The commands that were just delivered may
+// run there, for one worker lease from now at most, since the worker's heartbeats count as copies and are not
+// answered. The machine gets no deliveries and no tasks for that long.
 func (s *State) handleUnannouncedRestart(m *machine, now clock.Micros) {
 	m.worker.answeredAt, m.delivery.unconfirmed = now, true
 	m.delivery.pausedUntil = now + s.timing.Lease.PlusDrift() + restartPauseMargin
 	s.markChanged(m)
 }
 
-// HandleDeliveryTimeout notes that a delivery had no answer: it may still be executed, until the worker shows a
-// higher token. Heartbeats may come from a machine that no answer and no delivery reaches, so it gets no more tasks
-// until it shows the raised token.
+// HandleDeliveryTimeout records that a delivery was not answered. The worker may still execute its commands until it
+// reports a higher token. The heartbeats of a machine may arrive while no response and no delivery reaches it, so the
+// machine gets no more tasks until it reports the incremented token.
 func (s *State) HandleDeliveryTimeout(id string, sent *wire.Orders, now clock.Micros) {
 	m := s.machines[id]
 	if m == nil || sent.FencingToken>>termShift != s.terms[m.partition] {
--- a/internal/partition/expiry.go
+++ b/internal/partition/expiry.go
@@ -3,22 +3,23 @@
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
 const (
-	// silenceMargin is the margin of argument 4, beyond the worker lease and the drift of clocks.
+	// silenceMargin is added to the worker lease, on top of clock drift, before a machine counts as silent
+	// (docs/design.md, argument 4).
 	silenceMargin = 500 * clock.Millisecond
-	// goneRetention is how long a machine that is gone is remembered, so that late heartbeats of it are rejected.
+	// goneRetention is how long a machine that is gone stays known, so that its late heartbeats are rejected.
 	goneRetention = 600 * clock.Second
 )
 
-// Tick lets leases, heartbeats, cordons and memories expire. It gives the machines whose records are to be
-// removed: nothing can be on them any more.
-func (s *State) Tick(now clock.Micros) (drop []string) {
+// Tick expires worker leases, heartbeats, resource leases, cordons, remembered batches and cancellations. It returns
+// the machines whose records are to be removed because no task can be on them any more.
+func (s *State) Tick(now clock.Micros) (removals []string) {
 	for id, m := range s.machines {
 		s.expireWorkerLease(m, now)
 		s.expireHeartbeat(m, now)
 		s.expireLeases(m, now)
 		s.expireCordon(m, now)
 		if m.decideRecordRemoval() {
-			drop = append(drop, id)
+			removals = append(removals, id)
 		}
 		if m.worker.gone && now > m.worker.answeredAt+goneRetention {
 			s.removeMachine(m)
@@ -26,11 +27,12 @@
 	}
 	s.batches.expire(now)
 	s.cancellations.expire(s.jobs, now)
-	return drop
+	return removals
 }
 
-// expireWorkerLease takes a machine as silent that no possible leader has answered with 200 for its whole worker
-// lease: the worker has killed and forgotten all that it had (docs/design.md, argument 4).
+// expireWorkerLease marks a machine as silent, and removes its tasks, when no leader can have answered its heartbeats
+// with 200 for a whole worker lease: the worker has then killed and forgotten all of its tasks (docs/design.md,
+// argument 4).
 func (s *State) expireWorkerLease(m *machine, now clock.Micros) {
 	if m.worker.lost() || now <= m.worker.answeredAt+s.timing.Lease.PlusDrift()+silenceMargin {
 		return
@@ -40,8 +42,9 @@
 	s.markAllChanged(m)
 }
 
-// expireHeartbeat takes a machine's heartbeats as overdue long before its worker lease expires: what is assigned to it
-// now would be lost if it is gone, and others may be scaled out in its place.
+// expireHeartbeat marks a machine as overdue when its heartbeats have not been answered for HeartbeatOverdue, long
+// before its worker lease expires. An overdue machine gets no tasks, which would be lost if it is gone, and the
+// autoscaler may rent others in its place.
 func (s *State) expireHeartbeat(m *machine, now clock.Micros) {
 	if m.worker.overdue || s.timing.HeartbeatOverdue <= 0 || now <= m.worker.answeredAt+s.timing.HeartbeatOverdue {
 		return
@@ -50,7 +53,7 @@
 	s.markChanged(m)
 }
 
-// expireLeases removes the leases of which nothing was sent in time.
+// expireLeases removes the leases for which no run command was sent in time.
 func (s *State) expireLeases(m *machine, now clock.Micros) {
 	for _, t := range m.tasks {
 		if t.state == taskLeased && now > s.leaseExpiry(t) {
@@ -66,11 +69,11 @@
 	}
 }
 
-// decideRecordRemoval decides to remove the record of a machine that is lost, again with each tick until it is
-// gone. Should the machine be back before the removal is carried out, it gets nothing until it is recorded once more:
-// that changes what a late removal is conditional on (docs/design.md, argument 5).
+// decideRecordRemoval decides to remove the record of a lost machine, again with each tick until the record is gone.
+// A machine that comes back before then gets no tasks until it is recorded again: the new write changes the mod
+// revision that the late removal is conditional on, so the removal fails (docs/design.md, argument 5).
 func (m *machine) decideRecordRemoval() bool {
-	if !m.worker.lost() || m.record == unrecorded {
+	if !m.worker.lost() || m.record == recordAbsent {
 		return false
 	}
 	m.record = recordRemoving
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -14,17 +14,19 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// errorResponse answers a worker with an error; retryAfterS is in seconds, 0 for none.
+// errorResponse returns an error response to a worker. leader names the partition's leader, "" for none. retryAfterS
+// is the time in seconds after which the worker may try again, 0 for none.
 func errorResponse(status int, text, leader string, retryAfterS int) httpx.Response {
 	r := httpx.JSON(status, wire.Error{Error: text, Leader: leader})
 	r.RetryAfter = retryAfterS
 	return r
 }
 
-// maxMachineName bounds a machine's name in bytes, so that it fits into a key with its prefix.
+// maxMachineName is the longest machine name that is accepted, in bytes, so that a key with the name and its prefix
+// fits into the key-value store.
 const maxMachineName = 150
 
-// validMachineName reports whether a name can be part of a key of the key-value store.
+// validMachineName reports whether a name can be part of a key in the key-value store.
 func validMachineName(name string) bool {
 	if name == "" || len(name) > maxMachineName {
 		return false
@@ -37,34 +39,34 @@
 	return true
 }
 
-// decodeHeartbeat reads a heartbeat and reports whether it is a valid one.
-func decodeHeartbeat(body []byte, r *wire.Heartbeat) bool {
-	err := json.Unmarshal(body, r)
-	return err == nil && validMachineName(r.Machine) && r.Incarnation != 0 && r.Tick != 0
+// decodeHeartbeat decodes a heartbeat and reports whether it is valid.
+func decodeHeartbeat(body []byte, hb *wire.Heartbeat) bool {
+	err := json.Unmarshal(body, hb)
+	return err == nil && validMachineName(hb.Machine) && hb.Incarnation != 0 && hb.Tick != 0
 }
 
-// HandleHeartbeat answers a worker's heartbeat: 421 names the partition's leader, 503 asks for another try. An answer
-// with 200 extends the worker's lease.
+// HandleHeartbeat answers a worker's heartbeat. A response with 200 extends the worker's lease, 421 names the
+// partition's leader, 503 asks the worker to try again, and 400 rejects an invalid heartbeat.
 func (s *Server) HandleHeartbeat(body []byte) httpx.Response {
-	began := time.Now()
-	defer func() { s.heartbeatDuty.Round(time.Since(began)) }()
-	var r wire.Heartbeat
-	if !decodeHeartbeat(body, &r) {
+	start := time.Now()
+	defer func() { s.heartbeatDuty.Round(time.Since(start)) }()
+	var hb wire.Heartbeat
+	if !decodeHeartbeat(body, &hb) {
 		return errorResponse(400, "not a report", "", 0)
 	}
-	partition := s.partitioning.PartitionOf(r.Machine, r.Zone)
-	l, leading := s.elections.Leading(Duty(partition))
+	partition := s.partitioning.PartitionOf(hb.Machine, hb.Zone)
+	leadership, leading := s.elections.Leading(Duty(partition))
 	if !leading {
-		return s.redirectHeartbeat(&r, partition)
+		return s.redirectHeartbeat(&hb, partition)
 	}
 	s.mu.Lock()
-	term, have := s.state.PartitionTerm(partition)
-	if !have || term != l.Term {
+	term, held := s.state.PartitionTerm(partition)
+	if !held || term != leadership.Term {
 		s.mu.Unlock()
 		return errorResponse(503, "taking over", "", 1)
 	}
 	before := s.state.Version()
-	ans, ok := s.state.HandleHeartbeat(&r, partition, s.clock.Now())
+	answer, ok := s.state.HandleHeartbeat(&hb, partition, s.clock.Now())
 	if s.state.Version() != before {
 		s.notifyChange()
 	}
@@ -72,35 +74,37 @@
 	if !ok {
 		return errorResponse(503, "an old report", "", 0)
 	}
-	response := httpx.JSON(200, ans)
+	response := httpx.JSON(200, answer)
 	if !s.leads(partition, term) {
-		// What is said now may not be true any more: this process was paused in between.
+		// The response may be outdated: if this process was paused since the check above, another one may lead the
+		// partition now.
 		return errorResponse(503, "the partition's claim is over", "", 1)
 	}
 	return response
 }
 
-// redirectHeartbeat answers a heartbeat of a machine whose partition this process doesn't lead.
-func (s *Server) redirectHeartbeat(r *wire.Heartbeat, partition int) httpx.Response {
+// redirectHeartbeat answers the heartbeat of a machine whose partition another process leads.
+func (s *Server) redirectHeartbeat(hb *wire.Heartbeat, partition int) httpx.Response {
 	leader, ok := s.elections.Leader(Duty(partition))
 	if !ok || leader == s.controller {
 		return errorResponse(503, "no controller has this machine now", "", 1)
 	}
-	s.misdirected.add(leader, r.Machine, s.clock.Now())
+	s.misdirected.add(leader, hb.Machine, s.clock.Now())
 	return errorResponse(421, "another controller has this machine", leader, 0)
 }
 
-// HandleBatch carries out a scheduler's batch.
+// HandleBatch carries out a scheduler's batch on the partitions that this process leads now.
 func (s *Server) HandleBatch(in peer.Batch) peer.BatchResponse {
 	s.Reconcile()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ans := s.state.HandleBatch(in, s.incarnation, s.clock.Now())
+	response := s.state.HandleBatch(in, s.incarnation, s.clock.Now())
 	s.notifyChange()
-	return ans
+	return response
 }
 
-// Drain keeps machines free of new tasks and names those that may be returned.
+// Drain marks those of the machines that can be returned to the cloud as draining and returns their ids. See
+// State.Drain.
 func (s *Server) Drain(list []peer.MachineRef) []string {
 	s.Reconcile()
 	s.mu.Lock()
@@ -110,7 +114,7 @@
 	return ready
 }
 
-// HandleMachinesGone takes the word that machines are gone for certain.
+// HandleMachinesGone records that machines are gone for certain.
 func (s *Server) HandleMachinesGone(list []peer.MachineRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +122,7 @@
 	s.notifyChange()
 }
 
-// SetTypes sets the capacities of the machine types, and how many GB of images they keep.
+// SetTypes sets the capacity and the image cache size, in GB, of each machine type.
 func (s *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,22 +131,22 @@
 	s.notifyChange()
 }
 
-// SetZoneState takes the state of a zone.
+// SetZoneState applies the state of a zone from its record.
 func (s *Server) SetZoneState(name string, r zone.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.SetZoneState(name, r, s.clock.Now())
 }
 
-// AdmittedStages returns the stages that this partition leader admits in zones to which work returns.
+// AdmittedStages returns, for each zone that is lost or returning, the stage that this partition leader admits now.
 func (s *Server) AdmittedStages() map[string]recovery.Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.AdmittedStages(s.clock.Now())
 }
 
-// Standings returns the teams' shares of the machines that are led, the capacity that they are of, and
-// how many assignments had to leave resources to other teams.
+// Standings returns the teams' fair shares of the machines that this process leads, the capacity that the shares
+// refer to, and the number of assignments that had to leave resources to other teams.
 func (s *Server) Standings() (capacity resources.Amounts, list []fairshare.Standing, yielded uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -7,72 +7,73 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// route is the way by which commands reach a worker and its status comes back.
+// route is the path by which commands reach a worker and the worker's status comes back.
 type route int
 
 const (
-	viaHeartbeat route = iota // the worker's heartbeat, and commands in its answer
-	viaDelivery               // commands delivered to the worker's own address, and its status in the answer
+	viaHeartbeat route = iota // the status is a heartbeat, and the commands are in its response
+	viaDelivery               // the commands are delivered to the worker's own address, and the status is in its response
 )
 
-// HandleHeartbeat takes a worker's heartbeat and decides the answer. ok is false when it must not be answered
-// with 200.
-func (s *State) HandleHeartbeat(r *wire.Heartbeat, partition int, now clock.Micros) (ans wire.HeartbeatResponse, ok bool) {
-	m := s.machines[r.Machine]
+// HandleHeartbeat processes a worker's heartbeat and returns the response. ok is false when the heartbeat must not be
+// answered with 200, because that would extend the worker's lease.
+func (s *State) HandleHeartbeat(hb *wire.Heartbeat, partition int, now clock.Micros) (response wire.HeartbeatResponse, ok bool) {
+	m := s.machines[hb.Machine]
 	if m == nil {
-		m = s.addMachine(r.Machine, partition, inventory.Record{Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now)
-	}
-	if !s.mayAnswer(m, r, partition) {
-		return ans, false
-	}
-	// The answer to a delivery may have overtaken this heartbeat: then it says nothing new, but its worker waits
-	// for an answer.
-	fresh := m.worker.isNewer(r)
-	m.worker.lastHeartbeat = heartbeatID{r.Incarnation, r.Tick}
-	if fresh {
-		m.Addr = r.Addr
-		s.applyHeartbeat(m, r, viaHeartbeat, now)
+		m = s.addMachine(hb.Machine, partition, inventory.Record{Addr: hb.Addr, Type: hb.Type, Zone: hb.Zone, Spot: hb.Spot}, now)
+	}
+	if !s.mayAnswer(m, hb, partition) {
+		return response, false
+	}
+	// The response to a delivery can overtake a heartbeat that was sent before it. The heartbeat then carries no
+	// news, but is answered so that the worker's lease is extended.
+	newer := m.worker.isNewer(hb)
+	m.worker.lastHeartbeat = heartbeatID{hb.Incarnation, hb.Tick}
+	if newer {
+		m.Addr = hb.Addr
+		s.applyHeartbeat(m, hb, viaHeartbeat, now)
 		m.delivery.pausedUntil = 0
 	}
 	m.worker.answeredAt = now
-	if g := s.zoneGates[m.Zone]; g != nil {
-		g.HeartbeatSeen(now)
+	if gate := s.zoneGates[m.Zone]; gate != nil {
+		gate.HeartbeatSeen(now)
 	}
 	if m.worker.overdue {
 		m.worker.overdue = false
 		s.resetIdle(m, now)
 	}
-	ans.FencingToken = m.delivery.token
-	ans.Orders = []wire.Order{}
-	if fresh && m.accounted {
-		ans.Orders = s.dueCommands(m, viaHeartbeat, now)
+	response.FencingToken = m.delivery.token
+	response.Orders = []wire.Order{}
+	if newer && m.accounted {
+		response.Orders = s.dueCommands(m, viaHeartbeat, now)
 	}
-	return ans, true
+	return response, true
 }
 
-// mayAnswer reports whether a heartbeat may be answered with 200, which extends its worker's lease.
-func (s *State) mayAnswer(m *machine, r *wire.Heartbeat, partition int) bool {
+// mayAnswer reports whether a heartbeat may be answered with 200, which extends the worker's lease.
+func (s *State) mayAnswer(m *machine, hb *wire.Heartbeat, partition int) bool {
 	switch {
 	case m.partition != partition:
-		return false // it says now that it is in another zone: that is not understood
-	case m.worker.gone, m.worker.isFormerIncarnation(r):
+		return false // it names a zone of another partition than the one that the machine is known in
+	case m.worker.gone, m.worker.isFormerIncarnation(hb):
 		return false
-	case r.FencingToken > m.delivery.token && r.FencingToken>>termShift > s.terms[partition]:
-		return false // it has seen a later term: this process leads it no more
+	case hb.FencingToken > m.delivery.token && hb.FencingToken>>termShift > s.terms[partition]:
+		return false // the worker has seen a later term: another process has acquired the partition since
 	}
-	return !m.worker.isCopy(r)
+	return !m.worker.isCopy(hb)
 }
 
-// applyHeartbeat takes what a worker says of itself. Statuses that are older than the newest known change nothing.
-func (s *State) applyHeartbeat(m *machine, r *wire.Heartbeat, by route, now clock.Micros) {
-	if !m.worker.isNewer(r) {
+// applyHeartbeat applies a worker's status to its machine. A status that is not newer than the newest one known
+// changes nothing.
+func (s *State) applyHeartbeat(m *machine, hb *wire.Heartbeat, via route, now clock.Micros) {
+	if !m.worker.isNewer(hb) {
 		return
 	}
-	changed := s.applyIncarnation(m, r, now)
-	changed = s.applyWorkerState(m, r, now) || changed
-	listed := s.applyTasks(m, r, now)
+	changed := s.applyIncarnation(m, hb, now)
+	changed = s.applyWorkerState(m, hb, now) || changed
+	listed := s.applyTasks(m, hb, now)
 	if len(listed) < len(m.tasks) {
-		s.removeUnlistedTasks(m, r, listed, by)
+		s.removeUnlistedTasks(m, hb, listed, via)
 	}
 	if len(m.tasks) > 0 {
 		m.idleSince = now
@@ -83,17 +84,18 @@
 	}
 }
 
-// applyIncarnation takes a worker's incarnation and tick. A later incarnation ends all attempts of earlier ones
-// (docs/design.md, argument 4).
-func (s *State) applyIncarnation(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
+// applyIncarnation records the incarnation and tick of a status. When a worker begins a later incarnation it has
+// killed the tasks of the earlier ones, so their attempts are removed (docs/design.md, argument 4).
+func (s *State) applyIncarnation(m *machine, hb *wire.Heartbeat, now clock.Micros) (changed bool) {
 	changed = !m.worker.contacted
-	if !m.worker.contacted || r.Incarnation > m.worker.incarnation {
-		// An incarnation lasts its whole worker lease from its own beginning, answered or not, and it may have
-		// begun as late as now.
+	if !m.worker.contacted || hb.Incarnation > m.worker.incarnation {
+		// The worker's lease runs for its whole duration from the start of the incarnation, whether or not a
+		// heartbeat is answered, and the incarnation may have started as late as now.
 		m.worker.answeredAt = now
 	}
-	if m.worker.contacted && r.Incarnation > m.worker.incarnation {
-		// Whatever ran in an earlier incarnation was killed, and no command that names an earlier one is executed.
+	if m.worker.contacted && hb.Incarnation > m.worker.incarnation {
+		// The worker has killed the tasks of earlier incarnations, and it executes no command that is addressed to
+		// one.
 		for _, t := range m.tasks {
 			if t.state != taskLeased {
 				s.removeTask(m, t)
@@ -105,35 +107,36 @@
 		m.worker.silent, changed = false, true
 		s.resetIdle(m, now)
 	}
-	m.worker.contacted, m.worker.incarnation, m.worker.tick = true, r.Incarnation, r.Tick
+	m.worker.contacted, m.worker.incarnation, m.worker.tick = true, hb.Incarnation, hb.Tick
 	return changed
 }
 
-// applyWorkerState takes the token that a worker shows, and its eviction notice. The first token of this term makes
-// the machine accounted (docs/design.md, argument 6).
-func (s *State) applyWorkerState(m *machine, r *wire.Heartbeat, now clock.Micros) (changed bool) {
-	m.delivery.shownToken = max(m.delivery.shownToken, r.FencingToken)
-	if m.delivery.unconfirmed && r.FencingToken >= m.delivery.token {
+// applyWorkerState records the highest fencing token that the worker has seen, and its eviction notice. The first
+// token of this term makes the machine accounted for: the worker rejects all commands of former leaders from then on
+// (docs/design.md, argument 6).
+func (s *State) applyWorkerState(m *machine, hb *wire.Heartbeat, now clock.Micros) (changed bool) {
+	m.delivery.reportedToken = max(m.delivery.reportedToken, hb.FencingToken)
+	if m.delivery.unconfirmed && hb.FencingToken >= m.delivery.token {
 		m.delivery.unconfirmed, changed = false, true
 		s.resetIdle(m, now)
 	}
-	if !m.accounted && r.FencingToken >= firstToken(s.terms[m.partition]) {
+	if !m.accounted && hb.FencingToken >= firstToken(s.terms[m.partition]) {
 		m.accounted = true
-		s.markAllChanged(m) // schedulers that did not rely on its tasks so far look at all of them now
+		s.markAllChanged(m) // schedulers have not relied on the list of its tasks until now and need all of it
 	}
-	if given := r.EvictionNoticeS != nil; given != m.eviction.given {
+	if given := hb.EvictionNoticeS != nil; given != m.eviction.given {
 		m.eviction.given, changed = given, true
 	}
-	if r.EvictionNoticeS != nil {
-		m.eviction.at = now + clock.FromSeconds(*r.EvictionNoticeS)
+	if hb.EvictionNoticeS != nil {
+		m.eviction.at = now + clock.FromSeconds(*hb.EvictionNoticeS)
 	}
 	return changed
 }
 
-// applyTasks takes the tasks that a worker lists, and gives their ids.
-func (s *State) applyTasks(m *machine, r *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
-	listed = make(map[peer.TaskID]bool, len(r.Tasks))
-	for _, status := range r.Tasks {
+// applyTasks records the phases of the tasks that a worker lists, and returns their ids.
+func (s *State) applyTasks(m *machine, hb *wire.Heartbeat, now clock.Micros) (listed map[peer.TaskID]bool) {
+	listed = make(map[peer.TaskID]bool, len(hb.Tasks))
+	for _, status := range hb.Tasks {
 		job, n, ok := wire.SplitTask(status.Task)
 		if !ok {
 			continue
@@ -159,7 +162,7 @@
 	return listed
 }
 
-// addFoundTask adds a task that a worker lists and that was not assigned here.
+// addFoundTask adds a task that a worker lists and that this leader has not assigned: a former leader did.
 func (s *State) addFoundTask(m *machine, id peer.TaskID, now clock.Micros) *task {
 	t := &task{id: id, addedAt: now}
 	if j, ok := s.jobs.Active(id.Job); ok {
@@ -170,24 +173,27 @@
 	return t
 }
 
-// removeUnlistedTasks removes the tasks that a worker lists no more, or never will.
-func (s *State) removeUnlistedTasks(m *machine, r *wire.Heartbeat, listed map[peer.TaskID]bool, by route) {
+// removeUnlistedTasks removes the tasks that a worker has listed before and does not list any more, and those that
+// were stopped before they started and can't start any more. The latter is certain only from a heartbeat that was
+// sent after the one whose response carried the last run command, and when no unanswered delivery can still bring a
+// run command (docs/design.md, argument 2).
+func (s *State) removeUnlistedTasks(m *machine, hb *wire.Heartbeat, listed map[peer.TaskID]bool, via route) {
 	for id, t := range m.tasks {
 		if listed[id] || t.state == taskLeased {
 			continue
 		}
 		switch {
 		case t.state >= taskReported:
-			s.removeTask(m, t) // forgotten
-		case t.stopping && by == viaHeartbeat && r.Tick > t.runTick && !m.delivery.runMayArrive(t):
-			s.removeTask(m, t) // never started
+			s.removeTask(m, t) // the worker has forgotten it
+		case t.stopping && via == viaHeartbeat && hb.Tick > t.runTick && !m.delivery.runMayArrive(t):
+			s.removeTask(m, t) // it has not started, and no run command for it can arrive any more
 		}
 	}
 }
 
-// resetIdle notes that a machine may be used again: while it was cut off or hung it was given nothing, so it has not
-// been idle. Otherwise all machines of a network partition would be scaled in the moment they are back, and scaled
-// out anew.
+// resetIdle restarts a machine's idle time when the machine becomes usable again. A machine that was cut off or hung
+// could get no tasks, so it was not idle. Otherwise the autoscaler would return all machines of a network partition
+// the moment they are reachable, and rent new ones.
 func (s *State) resetIdle(m *machine, now clock.Micros) {
 	m.idleSince = now
 	s.markChanged(m)
--- a/internal/partition/heartbeats_test.go
+++ b/internal/partition/heartbeats_test.go
@@ -10,35 +10,36 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A heartbeat that was delayed by a network partition comes after newer ones.
+// A network partition delays a heartbeat, so that it arrives after newer ones. It must neither be answered nor remove
+// the tasks that it does not list.
 func TestHeartbeatOfFormerIncarnationIsRejected(t *testing.T) {
-	s := newScene(t)
-	held := s.worker.Heartbeat(s.now) // lists nothing
-	require.True(t, s.acquireLease(0, 1))
+	s := newFixture(t)
+	delayed := s.worker.Heartbeat(s.now) // lists no tasks
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
-	_, ok := s.state.HandleHeartbeat(&held, 0, s.now)
+	_, ok := s.state.HandleHeartbeat(&delayed, 0, s.now)
 	require.False(t, ok)
 	require.Len(t, s.tasks(), 1)
 
 	s.worker.Incarnation = 2
 	s.worker.Tick = 0
 	s.heartbeat()
-	_, ok = s.state.HandleHeartbeat(&held, 0, s.now)
+	_, ok = s.state.HandleHeartbeat(&delayed, 0, s.now)
 	require.False(t, ok, "a heartbeat of a former incarnation must not be answered with 200")
 }
 
-// A worker begins a new incarnation, and the leader learns of it by the answer to a delivery only. The incarnation
-// lasts its worker lease from its beginning, not from the last heartbeat.
+// A worker begins a new incarnation, and the leader learns of it only from the response to a delivery. The worker
+// lease must be counted from then, not from the last heartbeat, or the leader would remove tasks that still run.
 func TestNewIncarnationHasWholeWorkerLease(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.now += workerLease + 200*clock.Millisecond
-	for n := range 2 { // the first delivery names the former incarnation and is rejected
-		require.True(t, s.acquireLease(n, uint64(n+1)))
-		_, o := s.state.NextDelivery("m-1", s.now)
-		r, _ := s.worker.HandleCommands(*o, s.now)
-		s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
+	for n := range 2 { // the first delivery is addressed to the former incarnation and is rejected
+		require.True(t, s.assign(n, uint64(n+1)))
+		_, orders := s.state.NextDelivery("m-1", s.now)
+		status, _ := s.worker.HandleCommands(*orders, s.now)
+		s.state.HandleDeliveryResponse("m-1", orders, &status, s.now)
 	}
 	require.True(t, s.worker.Running("job-1/1"))
 	s.now += 2 * sec
@@ -48,22 +49,22 @@
 	require.Len(t, s.tasks(), 1)
 }
 
-// Copies of a heartbeat come late, over and over, after its machine has died: they do not keep the machine alive, nor
-// change what later heartbeats said.
+// After a machine has died, late copies of its heartbeats keep arriving. They must neither keep the machine alive nor
+// change what newer heartbeats have reported.
 func TestCopiesOfHeartbeatsKeepNoMachineAlive(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	early := s.worker.Heartbeat(s.now)
 	_, ok := s.state.HandleHeartbeat(&early, 0, s.now)
 	require.True(t, ok)
-	require.True(t, s.acquireLease(0, 1))
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 	last := s.worker.Heartbeat(s.now)
 	s.state.HandleHeartbeat(&last, 0, s.now)
-	for range 30 { // the machine is gone; copies come for three leases
+	for range 30 { // the machine is gone; copies arrive for three worker leases
 		s.now += sec
-		for _, c := range []wire.Heartbeat{early, last} {
-			_, ok := s.state.HandleHeartbeat(&c, 0, s.now)
+		for _, copied := range []wire.Heartbeat{early, last} {
+			_, ok := s.state.HandleHeartbeat(&copied, 0, s.now)
 			require.False(t, ok)
 		}
 		s.state.Tick(s.now)
@@ -75,44 +76,44 @@
 	require.Empty(t, s.tasks())
 }
 
-// A worker's new incarnation is learnt from an answer to a delivery; its first heartbeat is no copy, though its ticks
-// may begin anew.
+// The leader learns of a worker's new incarnation from the response to a delivery. The first heartbeat of the
+// incarnation must not be taken for a copy, although its ticks may start again from 1.
 func TestFirstHeartbeatOfIncarnationIsAnswered(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	for range 20 {
 		s.heartbeat()
 	}
 	s.worker.Incarnation, s.worker.Tick = 2, 0
 	clear(s.worker.Tasks)
-	require.True(t, s.acquireLease(0, 1))
-	_, o := s.state.NextDelivery("m-1", s.now)
-	o.Incarnation = 2
-	after, _ := s.worker.HandleCommands(*o, s.now)
-	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
-	r := s.worker.Heartbeat(s.now)
-	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
+	require.True(t, s.assign(0, 1))
+	_, orders := s.state.NextDelivery("m-1", s.now)
+	orders.Incarnation = 2
+	status, _ := s.worker.HandleCommands(*orders, s.now)
+	s.state.HandleDeliveryResponse("m-1", orders, &status, s.now)
+	hb := s.worker.Heartbeat(s.now)
+	_, ok := s.state.HandleHeartbeat(&hb, 0, s.now)
 	require.True(t, ok)
 }
 
-// The answer to a delivery overtakes a heartbeat that was sent before it: the heartbeat says nothing new, but its
-// worker is answered, and its worker lease goes on.
+// The response to a delivery overtakes a heartbeat that was sent before it. The heartbeat has no news, but must be
+// answered, so that the worker's lease is extended.
 func TestHeartbeatOvertakenByDeliveryResponseIsAnswered(t *testing.T) {
-	s := newScene(t)
-	r := s.worker.Heartbeat(s.now)
-	require.True(t, s.acquireLease(0, 1))
-	_, o := s.state.NextDelivery("m-1", s.now)
-	after, done := s.worker.HandleCommands(*o, s.now)
-	require.True(t, done)
-	s.state.HandleDeliveryResponse("m-1", o, &after, s.now)
-	_, ok := s.state.HandleHeartbeat(&r, 0, s.now)
+	s := newFixture(t)
+	hb := s.worker.Heartbeat(s.now)
+	require.True(t, s.assign(0, 1))
+	_, orders := s.state.NextDelivery("m-1", s.now)
+	status, executed := s.worker.HandleCommands(*orders, s.now)
+	require.True(t, executed)
+	s.state.HandleDeliveryResponse("m-1", orders, &status, s.now)
+	_, ok := s.state.HandleHeartbeat(&hb, 0, s.now)
 	require.True(t, ok)
 	require.Len(t, s.tasks(), 1)
 }
 
-// A machine is cut off for longer than its worker lease and comes back: nothing could be given to it, so it has not
-// been idle, and is not to be returned immediately.
+// A machine is cut off for longer than its worker lease and comes back. It could get no tasks meanwhile, so it must
+// not count as idle for that time and be returned to the cloud at once.
 func TestMachineThatReportsAgainIsNotIdle(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.heartbeat()
 	idle := func() clock.Micros {
 		v := s.state.HandlePoll(peer.PollRequest{}, "i", s.now).Machines
--- a/internal/partition/history.go
+++ b/internal/partition/history.go
@@ -6,7 +6,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// recordHistory notes that a task runs or has ended.
+// recordHistory adds an event to the history when a task starts running or exits.
 func (s *State) recordHistory(m *machine, id peer.TaskID, phase, cause string) {
 	if s.history == nil {
 		return
--- a/internal/partition/images.go
+++ b/internal/partition/images.go
@@ -1,22 +1,23 @@
 package partition
 
-// maxCachedImages bounds what is known of a machine's cache.
+// maxCachedImages is the largest number of images that are tracked for a machine's cache.
 const maxCachedImages = 48
 
-// imageCache is what a machine's image cache holds, as far as is known.
+// imageCache is the presumed content of a machine's image cache: workers don't report it, so it follows from the
+// images of the machine's tasks.
 type imageCache struct {
-	names   []string // the latest used first
-	version uint64   // of the machine's view since which they are so
+	names   []string // the most recently used first
+	version uint64   // the machine's version when names last changed
 }
 
-// imageCatalog knows how large images and caches are.
+// imageCatalog holds the sizes of the machines' image caches and of the images, in GB.
 type imageCatalog struct {
 	cacheGB map[string]float64 // by machine type
-	imageGB map[string]float64 // by image, as last assigned
+	imageGB map[string]float64 // by image, as the last assignment gave it
 }
 
-// afterUse returns a cache's images once one of them, or another one, has been used: the latest used, as many as the
-// cache holds. changed is false when they are the same.
+// afterUse returns the content of a cache after an image has been used: that image first, then the others, the most
+// recently used first, as many as fit. changed is false if the order stays the same.
 func (c *imageCatalog) afterUse(names []string, machineType, image string, gb float64) (used []string, changed bool) {
 	c.imageGB[image] = gb
 	if len(names) > 0 && names[0] == image {
@@ -36,10 +37,10 @@
 	return used, true
 }
 
-// SetCaches sets how many GB of images the machine types keep.
+// SetCaches sets the size of the image cache of each machine type, in GB.
 func (s *State) SetCaches(gb map[string]float64) { s.images.cacheGB = gb }
 
-// recordImage notes that a machine has an image, or is to fetch it.
+// recordImage records that a machine has an image in its cache, or will fetch it for a task.
 func (s *State) recordImage(m *machine, image string, gb float64) {
 	names, changed := s.images.afterUse(m.images.names, m.Type, image, gb)
 	if !changed {
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -6,20 +6,21 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// maxReservation bounds for how long resources are held for a task that is to move here.
+// maxReservation is the longest time for which a scheduler can reserve resources for a task that is to move to a
+// machine.
 const maxReservation = 60 * clock.Second
 
-// decision is what becomes of an assignment.
+// decision is the outcome of an assignment.
 type decision int
 
 const (
 	rejected decision = iota
-	yielded           // rejected in favour of other teams, with a better right to the resources
+	yielded           // rejected because another team, below its fair share, waits for the resources
 	accepted
 )
 
-// acceptAssignment leases resources for one task, or rejects it. A second start of a task that is on the machine
-// already is rejected.
+// acceptAssignment leases resources of a machine to one task, or rejects the assignment. It rejects a second start of
+// a task that is already on the machine.
 func (s *State) acceptAssignment(a *peer.Assignment, term uint64, now clock.Micros) decision {
 	m := s.machines[a.Machine]
 	if !s.mayAccept(m, a, term, now) {
@@ -44,9 +45,9 @@
 	return accepted
 }
 
-// mayAccept reports whether a task may get resources of a machine at all: its scheduler leads the team, its job is
-// not over, the machine is led here under the term that the scheduler knows and may be used, and no attempt of the
-// task is on it.
+// mayAccept reports whether a machine may lease resources to a task at all. The task's scheduler must lead the team,
+// the job must not have ended, this process must lead the machine's partition under the term that the scheduler
+// knows, the machine must be usable, and no other attempt of the task may be on it.
 func (s *State) mayAccept(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
 	switch {
 	case !s.teamTerms.isCurrent(a.Team, term), a.ID.Attempt>>attemptTermShift != term:
@@ -54,18 +55,19 @@
 	case m == nil, s.terms[m.partition] != a.Term, !m.usable(now):
 		return false
 	case s.jobs.Ended(a.ID.Job, a.Made):
-		return false // by a former team leader, or by a copy of an old batch
+		return false // sent by a former team leader, or in a late copy of an old batch
 	case !s.cancellations.admits(a.ID.Job, term):
 		return false
 	}
 	return !m.hasAttempt(a.ID.Job, a.ID.N)
 }
 
-// attemptTermShift is where the team's term begins in the number of an attempt (docs/design.md, argument 3).
+// attemptTermShift is the number of bits below the team's term in an attempt number. Because each team leader puts
+// its own term into the number, leaders of different terms never use the same one (docs/design.md, argument 3).
 const attemptTermShift = 32
 
-// chooseVictims picks the tasks to be stopped for an assignment, of those that it names, until its resources are
-// free. It gives them with what is free once they are stopped.
+// chooseVictims selects, among the preemption victims that an assignment names, as many tasks as must stop for the
+// assignment to fit. It returns them with the resources that are free once they have stopped.
 func (m *machine) chooseVictims(a *peer.Assignment, free resources.Amounts) (victims []*task, freeAfter resources.Amounts) {
 	for _, id := range a.Victims {
 		t := m.tasks[id]
@@ -81,7 +83,7 @@
 	return victims, free
 }
 
-// addLease leases the resources of an accepted assignment.
+// addLease adds the resource lease of an accepted assignment to its machine.
 func (s *State) addLease(m *machine, a *peer.Assignment, now clock.Micros) {
 	t := &task{
 		id:              a.ID,
@@ -99,14 +101,14 @@
 	m.idleSince = now
 	s.markTaskChanged(m, t)
 	if s.arbiter != nil {
-		s.arbiter.RecordAccepted(fairShareAsk(a), m.id)
+		s.arbiter.RecordAccepted(fairShareAssignment(a), m.id)
 	}
-	if g := s.zoneGates[m.Zone]; g != nil {
-		g.startsUnderWay++
+	if gate := s.zoneGates[m.Zone]; gate != nil {
+		gate.startsUnderWay++
 	}
 }
 
-// leaseExpiry is when a lease of which nothing was sent expires.
+// leaseExpiry returns when a lease expires for which no run command has been sent.
 func (s *State) leaseExpiry(t *task) clock.Micros {
 	if t.reserved {
 		return t.addedAt + t.reservedFor
@@ -114,8 +116,9 @@
 	return t.addedAt + s.timing.RoomLeaseTTL
 }
 
-// hasReservation reports whether the machine has a held lease, for a task that is to move there. It has one
-// at most: moves that several schedulers decide on at the same time must not meet on one machine.
+// hasReservation reports whether the machine has a reservation: a lease held for a task that is to move to the
+// machine. A machine has at most one, so that moves that several schedulers decide on at the same time do not meet on
+// it.
 func (m *machine) hasReservation() bool {
 	for _, t := range m.tasks {
 		if t.reserved && !t.exited() {
@@ -125,9 +128,10 @@
 	return false
 }
 
-// startReserved has a task start on its held lease: its team's present leader says that it is gone from where it
-// ran. Without that the lease expires. A machine that may get no tasks any more gets none by this way either.
-func (s *State) startReserved(start *peer.StartTask, term uint64, now clock.Micros) {
+// startReservedTask turns a reservation into an ordinary lease, so that the task's run command is sent. The current
+// leader of the task's team requests this once the task is gone from its previous machine; without the request the
+// reservation expires. A machine that has become unusable drops the reservation instead.
+func (s *State) startReservedTask(start *peer.StartTask, term uint64, now clock.Micros) {
 	m := s.machines[start.Machine]
 	if m == nil {
 		return
@@ -137,7 +141,7 @@
 		return
 	}
 	if !s.teamTerms.isCurrent(start.Team, term) || start.ID.Attempt>>attemptTermShift != term {
-		return // by a former team leader: the task may run elsewhere by now
+		return // sent by a former team leader: the present one may have started the task elsewhere
 	}
 	if t.stopping || s.jobEnded(t) || !m.usable(now) {
 		s.removeTask(m, t)
@@ -147,7 +151,8 @@
 	s.markTaskChanged(m, t)
 }
 
-// stopTask stops a task; a lease of which nothing was sent just ends. A stop is repeated only with a shorter grace.
+// stopTask decides to stop a task, with graceS seconds to checkpoint. A lease for which no run command was sent is
+// removed at once. A task that is already stopping is stopped again only with a shorter grace.
 func (s *State) stopTask(m *machine, t *task, graceS float64) {
 	switch {
 	case t.state == taskLeased:
@@ -159,7 +164,7 @@
 	}
 }
 
-// stopGraceOf is the time in seconds that a task has to checkpoint when it is stopped.
+// stopGraceOf returns the time in seconds that a preempted task has to checkpoint.
 func (s *State) stopGraceOf(t *task) float64 {
 	if j, ok := s.jobs.Active(t.id.Job); ok {
 		return j.StopGraceS()
--- a/internal/partition/leases_test.go
+++ b/internal/partition/leases_test.go
@@ -10,37 +10,41 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A machine gets no task before its record is in the key-value store: a later leader would not know of it.
+// A task on a machine whose record is not in the key-value store would be unknown to a later leader, so the machine
+// must get none.
 func TestUnrecordedMachineGetsNoTask(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, false, s.now)
-	require.False(t, s.acquireLease(0, 1))
+	require.False(t, s.assign(0, 1))
 	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
-	require.True(t, s.acquireLease(0, 2))
+	require.True(t, s.assign(0, 2))
 }
 
-// The assignment of a team's former leader arrives after a poll of the new one.
+// An assignment of a former team leader arrives after a poll of the present one. It must be rejected: the present
+// leader may have assigned the task elsewhere.
 func TestAssignmentOfFormerTeamLeaderIsRejected(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.state.HandlePoll(peer.PollRequest{Terms: map[string]uint64{team: 2}}, "me", s.now)
-	require.False(t, s.acquireLease(0, 1))
+	require.False(t, s.assign(0, 1))
 }
 
-// An assignment sent to the former leader of a partition reaches the next one.
+// An assignment that a scheduler made for a former leader of the partition reaches the next one. It must be rejected,
+// since it rests on the former leader's view.
 func TestAssignmentUnderFormerPartitionTermIsRejected(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.state.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
 	s.heartbeat()
 	s.heartbeat()
 	require.True(t, s.state.machines["m-1"].usable(s.now))
-	require.False(t, s.acquireLease(0, 1))
+	require.False(t, s.assign(0, 1))
 }
 
-// Resources of a stopping task are leased immediately, and the lease starts after its end.
-func TestLeaseStartsAfterItsVictimExited(t *testing.T) {
-	s := newScene(t)
+// The resources of a preempted task are leased again at once, but the new task must not start before the old one has
+// exited.
+func TestPreemptingTaskStartsAfterVictimExits(t *testing.T) {
+	s := newFixture(t)
 	for n := range 4 {
-		require.True(t, s.acquireLease(n, uint64(n+1)))
+		require.True(t, s.assign(n, uint64(n+1)))
 	}
 	s.heartbeat()
 	s.heartbeat()
@@ -48,20 +52,20 @@
 	a.Rank = 2
 	a.Victims = []peer.TaskID{assignment(0, 1).ID}
 	require.False(t, s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0])
-	_, o := s.state.NextDelivery("m-1", s.now)
-	require.Len(t, o.Orders, 1)
-	require.Equal(t, wire.VerbStop, o.Orders[0].Verb)
-	r, ok := s.worker.HandleCommands(*o, s.now)
+	_, orders := s.state.NextDelivery("m-1", s.now)
+	require.Len(t, orders.Orders, 1)
+	require.Equal(t, wire.VerbStop, orders.Orders[0].Verb)
+	hb, ok := s.worker.HandleCommands(*orders, s.now)
 	require.True(t, ok)
-	s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
-	_, o = s.state.NextDelivery("m-1", s.now)
-	require.Equal(t, wire.VerbRun, o.Orders[0].Verb)
+	s.state.HandleDeliveryResponse("m-1", orders, &hb, s.now)
+	_, orders = s.state.NextDelivery("m-1", s.now)
+	require.Equal(t, wire.VerbRun, orders.Orders[0].Verb)
 }
 
-// A held lease, for a task that is to move here, takes resources of the machine, and nothing is started before its
-// scheduler says that the task is gone from where it ran.
-func TestHeldLeaseStartsOnlyByStartTask(t *testing.T) {
-	s := newScene(t)
+// A reservation takes resources of the machine for a task that is to move there. The task must not start before its
+// scheduler reports that it is gone from its previous machine, or it would run twice.
+func TestReservationStartsOnlyByStartTask(t *testing.T) {
+	s := newFixture(t)
 	require.True(t, s.reserve(0, 1))
 	for range 3 {
 		s.heartbeat()
@@ -70,75 +74,75 @@
 	}
 	require.Empty(t, s.worker.Tasks)
 	require.True(t, s.tasks()[0].Held)
-	require.True(t, s.acquireLease(1, 2) && s.acquireLease(2, 3) && s.acquireLease(3, 4))
-	require.False(t, s.acquireLease(4, 5), "the resources are taken")
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
+	require.True(t, s.assign(1, 2) && s.assign(2, 3) && s.assign(3, 4))
+	require.False(t, s.assign(4, 5), "the reservation and three leases take all resources")
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 	require.False(t, s.tasks()[0].Held)
 }
 
-// Moves that several schedulers decide on at the same time don't meet on one machine.
-func TestMachineHasOneHeldLeaseAtATime(t *testing.T) {
-	s := newScene(t)
+// Several schedulers decide at the same time to move tasks to one machine. Only one of them may get a reservation.
+func TestMachineHasOneReservationAtATime(t *testing.T) {
+	s := newFixture(t)
 	require.True(t, s.reserve(0, 1))
 	require.False(t, s.reserve(1, 2))
-	require.True(t, s.acquireLease(2, 3), "others find resources")
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
+	require.True(t, s.assign(2, 3), "a task that does not move is still accepted")
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	require.True(t, s.reserve(1, 4))
 }
 
-func TestUnusedHeldLeaseEnds(t *testing.T) {
+func TestUnusedReservationEnds(t *testing.T) {
 	t.Run("expires", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		s.reserve(0, 1)
 		for range 19 {
 			s.heartbeat()
 			s.state.Tick(s.now)
 		}
-		require.Len(t, s.tasks(), 1, "longer than a lease that waits for its start")
+		require.Len(t, s.tasks(), 1, "a reservation lasts longer than an ordinary lease")
 		s.now += 2 * sec
 		s.state.Tick(s.now)
 		require.Empty(t, s.tasks())
-		s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
+		s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 		s.heartbeat()
-		require.Empty(t, s.worker.Tasks, "the start comes too late")
+		require.Empty(t, s.worker.Tasks, "a start after the reservation has expired must be ignored")
 	})
 	t.Run("is stopped", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		s.reserve(0, 1)
 		s.sendBatch(peer.Batch{Stops: []peer.StopTask{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
 		require.Empty(t, s.tasks())
 	})
 	t.Run("ends with its job", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		s.reserve(0, 1)
-		s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{startTask()}})
+		s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{startFirstTask()}})
 		s.heartbeat()
 		require.Empty(t, s.tasks())
 		require.Empty(t, s.worker.Tasks)
 	})
 }
 
-// A former team leader's StartTask starts nothing: the task may have been assigned anew since.
+// A StartTask of a former team leader must start nothing: the present leader may have assigned the task again.
 func TestReservedStartOfFormerTeamLeaderIsRejected(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.reserve(0, 1)
 	s.state.teamTerms.fence(map[string]uint64{team: 2})
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
 	require.True(t, s.tasks()[0].Held)
 }
 
-// A machine that was given an eviction notice while it had a held lease gets no task by it.
+// A machine receives an eviction notice while it has a reservation. The reserved task must not start there.
 func TestReservedStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	s.reserve(0, 1)
 	notice := 30.0
 	s.worker.NoticeS = &notice
 	s.heartbeat()
-	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startTask()}})
+	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	s.heartbeat()
 	require.Empty(t, s.worker.Tasks)
 	require.Empty(t, s.tasks())
--- a/internal/partition/liveness.go
+++ b/internal/partition/liveness.go
@@ -5,16 +5,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// heartbeatID orders the heartbeats of a worker.
+// heartbeatID orders the heartbeats of a worker: by incarnation, then by tick.
 type heartbeatID struct {
 	incarnation uint64
 	tick        uint64
 }
 
-// workerState is what is known of a machine's worker by its heartbeats and its answers to deliveries.
+// workerState is what State knows of a machine's worker from its heartbeats and its responses to deliveries.
 //
-//	       no heartbeat answered for        ... for a whole worker lease,
-//	       HeartbeatOverdue                 drift and margin
+//	       no answered heartbeat for        ... for a whole worker lease,
+//	       HeartbeatOverdue                 plus clock drift and a margin
 //	live ------------------------> overdue ------------------------> silent
 //	 ^                                |                                |
 //	 +--- heartbeat ------------------+                                |
@@ -22,47 +22,52 @@
 //
 //	any state -- reported as gone for certain --> gone -- goneRetention --> removed
 //
-// overdue, silent and gone are kept side by side: an overdue machine stays overdue when it falls silent, and
-// a silent one stays silent when it is reported gone. lost is the state in which no task can be on the machine.
+// overdue, silent and gone are independent flags: an overdue machine stays overdue when it becomes silent, and a
+// silent one stays silent when it is reported gone. A machine is lost when it is silent or gone: no task can be on
+// it.
 //
-// Heartbeats and answers to deliveries are ordered by (incarnation, tick), and older ones change nothing
-// (docs/design.md, argument 2). A heartbeat is answered, and counts as a sign of life, once (argument 13).
+// Heartbeats and responses to deliveries are ordered by (incarnation, tick), and an older one changes nothing
+// (docs/design.md, argument 2). Each heartbeat is answered, and counts as a sign of life, only once, so that late
+// copies do not keep a dead machine alive (argument 13).
 type workerState struct {
-	contacted     bool   // a heartbeat or an answer to a delivery has come in this term
-	incarnation   uint64 // the latest seen; before contacted, what commands are addressed to
-	tick          uint64 // the latest seen of the incarnation
+	contacted     bool   // a heartbeat or a response to a delivery has arrived in this term
+	incarnation   uint64 // the latest known; until the worker is contacted, a guess to address commands to
+	tick          uint64 // the latest known of the incarnation
 	lastHeartbeat heartbeatID
-	// answeredAt is the latest moment at which the worker lease may have begun: the last heartbeat that was
-	// answered, the first sight of an incarnation, or the acquisition of the partition.
+	// answeredAt is the latest time at which the worker lease may have started: the last answered heartbeat, the
+	// first status of an incarnation, or the acquisition of the partition.
 	answeredAt clock.Micros
 	overdue    bool
 	silent     bool
 	gone       bool
 }
 
-// lost reports whether no task can be on the machine: its worker lease has expired, or it is gone for certain.
+// lost reports whether no task can be on the machine: its worker lease has expired, or the machine is gone.
 func (w *workerState) lost() bool { return w.silent || w.gone }
 
-// isNewer reports whether a status is newer than all that are known.
-func (w *workerState) isNewer(r *wire.Heartbeat) bool {
-	return !w.contacted || r.Incarnation > w.incarnation || r.Incarnation == w.incarnation && r.Tick > w.tick
+// isNewer reports whether a status is newer than all that have arrived before.
+func (w *workerState) isNewer(hb *wire.Heartbeat) bool {
+	return !w.contacted || hb.Incarnation > w.incarnation || hb.Incarnation == w.incarnation && hb.Tick > w.tick
 }
 
-// isCopy reports whether a heartbeat was handled before, or is older than one that was: a late copy, or a worker
-// that began anew within its incarnation. Answering it would keep a machine alive of which nothing new is known.
-func (w *workerState) isCopy(r *wire.Heartbeat) bool {
-	return w.contacted && r.Incarnation == w.lastHeartbeat.incarnation && r.Tick <= w.lastHeartbeat.tick
+// isCopy reports whether a heartbeat is not newer than one that was already processed in its incarnation. It is a
+// late copy, or the worker has restarted within its incarnation. An answer would keep a machine alive although
+// nothing new is known of it.
+func (w *workerState) isCopy(hb *wire.Heartbeat) bool {
+	return w.contacted && hb.Incarnation == w.lastHeartbeat.incarnation && hb.Tick <= w.lastHeartbeat.tick
 }
 
-// isFormerIncarnation reports whether a heartbeat is of an incarnation whose tasks count as ended.
-func (w *workerState) isFormerIncarnation(r *wire.Heartbeat) bool {
-	return w.contacted && (r.Incarnation < w.incarnation || w.silent && r.Incarnation <= w.incarnation)
+// isFormerIncarnation reports whether a heartbeat is of an incarnation whose tasks already count as gone.
+func (w *workerState) isFormerIncarnation(hb *wire.Heartbeat) bool {
+	return w.contacted && (hb.Incarnation < w.incarnation || w.silent && hb.Incarnation <= w.incarnation)
 }
 
-// missedHeartbeatMargin is how late beyond half of HeartbeatOverdue a heartbeat may be before it counts as missed.
+// missedHeartbeatMargin is added to half of HeartbeatOverdue: a heartbeat counts as missed only when it is later than
+// that.
 const missedHeartbeatMargin = clock.Second / 5
 
-// missedHeartbeats counts the machines that should be reporting here, and those of them that have missed a heartbeat.
+// missedHeartbeats counts the machines that should be sending heartbeats to this process, and those of them that have
+// missed one.
 func (s *State) missedHeartbeats(now clock.Micros) (machines, missed int) {
 	for _, m := range s.machines {
 		if m.worker.lost() || m.record != recordPresent {
--- a/internal/partition/loaded_server_test.go
+++ b/internal/partition/loaded_server_test.go
@@ -18,7 +18,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// allLeaderships are the elections of a process that has every leadership.
+// allLeaderships is the Elections of a process that has every leadership.
 type allLeaderships struct{}
 
 func (allLeaderships) Leading(string) (leaderelection.Leadership, bool) {
@@ -27,14 +27,14 @@
 
 func (allLeaderships) Leader(string) (string, bool) { return "me", true }
 
-// loadedServer is the leader of a fleet whose machines all run tasks and report.
+// loadedServer is the leader of a fleet in which every machine runs tasks and sends heartbeats.
 type loadedServer struct {
 	tb         testing.TB
 	server     *Server
 	heartbeats []wire.Heartbeat
 }
 
-// tasksPerMachine is how many tasks each machine of a loadedServer runs.
+// tasksPerMachine is the number of tasks that each machine of a loadedServer runs.
 const tasksPerMachine = 6
 
 func newLoadedServer(tb testing.TB, count int) *loadedServer {
@@ -48,7 +48,7 @@
 		MaxRecordBytes:       7000,
 		MaxWorkerConnections: 100,
 		Timing:               Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2},
-		Jobs:                 newJobList(spec),
+		Jobs:                 newFakeJobLookup(spec),
 		Elections:            allLeaderships{},
 		Clock:                clock.NewSteady(),
 		WallClock:            time.Now,
@@ -58,7 +58,7 @@
 	s.Reconcile()
 	l := &loadedServer{tb: tb, server: s}
 	for i := range count {
-		r := wire.Heartbeat{
+		hb := wire.Heartbeat{
 			Machine:      fmt.Sprintf("m-%06d", i),
 			Addr:         "10.0.0.9:9000",
 			Type:         "big",
@@ -68,44 +68,44 @@
 		}
 		for n := range tasksPerMachine {
 			name := wire.TaskName(spec.ID, i*tasksPerMachine+n)
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: name, Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
+			hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: name, Attempt: 1<<32 | uint64(n), Phase: wire.TaskRunning})
 		}
-		l.heartbeats = append(l.heartbeats, r)
+		l.heartbeats = append(l.heartbeats, hb)
 		l.heartbeat(i)
-		l.record(r.Machine)
+		l.record(hb.Machine)
 	}
 	return l
 }
 
-// record has a machine's record seen in the key-value store.
+// record makes the server see a machine's record in the key-value store.
 func (l *loadedServer) record(machine string) {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
 	l.server.state.HandleMachineRecord(machine, 0, inventory.Record{Type: "big", Zone: "a"}, true, l.server.clock.Now())
 }
 
-// releasePartition has the server find its leadership lost.
+// releasePartition makes the server release its partition.
 func (l *loadedServer) releasePartition() {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
 	l.server.state.ReleasePartition(0)
 }
 
-// heartbeat has a machine report that nothing has changed.
+// heartbeat sends a heartbeat of a machine that reports no change.
 func (l *loadedServer) heartbeat(i int) {
-	r := &l.heartbeats[i]
-	r.Tick++
-	body, err := json.Marshal(r)
+	hb := &l.heartbeats[i]
+	hb.Tick++
+	body, err := json.Marshal(hb)
 	require.NoError(l.tb, err)
 	require.Equal(l.tb, 200, l.server.HandleHeartbeat(body).Status)
 }
 
-// poll requests all that changed after a cursor.
+// poll requests all machines that changed after a cursor.
 func (l *loadedServer) poll(cursor uint64) peer.PollResponse {
 	return l.server.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Terms: map[string]uint64{team: 1}})
 }
 
-// idleTick is what Run's loop does a few times a second while nothing happens.
+// idleTick does what Run's loop does a few times a second when nothing happens.
 func (l *loadedServer) idleTick() {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
@@ -115,5 +115,5 @@
 	l.server.state.PendingDeliveries(now)
 }
 
-// smallFleet is about as many machines as one controller of the smaller sites leads.
+// smallFleet is about the number of machines that one controller of a smaller site leads.
 const smallFleet = 410
--- a/internal/partition/machine.go
+++ b/internal/partition/machine.go
@@ -12,33 +12,34 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// recordState is whether a machine's record is in the key-value store (docs/design.md, argument 5).
+// recordState is the state of a machine's record in the key-value store (docs/design.md, argument 5).
 //
-//	           record seen                 removal decided
-//	unrecorded ----------> recordPresent ----------------> recordRemoving
-//	     ^                   |       ^                         |   |
-//	     +--- record gone ---+       +---- recorded anew ------+   |
-//	     +------------------------ record gone --------------------+
+//	             record seen                 removal decided
+//	recordAbsent -----------> recordPresent ----------------> recordRemoving
+//	     ^                     |       ^                         |   |
+//	     +---- record gone ----+       +---- recorded again -----+   |
+//	     +------------------------- record gone ---------------------+
 //
-// From the decision on a machine counts as not recorded: a late removal must not follow a task's start.
+// From the decision on a machine counts as not recorded, and gets no tasks: if a task started before a late removal
+// is carried out, a later leader would not know of the machine.
 type recordState uint8
 
 const (
-	unrecorded     recordState = iota
-	recordPresent              // by a write that no removal of the record can follow
-	recordRemoving             // a removal was decided, and may be carried out at any later time
+	recordAbsent   recordState = iota
+	recordPresent              // it is stored, and no removal that was decided earlier can remove it
+	recordRemoving             // its removal was decided, and may be carried out at any later time
 )
 
-// evictionNotice is a spot instance's notice that the cloud takes it back.
+// evictionNotice is the cloud's notice that it will take a spot instance back.
 type evictionNotice struct {
 	given bool
-	at    clock.Micros // when the instance is taken back
+	at    clock.Micros // when the cloud takes the instance back
 }
 
 // machine is a machine of a partition that this process leads.
 //
-// Its tasks are every attempt that may be running on it, or for which its resources are leased: a task is
-// removed only when it is gone for certain (docs/design.md, argument 4) or nothing of it was ever sent.
+// Its tasks are all attempts that may be running on it or have its resources leased. A task is removed only when it
+// is gone for certain (docs/design.md, argument 4) or when no run command was ever sent for it.
 type machine struct {
 	id        string
 	partition int
@@ -52,23 +53,24 @@
 	images   imageCache
 	record   recordState
 
-	// accounted: a heartbeat showed a token of this term, so commands of former leaders change nothing any
-	// more (docs/design.md, argument 6).
+	// accounted is set when the worker has reported a token of this term: it rejects commands of former leaders from
+	// then on, so its task list is complete (docs/design.md, argument 6).
 	accounted bool
 	draining  bool
 	eviction  evictionNotice
 	idleSince clock.Micros
-	// warmIncarnation is the worker's incarnation in which a task was last seen running.
+	// warmIncarnation is the worker's incarnation in which a task was last seen running on the machine.
 	warmIncarnation uint64
 
-	version       uint64 // of its last change
-	departed      departedTasks
+	version       uint64 // version of the State at the machine's last change
+	removed       removedTasks
 	changeElement *list.Element // its place in the State's changeList
 }
 
-// resourcesInUse sums what the machine's tasks take. started is what may be running on it; leased is what is
-// promised: without the tasks that are being stopped, whose resources may be leased already (the lease waits for
-// their end), and with the leases of which nothing was sent.
+// resourcesInUse sums the resource requests of the machine's tasks. started covers the tasks that may be running.
+// leased covers the resources that are promised: it includes leases for which no run command was sent, and leaves out
+// tasks that are being stopped. Resources of a stopping task can be leased again at once; the new task then starts
+// after the old one has exited.
 func (m *machine) resourcesInUse() (started, leased resources.Amounts) {
 	for _, t := range m.tasks {
 		if t.exited() {
@@ -107,7 +109,7 @@
 	return out
 }
 
-// pendingStarts counts the machine's tasks that were accepted and not seen running yet.
+// pendingStarts counts the machine's tasks that were accepted and have not been seen running yet.
 func (m *machine) pendingStarts() (n int) {
 	for _, t := range m.tasks {
 		if !t.stopping && (t.phase == "" || t.phase == wire.TaskFetching) {
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -12,17 +12,17 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Apply takes events of the replica: changes of machine records.
-func (s *Server) Apply(evs []kvstore.Event) {
+// Apply applies changes of machine records from the replica of the key-value store.
+func (s *Server) Apply(events []kvstore.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range evs {
-		s.applyRecordChanges(s.records.Apply(e))
+	for _, event := range events {
+		s.applyRecordChanges(s.records.Apply(event))
 	}
 	s.notifyChange()
 }
 
-// applyRecordChanges tells the State which machines are on record, and which no more. mu is held.
+// applyRecordChanges passes added and removed machine records to the State. mu is held.
 func (s *Server) applyRecordChanges(added inventory.Group, removed []string) {
 	now := s.clock.Now()
 	for _, id := range removed {
@@ -44,7 +44,8 @@
 	return found
 }
 
-// RecordedBefore lists the machines that were recorded by a time of day, in Unix milliseconds, and are on record still.
+// RecordedBefore lists the machines that are on record now and were recorded before a wall clock time, in Unix
+// milliseconds.
 func (s *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,16 +57,17 @@
 	return out
 }
 
-// recordChanges is what is to change in the machine records of one partition.
+// recordChanges is the set of changes to make to the machine records of one partition.
 type recordChanges struct {
 	add    inventory.Group
 	remove []string
 }
 
-// changesByPartition sorts machines that are to be recorded, and those whose records are to be removed, by partition.
-func (s *Server) changesByPartition(unrecorded inventory.Group, drop []string) map[int]*recordChanges {
+// changesByPartition groups the machines to record, and the ids of those whose records are to be removed, by
+// partition.
+func (s *Server) changesByPartition(unrecorded inventory.Group, removals []string) map[int]*recordChanges {
 	out := map[int]*recordChanges{}
-	of := func(partition int) *recordChanges {
+	changesIn := func(partition int) *recordChanges {
 		if out[partition] == nil {
 			out[partition] = &recordChanges{add: inventory.Group{}}
 		}
@@ -73,26 +75,27 @@
 	}
 	for id, r := range unrecorded {
 		r.AtMS = s.wallClock().UnixMilli()
-		of(s.partitioning.PartitionOf(id, r.Zone)).add[id] = r
+		changesIn(s.partitioning.PartitionOf(id, r.Zone)).add[id] = r
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range drop {
+	for _, id := range removals {
 		r, ok := s.records.Find(id)
 		if !ok {
 			continue
 		}
-		c := of(s.partitioning.PartitionOf(id, r.Zone))
+		c := changesIn(s.partitioning.PartitionOf(id, r.Zone))
 		c.remove = append(c.remove, id)
 	}
 	return out
 }
 
-// writeMachineRecords adds and removes machine records, each on the condition that the partition is still led and that
-// the key is as it was last known (docs/design.md, argument 5). What fails is tried again with a later tick.
-func (s *Server) writeMachineRecords(ctx context.Context, unrecorded inventory.Group, drop []string) {
-	for partition, changes := range s.changesByPartition(unrecorded, drop) {
-		l, leading := s.elections.Leading(Duty(partition))
+// writeMachineRecords adds and removes machine records. Each write is conditional on this process still leading the
+// partition and on the key's last known mod revision, so that a late write can't remove the record of a machine that
+// may hold tasks (docs/design.md, argument 5). A later tick retries failed writes.
+func (s *Server) writeMachineRecords(ctx context.Context, unrecorded inventory.Group, removals []string) {
+	for partition, changes := range s.changesByPartition(unrecorded, removals) {
+		leadership, leading := s.elections.Leading(Duty(partition))
 		if !leading {
 			continue
 		}
@@ -101,19 +104,19 @@
 		s.mu.Unlock()
 		for len(writes) > 0 {
 			n := s.fitTransaction(writes)
-			if err := s.commitRecords(ctx, partition, l, writes[:n]); err != nil {
-				if s.recordFailures++; loop.LogsFailure(s.recordFailures) && ctx.Err() == nil {
+			if err := s.commitRecords(ctx, partition, leadership, writes[:n]); err != nil {
+				if s.recordWriteFailures++; loop.LogsFailure(s.recordWriteFailures) && ctx.Err() == nil {
 					s.log.Warn("machine record write failed", "partition", partition, "error", err)
 				}
 				break
 			}
-			s.recordFailures = 0
+			s.recordWriteFailures = 0
 			writes = writes[n:]
 		}
 	}
 }
 
-// fitTransaction is how many of the writes, one at least, fit into a transaction.
+// fitTransaction returns how many of the writes fit into one transaction; at least one always does.
 func (s *Server) fitTransaction(writes []inventory.Write) (n int) {
 	size := 0
 	for n < min(len(writes), s.txnOps) && (n == 0 || size+writes[n].Size() < wire.MaxTxnBytes) {
@@ -123,20 +126,21 @@
 	return n
 }
 
-// commitRecords commits writes on the condition of the partition's leadership, and applies them.
-func (s *Server) commitRecords(ctx context.Context, partition int, l leaderelection.Leadership, writes []inventory.Write) error {
-	m := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(partition), ModRevision: l.ModRevision}}}
+// commitRecords commits writes in one transaction, on the condition of the partition's leadership, and applies them
+// to the local records.
+func (s *Server) commitRecords(ctx context.Context, partition int, leadership leaderelection.Leadership, writes []inventory.Write) error {
+	txn := wire.Txn{Conditions: []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(partition), ModRevision: leadership.ModRevision}}}
 	for _, w := range writes {
-		w.AppendTo(&m)
+		w.AppendTo(&txn)
 	}
-	rev, err := s.store.Commit(ctx, m)
+	modRevision, err := s.store.Commit(ctx, txn)
 	if err != nil {
-		return fmt.Errorf("committing %d keys: %w", len(writes), err)
+		return fmt.Errorf("commit machine records in %d keys: %w", len(writes), err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range writes {
-		s.applyRecordChanges(s.records.Put(w.Key, w.Group, rev))
+		s.applyRecordChanges(s.records.Put(w.Key, w.Group, modRevision))
 	}
 	s.notifyChange()
 	return nil
--- a/internal/partition/partitioning.go
+++ b/internal/partition/partitioning.go
@@ -5,19 +5,19 @@
 	"hash/fnv"
 )
 
-// Duty names the leadership of a partition.
+// Duty returns the name of the leadership of a partition.
 func Duty(partition int) string { return fmt.Sprintf("part-%03d", partition) }
 
-// Partitioning maps machines to partitions, by zone and a hash of the id. Machines of a zone belong to
-// partitions whose preferred leaders are in that zone: when it is cut off from the others, its machines stay with a
-// controller that reaches them, and no other machines lose theirs. Machines of a zone without controllers belong to
-// any partition.
+// Partitioning maps machines to partitions, by their zone and a hash of their id. The machines of a zone belong to
+// partitions whose preferred leaders are in that zone. When the zone is cut off, its machines then stay with
+// controllers that reach them, and machines of other zones keep their leaders. The machines of a zone without
+// controllers are spread over all partitions.
 type Partitioning struct {
 	all    []int
 	byZone map[string][]int
 }
 
-// NewPartitioning makes a partitioning; zones holds the zone of each partition's preferred leader.
+// NewPartitioning returns a partitioning. zones lists the zone of each partition's preferred leader.
 func NewPartitioning(zones []string) Partitioning {
 	p := Partitioning{byZone: map[string][]int{}}
 	for partition, zone := range zones {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// PartitionOf returns the partition of a machine.
+// PartitionOf returns the partition that a machine belongs to.
 func (p Partitioning) PartitionOf(machine, zone string) int {
 	list := p.byZone[zone]
 	if len(list) == 0 {
--- a/internal/partition/partitioning_test.go
+++ b/internal/partition/partitioning_test.go
@@ -7,14 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A zone that is cut off keeps its machines with controllers that reach them; a zone without controllers has its
-// machines spread over all.
+// The machines of a zone must belong to partitions whose preferred leaders are in that zone, so that a zone that is
+// cut off keeps controllers that reach its machines. The machines of a zone without controllers are spread over all
+// partitions.
 func TestPartitionOfMachineIsInItsZone(t *testing.T) {
-	s := NewPartitioning([]string{"a", "a", "b", "a", "b"})
+	partitioning := NewPartitioning([]string{"a", "a", "b", "a", "b"})
 	count := map[string]map[int]int{"a": {}, "b": {}, "c": {}}
-	for zone, c := range count {
+	for zone, machines := range count {
 		for i := range 3000 {
-			c[s.PartitionOf(fmt.Sprintf("m-%06d", i), zone)]++
+			machines[partitioning.PartitionOf(fmt.Sprintf("m-%06d", i), zone)]++
 		}
 	}
 	for zone, parts := range map[string][]int{"a": {0, 1, 3}, "b": {2, 4}, "c": {0, 1, 2, 3, 4}} {
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -8,43 +8,43 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// Times between the changes of a State and the publications that show them.
+// These intervals control how soon changes of the State are published to waiting polls.
 const (
-	publicationDelay           = 12 * clock.Millisecond // after a change, for others that come with it
+	publicationDelay           = 12 * clock.Millisecond // from a change to its publication, to include changes that follow at once
 	minPublicationInterval     = 25 * clock.Millisecond
 	maxPublicationInterval     = 120 * clock.Millisecond
-	publicationIntervalPerPoll = clock.Millisecond / 8 // for each machine known and each poll that waits
+	publicationIntervalPerPoll = clock.Millisecond / 8 // added to minPublicationInterval per known machine and waiting poll
 )
 
-// publicationInterval is the least time between two publications. It widens with the machines
-// that are known and with the polls that wait: each answer costs both sides, and
-// every controller polls every other. How often a process is woken, not how much it does
-// then, is most of what it spends.
+// publicationInterval returns the shortest time between two publications. It grows with the number of known machines
+// and of waiting polls, because each response costs both sides, and every controller polls every other one. Most of
+// the cost of a process comes from how often it is woken, not from how much it does then.
 func publicationInterval(machines, waitingPolls int) clock.Micros {
 	return min(minPublicationInterval+clock.Micros(machines*waitingPolls)*publicationIntervalPerPoll, maxPublicationInterval)
 }
 
-// publisher publishes the versions of a State: all polls that wait are answered at the same
-// moment, by one timer for all of them. Its fields are guarded by the Server's lock.
+// publisher announces new versions of the State to waiting polls. One timer answers all polls at the same time. The
+// Server's lock guards its fields.
 //
-// Its timer runs only while a publication is scheduled, for maxPublicationInterval at most.
+// The timer runs only while a publication is scheduled, for maxPublicationInterval at most.
 type publisher struct {
 	lock    *sync.Mutex // the Server's
 	version func() uint64
 	clock   clock.Clock
 
-	published    uint64        // version that polls are answered for
-	publishedAt  clock.Micros  // when it was published
-	scheduled    bool          // the next publication is on its way
-	waitingPolls int           // polls that wait
-	next         chan struct{} // closed with the next publication
+	published    uint64        // polls with an older cursor than this version are answered
+	publishedAt  clock.Micros  // time of the last publication
+	scheduled    bool          // the timer of the next publication runs
+	waitingPolls int           // number of polls that wait
+	next         chan struct{} // closed by the next publication
 }
 
 func newPublisher(lock *sync.Mutex, version func() uint64, c clock.Clock) publisher {
 	return publisher{lock: lock, version: version, clock: c, next: make(chan struct{})}
 }
 
-// schedule has a version published, no sooner than an interval after the last one. The lock is held.
+// schedule starts the timer for the publication of a version, unless it is already published or a timer runs. The
+// publication comes at least an interval after the last one. The lock is held.
 func (p *publisher) schedule(version uint64, interval clock.Micros) {
 	if p.scheduled || version == p.published {
 		return
@@ -63,19 +63,21 @@
 	p.next = make(chan struct{})
 }
 
-// HandlePoll returns the machines that changed after a cursor, waiting for a change.
+// HandlePoll waits until something has changed after the poll's cursor, or the poll's time is over, and returns the
+// machines that changed.
 func (s *Server) HandlePoll(in peer.PollRequest) peer.PollResponse {
 	s.awaitPublication(in)
-	began := time.Now()
-	defer func() { s.pollDuty.Round(time.Since(began)) }()
-	s.Reconcile() // partitions that are led no more are not shown
+	start := time.Now()
+	defer func() { s.pollDuty.Round(time.Since(start)) }()
+	s.Reconcile() // so that partitions that this process no longer leads are not shown
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.HandlePoll(in, s.incarnation, s.clock.Now())
 }
 
-// awaitPublication returns when a poll is to be answered: a version after its cursor is published, its time is over,
-// or the server stops. A poll that knows another incarnation is answered immediately.
+// awaitPublication waits until a poll is to be answered: a version after its cursor is published, its time is over,
+// or the server stops. A poll that names another incarnation is answered at once, since its cursor has no meaning
+// here.
 func (s *Server) awaitPublication(in peer.PollRequest) {
 	deadline := time.NewTimer(in.Wait.Duration())
 	defer deadline.Stop()
@@ -86,16 +88,16 @@
 	for in.Incarnation == s.incarnation && s.publisher.published <= in.Cursor {
 		next := s.publisher.next
 		s.mu.Unlock()
-		over := false
+		done := false
 		select {
 		case <-next:
 		case <-deadline.C:
-			over = true
+			done = true
 		case <-s.stopped:
-			over = true
+			done = true
 		}
 		s.mu.Lock()
-		if over {
+		if done {
 			return
 		}
 	}
--- a/internal/partition/publication_test.go
+++ b/internal/partition/publication_test.go
@@ -10,26 +10,26 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// However often a state changes and however many controllers poll, their polls are answered together, an interval
-// apart, and each shows the last change.
+// A state changes often while one or many controllers poll. Their polls must be answered together, once per
+// publication interval, and show the last change in the end; otherwise the processes would be woken for every change.
 func TestPollsAreAnsweredTogether(t *testing.T) {
-	for _, askers := range []int{1, 8} {
+	for _, pollers := range []int{1, 8} {
 		synctest.Test(t, func(t *testing.T) {
 			const span = 6 * time.Second
 			l := newLoadedServer(t, 4)
-			time.Sleep(time.Second) // what was new at first is published
-			moments := map[time.Time]int{}
+			time.Sleep(time.Second) // until the changes of the setup are published
+			answerTimes := map[time.Time]int{}
 			answers := make(chan time.Time, 10_000)
-			last := make(chan uint64, askers)
+			finalCursors := make(chan uint64, pollers)
 			end := time.Now().Add(span)
-			for range askers {
+			for range pollers {
 				go func() {
 					cursor := l.poll(0).Cursor
 					for time.Now().Before(end) {
 						cursor = l.server.HandlePoll(peer.PollRequest{Incarnation: "incarnation", Cursor: cursor, Wait: sec}).Cursor
 						answers <- time.Now()
 					}
-					last <- cursor
+					finalCursors <- cursor
 				}()
 			}
 			for time.Now().Before(end.Add(-100 * time.Millisecond)) {
@@ -41,13 +41,13 @@
 			}
 			time.Sleep(3 * time.Second)
 			for len(answers) > 0 {
-				moments[<-answers]++
+				answerTimes[<-answers]++
 			}
-			gap := publicationInterval(4, askers).Duration()
-			require.LessOrEqual(t, len(moments), int(span/gap)+3, "answers are an interval apart")
-			require.Greater(t, len(moments), int(span/(2*gap)), "and not more than an interval")
-			for range askers {
-				cursor := <-last
+			interval := publicationInterval(4, pollers).Duration()
+			require.LessOrEqual(t, len(answerTimes), int(span/interval)+3, "polls are answered at least one interval apart")
+			require.Greater(t, len(answerTimes), int(span/(2*interval)), "polls are answered less than two intervals apart on average")
+			for range pollers {
+				cursor := <-finalCursors
 				l.server.mu.Lock()
 				require.Equal(t, l.server.state.Version(), cursor)
 				l.server.mu.Unlock()
--- a/internal/partition/quarantine.go
+++ b/internal/partition/quarantine.go
@@ -5,51 +5,52 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// How failures of tasks count against machines and jobs.
+// These limits decide whether a failed task counts against its machine or its job, and for how long the machine gets
+// no tasks.
 const (
-	jobFaultMachines   = 2 // a job that has failed on more machines is at fault itself
-	maxFailuresInRow   = 8 // as many quarantine a machine, however few jobs they are of
-	cordonBase         = 5 * clock.Second
-	maxCordonDoublings = 4
-	maxCordon          = 60 * clock.Second
+	jobFaultThreshold      = 2 // a job that has failed on more machines than this is itself at fault
+	maxConsecutiveFailures = 8 // so many failures in a row quarantine a machine, even if all are of one job
+	cordonBase             = 5 * clock.Second
+	maxCordonDoublings     = 4
+	maxCordon              = 60 * clock.Second
 )
 
-// failingJobs are the machines on which each job failed since one of its tasks was done.
+// failingJobs holds, for each job, the machines on which it has failed since one of its tasks last succeeded.
 type failingJobs map[string]map[string]bool
 
-// add notes that a job failed on a machine, and gives on how many it has.
+// add records that a job failed on a machine, and returns the number of machines on which it has failed.
 func (f failingJobs) add(job, machine string) (machines int) {
-	on := f[job]
-	if on == nil {
-		on = map[string]bool{}
-		f[job] = on
+	failedOn := f[job]
+	if failedOn == nil {
+		failedOn = map[string]bool{}
+		f[job] = failedOn
 	}
-	on[machine] = true
-	return len(on)
+	failedOn[machine] = true
+	return len(failedOn)
 }
 
-// failureRecord is the record of failed tasks of one machine, and what follows from it.
+// failureRecord counts the failed tasks of one machine, and holds the resulting restrictions.
 type failureRecord struct {
-	inRow         int             // failures since a task was done
-	jobs          map[string]bool // of which jobs they are
-	cordonedUntil clock.Micros    // no tasks before; 0: not cordoned
-	quarantined   bool            // no tasks any more; the machine is returned once it is empty
+	consecutive   int             // failures since a task last succeeded
+	jobs          map[string]bool // the jobs of these failures
+	cordonedUntil clock.Micros    // the machine gets no tasks before this time; 0: it is not cordoned
+	quarantined   bool            // the machine gets no more tasks, and is returned to the cloud once it is empty
 }
 
-// add counts a failure: the machine is cordoned for longer each time, and quarantined when tasks of
-// quarantineJobs jobs have failed in a row.
+// add counts a failure. It cordons the machine, for longer with each failure in a row, and quarantines it when tasks
+// of quarantineJobs different jobs have failed in a row.
 func (r *failureRecord) add(job string, quarantineJobs int, now clock.Micros) {
-	r.inRow++
+	r.consecutive++
 	r.jobs[job] = true
-	r.cordonedUntil = now + min(cordonBase<<min(r.inRow, maxCordonDoublings), maxCordon)
-	if len(r.jobs) >= quarantineJobs || r.inRow >= maxFailuresInRow {
+	r.cordonedUntil = now + min(cordonBase<<min(r.consecutive, maxCordonDoublings), maxCordon)
+	if len(r.jobs) >= quarantineJobs || r.consecutive >= maxConsecutiveFailures {
 		r.quarantined = true
 	}
 }
 
-// reset forgets the failures; a quarantine stays.
+// reset clears the failures. A quarantine and a running cordon stay.
 func (r *failureRecord) reset() {
-	r.inRow = 0
+	r.consecutive = 0
 	clear(r.jobs)
 }
 
@@ -60,13 +61,13 @@
 		m.failures.reset()
 		delete(s.failingJobs, t.id.Job)
 	case wire.CauseError:
-		if s.failingJobs.add(t.id.Job, m.id) <= jobFaultMachines {
+		if s.failingJobs.add(t.id.Job, m.id) <= jobFaultThreshold {
 			m.failures.add(t.id.Job, s.timing.QuarantineErrors, now)
 		}
 	}
 }
 
-// quarantineSlow quarantines machines on which tasks take much longer than elsewhere.
+// quarantineSlow quarantines machines on which tasks take much longer than on others, as a scheduler reports.
 func (s *State) quarantineSlow(ids []string) {
 	for _, id := range ids {
 		if m := s.machines[id]; m != nil && !m.failures.quarantined {
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -10,21 +10,21 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A controller that the workers can't reach keeps its leaderships as long as it reaches
-// the key-value store, and its machines lose all their tasks when their worker leases expire.
-// Missing heartbeats alone prove nothing: all of its machines may be gone. But workers
-// that get no answer try the next controller, which redirects them: a controller whose peers
-// say that its silent machines report to them is unreachable.
+// This file provides what a controller needs to find out that workers can't reach it. Such a controller keeps its
+// leaderships for as long as it reaches the key-value store, and its machines lose all their tasks when their worker
+// leases expire. Missing heartbeats alone prove nothing, since all of its machines may be gone. But workers that get
+// no response try the next controller, which redirects them: a controller is unreachable if its peers say that its
+// silent machines report to them.
 
-// misdirectedTTL is how long a machine that was redirected counts as misdirected: one
-// that gets no answer from its leader takes some five seconds to come back.
+// misdirectedTTL is how long a machine counts as misdirected after it was redirected. A machine that gets no response
+// from its leader takes about five seconds to come back.
 const misdirectedTTL = 6 * clock.Second
 
-// misdirectedMachines are the machines of other controllers that reported here lately, by the controller that leads
-// their partition.
+// misdirectedMachines holds the machines of other controllers that recently sent heartbeats here, by the controller
+// that leads their partition. It is safe for concurrent use.
 type misdirectedMachines struct {
 	mu       sync.Mutex
-	byLeader map[string]map[string]clock.Micros // leader: machine: when it last reported here
+	byLeader map[string]map[string]clock.Micros // leader -> machine -> time of its last heartbeat here
 }
 
 func (m *misdirectedMachines) add(leader, machine string, now clock.Micros) {
@@ -36,7 +36,8 @@
 	m.byLeader[leader][machine] = now
 }
 
-// count counts the machines of a controller, and forgets those that reported too long ago.
+// count returns the number of misdirected machines of a controller, and drops those that sent no heartbeat for
+// misdirectedTTL.
 func (m *misdirectedMachines) count(leader string, now clock.Micros) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +49,7 @@
 	return len(m.byLeader[leader])
 }
 
-// all lists the machines of all controllers.
+// all returns the misdirected machines of all controllers.
 func (m *misdirectedMachines) all(now clock.Micros) map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,23 +64,24 @@
 	return out
 }
 
-// MisdirectedMachines lists the machines of other controllers that have reported to this one lately.
+// MisdirectedMachines returns the machines of other controllers that recently sent heartbeats to this one.
 func (s *Server) MisdirectedMachines() map[string]bool { return s.misdirected.all(s.clock.Now()) }
 
-// Misdirected is how many machines of a controller have reported to this one lately.
-func (s *Server) Misdirected(holder string) int { return s.misdirected.count(holder, s.clock.Now()) }
+// Misdirected returns how many machines of another controller recently sent heartbeats to this one.
+func (s *Server) Misdirected(leader string) int { return s.misdirected.count(leader, s.clock.Now()) }
 
-// MissedHeartbeats counts the machines that should be reporting here, and those of them that have missed a heartbeat.
-func (s *Server) MissedHeartbeats() (all, unheard int) {
+// MissedHeartbeats counts the machines that should be sending heartbeats to this process, and those of them that have
+// missed one.
+func (s *Server) MissedHeartbeats() (machines, missed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.missedHeartbeats(s.clock.Now())
 }
 
-// reachabilityProbes is how many workers are asked whether this controller reaches them.
+// reachabilityProbes is the number of workers that ReachesWorkers sends a request to.
 const reachabilityProbes = 6
 
-// ReachesWorkers asks some of the recorded workers and reports whether most of them answer.
+// ReachesWorkers sends a request to some of the recorded workers and reports whether more than half of them respond.
 func (s *Server) ReachesWorkers(ctx context.Context) bool {
 	addrs := s.probeAddresses()
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
@@ -104,7 +106,7 @@
 	return 2*n > len(addrs)
 }
 
-// probeAddresses returns the addresses of some recorded workers.
+// probeAddresses returns the addresses of up to reachabilityProbes recorded workers.
 func (s *Server) probeAddresses() (addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -8,8 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// The leader of all machines of a fleet: the memory of its state, its idle loop, a failover, and one page of its
-// answer to a poll for everything.
+// BenchmarkFleetSizes measures the leader of a whole fleet: the memory that its state takes, its idle loop, a
+// failover, and one page of its response to a poll for everything.
 func BenchmarkFleetSizes(b *testing.B) {
 	for _, machines := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("idle-tick/%d", machines), func(b *testing.B) {
--- a/internal/partition/scenario_test.go
+++ b/internal/partition/scenario_test.go
@@ -13,31 +13,32 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// lossyScene is a scene in which deliveries, heartbeats and their answers are lost, late or repeated at random.
-type lossyScene struct {
-	*scene
+// lossyFixture is a fixture in which deliveries, heartbeats and their responses are lost, delayed or repeated at
+// random.
+type lossyFixture struct {
+	*fixture
 	rng     *rand.Rand
-	late    []*wire.Orders // deliveries that had no answer, and may arrive at any time
-	attempt uint64         // number of the last assignment
+	delayed []*wire.Orders // unanswered deliveries, which may arrive at any time
+	attempt uint64         // number of the last attempt
 }
 
-// step lets one thing happen, and a little time pass.
-func (s *lossyScene) step() {
+// step performs one random event and advances the time by 300 ms.
+func (s *lossyFixture) step() {
 	s.now += 300 * clock.Millisecond
 	switch s.rng.IntN(6) {
 	case 0:
 		s.attempt++
-		s.acquireLease(s.rng.IntN(10), s.attempt)
+		s.assign(s.rng.IntN(10), s.attempt)
 	case 1:
 		s.deliverOrLose()
 	case 2:
-		if len(s.late) > 0 {
-			s.worker.HandleCommands(*s.late[s.rng.IntN(len(s.late))], s.now)
+		if len(s.delayed) > 0 {
+			s.worker.HandleCommands(*s.delayed[s.rng.IntN(len(s.delayed))], s.now)
 		}
 	case 3:
-		r := s.worker.Heartbeat(s.now)
-		if ans, ok := s.state.HandleHeartbeat(&r, 0, s.now); ok && s.rng.IntN(3) > 0 {
-			s.worker.HandleHeartbeatResponse(ans, s.now)
+		hb := s.worker.Heartbeat(s.now)
+		if response, ok := s.state.HandleHeartbeat(&hb, 0, s.now); ok && s.rng.IntN(3) > 0 {
+			s.worker.HandleHeartbeatResponse(response, s.now)
 		}
 	case 4:
 		for _, v := range s.tasks() {
@@ -54,35 +55,35 @@
 	s.worker.Check(s.now)
 }
 
-// deliverOrLose makes a delivery: its answer arrives, or it is late and counts as unanswered.
-func (s *lossyScene) deliverOrLose() {
-	_, o := s.state.NextDelivery("m-1", s.now)
-	if o == nil {
+// deliverOrLose makes a delivery. Either it is answered, or it is delayed and counts as unanswered.
+func (s *lossyFixture) deliverOrLose() {
+	_, orders := s.state.NextDelivery("m-1", s.now)
+	if orders == nil {
 		return
 	}
 	if s.rng.IntN(2) == 0 {
-		s.late = append(s.late, o)
-		s.state.HandleDeliveryTimeout("m-1", o, s.now)
+		s.delayed = append(s.delayed, orders)
+		s.state.HandleDeliveryTimeout("m-1", orders, s.now)
 		return
 	}
-	r, _ := s.worker.HandleCommands(*o, s.now)
-	s.state.HandleDeliveryResponse("m-1", o, &r, s.now)
+	hb, _ := s.worker.HandleCommands(*orders, s.now)
+	s.state.HandleDeliveryResponse("m-1", orders, &hb, s.now)
 }
 
-// Whatever is lost, late or repeated, at random, no task ever runs twice under one attempt, and what the leader holds
-// covers what the worker runs.
-func TestStateCoversWorkerUnderRandomLosses(t *testing.T) {
+// Messages between leader and worker are lost, delayed and repeated at random. No attempt may start twice, and the
+// leader must account for every task that runs on the worker, or it would lease the same resources twice.
+func TestStateAccountsForRunningTasksUnderRandomLosses(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
-		s := &lossyScene{scene: newScene(t), rng: fakes.Rand(seed)}
+		s := &lossyFixture{fixture: newFixture(t), rng: fakes.Rand(seed)}
 		for range 200 {
 			s.step()
 			shown := map[string]bool{}
 			for _, v := range s.tasks() {
 				shown[wire.TaskName(v.ID.Job, v.ID.N)] = true
 			}
-			for _, k := range s.worker.Tasks {
-				if k.Phase != wire.TaskExited {
-					require.True(t, shown[k.Task], "seed %d: %s runs and the state does not show it", seed, k.Task)
+			for _, status := range s.worker.Tasks {
+				if status.Phase != wire.TaskExited {
+					require.True(t, shown[status.Task], "seed %d: %s runs and the leader's view does not show it", seed, status.Task)
 				}
 			}
 		}
@@ -92,47 +93,48 @@
 	}
 }
 
-// The machine of a cancelled job's task can't be reached in one way or another. The task is gone soon after it can be
-// again, or with the machine's worker lease, which nothing renews that doesn't bring the stop as well.
+// The machine of a cancelled job's task fails in different ways while the stop command is due. The task must end soon
+// after the machine can be reached again, or with its worker lease: nothing may extend the lease without also
+// bringing the stop command.
 func TestCancelledTaskOnFailingMachineEndsInTime(t *testing.T) {
-	for _, x := range []struct {
-		name   string
-		during func(s *scene) // a second of the trouble
-		lasts  clock.Micros
-		within clock.Micros // of the withdrawal
+	for _, tc := range []struct {
+		name          string
+		faultStep     func(s *fixture) // simulates one second of the fault
+		faultDuration clock.Micros
+		deadline      clock.Micros // longest time from the cancellation to the task's end
 	}{
-		{"hangs through the stop and resumes within its worker lease", func(*scene) {}, 8 * sec, 10 * sec},
-		{"hangs for longer than its worker lease", func(*scene) {}, 2 * workerLease, workerLease + 2*sec},
-		{"receives deliveries only", func(s *scene) { s.deliver() }, 3 * workerLease, 2 * sec},
-		{"its answers to deliveries are lost", func(s *scene) {
-			if _, o := s.state.NextDelivery("m-1", s.now); o != nil {
-				s.worker.HandleCommands(*o, s.now)
-				s.state.HandleDeliveryTimeout("m-1", o, s.now)
+		{"hangs through the stop and resumes within its worker lease", func(*fixture) {}, 8 * sec, 10 * sec},
+		{"hangs for longer than its worker lease", func(*fixture) {}, 2 * workerLease, workerLease + 2*sec},
+		{"receives deliveries only", func(s *fixture) { s.deliver() }, 3 * workerLease, 2 * sec},
+		{"its answers to deliveries are lost", func(s *fixture) {
+			if _, orders := s.state.NextDelivery("m-1", s.now); orders != nil {
+				s.worker.HandleCommands(*orders, s.now)
+				s.state.HandleDeliveryTimeout("m-1", orders, s.now)
 			}
 		}, 3 * workerLease, 2 * sec},
-		{"heartbeats arrive, answers and deliveries don't", func(s *scene) {
-			r := s.worker.Heartbeat(s.now)
-			s.state.HandleHeartbeat(&r, 0, s.now)
+		{"heartbeats arrive, answers and deliveries don't", func(s *fixture) {
+			hb := s.worker.Heartbeat(s.now)
+			s.state.HandleHeartbeat(&hb, 0, s.now)
 		}, 3 * workerLease, workerLease + 2*sec},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			s := newRunningScene(t)
+		t.Run(tc.name, func(t *testing.T) {
+			s := newFixtureWithRunningTask(t)
 			s.cancelJob()
-			at := s.now
-			for s.now < at+4*workerLease {
+			cancelledAt := s.now
+			for s.now < cancelledAt+4*workerLease {
 				s.now += sec
-				if s.now < at+x.lasts {
-					x.during(s)
+				if s.now < cancelledAt+tc.faultDuration {
+					tc.faultStep(s)
 				} else {
 					s.heartbeat()
 					s.deliver()
 				}
 				s.state.Tick(s.now)
-				s.worker.Check(s.now) // a machine that hangs goes on within its lease, and not after it
-				if s.now > at+x.within {
-					require.False(t, s.worker.Running("job-1/0"), "%v after the cancellation", (s.now - at).Duration())
+				s.worker.Check(s.now) // tasks of a machine that hangs continue within its worker lease, and not after it
+				if s.now > cancelledAt+tc.deadline {
+					require.False(t, s.worker.Running("job-1/0"), "task runs %v after the cancellation", (s.now - cancelledAt).Duration())
 				}
-				require.False(t, s.acquireLease(1, 2), "nothing of it starts")
+				require.False(t, s.assign(1, 2), "no task of a cancelled job may start")
 			}
 			require.Equal(t, 1, s.worker.Starts["job-1/0"])
 			require.Len(t, s.worker.Starts, 1)
@@ -140,36 +142,36 @@
 	}
 }
 
-// Workers reach no controller, while deliveries reach them. Their worker leases expire again and again; what is sent
-// to one while it counts as running never counts for longer.
+// A worker reaches no controller, while deliveries reach it, so that its worker lease expires again and again. A task
+// that the leader delivers while the machine counts as live must be in the leader's view for as long as it runs.
 func TestMachineReachedByDeliveriesOnlyKeepsNoLostTasks(t *testing.T) {
-	s := newRunningScene(t)
-	ended := 0
-	session := s.worker.Incarnation
+	s := newFixtureWithRunningTask(t)
+	incarnations := 0
+	incarnation := s.worker.Incarnation
 	for n := range 40 {
 		s.now += sec
 		s.state.Tick(s.now)
-		if s.worker.Check(s.now); s.worker.Incarnation > session {
-			session = s.worker.Incarnation
-			ended++
+		if s.worker.Check(s.now); s.worker.Incarnation > incarnation {
+			incarnation = s.worker.Incarnation
+			incarnations++
 		}
 		s.deliver()
-		s.acquireLease(1+n%5, uint64(10+n))
+		s.assign(1+n%5, uint64(10+n))
 		s.deliver()
 		shown := map[int]bool{}
-		for _, k := range s.tasks() {
-			shown[k.ID.N] = true
+		for _, view := range s.tasks() {
+			shown[view.ID.N] = true
 		}
-		for _, k := range s.worker.InOrder() {
-			_, task, _ := wire.SplitTask(k.Task)
-			require.True(t, shown[task], "%s runs there and the leader does not count it", k.Task)
+		for _, status := range s.worker.InOrder() {
+			_, task, _ := wire.SplitTask(status.Task)
+			require.True(t, shown[task], "%s runs and the leader's view does not show it", status.Task)
 		}
 	}
-	require.GreaterOrEqual(t, ended, 2, "its worker leases have expired")
+	require.GreaterOrEqual(t, incarnations, 2, "the worker lease expires at least twice")
 	s.heartbeat()
 	s.heartbeat()
-	require.Contains(t, s.state.UnrecordedMachines(), "m-1", "its record was to be removed: it is recorded anew")
+	require.Contains(t, s.state.UnrecordedMachines(), "m-1", "the removal of the record was decided, so the machine is recorded again")
 	s.state.HandleMachineRecord("m-1", 0, inventory.Record{}, true, s.now)
 	s.heartbeat()
-	require.True(t, s.state.machines["m-1"].usable(s.now), "it reaches its leader again")
+	require.True(t, s.state.machines["m-1"].usable(s.now), "the machine is usable once it reaches its leader again")
 }
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -20,50 +20,50 @@
 	sec         = clock.Second
 	workerLease = 10 * sec
 	team        = "red"
-	jobRevision = 5 // revision of the job's record
+	jobRevision = 5 // mod revision of the job's record
 )
 
-// jobList is a JobLookup whose replica is as of a revision.
-type jobList struct {
-	active map[string]*jobs.Job
-	final  map[string]jobs.Final
-	rev    uint64
+// fakeJobLookup is a JobLookup with a replica as of a revision.
+type fakeJobLookup struct {
+	active   map[string]*jobs.Job
+	final    map[string]jobs.Final
+	revision uint64
 }
 
-func (j *jobList) Active(id string) (*jobs.Job, bool) { x, ok := j.active[id]; return x, ok }
+func (j *fakeJobLookup) Active(id string) (*jobs.Job, bool) { job, ok := j.active[id]; return job, ok }
 
-func (j *jobList) Ended(id string, made uint64) bool {
+func (j *fakeJobLookup) Ended(id string, modRevision uint64) bool {
 	_, final := j.final[id]
-	return final || j.active[id] == nil && j.rev >= made
+	return final || j.active[id] == nil && j.revision >= modRevision
 }
 
-// newJobList makes a replica that shows one active job.
-func newJobList(spec wire.Job) *jobList {
+// newFakeJobLookup returns a replica that shows one active job.
+func newFakeJobLookup(spec wire.Job) *fakeJobLookup {
 	active := map[string]*jobs.Job{spec.ID: jobs.New(jobs.Record{Job: spec}, jobRevision)}
-	return &jobList{active: active, final: map[string]jobs.Final{}, rev: jobRevision}
+	return &fakeJobLookup{active: active, final: map[string]jobs.Final{}, revision: jobRevision}
 }
 
-// scene is one partition leader and one machine that it has accounted for.
-type scene struct {
+// fixture is one partition leader with one machine that is accounted for.
+type fixture struct {
 	now    clock.Micros
-	jobs   *jobList
+	jobs   *fakeJobLookup
 	state  *State
 	worker *fakes.Worker
 	seq    uint64
 }
 
-// newTestState makes a state that leads no partition, with one machine type.
-func newTestState(j *jobList) *State {
-	s := NewState(Timing{Lease: workerLease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, j)
+// newTestState returns a state that leads no partition and knows one machine type.
+func newTestState(lookup *fakeJobLookup) *State {
+	s := NewState(Timing{Lease: workerLease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, lookup)
 	s.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 	return s
 }
 
-// newScene makes a scene whose machine is recorded, accounted and usable.
-func newScene(t *testing.T) *scene {
+// newFixture returns a fixture whose machine is recorded, accounted for and usable.
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	spec := wire.Job{ID: "job-1", Team: team, Priority: "normal", Tasks: 10, CPUs: 2, MemGB: 1}
-	s := &scene{now: 100 * sec, jobs: newJobList(spec)}
+	s := &fixture{now: 100 * sec, jobs: newFakeJobLookup(spec)}
 	s.state = newTestState(s.jobs)
 	s.worker = fakes.NewWorker("m-1", workerLease, s.now)
 	s.state.AcquirePartition(0, 1, nil, s.now)
@@ -73,91 +73,92 @@
 	return s
 }
 
-// heartbeat lets the worker report to the leader a second later, and take the answer.
-func (s *scene) heartbeat() wire.HeartbeatResponse {
+// heartbeat advances the time by a second, sends the worker's heartbeat to the leader and passes the response to the
+// worker.
+func (s *fixture) heartbeat() wire.HeartbeatResponse {
 	s.now += sec
 	return s.heartbeatTo(s.state)
 }
 
-// heartbeatTo lets the worker report to a leader, and take the answer.
-func (s *scene) heartbeatTo(leader *State) wire.HeartbeatResponse {
-	r := s.worker.Heartbeat(s.now)
-	ans, ok := leader.HandleHeartbeat(&r, 0, s.now)
+// heartbeatTo sends the worker's heartbeat to a leader and passes the response to the worker.
+func (s *fixture) heartbeatTo(leader *State) wire.HeartbeatResponse {
+	hb := s.worker.Heartbeat(s.now)
+	response, ok := leader.HandleHeartbeat(&hb, 0, s.now)
 	if ok {
-		s.worker.HandleHeartbeatResponse(ans, s.now)
+		s.worker.HandleHeartbeatResponse(response, s.now)
 	}
-	return ans
+	return response
 }
 
-// assignment is one of the job's tasks, assigned to the machine.
+// assignment returns an assignment of one of the job's tasks to the machine.
 func assignment(n int, attempt uint64) peer.Assignment {
 	return peer.Assignment{ID: peer.TaskID{Job: "job-1", N: n, Attempt: 1<<32 | attempt}, Made: jobRevision, Team: team, Rank: 1,
 		Need: resources.Request(2, 0, 1), Machine: "m-1", Term: 1}
 }
 
-// sendBatch has the team's leader send its next batch.
-func (s *scene) sendBatch(r peer.Batch) peer.BatchResponse {
+// sendBatch sends the next batch of the team's leader.
+func (s *fixture) sendBatch(batch peer.Batch) peer.BatchResponse {
 	s.seq++
-	r.From, r.Seq, r.Terms = "scheduler", s.seq, map[string]uint64{team: 1}
-	return s.state.HandleBatch(r, "me", s.now)
+	batch.From, batch.Seq, batch.Terms = "scheduler", s.seq, map[string]uint64{team: 1}
+	return s.state.HandleBatch(batch, "me", s.now)
 }
 
-// acquireLease assigns a task and reports whether it was accepted.
-func (s *scene) acquireLease(n int, attempt uint64) bool {
+// assign sends an assignment of a task and reports whether it was accepted.
+func (s *fixture) assign(n int, attempt uint64) bool {
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{assignment(n, attempt)}}).Refused[0]
 }
 
-// tasks lists what the machine's view shows.
-func (s *scene) tasks() []peer.TaskView {
+// tasks returns the tasks in the leader's view of the machine.
+func (s *fixture) tasks() []peer.TaskView {
 	return s.state.view(s.state.machines["m-1"], 0, s.now).Tasks
 }
 
-// reserve assigns a task with a held lease and reports whether it was accepted.
-func (s *scene) reserve(n int, attempt uint64) bool {
+// reserve sends an assignment with a reservation and reports whether it was accepted.
+func (s *fixture) reserve(n int, attempt uint64) bool {
 	a := assignment(n, attempt)
 	a.Hold = 20 * sec
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
-// startTask starts the first task, attempt 1, on its held lease.
-func startTask() peer.StartTask {
+// startFirstTask returns the message that starts the job's first task, attempt 1, on its reservation.
+func startFirstTask() peer.StartTask {
 	return peer.StartTask{ID: assignment(0, 1).ID, Machine: "m-1", Team: team}
 }
 
-// cancelJob has the leader learn that nothing of the job may run any more.
-func (s *scene) cancelJob() {
+// cancelJob sends the cancellation of the job to the leader.
+func (s *fixture) cancelJob() {
 	s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}})
 }
 
-// deliver delivers what is due to the worker's own address and brings the answer back.
-func (s *scene) deliver() {
+// deliver delivers the commands that are due to the worker's own address and passes the response to the leader.
+func (s *fixture) deliver() {
 	_, sent := s.state.NextDelivery("m-1", s.now)
 	if sent == nil {
 		return
 	}
-	r, _ := s.worker.HandleCommands(*sent, s.now)
-	s.state.HandleDeliveryResponse("m-1", sent, &r, s.now)
+	hb, _ := s.worker.HandleCommands(*sent, s.now)
+	s.state.HandleDeliveryResponse("m-1", sent, &hb, s.now)
 }
 
-// newRunningScene starts the job's first task on the machine.
-func newRunningScene(t *testing.T) *scene {
+// newFixtureWithRunningTask returns a fixture whose machine runs the job's first task.
+func newFixtureWithRunningTask(t *testing.T) *fixture {
 	t.Helper()
-	s := newScene(t)
-	require.True(t, s.acquireLease(0, 1))
+	s := newFixture(t)
+	require.True(t, s.assign(0, 1))
 	s.heartbeat()
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 	return s
 }
 
-// acquireLeaseAt assigns a task that is admitted at a stage, and reports whether it was accepted.
-func (s *scene) acquireLeaseAt(n int, attempt uint64, stage recovery.Stage) bool {
+// assignAtStage sends an assignment of a task that is admitted at a stage, and reports whether it was accepted.
+func (s *fixture) assignAtStage(n int, attempt uint64, stage recovery.Stage) bool {
 	a := assignment(n, attempt)
 	a.Stage = int(stage) + 1
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
-// returnZoneAt has work return to the machine's zone, at a stage.
-func (s *scene) returnZoneAt(stage recovery.Stage) {
+// setReturningStage sets the machine's zone to returning, at a stage.
+func (s *fixture) setReturningStage(stage recovery.Stage) {
 	s.state.SetZoneState("a", zone.Record{State: zone.Returning, Stage: stage}, s.now)
 }
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -16,21 +16,22 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Elections answers which leaderships this process has, and who has others.
+// Elections reports which leaderships this process has, and which controller has each of the others.
 type Elections interface {
 	Leading(duty string) (leaderelection.Leadership, bool)
 	Leader(duty string) (string, bool)
 }
 
-// Store commits transactions to the key-value store.
+// Store commits transactions to the key-value store and returns their revision.
 type Store interface {
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
 // Server serves the partitions that this process leads. Its methods may be called from any goroutine.
 //
-// Its goroutines are Run's loop, which starts one for each delivery and one at a time for the writes of machine records;
-// Run waits for them before it returns. Only a publication's timer may fire later: it answers polls, and there are none.
+// Run's loop starts a goroutine for each delivery, and one at a time for writes of machine records. Run waits for all
+// of them before it returns. Only the publisher's timer can fire later; it would answer polls, but none wait any
+// more.
 type Server struct {
 	controller     string
 	incarnation    string // of this process
@@ -42,19 +43,19 @@
 	clock          clock.Clock
 	wallClock      func() time.Time
 	log            *slog.Logger
-	heartbeatDuty  *telemetry.Duty // heartbeats answered
-	pollDuty       *telemetry.Duty // polls answered, without their waits
-	loopDuty       *telemetry.Duty // rounds of Run's loop
+	heartbeatDuty  *telemetry.Duty // time spent on heartbeats
+	pollDuty       *telemetry.Duty // time spent on polls, without their waits
+	loopDuty       *telemetry.Duty // time spent in Run's loop
 
-	misdirected misdirectedMachines // has its own lock
-	wake        loop.Signal         // wakes Run's loop to start deliveries
-	stopped     chan struct{}       // closed when Run ends: polls that wait are answered
-	background  sync.WaitGroup      // deliveries and writes of machine records; added to by Run's goroutine only
-	recording   sync.Mutex          // held by the goroutine that writes machine records
+	misdirected   misdirectedMachines // has its own lock
+	wake          loop.Signal         // wakes Run's loop to start deliveries
+	stopped       chan struct{}       // closed when Run ends, so that waiting polls are answered
+	background    sync.WaitGroup      // deliveries and writes of machine records; only Run's goroutine adds to it
+	recordWriteMu sync.Mutex          // held by the goroutine that writes machine records
 
-	recordFailures int // writes of machine records that failed in a row; guarded by recording
+	recordWriteFailures int // writes of machine records that failed in a row; guarded by recordWriteMu
 
-	// mu guards the fields below. It is not held while anything waits for the network or the store.
+	// mu guards the fields below. It is not held while a goroutine waits for the network or the key-value store.
 	mu          sync.Mutex
 	state       *State
 	records     *inventory.Records
@@ -62,14 +63,14 @@
 	publisher   publisher
 }
 
-// Options of a server.
+// Options configures a Server.
 type Options struct {
-	Host                 string // of this controller
-	Instance             string // the incarnation of this process
+	Host                 string // name of this controller
+	Instance             string // incarnation of this process
 	Partitioning         Partitioning
-	TxnOps               int // operations in a transaction
+	TxnOps               int // largest number of operations in a transaction
 	MaxRecordBytes       int
-	MaxWorkerConnections int // connections to workers' own addresses
+	MaxWorkerConnections int // largest number of connections to workers' own addresses
 	Timing               Timing
 
 	Jobs      JobLookup
@@ -79,11 +80,11 @@
 	WallClock func() time.Time
 	Log       *slog.Logger
 	Arbiter   *fairshare.Arbiter  // divides contended resources among teams; nil: the first assignment gets them
-	History   *history.Ring       // nil: none is kept
+	History   *history.Ring       // nil: no history is kept
 	Telemetry *telemetry.Reporter // nil: nothing is counted
 }
 
-// New makes a server that leads no partition yet.
+// New returns a server that leads no partition yet.
 func New(opts Options) *Server {
 	s := &Server{
 		controller:     opts.Host,
@@ -111,37 +112,38 @@
 	return s
 }
 
-// notifyChange has a change published to polls, and wakes Run's loop. mu is held.
+// notifyChange schedules the publication of a change and wakes Run's loop. mu is held.
 func (s *Server) notifyChange() {
 	s.publisher.schedule(s.state.Version(), publicationInterval(s.state.MachineCount(), s.publisher.waitingPolls))
 	s.wake.Notify()
 }
 
-// leads reports whether a partition is led under a term at this moment. It is asked before anything is sent, after all
-// that may have taken long.
+// leads reports whether this process leads a partition under a term at this moment. Callers check it again after any
+// step that may take long, directly before they send something, because the leadership can expire in between.
 func (s *Server) leads(partition int, term uint64) bool {
-	l, leading := s.elections.Leading(Duty(partition))
-	return leading && l.Term == term
+	leadership, leading := s.elections.Leading(Duty(partition))
+	return leading && leadership.Term == term
 }
 
-// Reconcile acquires and releases partitions until those that the State holds are those that this process leads.
+// Reconcile acquires and releases partitions in the State, so that it holds those whose leadership this process has
+// now.
 func (s *Server) Reconcile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	changed := false
-	for _, p := range s.partitioning.all {
-		l, leading := s.elections.Leading(Duty(p))
-		term, have := s.state.PartitionTerm(p)
+	for _, partition := range s.partitioning.all {
+		leadership, leading := s.elections.Leading(Duty(partition))
+		term, held := s.state.PartitionTerm(partition)
 		switch {
-		case leading && (!have || term != l.Term):
-			recorded := s.recordedIn(p)
-			s.state.AcquirePartition(p, l.Term, recorded, now)
-			s.log.Info("partition leadership acquired", "partition", p, "term", l.Term, "machines", len(recorded))
+		case leading && (!held || term != leadership.Term):
+			recorded := s.recordedIn(partition)
+			s.state.AcquirePartition(partition, leadership.Term, recorded, now)
+			s.log.Info("partition leadership acquired", "partition", partition, "term", leadership.Term, "machines", len(recorded))
 			changed = true
-		case !leading && have:
-			s.state.ReleasePartition(p)
-			s.log.Info("partition leadership released", "partition", p, "term", term)
+		case !leading && held:
+			s.state.ReleasePartition(partition)
+			s.log.Info("partition leadership released", "partition", partition, "term", term)
 			changed = true
 		}
 	}
@@ -151,14 +153,15 @@
 }
 
 const (
+	// loopInterval is the time between two calls of tick.
 	loopInterval = 250 * time.Millisecond
-	// expiryEvery is how many loop intervals lie between two ticks of the State: a tick looks at every task, and
-	// none of what it finds is urgent.
-	expiryEvery = 2
+	// intervalsPerTick is the number of loop intervals per Tick of the State. A tick looks at every task, and none of
+	// its findings is urgent.
+	intervalsPerTick = 2
 )
 
-// Run expires what is due, writes machine records and delivers commands until ctx ends, and waits for the deliveries and
-// writes that are under way: they end with ctx.
+// Run ticks the State, writes machine records and delivers commands until ctx ends. It then waits for the deliveries
+// and writes that are under way, which end with ctx.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.background.Wait()
 	defer close(s.stopped)
@@ -170,45 +173,45 @@
 			return nil
 		case due := <-ticker.C:
 			s.loopDuty.Late(time.Since(due))
-			unrecorded, drop := s.tick(n%expiryEvery == 0)
+			unrecorded, removals := s.tick(n%intervalsPerTick == 0)
 			n++
-			s.startRecording(ctx, unrecorded, drop)
+			s.startRecordWrites(ctx, unrecorded, removals)
 		case <-s.wake:
 		}
-		began := time.Now()
+		start := time.Now()
 		s.startDeliveries(ctx)
-		s.loopDuty.Round(time.Since(began))
+		s.loopDuty.Round(time.Since(start))
 	}
 }
 
-// tick does what is due a few times a second. It gives the machines that are to be recorded, and those whose records
-// are to be removed.
-func (s *Server) tick(expire bool) (unrecorded inventory.Group, drop []string) {
-	// Silence is decided as of a moment at which the partitions were led for certain: a process that was paused in
-	// between must not take machines that others have answered since for silent.
+// tick reconciles the partitions and, if expire is set, ticks the State. It returns the machines to record, and the
+// ids of those whose records are to be removed.
+func (s *Server) tick(expire bool) (unrecorded inventory.Group, removals []string) {
+	// The time is read before Reconcile, so that silence is decided as of a time at which this process certainly led
+	// its partitions. If the process is paused in between, other leaders may have answered the machines since.
 	now := s.clock.Now()
 	s.Reconcile()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.state.Version()
 	if expire {
-		drop = s.state.Tick(now)
+		removals = s.state.Tick(now)
 	}
 	s.connections.retain(func(id string) bool { _, known := s.state.PartitionOf(id); return known })
 	if s.state.Version() != before {
 		s.notifyChange()
 	}
-	return s.state.UnrecordedMachines(), drop
+	return s.state.UnrecordedMachines(), removals
 }
 
-// startRecording writes machine records in the background, unless an earlier write is still under way: what is due
-// then is due again with the next tick.
-func (s *Server) startRecording(ctx context.Context, unrecorded inventory.Group, drop []string) {
-	if len(drop) == 0 && len(unrecorded) == 0 || !s.recording.TryLock() {
+// startRecordWrites writes machine records in the background, unless an earlier write is still under way. Changes
+// that are skipped then are due again with a later tick.
+func (s *Server) startRecordWrites(ctx context.Context, unrecorded inventory.Group, removals []string) {
+	if len(removals) == 0 && len(unrecorded) == 0 || !s.recordWriteMu.TryLock() {
 		return
 	}
 	s.background.Go(func() {
-		defer s.recording.Unlock()
-		s.writeMachineRecords(ctx, unrecorded, drop)
+		defer s.recordWriteMu.Unlock()
+		s.writeMachineRecords(ctx, unrecorded, removals)
 	})
 }
--- a/internal/partition/server_test.go
+++ b/internal/partition/server_test.go
@@ -14,7 +14,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// expiringLeadership is an election that is won for so many looks more, and then over.
+// expiringLeadership is the Elections of a process that has every leadership for a number of checks, and then loses
+// it.
 type expiringLeadership struct{ remaining int }
 
 func (l *expiringLeadership) Leading(string) (leaderelection.Leadership, bool) {
@@ -24,21 +25,20 @@
 
 func (*expiringLeadership) Leader(string) (string, bool) { return "me", true }
 
-// A process that was paused while it decided says nothing: whether it leads the machine's partition is looked at once
-// more when the answer is ready.
+// A process is paused while it decides on a heartbeat, and its leadership expires. It must not answer with 200, which
+// would extend the worker's lease: the leadership is checked again when the response is ready.
 func TestHeartbeatAfterLeadershipExpiredIsRejected(t *testing.T) {
 	l := newLoadedServer(t, 1)
-	for looks, want := range map[int]int{1: 503, 2: 200} {
-		l.server.elections = &expiringLeadership{remaining: looks}
+	for checks, want := range map[int]int{1: 503, 2: 200} {
+		l.server.elections = &expiringLeadership{remaining: checks}
 		l.heartbeats[0].Tick++
 		body, err := json.Marshal(&l.heartbeats[0])
 		require.NoError(t, err)
-		require.Equal(t, want, l.server.HandleHeartbeat(body).Status, "led for %d looks", looks)
+		require.Equal(t, want, l.server.HandleHeartbeat(body).Status, "leadership held for %d checks", checks)
 	}
 }
 
-// The same holds of commands: they are dropped where the leadership is over by the time that they are about to be
-// sent.
+// The leadership of a process expires before a delivery is sent. Its commands must be dropped.
 func TestCommandsAfterLeadershipExpiredAreNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	_, err = l.server.postCommands(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
 	require.ErrorIs(t, err, errNotLeader)
 	l.server.elections = allLeaderships{}
-	orders.FencingToken = firstToken(2) + 1 // of a term that is not this process's
+	orders.FencingToken = firstToken(2) + 1 // of a term that this process does not have
 	_, err = l.server.postCommands(ctx, 0, httpx.NewClient(listener.Addr().String(), 1, 1<<10), orders)
 	require.ErrorIs(t, err, errNotLeader)
 }
--- a/internal/partition/shares.go
+++ b/internal/partition/shares.go
@@ -7,7 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// updateDemands takes the teams' demands from their schedulers. Those of former team leaders are ignored.
+// updateDemands passes the demands of the teams to the arbiter. Demands sent by former team leaders are ignored.
 func (s *State) updateDemands(list []fairshare.Demand, now clock.Micros) {
 	if s.arbiter == nil {
 		return
@@ -20,7 +20,8 @@
 	s.updateUsage(now)
 }
 
-// updateUsage has the arbiter count anew what each team uses, where that is due.
+// updateUsage gives the arbiter the resources that each team uses and the capacity of the usable machines, if the
+// arbiter's last count is too old.
 func (s *State) updateUsage(now clock.Micros) {
 	if !s.arbiter.UsageDue(now) {
 		return
@@ -55,15 +56,16 @@
 		return false
 	}
 	s.updateUsage(now)
-	room := fairshare.FreeCapacity{Machine: m.id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: free}
-	return s.arbiter.Yields(fairShareAsk(a), &room, now)
+	freeCapacity := fairshare.FreeCapacity{Machine: m.id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: free}
+	return s.arbiter.Yields(fairShareAssignment(a), &freeCapacity, now)
 }
 
-func fairShareAsk(a *peer.Assignment) *fairshare.Assignment {
+func fairShareAssignment(a *peer.Assignment) *fairshare.Assignment {
 	return &fairshare.Assignment{Team: a.Team, Rank: a.Rank, Need: a.Need, WithinGuarantee: a.Covered}
 }
 
-// Standings returns the teams' shares of the machines that are led, and the capacity that they are of.
+// Standings returns the teams' fair shares of the machines that this process leads, and the capacity that the shares
+// refer to.
 func (s *State) Standings(now clock.Micros) (capacity resources.Amounts, list []fairshare.Standing) {
 	if s.arbiter == nil {
 		return resources.Amounts{}, nil
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -1,24 +1,32 @@
-// Package partition is the leadership of partitions of the machines: it takes the heartbeats of their workers,
-// leases their resources to schedulers' assignments, and sends workers the commands that run, stop and forget tasks.
+// Package partition implements the leader of machine partitions. The leader processes the heartbeats of its machines'
+// workers, grants or rejects schedulers' assignments of tasks to machines, and sends workers the commands that run,
+// stop and forget tasks.
 //
-// State is the decision: plain code without I/O, goroutines or locks, which takes the time as a parameter. Server
-// carries it out: it answers heartbeats and RPCs, delivers commands to workers' own addresses, publishes views to
-// schedulers' polls and writes machine records. Server.mu guards the State.
+// State makes all decisions. It does no I/O, starts no goroutines and takes no locks; callers pass it the current
+// time. Server carries the decisions out: it answers heartbeats and RPCs, delivers commands to the workers' own
+// addresses, publishes machine views to schedulers' polls and writes machine records to the key-value store.
+// Server.mu guards the State.
 //
-// An input of State is a Handle method, Tick, or AcquirePartition and ReleasePartition; NextDelivery,
-// UnrecordedMachines and what Tick returns are commands for the server to carry out, and their results come back as
-// HandleDeliveryResponse, HandleDeliveryTimeout and HandleMachineRecord.
+// The inputs of State are its Handle methods, Tick, AcquirePartition and ReleasePartition. NextDelivery,
+// UnrecordedMachines and Tick return commands to send and machine records to add or remove. The server reports their
+// results with HandleDeliveryResponse, HandleDeliveryTimeout and HandleMachineRecord.
 //
-// Invariants, by the numbers of the arguments in docs/design.md, "Why the rules hold", and where they are kept:
+// The following invariants are proved in docs/design.md, "Why the rules hold"; the number is that of the argument.
+// Each line ends with the types and methods that maintain the invariant.
 //
-//   - 1, fencing tokens: deliveryState
-//   - 2, run commands that may still arrive: task.unansweredToken, deliveryState.runMayArrive
-//   - 4, gone for certain: workerState, State.expireWorkerLease, State.applyIncarnation
-//   - 5, machine records: recordState, Server.writeMachineRecords
-//   - 6, a new partition leader: machine.accounted, State.AcquirePartition
-//   - 7, fencing of former team leaders: teamTerms
-//   - 11, cancellations: cancellations, State.jobEnded
-//   - 13, copies of heartbeats: workerState.isCopy
+//   - 1: workers reject commands of former partition leaders, by the fencing token: deliveryState
+//   - 2: an attempt whose run command may still reach the worker is not given up: task.unansweredToken,
+//     deliveryState.runMayArrive
+//   - 4: a task counts as gone only when its worker must have ended it: workerState, State.expireWorkerLease,
+//     State.applyIncarnation
+//   - 5: a machine gets tasks only while its record is stored, so that a later leader knows of it: recordState,
+//     Server.writeMachineRecords
+//   - 6: a new partition leader assumes tasks of former leaders on a machine until the machine is accounted for:
+//     machine.accounted, State.AcquirePartition
+//   - 7: requests of former team leaders are rejected: teamTerms
+//   - 11: no task of a cancelled job starts, even while this controller's replica is behind: cancellations,
+//     State.jobEnded
+//   - 13: copies of heartbeats extend no worker lease: workerState.isCopy
 package partition
 
 import (
@@ -31,32 +39,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// JobLookup answers which jobs are active, from this controller's replica.
+// JobLookup reports which jobs are active, as of this controller's replica of the key-value store.
 type JobLookup interface {
 	Active(id string) (*jobs.Job, bool)
-	// Ended reports whether a job whose record has a revision is over for certain.
-	Ended(id string, made uint64) bool
+	// Ended reports whether a job has certainly ended. modRevision is the mod revision of the job's record, as the
+	// caller knows it: a replica older than that revision proves nothing by not showing the job.
+	Ended(id string, modRevision uint64) bool
 }
 
-// Timing is the intervals and limits that the decision uses.
+// Timing holds the intervals and limits that State's decisions use.
 type Timing struct {
-	Lease            clock.Micros // the worker lease
-	HeartbeatOverdue clock.Micros // without an answered heartbeat for so long a machine gets no tasks for now; 0: never
-	RoomLeaseTTL     clock.Micros // of resource leases
-	QuarantineErrors int          // jobs that fail in a row on a machine before it is quarantined
+	Lease            clock.Micros // duration of the worker lease
+	HeartbeatOverdue clock.Micros // a machine gets no tasks after this long without an answered heartbeat; 0: no limit
+	RoomLeaseTTL     clock.Micros // how long a resource lease lasts while no run command has been sent for it
+	QuarantineErrors int          // number of different jobs that fail on a machine, with no success in between, to quarantine it
 }
 
-// State is the decision of a partition leader: the machines of all partitions that this process leads. It is
-// guarded by its Server's lock.
+// State is the decision logic of a partition leader, with the machines of all partitions that this process leads. It
+// is not safe for concurrent use: its Server's lock guards it.
 type State struct {
 	timing   Timing
 	jobs     JobLookup
 	arbiter  *fairshare.Arbiter // divides contended resources among teams; nil: the first assignment gets them
-	history  *history.Ring      // nil: none is kept
-	terms    map[int]uint64     // of the partitions that are led
+	history  *history.Ring      // nil: no history is kept
+	terms    map[int]uint64     // terms of the partitions that this process leads, by partition
 	machines map[string]*machine
 	changes  changeList
-	// deliveryCandidates are machines that may have commands to be delivered.
+	// deliveryCandidates are the machines that may have commands to deliver to the worker's own address.
 	deliveryCandidates map[string]*machine
 
 	capacities    map[string]resources.Amounts // by machine type
@@ -65,14 +74,14 @@
 	batches       batchResponses
 	cancellations cancellations
 	failingJobs   failingJobs
-	zoneGates     map[string]*zoneGate // of zones to which work returns
+	zoneGates     map[string]*zoneGate // gates of the zones that are lost or returning, by zone
 }
 
-// NewState makes a state without partitions.
-func NewState(t Timing, j JobLookup) *State {
+// NewState returns a State that leads no partition.
+func NewState(timing Timing, lookup JobLookup) *State {
 	return &State{
-		timing:             t,
-		jobs:               j,
+		timing:             timing,
+		jobs:               lookup,
 		terms:              map[int]uint64{},
 		machines:           map[string]*machine{},
 		changes:            newChangeList(),
@@ -87,7 +96,7 @@
 	}
 }
 
-// SetTypes sets the capacities of the machine types.
+// SetTypes sets the capacity of each machine type.
 func (s *State) SetTypes(types map[string]resources.Amounts) {
 	s.capacities = types
 	for _, m := range s.machines {
@@ -96,16 +105,16 @@
 	}
 }
 
-// PartitionTerm returns the term of a partition that is led.
+// PartitionTerm returns the term of a partition, if this process leads it.
 func (s *State) PartitionTerm(partition int) (term uint64, ok bool) {
 	term, ok = s.terms[partition]
 	return term, ok
 }
 
-// PartitionTerms returns the partitions that are led, with their terms.
+// PartitionTerms returns the terms of the partitions that this process leads, by partition.
 func (s *State) PartitionTerms() map[int]uint64 { return maps.Clone(s.terms) }
 
-// PartitionOf returns the partition of a machine that is known here.
+// PartitionOf returns the partition of a machine, if State knows the machine.
 func (s *State) PartitionOf(id string) (int, bool) {
 	m := s.machines[id]
 	if m == nil {
@@ -114,5 +123,5 @@
 	return m.partition, true
 }
 
-// MachineCount is how many machines are known here.
+// MachineCount returns the number of machines that State knows.
 func (s *State) MachineCount() int { return len(s.machines) }
--- a/internal/partition/views.go
+++ b/internal/partition/views.go
@@ -8,7 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// view shows a machine to a scheduler that knows it as of a version.
+// view returns a machine as a scheduler's poll shows it, with the changes since the version that the scheduler knows.
 func (s *State) view(m *machine, after uint64, now clock.Micros) peer.MachineView {
 	_, leased := m.resourcesInUse()
 	v := peer.MachineView{
@@ -29,7 +29,7 @@
 		Noticed:   m.eviction.given,
 		Sick:      m.failures.quarantined,
 		Count:     len(m.tasks),
-		Whole:     after < m.departed.completeSince,
+		Whole:     after < m.removed.completeSince,
 	}
 	if m.eviction.given {
 		v.NoticeLeft = max(0, m.eviction.at-now)
@@ -44,8 +44,8 @@
 	return v
 }
 
-// addTaskViews lists, in a view, the machine's tasks that changed after a version and those that departed since, or
-// all of its tasks where departed ones may have been forgotten.
+// addTaskViews adds to a view the machine's tasks that changed after a version and the ids of those that were removed
+// since. If some removed tasks are no longer remembered, it adds all of the machine's tasks instead.
 func (m *machine) addTaskViews(v *peer.MachineView, after uint64, now clock.Micros) {
 	if v.Whole {
 		after = 0
@@ -67,14 +67,14 @@
 	if v.Whole {
 		return
 	}
-	for _, d := range m.departed.tasks {
+	for _, d := range m.removed.tasks {
 		if d.version > after {
 			v.Left = append(v.Left, d.id)
 		}
 	}
 }
 
-// HandlePoll returns the machines that changed after a scheduler's cursor, in order of their ids.
+// HandlePoll returns the machines that changed after a scheduler's cursor, in the order of their ids.
 func (s *State) HandlePoll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
 	s.teamTerms.fence(in.Terms)
 	s.updateDemands(in.Demands, now)
--- a/internal/partition/views_test.go
+++ b/internal/partition/views_test.go
@@ -6,12 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A view shows an eviction notice with the time that is left when the view is made, not when the notice arrived.
 func TestEvictionNoticeIsShownWithTimeLeft(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	notice := 30.0
 	s.worker.NoticeS = &notice
 	s.heartbeat()
-	v := s.state.view(s.state.machines["m-1"], 0, s.now+10*sec)
-	require.True(t, v.Noticed)
-	require.Equal(t, 20*sec, v.NoticeLeft)
+	view := s.state.view(s.state.machines["m-1"], 0, s.now+10*sec)
+	require.True(t, view.Noticed)
+	require.Equal(t, 20*sec, view.NoticeLeft)
 }
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -7,20 +7,21 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// startCountInterval is how often the starts under way in a zone are counted anew: the count looks at every machine.
+// startCountInterval is how often the starts under way in a zone are recounted. Each count looks at every machine.
 const startCountInterval = 100 * clock.Millisecond
 
-// zoneGate admits work in one zone while work returns there.
+// zoneGate limits the tasks that this leader admits to a zone that is lost, or to which work returns in stages.
 type zoneGate struct {
 	*recovery.Gate
-	startsUnderWay int // as of the last count, and accepted since
+	startsUnderWay int // at the last count, plus the tasks accepted since
 	countedAt      clock.Micros
 }
 
-// SetZoneState takes the state of a zone: nothing new is admitted from its loss until it returns, and
-// then it is in stages. A controller inside a zone that is cut off does not learn of that, and goes on.
-func (s *State) SetZoneState(name string, r zone.Record, now clock.Micros) {
-	switch r.State {
+// SetZoneState applies the state of a zone from its record. From the loss of the zone until its return nothing new is
+// admitted there; while it returns, tasks are admitted in stages. A controller inside a zone that is cut off does not
+// learn of the loss, and continues without a gate.
+func (s *State) SetZoneState(name string, record zone.Record, now clock.Micros) {
+	switch record.State {
 	case zone.Lost:
 		s.zoneGates[name] = &zoneGate{Gate: recovery.NewLostGate()}
 		return
@@ -29,31 +30,31 @@
 		delete(s.zoneGates, name)
 		return
 	}
-	if g := s.zoneGates[name]; g != nil {
-		g.SetStage(r.Stage, r.Held, now)
+	if gate := s.zoneGates[name]; gate != nil {
+		gate.SetStage(record.Stage, record.Held, now)
 		return
 	}
-	s.zoneGates[name] = &zoneGate{Gate: recovery.NewGate(r.Stage, r.Held, now)}
+	s.zoneGates[name] = &zoneGate{Gate: recovery.NewGate(record.Stage, record.Held, now)}
 }
 
 // zoneAdmits reports whether the gate of a machine's zone admits a task.
 func (s *State) zoneAdmits(m *machine, a *peer.Assignment, now clock.Micros) bool {
-	g := s.zoneGates[m.Zone]
-	if g == nil {
+	gate := s.zoneGates[m.Zone]
+	if gate == nil {
 		return true
 	}
-	if now >= g.countedAt+startCountInterval {
-		g.countedAt, g.startsUnderWay = now, s.startsInZone(m.Zone)
+	if now >= gate.countedAt+startCountInterval {
+		gate.countedAt, gate.startsUnderWay = now, s.startsInZone(m.Zone)
 	}
-	stage := recovery.DefaultStage(a.Rank, false) // of a scheduler that names none
+	stage := recovery.DefaultStage(a.Rank, false) // for schedulers that send no stage
 	if a.Stage > 0 {
 		stage = recovery.Stage(a.Stage - 1)
 	}
 	warm := m.warmIncarnation == m.worker.incarnation
-	return g.Admits(stage, recovery.Machine{Warm: warm, Pending: m.pendingStarts()}, g.startsUnderWay, now)
+	return gate.Admits(stage, recovery.Machine{Warm: warm, Pending: m.pendingStarts()}, gate.startsUnderWay, now)
 }
 
-// startsInZone counts the tasks in a zone that were accepted and not seen running yet.
+// startsInZone counts the tasks in a zone that were accepted and have not been seen running yet.
 func (s *State) startsInZone(zone string) (n int) {
 	for _, m := range s.machines {
 		if m.Zone == zone && !m.worker.lost() {
@@ -63,19 +64,19 @@
 	return n
 }
 
-// markWarm notes that a task was seen running on a machine: its image is there, and it works.
+// markWarm records that a task was seen running on a machine: the machine works and has the task's image.
 func (s *State) markWarm(m *machine) {
 	m.warmIncarnation = m.worker.incarnation
-	if g := s.zoneGates[m.Zone]; g != nil {
-		g.Succeeded()
+	if gate := s.zoneGates[m.Zone]; gate != nil {
+		gate.Succeeded()
 	}
 }
 
-// AdmittedStages returns the stages of the zones to which work returns, as this partition leader admits it.
+// AdmittedStages returns, for each zone that is lost or returning, the stage that this partition leader admits now.
 func (s *State) AdmittedStages(now clock.Micros) map[string]recovery.Stage {
 	out := make(map[string]recovery.Stage, len(s.zoneGates))
-	for name, g := range s.zoneGates {
-		out[name] = g.Stage(now)
+	for name, gate := range s.zoneGates {
+		out[name] = gate.Stage(now)
 	}
 	return out
 }
