--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,17 +1,18 @@
-// Package autoscaler scales the fleet out and in: the leader of the fleet requests instances from the
-// cloud by the demand that the schedulers report, returns the ones that are of no more use, and decides the
-// states of zones.
+// Package autoscaler scales the fleet out and in. The controller that leads the fleet requests instances
+// from the cloud to meet the demand that the schedulers report, returns instances that are no longer needed,
+// and decides the states of zones.
 //
-// Decisions are plain code that does no I/O: Plan (what to request and return, as a pipeline: available
-// kinds, capacity, bin packing of the demand, limits, requests), instanceList (which instances
-// exist), requestPacer (how many requests at a time) and package zone. I/O is done by Autoscaler,
-// zoneStates and CloudClient.
+// Decisions are made by code without I/O: Plan decides what to request and what to return, in the steps
+// available kinds, capacity, bin packing of the demand, limits and requests; instanceList tracks which
+// instances exist; requestPacer limits how many requests are sent at a time; package zone decides the
+// states of zones. Autoscaler, zoneStates and CloudClient do the I/O.
 //
-// Invariants, with the argument's number in docs/design.md, "Why the rules hold":
-//   - An instance counts as gone only by what the cloud says: returned, failed, or proven absent (4, instanceList).
-//   - A scale-out request's name is used once, and a machine is returned only after its partition
+// Invariants; the numbers are those of the arguments in docs/design.md, "Why the rules hold":
+//   - An instance counts as gone only on evidence from the cloud: it was returned, is listed as failed, or is
+//     proven absent from the list (4, instanceList).
+//   - The name of a scale-out request is used only once, and a machine is returned only after its partition
 //     leader has drained it (12, requestScaleOut and scaleIn).
-//   - Every write to the key-value store depends on the fleet's leadership (leadershipCondition).
+//   - Every write to the key-value store is conditional on the fleet's leadership (leadershipCondition).
 package autoscaler
 
 import (
@@ -26,43 +27,45 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Duty names the leadership of the fleet.
+// Duty is the name under which controllers elect the fleet's leader.
 const Duty = "fleet"
 
 const (
-	// stepInterval is how often the leader decides: well below the time in which an instance boots,
-	// so that it adds little to the wait of a task.
+	// stepInterval is the time between two scaling decisions. It is well below an instance's boot time,
+	// so that it adds little to the time that tasks wait for a new instance.
 	stepInterval = 400 * time.Millisecond
-	// summaryInterval is how often the fleet's size and use are logged.
+	// summaryInterval is the least time between two log events with the fleet's size and utilization.
 	summaryInterval = 10 * clock.Second
 )
 
-// ControllerClient asks all controllers for what the autoscaler needs, and notifies them.
+// ControllerClient reads the state that the autoscaler needs from all controllers, and notifies them.
 type ControllerClient interface {
-	// Demands gives what waits, of all teams.
+	// Demands returns the waiting tasks of all teams.
 	Demands(ctx context.Context) []peer.Demand
 	// MachineViews appends the views of all machines.
 	MachineViews(to []peer.MachineView) []peer.MachineView
-	// Drain has the partition leaders drain machines, and gives those that hold nothing any more.
+	// Drain asks the partition leaders to drain machines, and returns the ids of those that hold no tasks or
+	// leases any more.
 	Drain(ctx context.Context, list []peer.MachineRef) (ready []string)
-	// MarkMachinesGone notifies the partition leaders of machines that are gone for certain.
+	// MarkMachinesGone notifies the partition leaders of machines that are certain not to exist any more.
 	MarkMachinesGone(ctx context.Context, list []peer.MachineRef)
-	// RecordedBefore gives the machines whose records were written before a time of day.
+	// RecordedBefore returns the machines whose records were written before a wall clock time, in Unix
+	// milliseconds.
 	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
-// Elections knows which leaderships this controller has.
+// Elections reports which leaderships this controller holds.
 type Elections interface {
 	Leading(duty string) (leaderelection.Leadership, bool)
 }
 
-// Store takes transactions.
+// Store commits transactions to the key-value store.
 type Store interface {
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Autoscaler scales out and in while it leads the fleet. Run's goroutine owns all fields but zones,
-// which RunZones and HoldZone share under its own lock.
+// Autoscaler scales the fleet out and in while its controller leads the fleet. The goroutine of Run owns all
+// fields except zones, which RunZones and HoldZone use too and which has its own lock.
 type Autoscaler struct {
 	cloud         *CloudClient
 	elections     Elections
@@ -74,26 +77,26 @@
 	storedCatalog func() wire.Catalog
 	log           *slog.Logger
 	dutyStats     *telemetry.Duty
-	zones         *zoneStates // nil: states of zones are not decided
+	zones         *zoneStates // nil if the states of zones are not decided
 
 	term           uint64 // 0: not leading
-	requestCounter uint64 // of scale-out requests in this term
-	list           instanceList
+	requestCounter uint64 // number of scale-out requests in this term
+	instanceList   instanceList
 	pacer          requestPacer
 
 	catalog          wire.Catalog
-	catalogFetchedAt clock.Micros // 0: not in this term
-	nextListAt       clock.Micros // not before, after a read that failed
-	listFailures     int          // in a row
-	summaryAt        clock.Micros // of the last summary logged
+	catalogFetchedAt clock.Micros // 0: not fetched in this term
+	nextListAt       clock.Micros // earliest time of the next read of the list, after one that failed
+	listFailures     int          // consecutive failed reads of the list
+	lastSummaryAt    clock.Micros // time of the last logged summary
 
-	// Views and their index are kept for the next step's use: all machines are looked at
-	// several times a second, and copies of them were most of what this process allocated.
+	// views and viewIndex are reused by the next step. Each step reads the views of all machines, several
+	// times a second, and fresh copies of them used to be most of what this process allocated.
 	views     []peer.MachineView
 	viewIndex map[string]int
 }
 
-// Options of an autoscaler.
+// Options are the dependencies and settings of an Autoscaler.
 type Options struct {
 	Cloud         *CloudClient
 	Elections     Elections
@@ -102,16 +105,16 @@
 	Clock         clock.Clock
 	WallClock     func() time.Time
 	Parameters    Parameters
-	Backoff       clock.Micros        // how long a kind of instance that was refused is not requested
-	ListLag       clock.Micros        // how old the cloud's list may be
-	ClockSkew     clock.Micros        // how far clocks of the time of day may be apart
-	StoredCatalog func() wire.Catalog // as the key-value store has it
-	Zones         ZoneWatch           // zero: states of zones are not decided
+	Backoff       clock.Micros        // how long a kind of instance is not requested after a refusal
+	ListLag       clock.Micros        // bound on how far the cloud's list lags behind
+	ClockSkew     clock.Micros        // bound on the difference between the wall clocks of two controllers
+	StoredCatalog func() wire.Catalog // returns the catalog from the key-value store
+	Zones         ZoneWatch           // zero value: the states of zones are not decided
 	Log           *slog.Logger
 	Telemetry     *telemetry.Reporter // nil: nothing is counted
 }
 
-// New makes an autoscaler that does nothing until it leads the fleet.
+// New returns an autoscaler that does nothing until its controller leads the fleet.
 func New(o Options) *Autoscaler {
 	a := &Autoscaler{
 		cloud:         o.Cloud,
@@ -125,14 +128,14 @@
 		log:           o.Log,
 		dutyStats:     o.Telemetry.Duty("fleet"),
 		zones:         newZoneStates(o),
-		list:          instanceList{lag: o.ListLag, skew: o.ClockSkew},
+		instanceList:  instanceList{maxLag: o.ListLag, maxSkew: o.ClockSkew},
 		pacer:         requestPacer{backoff: o.Backoff, maxRequests: max(1, int(o.Cloud.rps*maxRequestsPerRPS))},
 	}
 	a.cloud.CountTraffic(o.Telemetry.Traffic(telemetry.Cloud))
 	return a
 }
 
-// Run scales the fleet while this controller leads it, until ctx ends.
+// Run scales the fleet while this controller leads it, and returns when ctx is done.
 func (a *Autoscaler) Run(ctx context.Context) error {
 	leaderLoop{
 		elections: a.elections,
@@ -142,38 +145,38 @@
 			a.log.Info("fleet leadership acquired", "term", leadership.Term)
 		},
 		step: func(ctx context.Context, leadership leaderelection.Leadership) {
-			began := time.Now()
+			start := time.Now()
 			a.step(ctx, leadership)
-			a.dutyStats.Round(time.Since(began))
+			a.dutyStats.Round(time.Since(start))
 		},
 		endTerm: func() { a.term = 0 },
 	}.run(ctx)
 	return nil
 }
 
-// startTerm begins a term, knowing nothing of the instances.
+// startTerm discards what is known of instances, requests and the age of the catalog, at the start of a term.
 func (a *Autoscaler) startTerm(term uint64) {
 	a.term, a.requestCounter = term, 0
-	a.list.reset()
+	a.instanceList.reset()
 	a.pacer.reset()
 	a.catalogFetchedAt, a.listFailures, a.nextListAt = 0, 0, 0
 }
 
-// stillLeading reports whether the term in which this step began goes on.
+// stillLeading reports whether this controller still leads the fleet in the term in which the step began.
 func (a *Autoscaler) stillLeading() bool {
 	leadership, leading := a.elections.Leading(Duty)
 	return leading && leadership.Term == a.term
 }
 
-// step observes the fleet, decides, and acts.
+// step reads the state of the fleet, plans, and sends the scale-out and scale-in requests.
 func (a *Autoscaler) step(ctx context.Context, leadership leaderelection.Leadership) {
 	now := a.clock.Now()
 	if !a.refreshCatalog(ctx, leadership, now) {
 		return
 	}
 	a.refreshInstancesIfDue(ctx, now)
-	if a.list.listedAt == 0 {
-		return // which instances there are is not known
+	if a.instanceList.listedAt == 0 {
+		return // it is not known yet which instances exist
 	}
 	in := a.observe(ctx, now)
 	scaleOut, scaleIn := a.decide(&in)
@@ -184,15 +187,15 @@
 	a.scaleIn(ctx, scaleIn)
 }
 
-// observe collects what a plan is made from. Instances and Refused are the live maps, so that a plan made
-// anew within the step sees what the requests before it brought.
+// observe collects the input of a plan. Its fields Instances and Refused are the live maps, so that another
+// plan within the same step sees the responses to the requests sent before it.
 func (a *Autoscaler) observe(ctx context.Context, now clock.Micros) Input {
 	a.views = a.controllers.MachineViews(a.views[:0])
 	a.viewIndex = indexViews(a.viewIndex, a.views)
 	in := Input{
 		Now:        a.clock.Now(),
 		Types:      a.catalog.Types,
-		Instances:  a.list.instances,
+		Instances:  a.instanceList.instances,
 		Views:      a.views,
 		Demands:    a.controllers.Demands(ctx),
 		Refused:    a.pacer.refusedUntil,
@@ -200,17 +203,17 @@
 		MaxCount:   wire.MaxScaleOut * a.pacer.maxRequests,
 		viewIndex:  a.viewIndex,
 	}
-	a.list.observeViews(in.Views, in.viewIndex, now)
+	a.instanceList.observeViews(in.Views, in.viewIndex, now)
 	return in
 }
 
-// decide plans with the zones as they stand, and defers the return of most idle machines while one
-// of them is not healthy.
+// decide plans with the present states of zones. While a zone is not healthy, it defers the return of most idle
+// machines.
 func (a *Autoscaler) decide(in *Input) ([]ScaleOut, []ScaleIn) {
-	closed, unsettled := a.zones.closedZones()
+	closed, anyUnhealthy := a.zones.closedZones()
 	in.Closed = closed
 	scaleOut, scaleIn := Plan(*in)
-	if unsettled {
+	if anyUnhealthy {
 		scaleIn = limitIdleScaleIn(scaleIn)
 	}
 	return scaleOut, scaleIn
--- a/internal/autoscaler/benchmark_test.go
+++ b/internal/autoscaler/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// BenchmarkFleetSizes measures a plan for a fleet that is in use, with sixty jobs that wait.
+// BenchmarkFleetSizes measures one plan for a fleet that is mostly in use, with sixty waiting demands of 100 tasks.
 func BenchmarkFleetSizes(b *testing.B) {
 	for _, machines := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("plan/%d", machines), func(b *testing.B) {
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// catalogInterval is how often the catalog is read: prices and zones change rarely.
+	// catalogInterval is the time between two reads of the catalog. Prices and zones change rarely.
 	catalogInterval = 30 * clock.Second
-	// catalogWriteRetryInterval is how soon it is read and stored again when it could not be stored.
+	// catalogWriteRetryInterval is the time after which the catalog is read and stored again when storing
+	// it failed.
 	catalogWriteRetryInterval = 3 * clock.Second
 )
 
-// refreshCatalog reads the catalog when it is time for it, and falls back to the stored one where
-// there is none: the cloud is out. It reports whether there is a catalog.
+// refreshCatalog reads the catalog from the cloud when that is due. While the cloud is unavailable and no
+// catalog has been read yet, it uses the one in the key-value store. It reports whether there is a catalog.
 func (a *Autoscaler) refreshCatalog(ctx context.Context, leadership leaderelection.Leadership, now clock.Micros) bool {
 	if a.catalogFetchedAt == 0 || now > a.catalogFetchedAt+catalogInterval {
 		a.fetchCatalog(ctx, leadership, now)
@@ -29,8 +30,8 @@
 	return len(a.catalog.Types) > 0
 }
 
-// fetchCatalog reads the catalog, and stores it in the key-value store so that a
-// controller that starts while the cloud is out can decide.
+// fetchCatalog reads the catalog from the cloud and stores it in the key-value store, so that a controller that
+// starts while the cloud is unavailable can plan too.
 func (a *Autoscaler) fetchCatalog(ctx context.Context, leadership leaderelection.Leadership, now clock.Micros) {
 	var c wire.Catalog
 	if err := a.cloud.call(ctx, http.MethodGet, wire.PathCatalog, nil, &c); err != nil || len(c.Types) == 0 {
@@ -48,7 +49,8 @@
 	}
 }
 
-// leadershipCondition makes a write depend on the fleet's leadership: a former leader's changes nothing.
+// leadershipCondition returns the condition that this leadership of the fleet is still current. It is part of
+// every transaction, so that a write of a former leader fails.
 func leadershipCondition(leadership leaderelection.Leadership) wire.Condition {
 	return wire.Condition{Key: kvstore.LeaderPrefix + Duty, ModRevision: leadership.ModRevision}
 }
--- a/internal/autoscaler/fixtures_test.go
+++ b/internal/autoscaler/fixtures_test.go
@@ -32,7 +32,7 @@
 // bigCapacity is the capacity of a machine of bigType.
 func bigCapacity() resources.Amounts { return resources.Capacity(32, 0, 128) }
 
-// waitingDemand is a demand of n tasks of half a machine of bigType.
+// waitingDemand returns a demand of n waiting tasks, each of which takes half the CPUs of a machine of bigType.
 func waitingDemand(n int, change func(*peer.Demand)) []peer.Demand {
 	d := peer.Demand{Need: resources.Request(16, 0, 32), Waiting: n, Spot: true, RunFor: 60 * sec, Rank: 1}
 	if change != nil {
@@ -41,12 +41,12 @@
 	return []peer.Demand{d}
 }
 
-// manualClock is a clock that the test moves.
+// manualClock is a clock that only the test advances.
 type manualClock struct{ now clock.Micros }
 
 func (c *manualClock) Now() clock.Micros { return c.now }
 
-// fakeCloud answers as the protocol's page says, on loopback.
+// fakeCloud is the cloud's API, served on loopback, with a scripted response to scale-out requests.
 type fakeCloud struct {
 	mu           sync.Mutex
 	requestNames []string
@@ -65,14 +65,14 @@
 		v = wire.Catalog{Types: []wire.MachineType{bigType("a")}}
 	case r.Path == wire.PathScaleIn:
 		var h wire.HostList
-		json.Unmarshal(r.Body, &h) //nolint:errcheck // a malformed one returns nothing
+		json.Unmarshal(r.Body, &h) //nolint:errcheck // a malformed request names no machines
 		c.returned = append(c.returned, h.Hosts...)
 		v = h
 	case r.Method == http.MethodGet:
 		v = wire.InstancePage{Instances: c.instances}
 	default:
 		var h wire.ScaleOutRequest
-		json.Unmarshal(r.Body, &h) //nolint:errcheck // a malformed one has no name
+		json.Unmarshal(r.Body, &h) //nolint:errcheck // a malformed request has an empty name
 		c.requestNames = append(c.requestNames, h.Name)
 		status, v = c.answer(h)
 	}
@@ -80,20 +80,20 @@
 	return httpx.Response{Status: status, Body: b}
 }
 
-// withLock reads or changes the cloud between calls.
+// withLock calls do with the cloud locked, so that do can read and change its fields.
 func (c *fakeCloud) withLock(do func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do()
 }
 
-// fakeControllers stands for the controllers.
+// fakeControllers is a ControllerClient with fixed responses. It records which machines were marked gone.
 type fakeControllers struct {
 	demands []peer.Demand
 	views   []peer.MachineView
 	drained []string
 	gone    []string
-	records map[string]int64 // time of day of each machine's record
+	records map[string]int64 // wall clock time of each machine's record, in Unix milliseconds
 }
 
 func (f *fakeControllers) RecordedBefore(atMS int64) (out []peer.MachineRef) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// fakeElections leads the fleet in a term; 0: it does not.
+// fakeElections reports leadership of the fleet in the given term. Term 0 means that the fleet is not led.
 type fakeElections struct {
 	mu   sync.Mutex
 	term uint64
@@ -137,7 +137,7 @@
 	return leaderelection.Leadership{Record: leaderelection.Record{Term: e.term}}, e.term > 0
 }
 
-// scenario is an autoscaler that leads the fleet, with a cloud on loopback.
+// scenario is an autoscaler whose controller leads the fleet, with a fake cloud and fake controllers.
 type scenario struct {
 	autoscaler  *Autoscaler
 	cloud       *fakeCloud
@@ -173,14 +173,14 @@
 	return s
 }
 
-// step has the autoscaler do one step under the present term.
+// step makes the autoscaler do one step under the present leadership.
 func (s *scenario) step(t *testing.T) {
 	t.Helper()
 	leadership, _ := s.elections.Leading(Duty)
 	s.autoscaler.step(t.Context(), leadership)
 }
 
-// serve runs a server on a free port until the test ends, and gives its address.
+// serve runs a server on a free port of loopback until the test ends, and returns its address.
 func serve(t *testing.T, handle func(context.Context, *httpx.Request) httpx.Response, log *slog.Logger) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -14,42 +14,45 @@
 )
 
 const (
-	// listInterval is how often the cloud's list is read. It lags by more than that anyway.
+	// listInterval is the time between two reads of the cloud's list. Reading more often brings little, since
+	// the list lags behind by more than that.
 	listInterval = 3 * clock.Second
-	// listRetryInterval is how soon a read that failed is tried again.
+	// listRetryInterval is the time after which a failed read is retried.
 	listRetryInterval = clock.Second
-	// listFailureLogEvery is how many failures in a row are logged as one: an outage lasts many.
+	// listFailureLogEvery is the number of consecutive failures per log event, since an outage lasts for many.
 	listFailureLogEvery = 20
-	// goneRetention is how long instances that are gone are remembered: no list is as old as that.
+	// goneRetention is how long the ids of instances that are gone are kept. No list is older than that.
 	goneRetention = 600 * clock.Second
-	// absenceMargin is added to twice the list's lag before absence counts: lag and drift are bounds, not exact.
+	// absenceMargin is added to twice the list's lag before the absence of an instance counts, since the bounds
+	// on lag and clock drift are not exact.
 	absenceMargin = clock.Second
-	// recordMargin is added to the bounds of lag and skew where times of day are compared.
+	// recordMargin is added to the bounds on lag and clock skew where wall clock times are compared.
 	recordMargin = 2 * clock.Second
-	// forgetMargin is added to three times the list's lag before an instance that was never
-	// listed is no longer expected.
+	// forgetMargin is added to three times the list's lag before an instance that was granted, and has not
+	// appeared on the list, is dropped.
 	forgetMargin = 2 * clock.Second
 )
 
-// instanceList is what is known of the fleet's instances in a term, from the cloud's list and from
-// its responses. Plain code; the goroutine of Autoscaler.Run owns it.
+// instanceList holds what is known of the fleet's instances in a term, from the cloud's list and from its
+// responses to requests. It does no I/O. The goroutine of Autoscaler.Run owns it.
 //
-// Absence from a list proves nothing at first: the list lags. But an instance that was on it once stays
-// on it until it is gone. A list that describes a later moment than that first sight, though it may
-// be twice the lag old, and lacks the instance proves that it is gone with all that ran on it:
-// nobody need wait for its worker's lease to expire (docs/design.md, "Why the rules hold", 4).
+// That an instance is absent from a list proves nothing in itself, since the list lags behind and the instance
+// may be newer. But an instance that has been on the list stays on it until it is gone. So if a list describes a
+// later moment than the first one that showed the instance, even if it is twice the lag old, and the instance is
+// not on it, then the instance is gone with all tasks on it. The tasks can be placed again at once, without
+// waiting for the worker's lease to expire (docs/design.md, "Why the rules hold", 4).
 type instanceList struct {
-	lag  clock.Micros // how old the cloud's list may be
-	skew clock.Micros // how far clocks of the time of day may be apart
+	maxLag  clock.Micros // bound on how far the cloud's list lags behind
+	maxSkew clock.Micros // bound on the difference between the wall clocks of two controllers
 
 	instances   map[string]Instance
-	lastSeen    map[string]clock.Micros // when it was last on the list, or was requested
-	firstListed map[string]clock.Micros // when it was first seen on the list
-	goneSince   map[string]clock.Micros // of instances that an older list may still show
-	listedAt    clock.Micros            // when the last complete read was begun; 0: none in this term
+	lastSeen    map[string]clock.Micros // start of the last read that listed the instance, or time of its request
+	firstListed map[string]clock.Micros // arrival of the first page that listed the instance
+	goneSince   map[string]clock.Micros // of instances that are gone and that an older list may still show
+	listedAt    clock.Micros            // start of the last complete read of the list; 0: none in this term
 }
 
-// reset forgets everything, for a new term.
+// reset discards everything that is known, at the start of a term.
 func (l *instanceList) reset() {
 	l.instances = map[string]Instance{}
 	l.lastSeen = map[string]clock.Micros{}
@@ -58,13 +61,14 @@
 	l.listedAt = 0
 }
 
-// observePage takes in a page of a list whose read was begun at began and that arrived at now.
-func (l *instanceList) observePage(page []wire.Instance, began, now clock.Micros) {
+// observePage adds the instances on one page of a list. The read of the list began at startedAt, and the page
+// arrived at now.
+func (l *instanceList) observePage(page []wire.Instance, startedAt, now clock.Micros) {
 	for _, listed := range page {
 		if l.goneSince[listed.ID] != 0 {
 			continue
 		}
-		since := began - clock.FromSeconds(listed.AgeS)
+		since := startedAt - clock.FromSeconds(listed.AgeS)
 		known, ok := l.instances[listed.ID]
 		if ok {
 			since = min(known.Since, since)
@@ -77,49 +81,51 @@
 			Up:           known.Up,
 			Lost:         known.Lost,
 		}
-		l.lastSeen[listed.ID] = began
+		l.lastSeen[listed.ID] = startedAt
 		if l.firstListed[listed.ID] == 0 {
 			l.firstListed[listed.ID] = now
 		}
 	}
 }
 
-// recordedBeforeMS is the time of day before which a machine must have been recorded to be on a
-// list whose read was begun at that wall time.
+// recordedBeforeMS returns a wall clock time in Unix milliseconds. Any machine that was recorded before it, and
+// still exists, is on a list whose read began at wall.
 func (l *instanceList) recordedBeforeMS(wall time.Time) int64 {
-	return wall.UnixMilli() - (2*l.lag + 2*l.skew + recordMargin).Duration().Milliseconds()
+	return wall.UnixMilli() - (2*l.maxLag + 2*l.maxSkew + recordMargin).Duration().Milliseconds()
 }
 
-// completeList takes note that all pages of a list have been observed.
-func (l *instanceList) completeList(began clock.Micros) {
-	l.listedAt = began
+// markListComplete records that all pages of the list whose read began at startedAt have been observed, and
+// drops ids of instances that have been gone for longer than goneRetention.
+func (l *instanceList) markListComplete(startedAt clock.Micros) {
+	l.listedAt = startedAt
 	for id, at := range l.goneSince {
-		if began > at+goneRetention {
+		if startedAt > at+goneRetention {
 			delete(l.goneSince, id)
 		}
 	}
 }
 
-// takeGone removes the instances that the complete list begun at began proves gone, and gives
-// them by id. recorded are the machines whose records are older than recordedBeforeMS: they existed
-// before the moment that the list describes. By that a new leader, to which every instance is
-// new, finds those that the partition leaders need not wait for.
-func (l *instanceList) takeGone(began clock.Micros, recorded []peer.MachineRef) []peer.MachineRef {
+// removeGone removes the instances that are proven gone by the complete list whose read began at startedAt, and
+// returns them in the order of their ids. recorded lists the machines whose records are older than
+// recordedBeforeMS: they existed before the moment that the list describes, so that those missing from it are
+// gone. Without the records a new leader, which has seen no earlier list, could not prove any instance gone, and
+// the partition leaders would have to wait for the workers' leases to expire.
+func (l *instanceList) removeGone(startedAt clock.Micros, recorded []peer.MachineRef) []peer.MachineRef {
 	var gone []peer.MachineRef
 	remove := func(id, zone string) {
 		gone = append(gone, peer.MachineRef{ID: id, Zone: zone})
-		l.markGone(id, began)
+		l.markGone(id, startedAt)
 	}
 	for _, m := range recorded {
-		if l.lastSeen[m.ID] < began && l.goneSince[m.ID] == 0 {
+		if l.lastSeen[m.ID] < startedAt && l.goneSince[m.ID] == 0 {
 			remove(m.ID, m.Zone)
 		}
 	}
 	for id, instance := range l.instances {
 		switch {
-		case l.provenAbsent(id, began):
+		case l.provenAbsent(id, startedAt):
 			remove(id, instance.Zone)
-		case began > l.lastSeen[id]+3*l.lag+forgetMargin:
+		case startedAt > l.lastSeen[id]+3*l.maxLag+forgetMargin:
 			l.forget(id)
 		}
 	}
@@ -127,23 +133,23 @@
 	return gone
 }
 
-// provenAbsent reports whether an instance that was listed before is not on the list begun at
-// began, though that describes a moment after its first sight.
-func (l *instanceList) provenAbsent(id string, began clock.Micros) bool {
+// provenAbsent reports whether an instance that was listed before is missing from the list whose read began at
+// startedAt, and that list is certain to describe a later moment than the first one that showed the instance.
+func (l *instanceList) provenAbsent(id string, startedAt clock.Micros) bool {
 	first := l.firstListed[id]
-	return l.lastSeen[id] < began && first != 0 && began > (first+2*l.lag).PlusDrift()+absenceMargin
+	return l.lastSeen[id] < startedAt && first != 0 && startedAt > (first+2*l.maxLag).PlusDrift()+absenceMargin
 }
 
-// addRequested adds instances that the cloud granted to a request sent at sent.
-func (l *instanceList) addRequested(kind InstanceKind, ids []string, sent clock.Micros) {
+// addGranted adds the instances that the cloud granted for a request sent at sent.
+func (l *instanceList) addGranted(kind InstanceKind, ids []string, sent clock.Micros) {
 	for _, id := range ids {
 		l.instances[id] = Instance{InstanceKind: kind, ID: id, Phase: wire.MachineBooting, Since: sent}
 		l.lastSeen[id] = sent
 	}
 }
 
-// observeViews takes from the views which instances' workers have sent heartbeats, and since when
-// some are silent or gone.
+// observeViews updates the fields Up and Lost of all instances from the machine views: whether their workers have
+// sent heartbeats, and since when those are silent or no longer in the views.
 func (l *instanceList) observeViews(views []peer.MachineView, viewIndex map[string]int, now clock.Micros) {
 	for id, instance := range l.instances {
 		before := instance
@@ -164,22 +170,23 @@
 	}
 }
 
-// markGone removes an instance that is gone for certain; lists that are older don't bring it back.
+// markGone removes an instance that is certain to be gone, and ignores it on older lists that still show it.
 func (l *instanceList) markGone(id string, at clock.Micros) {
 	l.goneSince[id] = at
 	l.forget(id)
 }
 
-// forget removes an instance; a list may bring it back.
+// forget removes an instance. A later list that shows it adds it again.
 func (l *instanceList) forget(id string) {
 	delete(l.instances, id)
 	delete(l.lastSeen, id)
 	delete(l.firstListed, id)
 }
 
-// refreshInstancesIfDue reads the cloud's list when it is time for it.
+// refreshInstancesIfDue reads the cloud's list if the last complete read is too old, and no failed read has just
+// been made.
 func (a *Autoscaler) refreshInstancesIfDue(ctx context.Context, now clock.Micros) {
-	due := a.list.listedAt == 0 || now > a.list.listedAt+listInterval
+	due := a.instanceList.listedAt == 0 || now > a.instanceList.listedAt+listInterval
 	if !due || now < a.nextListAt {
 		return
 	}
@@ -193,25 +200,25 @@
 	a.listFailures = 0
 }
 
-// refreshInstances reads the cloud's list, page by page, and notifies the controllers of the
-// machines that it proves gone.
+// refreshInstances reads the cloud's list page by page, and notifies the partition leaders of the machines that
+// it proves gone.
 func (a *Autoscaler) refreshInstances(ctx context.Context) error {
-	began, wall := a.clock.Now(), a.wallClock()
+	startedAt, wall := a.clock.Now(), a.wallClock()
 	for after := ""; ; {
 		var page wire.InstancePage
 		target := fmt.Sprintf("%s?after=%s&most=%d", wire.PathInstances, after, wire.MaxList)
 		if err := a.cloud.call(ctx, http.MethodGet, target, nil, &page); err != nil {
 			return err
 		}
-		a.list.observePage(page.Instances, began, a.clock.Now())
+		a.instanceList.observePage(page.Instances, startedAt, a.clock.Now())
 		if !page.More || len(page.Instances) == 0 {
 			break
 		}
 		after = page.Instances[len(page.Instances)-1].ID
 	}
-	a.list.completeList(began)
-	recorded := a.controllers.RecordedBefore(a.list.recordedBeforeMS(wall))
-	if gone := a.list.takeGone(began, recorded); len(gone) > 0 {
+	a.instanceList.markListComplete(startedAt)
+	recorded := a.controllers.RecordedBefore(a.instanceList.recordedBeforeMS(wall))
+	if gone := a.instanceList.removeGone(startedAt, recorded); len(gone) > 0 {
 		a.log.Warn("machines vanished", "machines", gone)
 		a.controllers.MarkMachinesGone(ctx, gone)
 	}
--- a/internal/autoscaler/instance_list_test.go
+++ b/internal/autoscaler/instance_list_test.go
@@ -10,12 +10,12 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// An instance that was on the list and is on a later one no more is gone, sooner
-// than its worker's lease expires. A list that may be older than the first
-// sight of it proves nothing, nor does one that never had it.
+// An instance that was on the list and is missing from one that describes a later moment is reported as gone, before its
+// worker's lease expires. A list that may describe an earlier moment than the first one that showed the instance
+// proves nothing. Nor is an instance reported that has not been on any list.
 func TestListedInstanceMissingFromLaterListIsGone(t *testing.T) {
 	s := newScenario(t)
-	list := &s.autoscaler.list
+	list := &s.autoscaler.instanceList
 	at := &manualClock{100 * sec}
 	s.autoscaler.clock = at
 	read := func(listed ...wire.Instance) {
@@ -24,22 +24,22 @@
 		require.NoError(t, s.autoscaler.refreshInstances(t.Context()))
 	}
 	kept := wire.Instance{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	taken := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
-	list.addRequested(InstanceKind{}, []string{"m-9"}, at.now)
-	read(kept, taken)
-	at.now += 16 * sec // the list may lag twice its 8 s
+	missing := wire.Instance{ID: "m-2", Type: "big", Zone: "a", Phase: wire.MachineRunning}
+	list.addGranted(InstanceKind{}, []string{"m-9"}, at.now)
+	read(kept, missing)
+	at.now += 16 * sec // twice the list's lag of 8 s
 	read(kept)
-	require.Empty(t, s.controllers.gone, "a list that may be older than the first sight")
-	read(kept, taken)
+	require.Empty(t, s.controllers.gone, "the list may describe an earlier moment than the first one that showed m-2")
+	read(kept, missing)
 	at.now += 2 * sec
 	read(kept)
 	require.Equal(t, []string{"m-2"}, s.controllers.gone)
 	require.Contains(t, list.instances, "m-9")
 }
 
-// A new leader's first list: a machine that was recorded long before it and is
-// not on it is gone, and its partition leader need not wait for it. One recorded lately may
-// not be listed yet.
+// A new leader reports machines as gone that were recorded long before its first list and are missing from it, so that
+// their partition leaders need not wait for the leases to expire. A machine that was recorded lately is not
+// reported, since the list may lag behind.
 func TestRecordedMachineMissingFromListIsGone(t *testing.T) {
 	s := newScenario(t)
 	now := time.UnixMilli(1_800_000_000_000)
@@ -53,28 +53,29 @@
 	require.Equal(t, []string{"m-2"}, s.controllers.gone)
 }
 
-// An instance that was returned stays gone, though lists that lag still show it.
+// An instance that was returned stays gone although a lagging list still shows it. Otherwise it would count as capacity
+// again.
 func TestReturnedInstanceIsNotRestoredByLaggingList(t *testing.T) {
-	l := instanceList{lag: 8 * sec}
+	l := instanceList{maxLag: 8 * sec}
 	l.reset()
 	listed := []wire.Instance{{ID: "m-1", Type: "big", Zone: "a", Phase: wire.MachineRunning}}
 	l.observePage(listed, 100*sec, 100*sec)
 	require.Contains(t, l.instances, "m-1")
 	l.markGone("m-1", 101*sec)
 	l.observePage(listed, 104*sec, 104*sec)
-	l.completeList(104 * sec)
+	l.markListComplete(104 * sec)
 	require.Empty(t, l.instances)
-	require.Empty(t, l.takeGone(104*sec, []peer.MachineRef{{ID: "m-1"}}), "the controllers have been notified")
+	require.Empty(t, l.removeGone(104*sec, []peer.MachineRef{{ID: "m-1"}}), "the controllers have already been notified")
 }
 
-// An instance that was granted and is never listed is expected for three times the lag, and is then
-// forgotten; nobody is notified of it as gone.
+// An instance that was granted and does not appear on a list counts as capacity for three times the lag and a margin.
+// After that it is dropped, and not reported as gone, since the list never showed it.
 func TestGrantedInstanceNeverListedIsForgotten(t *testing.T) {
-	l := instanceList{lag: 8 * sec}
+	l := instanceList{maxLag: 8 * sec}
 	l.reset()
-	l.addRequested(InstanceKind{"big", "a", true}, []string{"m-1"}, 100*sec)
-	require.Empty(t, l.takeGone(126*sec, nil))
+	l.addGranted(InstanceKind{"big", "a", true}, []string{"m-1"}, 100*sec)
+	require.Empty(t, l.removeGone(126*sec, nil))
 	require.Contains(t, l.instances, "m-1")
-	require.Empty(t, l.takeGone(126*sec+1, nil))
+	require.Empty(t, l.removeGone(126*sec+1, nil))
 	require.Empty(t, l.instances)
 }
--- a/internal/autoscaler/leader_loop.go
+++ b/internal/autoscaler/leader_loop.go
@@ -7,17 +7,16 @@
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 )
 
-// leaderLoop runs a part of the fleet leader's work, in the goroutine that calls run. All three
-// functions are called from there.
+// leaderLoop runs periodic work of the fleet's leader. The goroutine that calls run calls all three functions.
 type leaderLoop struct {
 	elections Elections
 	interval  time.Duration
-	startTerm func(leaderelection.Leadership)                  // leadership was acquired, or its term has changed
-	step      func(context.Context, leaderelection.Leadership) // at each interval while it is held
-	endTerm   func()                                           // at each interval while it is not
+	startTerm func(leaderelection.Leadership)                  // called when leadership was acquired or its term changed
+	step      func(context.Context, leaderelection.Leadership) // called at each interval while this controller leads
+	endTerm   func()                                           // called at each interval while it does not lead
 }
 
-// run returns when ctx ends.
+// run calls the functions at each interval, by whether this controller leads the fleet, until ctx is done.
 func (l leaderLoop) run(ctx context.Context) {
 	tick := time.NewTicker(l.interval)
 	defer tick.Stop()
--- a/internal/autoscaler/leader_loop_test.go
+++ b/internal/autoscaler/leader_loop_test.go
@@ -10,8 +10,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/leaderelection"
 )
 
-// A term begins once, before its first step; another one begins where the leadership was lost
-// or its term has changed.
+// startTerm is called once for each term, before its first step: when leadership is first held, when its term changes
+// without a gap, and when it is acquired again after a loss. Otherwise a step would use state of an earlier term.
 func TestLeaderLoopStartsEachTermOnce(t *testing.T) {
 	elections := &fakeElections{term: 3}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -7,7 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// InstanceKind is what one scale-out request can ask for.
+// InstanceKind is the kind of instances that one scale-out request asks for.
 type InstanceKind struct {
 	Type string
 	Zone string
@@ -19,37 +19,39 @@
 	InstanceKind
 	ID    string
 	Phase string
-	Since clock.Micros // of the scale-out request, on our clock
+	Since clock.Micros // time of the scale-out request, by this process's clock
 	Up    bool         // its worker has sent a heartbeat
-	Lost  clock.Micros // since when its worker is silent, or gone; 0: it is not
+	Lost  clock.Micros // since when its worker is silent or no longer in the views; 0: the worker is reachable
 }
 
-// Parameters of the plan.
+// Parameters are the operators' settings of the plan. Economy limits scale-out to what is needed to complete the
+// waiting work in time, and returns idle machines although other tasks wait.
 type Parameters struct {
 	Economy                  bool
-	SpareShare               float64      // without economy: spare room, as a share of what is in use
+	SpareShare               float64      // without economy: spare capacity, as a share of the capacity in use
 	IdleScaleInDelay         clock.Micros // how long a machine is idle before it is returned
-	BootPatience             float64      // how many boot times an instance may take to come up
-	Catchup, CatchupOrdinary clock.Micros // with economy: waiting work is to be done in so long
+	BootPatience             float64      // after how many boot times an instance counts as failed to start
+	Catchup, CatchupOrdinary clock.Micros // with economy: time in which waiting work is to be done, for spot and ordinary instances
 }
 
-// Input is what a plan is made from. Plan changes none of it.
+// Input is the state of the fleet from which a plan is made. Plan does not change it.
 type Input struct {
 	Now        clock.Micros
 	Types      []wire.MachineType
 	Instances  map[string]Instance
 	Views      []peer.MachineView
 	Demands    []peer.Demand
-	Refused    map[InstanceKind]clock.Micros // not to be requested until
+	Refused    map[InstanceKind]clock.Micros // until when a kind is not requested, after a refusal
 	Parameters Parameters
-	MaxCount   int             // machines of a kind requested in one plan
-	Closed     map[string]bool // zones in which none are requested now
+	MaxCount   int             // bound on the machines of one kind that one plan requests
+	Closed     map[string]bool // zones in which no instances are requested at present
 
-	// viewIndex gives the place of a machine in Views. Plan makes it where it is not given.
+	// viewIndex maps machine ids to their positions in Views. Plan builds it if it is nil.
 	viewIndex map[string]int
 }
 
-// indexViews fills a map from machines to their places in a list of views.
+// indexViews fills and returns a map from machine ids to their positions in views. It reuses the map into unless
+// that is nil.
 func indexViews(into map[string]int, views []peer.MachineView) map[string]int {
 	if into == nil {
 		into = make(map[string]int, len(views))
@@ -61,7 +63,7 @@
 	return into
 }
 
-// ScaleOut is a decision to request instances of a kind.
+// ScaleOut is a decision to request Count instances of a kind.
 type ScaleOut struct {
 	InstanceKind
 	Count int
@@ -73,18 +75,17 @@
 	Reason   string
 }
 
-// planner is one run of Plan: the capacity at hand, the instances that are to be requested, and
-// which bins have something to come.
+// planner holds the state of one run of Plan: the capacity there is and will be, and the instances to request.
 type planner struct {
 	Input
 	types     map[string]wire.MachineType
-	available []InstanceKind // that may be requested now, the cheapest first
-	price     map[InstanceKind]float64
-	requested map[InstanceKind]int // instances to request
-	bins      []*bin               // capacity there is or will be
-	viewBins  []bin                // of the machine of each view
-	totalCPU  int64                // CPUs of all machines that may get tasks, in millionths
-	usedCPU   int64                // and those in use
+	available []InstanceKind           // kinds that may be requested now, the cheapest first
+	price     map[InstanceKind]float64 // price of a CPU of each available kind, per hour
+	requested map[InstanceKind]int     // number of instances to request
+	bins      []*bin                   // capacity there is or will be
+	viewBins  []bin                    // the bins of the viewed machines, at the same positions as in Views
+	totalCPU  int64                    // CPUs of all usable machines and booting instances, in millionths
+	usedCPU   int64                    // CPUs in use on usable machines, in millionths
 }
 
 // Plan decides which instances to request and which machines to return.
@@ -101,7 +102,7 @@
 	return p.scaleOutRequests(), p.scaleInMachines()
 }
 
-// newPlanner prepares a plan with no capacity yet.
+// newPlanner returns a planner without bins.
 func newPlanner(in Input) planner {
 	if in.viewIndex == nil {
 		in.viewIndex = indexViews(nil, in.Views)
@@ -114,13 +115,13 @@
 	return p
 }
 
-// capacityOf is the capacity of a new machine of a type.
+// capacityOf returns the capacity of a new machine of a type.
 func (p *planner) capacityOf(typeName string) resources.Amounts {
 	t := p.types[typeName]
 	return resources.Capacity(t.CPUs, t.GPUs, t.MemGB)
 }
 
-// bootTime is how long a machine of a type takes to boot.
+// bootTime returns how long a machine of a type takes to boot, by the catalog.
 func (p *planner) bootTime(typeName string) clock.Micros {
 	return clock.FromSeconds(p.types[typeName].BootS)
 }
--- a/internal/autoscaler/plan_packing.go
+++ b/internal/autoscaler/plan_packing.go
@@ -9,14 +9,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// bin is a machine's free capacity, present or to come, into which waiting tasks are packed.
+// bin is the free capacity of a machine that exists, boots or is to be requested. Waiting tasks are packed into
+// bins to find out how many more instances they need.
 type bin struct {
 	kind     InstanceKind
 	free     resources.Amounts
-	reserved bool // something that waits is to go there
+	reserved bool // a waiting task was packed into the bin
 }
 
-// place puts as many tasks of a demand into the bin as fit, at most limit, and gives their number.
+// place packs as many tasks of a demand into the bin as fit, but at most limit, and returns their number.
 func (b *bin) place(d *peer.Demand, limit int) int {
 	if !d.Need.Fits(b.free) || !permits(d, b.kind) {
 		return 0
@@ -41,7 +42,7 @@
 	return (!k.Spot || d.Spot) && (d.Zone == "" || d.Zone == k.Zone) && (len(d.Types) == 0 || slices.Contains(d.Types, k.Type))
 }
 
-// addViewedMachines makes bins of the free capacity of machines that may get tasks.
+// addViewedMachines adds a bin with the free capacity of each machine that may get tasks.
 func (p *planner) addViewedMachines() {
 	p.bins = make([]*bin, 0, len(p.Views))
 	p.viewBins = make([]bin, len(p.Views))
@@ -57,37 +58,38 @@
 	}
 }
 
-// addBootingInstances makes bins of the instances that are granted and not up yet.
+// addBootingInstances adds a bin for each instance that was granted and whose worker has sent no heartbeat yet.
 func (p *planner) addBootingInstances() {
-	for _, r := range p.Instances {
-		_, viewed := p.viewIndex[r.ID]
-		_, known := p.types[r.Type]
-		if !known || viewed || r.Up || r.Phase == wire.MachineFailed {
+	for _, instance := range p.Instances {
+		_, viewed := p.viewIndex[instance.ID]
+		_, known := p.types[instance.Type]
+		if !known || viewed || instance.Up || instance.Phase == wire.MachineFailed {
 			continue
 		}
-		b := &bin{kind: r.InstanceKind, free: p.capacityOf(r.Type)}
+		b := &bin{kind: instance.InstanceKind, free: p.capacityOf(instance.Type)}
 		p.bins = append(p.bins, b)
 		p.totalCPU += b.free.CPU
 	}
 }
 
-// packDemands packs what waits into the bins, and adds instances for what is left.
+// packDemands packs the waiting tasks into the bins, and requests instances for those that fit in none.
 func (p *planner) packDemands() {
 	demands := packingOrder(p.Demands)
 	for i := range demands {
 		d := &demands[i]
-		rest := packInto(p.bins, d, d.Waiting)
-		for rest > 0 {
+		remaining := packInto(p.bins, d, d.Waiting)
+		for remaining > 0 {
 			b := p.addInstanceFor(d)
 			if b == nil {
 				break
 			}
-			rest -= b.place(d, rest)
+			remaining -= b.place(d, remaining)
 		}
 	}
 }
 
-// packingOrder is a copy of the demands, the highest priority and then the largest tasks first.
+// packingOrder returns a copy of the demands in the order of decreasing priority, and within a priority of
+// decreasing CPUs of a task.
 func packingOrder(demands []peer.Demand) []peer.Demand {
 	ordered := slices.Clone(demands)
 	sort.SliceStable(ordered, func(i, j int) bool {
@@ -99,19 +101,20 @@
 	return ordered
 }
 
-// packInto packs tasks of a demand into bins, in their order, and gives how many are left.
-func packInto(bins []*bin, d *peer.Demand, waiting int) (rest int) {
-	rest = waiting
+// packInto packs waiting tasks of a demand into the bins in turn, and returns the number of tasks that fit in none.
+func packInto(bins []*bin, d *peer.Demand, waiting int) (remaining int) {
+	remaining = waiting
 	for _, b := range bins {
-		if rest == 0 {
+		if remaining == 0 {
 			break
 		}
-		rest -= b.place(d, rest)
+		remaining -= b.place(d, remaining)
 	}
-	return rest
+	return remaining
 }
 
-// addInstanceFor adds an instance of the cheapest kind that serves a demand; nil when none does.
+// addInstanceFor adds an instance of the cheapest kind that a demand permits and its tasks fit, and returns its
+// bin. It returns nil if there is no such kind, or MaxCount instances of each are to be requested already.
 func (p *planner) addInstanceFor(d *peer.Demand) *bin {
 	var best *InstanceKind
 	for i := range p.available {
@@ -132,8 +135,9 @@
 	return b
 }
 
-// cost is a kind's price; of equals, the zone with fewer machines: the loss of one zone, or a wave of
-// evictions in it, then takes fewer.
+// cost returns a kind's price with a small penalty for each of its instances to be requested. Among kinds of the
+// same price the penalty spreads the instances over the zones, so that fewer of them are lost with one zone or by
+// many evictions in it.
 func (p *planner) cost(k InstanceKind) float64 {
 	return p.price[k] + spreadWeight*float64(p.requested[k])
 }
--- a/internal/autoscaler/plan_scale_out.go
+++ b/internal/autoscaler/plan_scale_out.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// spreadWeight is by how much each machine of a kind makes another one of it dearer. It
-	// only decides between equals.
+	// spreadWeight is what each instance of a kind adds to the price of another one. It is so small that it
+	// decides only between kinds of the same price.
 	spreadWeight = 1e-6
-	// bootSlackFactor is how many boot times a task with a deadline must have left, since some
-	// instances boot slower than the catalog says.
+	// bootSlackFactor is the number of boot times that are subtracted from a task's slack before its deadline,
+	// since some instances boot slower than the catalog says.
 	bootSlackFactor = 1.5
-	// minCatchupAfterBootS is the least time after boot for which a new instance is counted on, in seconds.
+	// minCatchupAfterBootS is the least time, in seconds after its boot, in which a new instance is assumed to
+	// work on waiting tasks with a deadline.
 	minCatchupAfterBootS = 10
-	// minRunS is the least run time counted of a task, in seconds: estimates may be missing or very short.
+	// minRunS is a lower bound, in seconds, on the run time of a task, since estimates may be missing or very short.
 	minRunS = 5
-	// cpuUnit is how many units of resources.Amounts.CPU a CPU has.
+	// cpuUnit is the number of units of resources.Amounts.CPU per CPU.
 	cpuUnit = 1e6
 )
 
-// availableKinds lists the kinds that may be requested now, the cheapest CPU first, and their prices;
-// of equals, the zone with fewer machines.
+// availableKinds returns the kinds that may be requested now, in the order of their prices per CPU, and these prices.
+// Each price includes a small penalty for each instance of the kind, which puts zones with fewer instances first
+// among kinds of the same price.
 func availableKinds(in Input) ([]InstanceKind, map[InstanceKind]float64) {
 	var list []InstanceKind
 	price := map[InstanceKind]float64{}
 	instances := map[InstanceKind]int{}
-	for _, r := range in.Instances {
-		instances[r.InstanceKind]++
+	for _, instance := range in.Instances {
+		instances[instance.InstanceKind]++
 	}
 	for _, t := range in.Types {
 		for _, zone := range t.Zones {
@@ -52,7 +54,8 @@
 	return list, price
 }
 
-// addSpareCapacity requests capacity ahead, as a share of what is in use.
+// addSpareCapacity requests instances until the free CPUs are at least SpareShare of the CPUs in use, so that new
+// tasks need not wait for an instance to boot.
 func (p *planner) addSpareCapacity() {
 	spare := int64(p.Parameters.SpareShare*float64(p.usedCPU)) - (p.totalCPU - p.usedCPU)
 	for _, k := range p.available {
@@ -64,12 +67,12 @@
 	}
 }
 
-// limitToCatchup keeps economical deployments from requesting instances for work that the machines at
-// hand can do in time: together they do what waits within the time to catch
-// up, or sooner where a deadline asks for it.
+// limitToCatchup reduces the instances to request to those without which the waiting work would not be done within
+// the time to catch up, or by its deadline if that is earlier. Work that the present machines complete in time
+// gets no new instances.
 func (p *planner) limitToCatchup() {
 	meanRunS := meanRunTimeS(p.Demands)
-	added := 0.0 // CPUs of the kinds before
+	added := 0.0 // CPUs requested of the kinds before
 	for _, k := range p.available {
 		if p.requested[k] == 0 {
 			continue
@@ -81,7 +84,8 @@
 	}
 }
 
-// catchupS is within how many seconds waiting work is to be done before instances of a kind are requested.
+// catchupS returns the time, in seconds, within which waiting work is to be done. Instances of a kind are requested
+// only if the work would take longer. The time for ordinary instances differs from that for spot instances.
 func (p *planner) catchupS(k InstanceKind) float64 {
 	if k.Spot {
 		return p.Parameters.Catchup.Seconds()
@@ -89,10 +93,11 @@
 	return p.Parameters.CatchupOrdinary.Seconds()
 }
 
-// requiredCPUs is how many CPUs do what runs and what waits within catchupS seconds, or by its
-// deadline where an instance of type t would be up before that.
+// requiredCPUs returns the number of CPUs that complete all running and waiting tasks within catchupS seconds. Tasks
+// with a deadline count with a shorter time where that is needed, but never with less than an instance of type t
+// takes to boot plus minCatchupAfterBootS, since requesting it would not help earlier.
 func (p *planner) requiredCPUs(t wire.MachineType, catchupS, meanRunS float64) float64 {
-	cpus := float64(p.usedCPU) / cpuUnit * meanRunS / 2 / catchupS // what runs is half done
+	cpus := float64(p.usedCPU) / cpuUnit * meanRunS / 2 / catchupS // running tasks are half done on average
 	for i := range p.Demands {
 		d := &p.Demands[i]
 		withinS := catchupS
@@ -104,7 +109,7 @@
 	return cpus
 }
 
-// meanRunTimeS is the mean run time of the tasks that wait, in seconds.
+// meanRunTimeS returns the mean estimated run time of the waiting tasks, in seconds.
 func meanRunTimeS(demands []peer.Demand) float64 {
 	var total, tasks float64
 	for i := range demands {
@@ -115,9 +120,10 @@
 	return total / max(tasks, 1)
 }
 
-// scaleOutRequests splits what is to be requested into requests that the cloud takes, by the names of types
-// and zones, spot instances first. The comparison is no total order: where spot requests are of a
-// later type or zone than ordinary ones, which come first depends on the order of the map.
+// scaleOutRequests splits the instances to request into requests of at most wire.MaxScaleOut instances, sorted by the
+// names of types and zones, and with spot before ordinary instances. The comparison is not a total order: if
+// the type and zone of a spot request sort after those of an ordinary one, the order of the two depends on the
+// iteration order of the map.
 func (p *planner) scaleOutRequests() []ScaleOut {
 	var requests []ScaleOut
 	for k, n := range p.requested {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// testInput is an input with one machine type in two zones, and no instances.
+// testInput returns the input of a plan with one machine type in two zones, and no instances.
 func testInput() Input {
 	return Input{
 		Now:        1000 * sec,
@@ -23,7 +23,7 @@
 	}
 }
 
-// countBySpot counts the requested spot and ordinary instances.
+// countBySpot returns how many spot and how many ordinary instances are requested.
 func countBySpot(scaleOut []ScaleOut) (spot, ordinary int) {
 	for _, r := range scaleOut {
 		if r.Spot {
@@ -35,6 +35,7 @@
 	return spot, ordinary
 }
 
+// Machines that are up and instances that boot count as capacity, so that only the missing instances are requested.
 func TestPlanRequestsMissingCapacity(t *testing.T) {
 	in := testInput()
 	in.Demands = waitingDemand(8, nil)
@@ -42,13 +43,13 @@
 	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, Since: in.Now}
 	scaleOut, scaleIn := Plan(in)
 	spot, ordinary := countBySpot(scaleOut)
-	require.Equal(t, 2, spot, "four machines are needed, one is up and one on its way")
+	require.Equal(t, 2, spot, "four machines are needed, of which one is up and one is booting")
 	require.Zero(t, ordinary)
 	require.Empty(t, scaleIn)
 }
 
-// A kind that was refused is not requested during its backoff; ordinary instances are the
-// fallback, and the only choice for jobs that must not use spot ones.
+// A kind that was refused is not requested during its backoff, and ordinary instances are requested in its place. Tasks
+// that must not run on spot instances, or only in one zone, get no others.
 func TestPlanAvoidsRefusedAndForbiddenKinds(t *testing.T) {
 	in := testInput()
 	in.Demands = waitingDemand(4, nil)
@@ -63,11 +64,11 @@
 	require.Equal(t, []ScaleOut{{InstanceKind{"big", "b", false}, 2}}, scaleOut)
 }
 
-// scaleOutOf is the first half of a plan.
+// scaleOutOf returns the scale-out part of a plan.
 func scaleOutOf(scaleOut []ScaleOut, _ []ScaleIn) []ScaleOut { return scaleOut }
 
-// With economy, work that can wait is done by the machines at hand; work whose
-// deadline is near is not left waiting.
+// With economy, no instances are requested for work that the present machines complete within the time to catch up.
+// Work with a near deadline gets more instances than work without one.
 func TestPlanWithEconomyRequestsOnlyWhatIsUrgent(t *testing.T) {
 	in := testInput()
 	in.Parameters.Economy = true
@@ -85,6 +86,8 @@
 	require.Less(t, few, many)
 }
 
+// Machines that are idle for too long, silent for too long, quarantined without tasks, failed, or did not come up are
+// returned; those that are idle for a shorter time or still have tasks are not.
 func TestPlanReturnsMachinesOfNoUse(t *testing.T) {
 	in := testInput()
 	old := Instance{InstanceKind: InstanceKind{"big", "a", true}, Phase: wire.MachineBooting, Since: in.Now - 91*sec}
@@ -98,7 +101,7 @@
 		{ID: "m-3", Silent: true, Accounted: true},
 		{ID: "m-4", Accounted: true, Sick: true},
 		{ID: "m-7", Accounted: true, Sick: true, Count: 1},
-		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // gets nothing now: it may be usable sooner than another has booted
+		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // not usable now: kept for the boot time in addition
 	}
 	in.Instances["m-8"] = instanceAs(Instance{InstanceKind: InstanceKind{"big", "a", true}, Up: true}, "m-8", wire.MachineRunning)
 	_, scaleIn := Plan(in)
@@ -109,17 +112,17 @@
 	require.Equal(t, []string{"m-1", "m-3", "m-4", "m-5", "m-6"}, ids)
 }
 
-// instanceAs copies an instance under another id, and in another phase where one is given.
-func instanceAs(r Instance, id, phase string) Instance {
-	r.ID = id
+// instanceAs returns a copy of an instance with another id, and with another phase unless phase is empty.
+func instanceAs(instance Instance, id, phase string) Instance {
+	instance.ID = id
 	if phase != "" {
-		r.Phase = phase
+		instance.Phase = phase
 	}
-	return r
+	return instance
 }
 
-// On a large fleet something waits all the time. Under economy that keeps the
-// machines it is to go to, and not all others.
+// With economy, waiting tasks keep only those idle machines into which they were packed. If they kept all, a large fleet,
+// where some task waits all the time, would never return an idle machine.
 func TestPlanWithEconomyReturnsIdleMachinesDespiteDemand(t *testing.T) {
 	in := testInput()
 	in.Demands = waitingDemand(3, nil)
@@ -128,15 +131,15 @@
 			Cap: bigCapacity(), Free: bigCapacity(), Idle: 90 * sec})
 	}
 	_, scaleIn := Plan(in)
-	require.Empty(t, scaleIn, "without economy they are kept while anything waits")
+	require.Empty(t, scaleIn, "without economy idle machines are kept while any task waits")
 	in.Parameters.Economy = true
 	_, scaleIn = Plan(in)
 	require.Equal(t, []ScaleIn{{"m-3", "a", "idle"}, {"m-4", "a", "idle"}}, scaleIn)
 }
 
-// Many machines are cut off for longer than their leases. They are silent then, but
-// listed as running: each is kept for as long as another would take to boot, and
-// used when it is reachable again. One that is listed as failed is returned immediately.
+// A partition of the network makes many machines silent for longer than their leases, while the cloud lists them as
+// running. Each is kept for its boot time, and stays in use if it is reachable again by then. Otherwise a short
+// partition would replace the whole fleet. A machine that is listed as failed is returned immediately.
 func TestPlanKeepsSilentMachinesForBootTime(t *testing.T) {
 	list := &instanceList{instances: map[string]Instance{}}
 	in := testInput()
@@ -161,8 +164,8 @@
 	require.Empty(t, step(0, false))
 	require.Empty(t, step(sec, true))
 	require.Empty(t, step(25*sec, true))
-	require.Empty(t, step(sec, false), "reachable again, and used")
-	require.Empty(t, step(sec, true), "the silence is counted anew")
+	require.Empty(t, step(sec, false), "the machines are reachable and in use again")
+	require.Empty(t, step(sec, true), "the time of silence starts again")
 	r := list.instances["m-007"]
 	r.Phase = wire.MachineFailed
 	list.instances["m-007"] = r
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -8,18 +8,19 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// maxDrainsPerStep bounds how many machines a step asks the partition leaders to drain: one request
-// to each of them, and one to the cloud, carry that many.
+// maxDrainsPerStep is the largest number of machines that one step asks the partition leaders to drain. They are
+// named in a single request to each partition leader, and in a single request to the cloud.
 const maxDrainsPerStep = 100
 
-// scaleIn returns the planned machines that their partition leaders have drained
+// scaleIn returns those of the planned machines to the cloud that their partition leaders have drained. Returning a
+// machine that is not drained would kill its tasks, or any task that its partition leader starts there meanwhile
 // (docs/design.md, "Why the rules hold", 12).
 func (a *Autoscaler) scaleIn(ctx context.Context, planned []ScaleIn) {
 	if len(planned) == 0 {
 		return
 	}
 	if failed := a.failedMachines(planned); len(failed) > 0 {
-		a.controllers.MarkMachinesGone(ctx, failed) // the cloud itself lists them as failed
+		a.controllers.MarkMachinesGone(ctx, failed) // the cloud lists them as failed, so that nothing runs there
 	}
 	batch := planned[:min(len(planned), maxDrainsPerStep)]
 	drained := a.controllers.Drain(ctx, machineRefs(batch))
@@ -33,11 +34,11 @@
 	a.controllers.MarkMachinesGone(ctx, a.recordReturned(drained, batch))
 }
 
-// failedMachines are those of the planned ones that the cloud lists as failed.
+// failedMachines returns those of the planned machines that the cloud lists as failed.
 func (a *Autoscaler) failedMachines(planned []ScaleIn) []peer.MachineRef {
 	var failed []peer.MachineRef
 	for _, s := range planned {
-		if a.list.instances[s.ID].Phase == wire.MachineFailed {
+		if a.instanceList.instances[s.ID].Phase == wire.MachineFailed {
 			failed = append(failed, peer.MachineRef{ID: s.ID, Zone: s.Zone})
 		}
 	}
@@ -52,7 +53,8 @@
 	return refs
 }
 
-// recordReturned takes note that the cloud took the drained machines of a batch back.
+// recordReturned logs that the drained machines of a batch were returned, marks them gone, and returns references
+// to them.
 func (a *Autoscaler) recordReturned(drained []string, batch []ScaleIn) []peer.MachineRef {
 	planned := make(map[string]ScaleIn, len(batch))
 	for _, s := range batch {
@@ -64,7 +66,7 @@
 		s := planned[id]
 		gone[i] = peer.MachineRef{ID: id, Zone: s.Zone}
 		a.log.Info("machine returned", "machine", id, "reason", s.Reason)
-		a.list.markGone(id, now)
+		a.instanceList.markGone(id, now)
 	}
 	return gone
 }
--- a/internal/autoscaler/scale_in_test.go
+++ b/internal/autoscaler/scale_in_test.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// An instance that nobody expected is on the list: it is returned when it is idle,
-// but only once its partition leader has drained it.
+// An instance that is on the list without a request of this leader, such as one requested in an earlier term, is returned
+// once it is idle, but only after its partition leader has drained it.
 func TestUnexpectedInstanceIsReturnedOnceDrained(t *testing.T) {
 	s := newScenario(t)
 	s.cloud.withLock(func() {
@@ -18,7 +18,7 @@
 	})
 	s.controllers.views = []peer.MachineView{{ID: "m-7", Type: "big", Zone: "a", Accounted: true, Usable: true, Idle: 90 * sec}}
 	s.step(t)
-	s.cloud.withLock(func() { require.Empty(t, s.cloud.returned, "its partition leader has not drained it") })
+	s.cloud.withLock(func() { require.Empty(t, s.cloud.returned, "the partition leader has not drained the machine yet") })
 	s.controllers.drained = []string{"m-7"}
 	s.step(t)
 	s.cloud.withLock(func() { require.Equal(t, []string{"m-7"}, s.cloud.returned) })
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -10,7 +10,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A scale-out request's name is never used again, not by the next leader either.
+// The name of a scale-out request is never used again, also not by the leader of the next term. The cloud would take a
+// request with a used name for a repetition, and grant nothing new.
 func TestScaleOutRequestNameIsUniqueAcrossTerms(t *testing.T) {
 	s := newScenario(t)
 	s.controllers.demands = waitingDemand(2, nil)
@@ -18,7 +19,7 @@
 		s.elections.setTerm(term)
 		s.autoscaler.startTerm(term)
 		for range 3 {
-			s.autoscaler.list.instances = map[string]Instance{} // as if none had been granted
+			s.autoscaler.instanceList.instances = map[string]Instance{} // as if the cloud had granted none
 			s.step(t)
 		}
 	}
@@ -32,7 +33,8 @@
 	})
 }
 
-// What the cloud can't grant is requested of another kind in the same step, and not again during the backoff.
+// When the cloud has no capacity of one kind, the same step requests another kind. The next step requests nothing more,
+// since the granted instance counts as capacity before the list shows it.
 func TestScaleOutWithoutCapacityRequestsNextKind(t *testing.T) {
 	s := newScenario(t)
 	s.controllers.demands = waitingDemand(2, nil)
@@ -50,11 +52,11 @@
 	s.cloud.withLock(func() { require.Equal(t, []bool{true, false}, spot) })
 	s.step(t)
 	s.cloud.withLock(func() {
-		require.Equal(t, []bool{true, false}, spot, "the machine is on its way, though the list lags")
+		require.Equal(t, []bool{true, false}, spot, "the granted instance counts although the list does not show it yet")
 	})
 }
 
-// Malformed responses of the cloud lead to nothing but another try.
+// Errors and malformed responses of the cloud add no instances; the requests are repeated later.
 func TestMalformedCloudResponseGrantsNothing(t *testing.T) {
 	s := newScenario(t)
 	s.controllers.demands = waitingDemand(2, nil)
@@ -67,12 +69,12 @@
 		s.cloud.withLock(func() { s.cloud.answer = answer })
 		s.autoscaler.pacer.refusedUntil = map[InstanceKind]clock.Micros{}
 		s.step(t)
-		require.Empty(t, s.autoscaler.list.instances)
+		require.Empty(t, s.autoscaler.instanceList.instances)
 	}
 }
 
-// A kind of which the cloud has too few gets one request at a time; one of which it grants
-// all requests gets twice as many the next time.
+// The window of a kind doubles up to the bound while the cloud grants all requests, and falls to one request when it
+// grants fewer instances than requested.
 func TestRequestWindowGrowsWithGrantsAndShrinksOnRefusal(t *testing.T) {
 	s := newScenario(t)
 	a := s.autoscaler
@@ -88,17 +90,18 @@
 		a.requestScaleOut(t.Context(), got)
 	}
 	a.pacer.refusedUntil = map[InstanceKind]clock.Micros{}
-	a.requestScaleOut(t.Context(), []ScaleOut{{k, 2}}) // one is granted of two
+	a.requestScaleOut(t.Context(), []ScaleOut{{k, 2}}) // the cloud grants one instance of two
 	require.Len(t, a.pacer.selectRequests(planned), 1)
 }
 
-// A refusal backs off for the whole backoff, a response that leaves the outcome open only until the list shows it.
+// After a refusal or a partial grant a kind is not requested for the whole backoff. After an error that leaves the outcome
+// unknown it is not requested for 3 s, by when the list shows the instances if they were granted.
 func TestRequestOutcomeDecidesBackoff(t *testing.T) {
 	k := InstanceKind{"big", "a", true}
 	for name, x := range map[string]struct {
 		granted int
 		err     error
-		want    clock.Micros // refused until
+		want    clock.Micros // time until which the kind is not requested
 	}{
 		"all granted":     {2, nil, 0},
 		"fewer granted":   {1, nil, 112 * sec},
--- a/internal/autoscaler/summary.go
+++ b/internal/autoscaler/summary.go
@@ -8,12 +8,12 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// fleetSummary is the fleet's size and use. CPUs are in millionths.
+// fleetSummary is the size and utilization of the fleet. Amounts of CPU are in millionths of a CPU.
 type fleetSummary struct {
-	up, instances, spot int
-	cpu, usedCPU        int64 // of the machines that are up
-	waitingCPU          int64 // of tasks that wait
-	fragmentedCPU       int64 // free, and of no use to the largest task that waits
+	up, instances, spot int   // numbers of reachable machines, of instances, and of spot instances
+	cpu, usedCPU        int64 // capacity of the reachable machines, and what is in use of it
+	waitingCPU          int64 // requested by waiting tasks
+	fragmentedCPU       int64 // free on reachable machines, but too little for one more of the largest waiting task
 }
 
 func summarize(in Input) fleetSummary {
@@ -43,11 +43,12 @@
 	return s
 }
 
-// logStep logs the fleet's summary once in a while, and what a step has decided.
+// logStep logs the fleet's summary every summaryInterval. At the debug level it also logs the state of all machines
+// with each summary, and the decision of each step.
 func (a *Autoscaler) logStep(ctx context.Context, in Input, scaleOut []ScaleOut, scaleIn []ScaleIn, now clock.Micros) {
 	debug := a.log.Enabled(ctx, slog.LevelDebug)
-	if now > a.summaryAt+summaryInterval {
-		a.summaryAt = now
+	if now > a.lastSummaryAt+summaryInterval {
+		a.lastSummaryAt = now
 		if debug {
 			a.logMachines(in.Views)
 		}
--- a/internal/autoscaler/summary_test.go
+++ b/internal/autoscaler/summary_test.go
@@ -9,10 +9,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Silent machines count as instances only; free CPUs that the largest waiting task can't use are fragmented.
+// A silent machine counts as an instance but not as up, and its CPUs don't count. Free CPUs beyond a multiple of what the
+// largest waiting task needs count as fragmented.
 func TestSummaryCountsReachableMachinesAndFragmentedCPUs(t *testing.T) {
 	in := testInput()
-	in.Demands = waitingDemand(3, nil) // of 16 CPUs
+	in.Demands = waitingDemand(3, nil) // three tasks of 16 CPUs
 	in.Instances["m-1"] = Instance{InstanceKind: InstanceKind{"big", "a", true}}
 	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", false}}
 	in.Views = []peer.MachineView{
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -18,25 +18,25 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// zoneStepInterval is how often the states of zones are decided: a fraction of the shortest time
-// that a state lasts, which is counted in seconds.
+// zoneStepInterval is the time between two decisions on the states of zones. It is a fraction of the shortest time
+// that a state lasts, which is some seconds.
 const zoneStepInterval = 500 * time.Millisecond
 
-// ZoneSource provides what the fleet's leader decides the states of zones by.
+// ZoneSource provides the input by which the fleet's leader decides the states of zones.
 type ZoneSource interface {
-	// ZoneEvidence gives what is known of each zone's machines.
+	// ZoneEvidence returns how many machines each zone has, and how many of them are missing.
 	ZoneEvidence() map[string]zone.Evidence
-	// ZoneRecords gives the states on record, with their keys' mod revisions.
+	// ZoneRecords returns the stored states of zones with the mod revisions of their keys.
 	ZoneRecords() map[string]ZoneRecord
 }
 
-// ZoneRecord is a state on record.
+// ZoneRecord is a zone's state as the key-value store has it.
 type ZoneRecord struct {
 	zone.Record
 	ModRevision uint64
 }
 
-// ZoneWatch has the fleet's leader decide the states of zones.
+// ZoneWatch configures the decisions on the states of zones. Without a Source no states are decided.
 type ZoneWatch struct {
 	Settings zone.Settings
 	Names    []string
@@ -50,8 +50,8 @@
 	ErrZoneReturnDisabled = errors.New("zone states are off")
 )
 
-// zoneStates decides the states of zones while this controller leads the fleet, and writes them to the
-// key-value store. A nil one decides nothing.
+// zoneStates decides the states of zones while this controller leads the fleet, and writes them to the key-value
+// store. A nil *zoneStates decides nothing.
 type zoneStates struct {
 	watch       ZoneWatch
 	elections   Elections
@@ -61,15 +61,15 @@
 	wallClock   func() time.Time
 	log         *slog.Logger
 
-	failures int // writes that failed in a row; used by the loop of step alone
+	failures int // consecutive failed writes; used by the goroutine of step only
 
 	mu           sync.Mutex
-	decider      *zone.Decider     // nil while not leading
-	modRevisions map[string]uint64 // of the zones' records, as last known
-	unsaved      map[string]bool   // zones whose state is not on record as it was decided
+	decider      *zone.Decider     // nil while this controller does not lead the fleet
+	modRevisions map[string]uint64 // latest known mod revisions of the zones' records
+	unsaved      map[string]bool   // zones whose latest state has not been written yet
 }
 
-// newZoneStates returns nil where the states of zones are not decided.
+// newZoneStates returns nil if o has no source of evidence on zones, so that no states are decided.
 func newZoneStates(o Options) *zoneStates {
 	if o.Zones.Source == nil {
 		return nil
@@ -85,8 +85,8 @@
 	}
 }
 
-// RunZones decides the states of zones while this controller leads the fleet, until ctx ends. It is a
-// loop of its own since it must not wait for the cloud, whose calls may take seconds.
+// RunZones decides the states of zones while this controller leads the fleet, and returns when ctx is done. It runs
+// apart from Run, so that these decisions do not wait for calls of the cloud, which may take seconds.
 func (a *Autoscaler) RunZones(ctx context.Context) error {
 	z := a.zones
 	if z == nil {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// HoldZone stops a zone's return at its stage, or lets it go on. It returns once that is on record.
+// HoldZone holds a zone's return at its present stage, or lets it continue. It returns nil once that is stored.
 func (a *Autoscaler) HoldZone(ctx context.Context, name string, held bool) error {
 	if a.zones == nil {
 		return ErrZoneReturnDisabled
@@ -113,7 +113,7 @@
 	return a.zones.hold(ctx, name, held)
 }
 
-// startTerm goes on where the records stand.
+// startTerm makes a decider that continues from the stored states, at the start of a term.
 func (z *zoneStates) startTerm(now clock.Micros) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -125,14 +125,14 @@
 	z.decider = zone.NewDecider(z.watch.Settings, z.watch.Names, records, now)
 }
 
-// endTerm forgets what was decided: another leader goes on.
+// endTerm discards the decider when leadership is lost. The next leader continues from the stored states.
 func (z *zoneStates) endTerm() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.decider = nil
 }
 
-// step decides, and writes what has changed.
+// step decides the states of all zones, and writes those that have changed.
 func (z *zoneStates) step(ctx context.Context, leadership leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
 	z.decide(demands, now)
 	if err := z.save(ctx, leadership); err != nil {
@@ -156,14 +156,14 @@
 	}
 }
 
-// zoneWrite is a transaction with the states that it writes.
+// zoneWrite is a transaction together with the states that it writes.
 type zoneWrite struct {
 	txn     wire.Txn
 	records map[string]zone.Record
-	names   []string // in the order of the transaction's operations
+	names   []string // zones, in the order of the transaction's operations
 }
 
-// save writes what is not on record yet.
+// save writes all states that have not been written yet, in one transaction.
 func (z *zoneStates) save(ctx context.Context, leadership leaderelection.Leadership) error {
 	w, err := z.pendingWrite(leadership)
 	if err != nil || len(w.names) == 0 {
@@ -171,16 +171,18 @@
 	}
 	revision, err := z.store.Commit(ctx, w.txn)
 	if err != nil {
-		// The write's outcome may be unknown: what is on record by now is what the replica shows.
+		// The transaction may have been carried out although there was no response. The replica of the store
+		// shows which mod revisions the records have now.
 		z.reloadModRevisions()
 		return err
 	}
-	z.acknowledge(w, revision)
+	z.recordCommitted(w, revision)
 	return nil
 }
 
-// pendingWrite is the write of all unsaved states, each on the condition of the fleet's leadership and
-// of the key's mod revision as last known: a late copy, or a former leader's write, changes nothing.
+// pendingWrite returns the transaction that writes all unsaved states. It is conditional on the fleet's leadership and
+// on the latest known mod revision of each key, so that a delayed copy of it, or a write of a former leader,
+// changes nothing.
 func (z *zoneStates) pendingWrite(leadership leaderelection.Leadership) (zoneWrite, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -208,8 +210,9 @@
 	}
 }
 
-// acknowledge takes note that a write is on record. A state that was decided anew meanwhile stays unsaved.
-func (z *zoneStates) acknowledge(w zoneWrite, revision uint64) {
+// recordCommitted records that a write was committed at a revision of the store. A zone whose state has changed since
+// the write was made stays unsaved.
+func (z *zoneStates) recordCommitted(w zoneWrite, revision uint64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, name := range w.names {
@@ -220,7 +223,7 @@
 	}
 }
 
-// hold stops a zone's return at its stage, or lets it go on, and saves that.
+// hold holds a zone's return at its present stage, or lets it continue, and writes the zone's state.
 func (z *zoneStates) hold(ctx context.Context, name string, held bool) error {
 	leadership, leading := z.elections.Leading(Duty)
 	if !leading {
@@ -245,9 +248,9 @@
 	return nil
 }
 
-// closedZones are those in which no instances are requested now; unsettled reports whether some zone
-// is not healthy.
-func (z *zoneStates) closedZones() (closed map[string]bool, unsettled bool) {
+// closedZones returns the zones in which no instances are requested at present, since they are suspect or lost.
+// anyUnhealthy reports whether some zone is in another state than healthy.
+func (z *zoneStates) closedZones() (closed map[string]bool, anyUnhealthy bool) {
 	if z == nil {
 		return nil, false
 	}
@@ -261,7 +264,7 @@
 		if r.State == zone.Lost || r.State == zone.Suspect {
 			closed[name] = true
 		}
-		unsettled = unsettled || r.State != zone.Healthy
+		anyUnhealthy = anyUnhealthy || r.State != zone.Healthy
 	}
-	return closed, unsettled
+	return closed, anyUnhealthy
 }
--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -17,14 +17,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// zoneFixture is the fleet's leader with zones a and b, and the key-value store as it stands.
+// zoneFixture is the autoscaler of the fleet's leader with zones a and b, all machines of b being missing. It also
+// implements the elections, the key-value store and the source of evidence.
 type zoneFixture struct {
 	autoscaler   *Autoscaler
 	evidence     map[string]zone.Evidence
 	records      map[string]ZoneRecord
-	modRevisions map[string]uint64 // of all keys
-	revision     uint64
-	loseAnswer   bool // to the next write
+	modRevisions map[string]uint64 // of all keys in the store
+	revision     uint64            // of the store
+	loseAnswer   bool              // the next write is carried out, but returns an error
 	commits      []wire.Txn
 }
 
@@ -82,7 +83,7 @@
 	return f.revision, nil
 }
 
-// steps decides n times, each half a second after the one before.
+// steps makes n decisions on the states of zones, at intervals of half a second.
 func (f *zoneFixture) steps(t *testing.T, from clock.Micros, n int) {
 	t.Helper()
 	leadership, _ := f.Leading(Duty)
@@ -91,9 +92,9 @@
 	}
 }
 
-// A state is written on the condition of the fleet's leadership and of the key's mod revision, so that
-// neither a late copy nor a former leader's write changes a later one. A write without an answer is
-// tried again from what is on record by then.
+// Every write of a state is conditional on the fleet's leadership and on the key's mod revision, so that neither a delayed
+// copy of it nor a write of a former leader overwrites a later state. After a write without a response, the next
+// one uses the mod revisions that the store has by then; with the former ones it would conflict for ever.
 func TestZoneRecordWriteIsConditional(t *testing.T) {
 	f := newZoneFixture()
 	f.loseAnswer = true
@@ -108,14 +109,14 @@
 	before := f.records["b"]
 	for _, late := range f.commits {
 		_, err := f.Commit(t.Context(), late)
-		require.ErrorIs(t, err, kvstore.ErrConflict, "a late copy")
+		require.ErrorIs(t, err, kvstore.ErrConflict, "a delayed copy of a write must not be carried out")
 	}
 	require.Equal(t, before, f.records["b"])
-	require.Zero(t, f.records["a"], "what does not change is not written")
+	require.Zero(t, f.records["a"], "an unchanged state is not written")
 }
 
-// A hold is on record when the operator's request is answered; an unknown zone and a controller that does
-// not lead give different errors.
+// HoldZone returns only once the hold is stored. It returns different errors for an unknown zone, for a controller that
+// does not lead the fleet, and if the states of zones are not decided.
 func TestZoneHoldIsOnRecordWhenAnswered(t *testing.T) {
 	f := newZoneFixture()
 	require.NoError(t, f.autoscaler.HoldZone(t.Context(), "b", true))
@@ -126,13 +127,14 @@
 	require.ErrorIs(t, (&Autoscaler{}).HoldZone(t.Context(), "b", true), ErrZoneReturnDisabled)
 }
 
-// No instances are requested in a zone that is lost, and few idle ones returned while it returns.
+// No instances are requested in a lost zone, and only a few idle ones are returned until the zone is healthy. Otherwise all
+// replacements for its machines would be returned as soon as it is reachable again.
 func TestLostZoneIsClosedAndLimitsIdleScaleIn(t *testing.T) {
 	f := newZoneFixture()
 	f.steps(t, 2*sec, 12)
-	closed, unsettled := f.autoscaler.zones.closedZones()
+	closed, anyUnhealthy := f.autoscaler.zones.closedZones()
 	require.Equal(t, map[string]bool{"b": true}, closed)
-	require.True(t, unsettled)
+	require.True(t, anyUnhealthy)
 	types := []wire.MachineType{{Name: "big", CPUs: 8, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	list, _ := availableKinds(Input{Types: types, Closed: closed})
 	require.Len(t, list, 2)
@@ -150,7 +152,7 @@
 	f.steps(t, 20*sec, 4)
 	require.Equal(t, zone.Returning, f.records["b"].State)
 	require.Equal(t, recovery.Reconcile, f.records["b"].Stage)
-	closed, unsettled = f.autoscaler.zones.closedZones()
+	closed, anyUnhealthy = f.autoscaler.zones.closedZones()
 	require.Empty(t, closed)
-	require.True(t, unsettled)
+	require.True(t, anyUnhealthy)
 }
