--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -2,73 +2,74 @@
 
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
-// Machine is what a gate needs to know of a machine in its zone.
+// Machine is the state of a machine by which a gate admits tasks to it.
 type Machine struct {
-	Warm    bool // a task was seen running on it in this incarnation of its worker
-	Pending int  // tasks on it that were accepted and not seen running yet
+	Warm    bool // a task has been seen running on it in the present incarnation of its worker
+	Pending int  // number of tasks that were accepted for it and have not been seen running yet
 }
 
 const (
-	// initialStarts is how many starts may be in flight when a return begins.
+	// initialStarts is the bound on concurrent task starts in a zone when its return begins.
 	initialStarts = 4
-	// startsPerSuccess is by how much each start that succeeded raises that.
+	// startsPerSuccess is by how much each successful start raises the bound on concurrent starts.
 	startsPerSuccess = 1
-	// maxStarts bounds it.
+	// maxStarts is the highest value of the bound on concurrent starts.
 	maxStarts = 256
-	// stageEndMargin is how much longer than its bound a stage may seem to last where the partition
-	// leader isn't notified of its end: after that it admits all.
+	// stageEndMargin is how long after a stage's bound a gate waits to be notified of the stage's end. After that it
+	// admits all work.
 	stageEndMargin = 5 * clock.Second
-	// maxLostWait is how long a partition leader waits, from the first heartbeat of a machine in a lost
-	// zone, to be notified that the zone returns. It is longer than the longest time for
-	// which a zone must be reachable before it returns.
+	// maxLostWait is how long the gate of a lost zone waits, from the first heartbeat of a machine in the zone, to be
+	// notified that the zone returns. After that it admits all work. It exceeds 60 s, the longest time for which a
+	// zone must be reachable before it returns.
 	maxLostWait = 65 * clock.Second
 )
 
-// Gate admits work in one zone at one partition leader, while work returns there. A scheduler has one as
-// well, so as not to request what would be rejected; the partition leader's decides.
+// Gate decides which tasks a partition leader admits to the machines of one zone while work returns there. Schedulers
+// have gates too, so that they don't request what a partition leader would reject; those of the partition leaders
+// decide.
 //
 //	lost ----------> at a stage ----------> open, until SetStage names another stage or a hold
 //	 |    SetStage                expired                     ^
 //	 +--------------------------------------------------------+
 //	                         expired
 //
-// A lost zone's gate expires maxLostWait after the first heartbeat, one at a stage stageEndMargin
-// after the stage's bound, and one that operators hold never. A healthy zone has no gate. A Gate does no
-// locking: its user does.
+// The gate of a lost zone expires maxLostWait after the first heartbeat. A gate at a stage expires stageEndMargin after
+// the stage's bound, unless operators hold the return. A healthy zone has no gate. A Gate is not safe for
+// concurrent use.
 type Gate struct {
 	stage          Stage
-	held           bool // by operators: it stays at its stage
-	lost           bool // the zone has not begun to return
-	since          clock.Micros
-	heartbeatSince clock.Micros // since when machines of a lost zone send heartbeats; 0: none does
-	maxInFlight    int          // starts
+	held           bool         // operators hold the return at its stage
+	lost           bool         // the zone has not begun to return
+	since          clock.Micros // time of the last change of the stage or the hold
+	heartbeatSince clock.Micros // first heartbeat of a machine since the zone's loss; 0: none yet
+	maxInFlight    int          // bound on concurrent starts
 }
 
-// NewGate makes a gate at a stage.
+// NewGate returns a gate of a returning zone at a stage.
 func NewGate(s Stage, held bool, now clock.Micros) *Gate {
 	return &Gate{stage: s, held: held, since: now, maxInFlight: initialStarts}
 }
 
-// NewLostGate makes a gate of a zone that is lost: it admits nothing new, so that the first machines
-// that are reachable again don't get whatever is assigned first.
+// NewLostGate returns a gate of a lost zone. It admits no tasks, since otherwise the first machines that are reachable
+// again would get tasks of any priority before the return begins.
 func NewLostGate() *Gate { return &Gate{stage: Reconcile, lost: true, maxInFlight: initialStarts} }
 
-// HeartbeatSeen takes note that a machine of the zone sends heartbeats.
+// HeartbeatSeen records that a machine of the zone has sent a heartbeat, from which maxLostWait is counted.
 func (g *Gate) HeartbeatSeen(now clock.Micros) {
 	if g.lost && g.heartbeatSince == 0 {
 		g.heartbeatSince = now
 	}
 }
 
-// SetStage takes a stage, or a hold, from the zone's record.
+// SetStage sets the stage and the hold from the zone's record. A change restarts the stage's duration.
 func (g *Gate) SetStage(s Stage, held bool, now clock.Micros) {
 	if s != g.stage || held != g.held || g.lost {
 		g.stage, g.held, g.since, g.lost = s, held, now, false
 	}
 }
 
-// Stage is the present stage. Where the end of a stage isn't notified, all is admitted after a
-// while: a controller with an old view may do less, but not for ever.
+// Stage returns the present stage, or Open once the gate has expired. So a controller that no longer receives the
+// zone's records admits too little work for a bounded time only.
 func (g *Gate) Stage(now clock.Micros) Stage {
 	if g.expired(now) {
 		return Open
@@ -76,7 +77,7 @@
 	return g.stage
 }
 
-// expired reports whether the gate has waited for too long to be notified.
+// expired reports whether the gate has waited for too long to be notified of the next stage.
 func (g *Gate) expired(now clock.Micros) bool {
 	switch {
 	case g.lost:
@@ -87,15 +88,16 @@
 	return now > g.since+g.stage.MaxDuration()+stageEndMargin
 }
 
-// Succeeded takes note that a start has led to a running task: more may be in flight.
+// Succeeded records that a started task was seen running, and raises the bound on concurrent starts.
 func (g *Gate) Succeeded() { g.maxInFlight = min(g.maxInFlight+startsPerSuccess, maxStarts) }
 
-// Starts is how many starts may be in flight.
+// Starts returns the bound on concurrent starts.
 func (g *Gate) Starts() int { return g.maxInFlight }
 
-// Admits reports whether a task of a stage may be assigned to a machine while so many starts are
-// in flight in the zone. A cold machine gets one trial task before more: after a loss that outlasted the
-// workers' leases all machines are cold, and urgent work must not wait for others to warm them.
+// Admits reports whether a task of a stage may be assigned to a machine while inFlight starts are under way in the
+// zone. A machine on which no task has been seen running gets one trial task, of any admitted stage, before it gets
+// more. After a loss that outlasted the workers' leases this holds for all machines, so that urgent tasks
+// must be admitted as trial tasks too and not wait for other work to run first.
 func (g *Gate) Admits(task Stage, m Machine, inFlight int, now clock.Micros) bool {
 	stage := g.Stage(now)
 	if stage == Open {
--- a/internal/recovery/gate_test.go
+++ b/internal/recovery/gate_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A gate admits a task only if the stage admits it, fewer starts are in flight than the bound, and the machine has had a
+// running task or no start is pending on it. An open gate admits every task.
 func TestGateAdmitsByStageWarmthAndStartsInFlight(t *testing.T) {
 	warm, cold := Machine{Warm: true}, Machine{}
 	for _, x := range []struct {
@@ -18,7 +20,7 @@
 		{Urgent, Urgent, warm, 0, true},
 		{Urgent, Services, warm, 0, false},
 		{Services, Urgent, warm, 3, true},
-		{Services, Urgent, warm, 4, false}, // as many starts are in flight as may be
+		{Services, Urgent, warm, 4, false}, // the bound on starts in flight is reached
 		{Urgent, Urgent, cold, 0, true},    // one trial task
 		{Services, Urgent, Machine{Pending: 1}, 1, false},
 		{Cold, Services, cold, 0, true},
@@ -30,8 +32,8 @@
 	}
 }
 
-// Nothing new is admitted from a zone's loss until it returns; a partition leader that isn't notified of
-// its return admits all some time after the first heartbeat of a machine of it.
+// The gate of a lost zone admits nothing until the zone returns. If the partition leader is not notified of the return,
+// the gate opens maxLostWait after the first heartbeat, so that the zone does not stay closed for ever.
 func TestLostZoneGateOpensAfterMaximumWait(t *testing.T) {
 	g := NewLostGate()
 	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1000*sec))
@@ -40,11 +42,11 @@
 	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec))
 	require.True(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec+1))
 	g.SetStage(Reconcile, false, 1070*sec)
-	require.Equal(t, Reconcile, g.Stage(1071*sec), "it returns")
+	require.Equal(t, Reconcile, g.Stage(1071*sec), "the zone returns")
 	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.MaxDuration()+stageEndMargin+1))
 }
 
-// Each start that succeeds lets one more be in flight, up to a bound.
+// Each successful start raises the bound on concurrent starts by one, up to maxStarts.
 func TestGateLimitGrowsWithSuccessfulStarts(t *testing.T) {
 	g := NewGate(Urgent, false, sec)
 	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 4, sec))
@@ -56,7 +58,8 @@
 	require.Equal(t, maxStarts, g.Starts())
 }
 
-// A gate that isn't notified of a stage's end admits all after a while; one that operators hold stays.
+// A gate that is not notified of a stage's end opens stageEndMargin after the stage's bound, so that the zone does not
+// stay closed for ever. A gate that operators hold does not open.
 func TestGateOpensWhenStageEndIsMissed(t *testing.T) {
 	g := NewGate(Urgent, false, sec)
 	require.Equal(t, Urgent, g.Stage(sec+Urgent.MaxDuration()+stageEndMargin))
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -1,19 +1,20 @@
-// Package recovery is the plan by which work returns to a zone that was lost: in stages, each
-// of which admits more, with a bound on what starts at a time. It is plain code that takes the time.
+// Package recovery decides how work returns to a zone that was lost: in stages, each of which admits more work, and
+// with a bound on concurrent task starts. It does no I/O and takes the time as a parameter.
 //
 //	Reconcile ------> Urgent ------> Services ------> Cold ------> Open
 //	  every machine     no urgent      no other         15 s         all is
 //	  accounted for     task waits     task waits                    admitted
 //	  (15 s at most)    (20 s)         (15 s)
 //
-// A stage ends when what stands below it holds, not before it has lasted two seconds, and at its
-// bound at the latest. Advance says so where the state of zones is decided (package zone). A Gate
-// admits work by the stage at each partition leader (package partition), and at each scheduler.
+// A stage ends when the condition below it holds, but not before it has lasted two seconds, and at the latest at the
+// bound in parentheses. Advance makes this decision for package zone. A Gate at each partition leader (package
+// partition) admits work by the present stage; schedulers use a Gate too.
 //
 // Invariants:
-//   - Stages are bounded, and a Gate opens by itself where it isn't notified of a stage's end: a zone
-//     never stays closed, except by operators' hold.
-//   - All bounds together stay below the 90 s for which work may wait while a machine that fits has room.
+//   - Every stage is bounded, and a Gate that is not notified of the end of a stage opens by itself, so that a
+//     zone never stays closed unless operators hold its return.
+//   - The bounds of all stages together stay below 90 s, the longest that work may wait while a suitable machine has
+//     free capacity.
 package recovery
 
 import (
@@ -23,22 +24,22 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Stage of a return. A stage admits the work of its own and of those before.
+// Stage is a stage of a return. It admits its own work and that of all stages before it.
 type Stage int
 
-// Stages, in order.
+// Stages of a return, in order.
 const (
-	Reconcile Stage = iota // every machine's tasks are accounted for against the jobs' records; nothing new
-	Urgent                 // urgent work; a machine on which no task was seen running yet gets one trial task
-	Services               // other work, in the same way
-	Cold                   // work that can wait
-	Open                   // all is admitted: the return is over
+	Reconcile Stage = iota // the tasks on each machine are accounted for against the jobs' records; no work is admitted
+	Urgent                 // urgent work; a machine on which no task has been seen running gets one trial task first
+	Services               // other work that should not wait long, with trial tasks too
+	Cold                   // work that can wait, with trial tasks too
+	Open                   // all work without restrictions: the return is over
 )
 
 var stageNames = [...]string{"reconcile", "urgent", "services", "cold", "open"}
 
-// maxDurations are the bounds of the stages: whatever waits, a stage is over by then. Together they stay
-// below the time for which work may wait while a machine that fits has room.
+// maxDurations are the bounds on the durations of the stages. A stage ends at its bound although its work still waits.
+// Together they stay below the longest time that work may wait while a suitable machine has free capacity.
 var maxDurations = [...]clock.Micros{
 	Reconcile: 15 * clock.Second,
 	Urgent:    20 * clock.Second,
@@ -47,21 +48,22 @@
 	Open:      0,
 }
 
-// minStageDuration is how long a stage lasts at least: what waits must have been reported by then.
+// minStageDuration is the shortest duration of a stage. By then the schedulers have reported the waiting tasks, without
+// which a stage would seem to be done.
 const minStageDuration = 2 * clock.Second
 
-// String is the stage's name.
+// String returns the stage's name, or its number if there is no such stage.
 func (s Stage) String() string {
-	if !s.known() {
+	if !s.valid() {
 		return fmt.Sprintf("stage %d", int(s))
 	}
 	return stageNames[s]
 }
 
-// known reports whether there is such a stage: the number may come from a record.
-func (s Stage) known() bool { return s >= Reconcile && s <= Open }
+// valid reports whether there is such a stage. A number read from a record may be of none.
+func (s Stage) valid() bool { return s >= Reconcile && s <= Open }
 
-// StageOf returns the stage of a name.
+// StageOf returns the stage with a name, and false if there is none.
 func StageOf(name string) (Stage, bool) {
 	if i := slices.Index(stageNames[:], name); i >= 0 {
 		return Stage(i), true
@@ -69,14 +71,14 @@
 	return Open, false
 }
 
-// Levels of priorities, as jobs have them.
+// Priority levels of jobs, as wire.PriorityLevel returns them.
 const (
 	idlePriority = 0
 	highPriority = 2
 )
 
-// DefaultStage is the stage of a job by its priority's level and by whether it has a deadline: what is
-// urgent by priority or has a deadline goes first, what is idle last.
+// DefaultStage returns the stage that admits a job of a priority level: Urgent for high priorities, and for normal
+// priority with a deadline; Services for other jobs of normal priority; Cold for idle priority.
 func DefaultStage(priority int, deadline bool) Stage {
 	switch {
 	case priority >= highPriority || deadline && priority > idlePriority:
@@ -87,21 +89,21 @@
 	return Cold
 }
 
-// MaxDuration is the longest that a stage lasts.
+// MaxDuration returns the bound on a stage's duration, or 0 if there is no such stage.
 func (s Stage) MaxDuration() clock.Micros {
-	if !s.known() {
+	if !s.valid() {
 		return 0
 	}
 	return maxDurations[s]
 }
 
-// Facts is what decides when a stage is over.
+// Facts is the state of the fleet by which Advance decides whether a stage is over.
 type Facts struct {
-	Unsettled int           // machines that are reachable and not accounted for
-	Waiting   map[Stage]int // tasks that wait, by the stage that admits them
+	Unsettled int           // number of reachable machines in the zone that are not accounted for
+	Waiting   map[Stage]int // number of waiting tasks, by the stage that admits them
 }
 
-// Advance returns the stage that follows when a stage has lasted for so long: the same, or the next.
+// Advance returns the next stage if stage s, which has lasted for the given time, is over, and s otherwise.
 func Advance(s Stage, lasted clock.Micros, f Facts) Stage {
 	switch {
 	case s >= Open:
@@ -116,7 +118,7 @@
 	return s
 }
 
-// done reports whether what a stage is for is done.
+// done reports whether a stage's purpose is met: all machines are accounted for, or no task of the stage waits.
 func (s Stage) done(f Facts) bool {
 	switch s {
 	case Reconcile:
@@ -124,7 +126,7 @@
 	case Urgent, Services:
 		return f.Waiting[s] == 0
 	case Cold, Open:
-		return false // trial tasks warm machines for as long as Cold lasts
+		return false // Cold always lasts until its bound, so that trial tasks run on further machines
 	}
 	return false
 }
--- a/internal/recovery/stages_test.go
+++ b/internal/recovery/stages_test.go
@@ -30,8 +30,8 @@
 	require.False(t, ok)
 }
 
-// A stage lasts until what it is for is done, and no longer than its bound; together they stay
-// below the 90 s for which work may wait while a machine that fits has room.
+// A stage ends when its purpose is met, but not before two seconds, and at its bound at the latest. All bounds with their
+// margins stay below 90 s, the longest that work may wait while a suitable machine has free capacity.
 func TestStageEndsWhenDoneOrAtItsBound(t *testing.T) {
 	busy := Facts{Unsettled: 1, Waiting: map[Stage]int{Urgent: 1, Services: 1, Cold: 1}}
 	total := clock.Micros(0)
@@ -41,7 +41,7 @@
 		total += s.MaxDuration() + stageEndMargin
 	}
 	require.Less(t, total, 90*sec)
-	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "what waits may not have been reported yet")
+	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "the waiting tasks may not have been reported yet")
 	require.Equal(t, Urgent, Advance(Reconcile, 2*sec, Facts{}))
 	require.Equal(t, Services, Advance(Urgent, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
 	require.Equal(t, Services, Advance(Services, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -5,33 +5,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// maxDoublings bounds how often ReturnAfter is doubled, so that it can't overflow.
+// maxDoublings bounds how often ReturnAfter is doubled, so that the result cannot overflow.
 const maxDoublings = 10
 
-// Decider follows the evidence. It is made anew by each leader of the fleet, from the records. It
-// does no locking: its user does.
+// Decider decides the states of all zones from the evidence. Each new leader of the fleet makes one from the records.
+// It is not safe for concurrent use.
 type Decider struct {
 	settings Settings
 	zones    map[string]*zoneStatus
 }
 
-// zoneStatus is what a decider knows of one zone.
+// zoneStatus is the state of one zone, with the times on which the next change depends.
 type zoneStatus struct {
 	Record
-	since          clock.Micros // of the state and stage, by the decider's clock
-	missingSince   clock.Micros // since when most machines are missing; 0: they are not
-	reachableSince clock.Micros // since when at least half are reachable; 0: they are not
+	since          clock.Micros // when the state and stage began, or the decider was made if that is later
+	missingSince   clock.Micros // since when most machines have been missing; 0: they are not
+	reachableSince clock.Micros // since when at least half the machines have been reachable; 0: they are not
 }
 
-// observation is what one step decides by.
+// observation is the input of one step.
 type observation struct {
 	evidence map[string]Evidence
-	waiting  map[recovery.Stage]int // tasks, by the stage that admits them
+	waiting  map[recovery.Stage]int // number of waiting tasks, by the stage that admits them
 	now      clock.Micros
 }
 
-// NewDecider makes a decider that goes on where the records stand. What lasted before is not
-// known to it: times begin anew.
+// NewDecider returns a decider that continues from the records; a zone without a record is healthy. All durations start
+// again at now, since the records don't say how long machines have been missing or reachable.
 func NewDecider(s Settings, names []string, records map[string]Record, now clock.Micros) *Decider {
 	d := &Decider{settings: s, zones: map[string]*zoneStatus{}}
 	for _, name := range names {
@@ -44,10 +44,11 @@
 	return d
 }
 
-// Several reports whether there is more than one zone: the only one is never lost by itself.
+// Several reports whether there is more than one zone. A zone that is the only one never changes its state.
 func (d *Decider) Several() bool { return len(d.zones) > 1 }
 
-// Step takes the evidence of all zones and the tasks that wait, and gives the records that changed.
+// Step decides the states of all zones from the evidence and the waiting tasks, and returns the records that changed.
+// The monotonic time now decides; wallMS, in Unix milliseconds, is only written to the records.
 func (d *Decider) Step(evidence map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros, wallMS int64) map[string]Record {
 	changed := map[string]Record{}
 	if !d.Several() {
@@ -65,8 +66,7 @@
 	return changed
 }
 
-// transition takes a zone to the state that follows from an observation: the same, or a neighbour in
-// the package comment's drawing.
+// transition applies at most one of the transitions in the package comment's state diagram to a zone.
 func (d *Decider) transition(name string, z *zoneStatus, o observation) {
 	e := o.evidence[name]
 	z.observe(e, o.now)
@@ -89,21 +89,22 @@
 		}
 	case Returning:
 		if missing {
-			z.loseAgain()
+			z.abortReturn()
 		} else {
 			z.advanceReturn(e, o)
 		}
 	}
 }
 
-// observe keeps since when a zone's machines are missing, and since when they are reachable.
+// observe updates since when most of a zone's machines are missing, and since when at least half are reachable.
 func (z *zoneStatus) observe(e Evidence, now clock.Micros) {
-	z.missingSince = sinceWhen(z.missingSince, e.mostMissing(), now)
-	z.reachableSince = sinceWhen(z.reachableSince, e.halfReachable(), now)
+	z.missingSince = updateSince(z.missingSince, e.mostMissing(), now)
+	z.reachableSince = updateSince(z.reachableSince, e.halfReachable(), now)
 }
 
-// sinceWhen is since when a condition holds, given since when it held before; 0: it does not.
-func sinceWhen(before clock.Micros, holds bool, now clock.Micros) clock.Micros {
+// updateSince returns since when a condition has held without interruption, or 0 if it does not hold. before is the
+// result of the preceding call.
+func updateSince(before clock.Micros, holds bool, now clock.Micros) clock.Micros {
 	switch {
 	case !holds:
 		return 0
@@ -113,13 +114,15 @@
 	return before
 }
 
-// loseAgain gives a return up. While a zone comes and goes, each return begins later than the one before.
-func (z *zoneStatus) loseAgain() {
+// abortReturn sets a returning zone to lost and counts a flap. With each flap the next return takes longer to begin, so
+// that a zone whose machines are missing again and again gets work less often.
+func (z *zoneStatus) abortReturn() {
 	z.State, z.Stage = Lost, recovery.Reconcile
 	z.Flaps++
 }
 
-// advanceReturn goes on with a return, unless operators hold it.
+// advanceReturn moves a return to its next stage when the present one is over, and makes the zone healthy after the last
+// one. It does nothing while operators hold the return.
 func (z *zoneStatus) advanceReturn(e Evidence, o observation) {
 	if z.Held {
 		return
@@ -130,13 +133,13 @@
 	}
 }
 
-// returnDelay is how long a zone that was lost again so often must be reachable before it returns.
+// returnDelay returns how long a lost zone must be reachable before it returns, after the given number of flaps.
 func (d *Decider) returnDelay(flaps int) clock.Micros {
 	return min(d.settings.ReturnAfter<<min(flaps, maxDoublings), d.settings.ReturnMost)
 }
 
-// otherZoneReachable reports whether the machines of some other zone are reachable: where nobody is, it is
-// the controller that decides which is cut off.
+// otherZoneReachable reports whether at least half the machines of some other zone are reachable. If those of no zone
+// are, it is this controller that is cut off, and missing machines say nothing about their zone.
 func (d *Decider) otherZoneReachable(name string, evidence map[string]Evidence) bool {
 	for other := range d.zones {
 		if other != name && evidence[other].halfReachable() {
@@ -146,7 +149,8 @@
 	return false
 }
 
-// Hold stops a return at its stage, or lets it go on; known is false for a zone that there is not.
+// Hold holds a zone's return at its present stage, or lets it continue, and returns the changed record. known is false
+// if there is no such zone.
 func (d *Decider) Hold(name string, held bool, wallMS int64) (r Record, known bool) {
 	z := d.zones[name]
 	if z == nil {
@@ -156,7 +160,7 @@
 	return z.Record, true
 }
 
-// Records returns the states of all zones.
+// Records returns the records of all zones, by name.
 func (d *Decider) Records() map[string]Record {
 	out := make(map[string]Record, len(d.zones))
 	for name, z := range d.zones {
--- a/internal/zone/decider_test.go
+++ b/internal/zone/decider_test.go
@@ -13,7 +13,7 @@
 
 var settings = Settings{SuspectAfter: 4 * sec, LostAfter: 12 * sec, ReturnAfter: 3 * sec, ReturnMost: 60 * sec}
 
-// scenario is a decider of two zones that does a step every half second.
+// scenario is a decider of two zones with the evidence and the waiting tasks that the test sets.
 type scenario struct {
 	t       *testing.T
 	decider *Decider
@@ -33,6 +33,7 @@
 	return s
 }
 
+// run advances the time by d, with one step of the decider every half second.
 func (s *scenario) run(d clock.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += sec / 2
@@ -47,7 +48,8 @@
 	require.Equal(s.t, stage, r.Stage, "%s at %v: %+v", zone, s.now.Seconds(), r)
 }
 
-// A zone is cut off and reachable again: it is suspect, lost, and returns stage by stage.
+// A zone whose machines are missing becomes suspect and then lost. Once they are reachable again it returns through
+// all stages. Each stage ends when its work is done, or at its bound.
 func TestLostZoneReturnsInStages(t *testing.T) {
 	s := newScenario(t)
 	s.run(5 * sec)
@@ -75,12 +77,14 @@
 	s.waiting[recovery.Urgent] = 0
 	s.run(sec / 2)
 	s.requireState("b", Returning, recovery.Services)
-	s.run(15 * sec) // a stage ends at its bound, whatever waits
+	s.run(15 * sec) // the stage ends at its bound although tasks wait
 	s.requireState("b", Returning, recovery.Cold)
 	s.run(15 * sec)
 	s.requireState("b", Healthy, 0)
 }
 
+// A zone stays healthy if less than two thirds of its machines are missing, if it has too few machines to tell, and if no
+// other zone is reachable, so that the deciding controller itself may be cut off.
 func TestZoneWithoutZoneLossStaysHealthy(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
 		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, MissedHeartbeats: 5}},
@@ -101,15 +105,15 @@
 	require.Empty(t, only.Step(map[string]Evidence{"a": allMissing}, nil, 100*sec, 0))
 }
 
-// A zone that comes and goes must be reachable for longer each time before work returns: its
-// returns become fewer.
+// A zone whose machines are missing again during each return must be reachable for twice as long before the next return.
+// Otherwise work would be started in it, and lost, every few seconds.
 func TestFlappingZoneReturnsLaterEachTime(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
 	s.run(20 * sec)
 	s.requireState("b", Lost, 0)
 	returns, last := 0, Lost
-	for range 24 { // two minutes of five seconds each way
+	for range 24 { // for four minutes reachable and missing by turns, for five seconds each
 		s.b = allReachable
 		s.run(5 * sec)
 		if state := s.decider.Records()["b"].State; state == Returning && last != Returning {
@@ -120,14 +124,13 @@
 		last = s.decider.Records()["b"].State
 		require.Equal(t, Lost, last)
 	}
-	require.Equal(t, 1, returns, "the second would take six seconds")
+	require.Equal(t, 1, returns, "the second return begins only after six seconds")
 	s.b = allReachable
 	s.run(6*sec + sec/2)
 	s.requireState("b", Returning, recovery.Reconcile)
 }
 
-// Operators stop a return at its stage; it stays there, also under another decider, until
-// they let it go on.
+// A return that operators hold stays at its stage, also under the decider of another leader, until they let it continue.
 func TestHeldReturnStaysAtItsStage(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
@@ -149,7 +152,8 @@
 	require.False(t, known)
 }
 
-// A new leader's decider goes on where the records stand.
+// A new leader's decider continues from the records: states and stages stay as they were, and only durations start again.
+// Otherwise each change of the leader would make a lost zone healthy, or let a return begin again.
 func TestNewDeciderContinuesFromRecords(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
@@ -165,7 +169,7 @@
 			s.b = allReachable
 		}
 	}
-	require.True(t, seen[Healthy], "with a new decider every second nothing is decided that takes longer")
+	require.True(t, seen[Healthy], "a decider that lives for one second must not decide what takes longer")
 	s.run(20 * sec)
 	s.requireState("b", Lost, 0)
 	s.b = allReachable
@@ -176,7 +180,8 @@
 	s.requireState("b", Healthy, 0)
 }
 
-// A zone that is cut off during a held return is lost all the same; its return is still held then.
+// A zone whose machines are missing during a held return becomes lost in spite of the hold. The next return begins, and is
+// held at its first stage.
 func TestHeldReturnIsLostWhenMachinesAreMissing(t *testing.T) {
 	s := newScenario(t)
 	s.b = allMissing
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,25 +1,26 @@
-// Package zone decides in which state zones are. It is plain code that takes the time and does no I/O:
-// the fleet's leader (package autoscaler) has a Decider, feeds it the evidence of all controllers'
-// machines, and writes the Records that it gives, on the condition of its leadership. All others
-// follow the records.
+// Package zone decides the states of zones. It does no I/O and takes the time as a parameter. The fleet's leader
+// (package autoscaler) passes the evidence on the machines of all controllers to a Decider, and writes the Records
+// that change to the key-value store, on the condition of its leadership. All other controllers follow the records.
 //
 //	          most machines missing        still missing
 //	          for SuspectAfter             after LostAfter
 //	Healthy ----------------------> Suspect -------------> Lost <-----------------+
 //	 ^   ^                             |                    |                     |
 //	 |   +-----------------------------+                    | half reachable for  | most machines
-//	 |            half reachable                            | ReturnAfter, twice  | missing again:
-//	 |                                                      | as long each flap   | one flap more
-//	 |                                                      v                     |
+//	 |            half reachable                            | ReturnAfter, which  | missing again:
+//	 |                                                      | doubles with each   | Flaps is
+//	 |                                                      v flap                | incremented
 //	 +-------------------------------------------------- Returning ---------------+
-//	                all stages of package recovery passed: no flaps any more
+//	                all stages of package recovery passed: Flaps is reset to 0
 //
-// Machines count as missing only while those of another zone are reachable: where nobody is, it is
-// the controller that decides which is cut off. The only zone is never lost by itself.
+// A zone whose machines are missing becomes suspect or lost only while machines of another zone are reachable.
+// If none are reachable in any zone, it is the deciding controller that is cut off. For the same reason a zone
+// that is the only one is never lost.
 //
-// Invariant: a zone that is lost may only be cut off, and inside it controllers and workers go on. So a
-// state never says that a task is gone (docs/design.md, "Why the rules hold", 4, says what does); it only
-// decides where instances are requested, and what is admitted when a zone is back.
+// Invariant: a state never says that a task is gone, since a lost zone may just be cut off while its controllers
+// and workers go on. If it did, tasks would be started twice. What proves that a task is gone is argued in
+// docs/design.md, "Why the rules hold", 4. A state decides only where instances are requested, and which
+// work is admitted to a zone that is reachable again.
 package zone
 
 import (
@@ -29,54 +30,56 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// State of a zone.
+// State is the state of a zone.
 type State string
 
-// States.
+// States of a zone.
 const (
 	Healthy   State = "healthy"
-	Suspect   State = "suspect"   // most of its machines are missing; they may be reachable again soon
-	Lost      State = "lost"      // for longer: no instances are requested there
-	Returning State = "returning" // it is reachable again; work is admitted in stages
+	Suspect   State = "suspect"   // most machines have been missing for a short time: no instances are requested there
+	Lost      State = "lost"      // most machines have been missing for longer: no instances are requested there
+	Returning State = "returning" // the machines are reachable again, and work is admitted in stages
 )
 
-// Record is the state of a zone as it is written to the key-value store.
+// Record is the state of a zone as the key-value store has it.
 type Record struct {
 	State State          `json:"state"`
-	Stage recovery.Stage `json:"stage,omitempty"` // of a return
-	Held  bool           `json:"held,omitempty"`  // operators stopped the return at its stage
-	Flaps int            `json:"flaps,omitempty"` // how often it was lost again while it returned
-	AtMS  int64          `json:"at_ms"`           // time of day of the change
-	Why   string         `json:"why"`             // the evidence
+	Stage recovery.Stage `json:"stage,omitempty"` // stage of the return, while State is Returning
+	Held  bool           `json:"held,omitempty"`  // operators hold the return at its stage
+	Flaps int            `json:"flaps,omitempty"` // number of returns that ended in another loss, since the zone was healthy
+	AtMS  int64          `json:"at_ms"`           // wall clock time of the change, in Unix milliseconds
+	Why   string         `json:"why"`             // the evidence for the change, as text
 }
 
-// minMachines is how many machines a zone must have to be suspected: one or two may fail by themselves.
+// minMachines is the least number of machines of a zone that can become suspect. Where there are only one or two,
+// they may have failed independently of their zone.
 const minMachines = 3
 
-// Evidence is what is known of a zone's machines.
+// Evidence counts the machines of a zone by what is known of them.
 type Evidence struct {
-	Machines         int // that are known
-	MissedHeartbeats int // missing: whose heartbeats are overdue, or whose partition leader can't be reached
-	Unaccounted      int // reachable, and not accounted for by their partition leader yet
+	Machines         int // all known machines of the zone
+	MissedHeartbeats int // missing machines: heartbeats are overdue, or the partition leader can't be reached
+	Unaccounted      int // reachable machines whose partition leader has not accounted for their tasks yet
 }
 
-// String is the evidence for records and logs.
+// String returns the evidence as it is shown in records and logs.
 func (e Evidence) String() string {
 	return fmt.Sprintf("%d of %d machines not heard", e.MissedHeartbeats, e.Machines)
 }
 
-// mostMissing reports whether so many machines are missing, two thirds, that it is the zone and not they.
+// mostMissing reports whether at least two thirds of the machines are missing. With so many, the zone is assumed to
+// have failed, and not the machines one by one.
 func (e Evidence) mostMissing() bool {
 	return e.Machines >= minMachines && 3*e.MissedHeartbeats >= 2*e.Machines
 }
 
-// halfReachable reports whether at least half of the machines are reachable.
+// halfReachable reports whether at least half of the zone's machines are reachable. It is false without machines.
 func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.MissedHeartbeats <= e.Machines }
 
-// Settings of a decider.
+// Settings are the durations after which a Decider changes a zone's state.
 type Settings struct {
-	SuspectAfter clock.Micros // most machines are missing for so long
-	LostAfter    clock.Micros
-	ReturnAfter  clock.Micros // machines are reachable again for so long; doubled with every flap
-	ReturnMost   clock.Micros // the longest that it becomes
+	SuspectAfter clock.Micros // how long most machines must be missing before a healthy zone is suspect
+	LostAfter    clock.Micros // how long most machines must be missing before a suspect zone is lost
+	ReturnAfter  clock.Micros // how long half the machines must be reachable before a lost zone returns; doubles with each flap
+	ReturnMost   clock.Micros // upper bound on the doubled ReturnAfter
 }
