--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -2,11 +2,11 @@
 
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
-// HoldFor is for how long the resource lease is held at the destination, at most. By then the task
-// is gone from the source, or the move is abandoned.
+// HoldFor is the longest time for which a resource lease is held at the destination. A move whose task is not gone from
+// the source by then is abandoned.
 const HoldFor = 30 * clock.Second
 
-// Outcome is how a move ended. Its text is part of the operators' output.
+// Outcome says how a move ended. Its text is part of the operators' output.
 type Outcome string
 
 // Outcomes of moves.
@@ -20,27 +20,27 @@
 	TookTooLong     Outcome = "it took too long"
 )
 
-// moveState is the state of a move; see Move for the transitions.
+// moveState is the state of a move. Move documents the transitions.
 type moveState int
 
 const (
-	leaseRequested moveState = iota // a resource lease is requested at the destination, the task is untouched
-	sourceStopping                  // the lease is held, the source was commanded to checkpoint and stop
-	moveEnded                       // nothing is to be done any more; Record.Outcome says how it ended
+	leaseRequested moveState = iota // a resource lease was requested at the destination; the task is untouched
+	sourceStopping                  // the lease is held; the task was told to checkpoint and stop at the source
+	moveEnded                       // no action is left; Record.Outcome says how the move ended
 )
 
-// Action is what the scheduler has to do next for a move.
+// Action is what the scheduler does next for a move.
 type Action int
 
-// Actions.
+// Actions of a scheduler for a move.
 const (
 	Nothing            Action = iota
-	StopSource                // let the task checkpoint and stop
-	StartDestination          // use the lease: the task is gone from the source for certain
-	ReleaseDestination        // release the lease; the task is placed like any other once it is gone
+	StopSource                // stop the task at the source after a checkpoint
+	StartDestination          // start the task at the destination with the lease: it is certain to be gone from the source
+	ReleaseDestination        // release the lease; if the task stops at the source, it is placed like any other
 )
 
-// Move is the state machine of one move:
+// Move is the state machine of one move. In this diagram an arrow is labelled with an event and the resulting action:
 //
 //	                 Granted / StopSource                 SourceGone(wanted) / StartDestination
 //	leaseRequested ------------------------> sourceStopping ------------------------> moveEnded (Moved)
@@ -56,14 +56,17 @@
 //	      | Expire / Release
 //	      |      -> moveEnded (TookTooLong)
 //
-// Release stands for ReleaseDestination. An event that a state doesn't list changes nothing.
+// The events are the methods: Granted is LeaseAccepted, and Refused is LeaseRejected. Release is ReleaseDestination.
+// An event that is not listed for a state changes nothing.
 //
-// Invariants, in every order of events: the task is left either running at the source, or gone from
-// it; StartDestination is returned at most once, only from sourceStopping and only by the event that
-// says that the task is gone from the source for certain (docs/design.md, "Why the rules hold",
-// argument 4); a lease that is not used is released unless it is gone.
+// Invariants for every order of events:
+//   - StartDestination is returned at most once, only from sourceStopping, and only by SourceGone, which says that
+//     the task is certain to be gone from the source. Otherwise two copies of the task could run (docs/design.md,
+//     "Why the rules hold", argument 4).
+//   - When a move ends, the task either still runs at the source or is gone from it.
+//   - A lease that is not used is released, unless it is gone already.
 //
-// A move is not safe for concurrent use: it belongs to one scheduler and is guarded by its lock.
+// A Move is not safe for concurrent use: it belongs to one scheduler and is guarded by that scheduler's lock.
 type Move struct {
 	*Record
 	planner  *Planner
@@ -71,7 +74,7 @@
 	deadline clock.Micros
 }
 
-// Ended reports whether nothing is to be done any more.
+// Ended reports whether the move has ended, so that no event causes another action.
 func (m *Move) Ended() bool { return m.state == moveEnded }
 
 func (m *Move) end(o Outcome) {
@@ -79,7 +82,7 @@
 	m.Outcome = o
 }
 
-// LeaseAccepted handles the destination's acceptance: the lease is held.
+// LeaseAccepted handles the grant of the lease at the destination.
 func (m *Move) LeaseAccepted() Action {
 	if m.state != leaseRequested {
 		return Nothing
@@ -88,8 +91,8 @@
 	return StopSource
 }
 
-// LeaseRejected handles the destination's rejection. The task has not been touched, so its cool-down is
-// dropped: only the budgets delay the next attempt.
+// LeaseRejected handles the rejection of the lease at the destination. The task has not been stopped, so its
+// cool-down is dropped, and only the budgets delay the next move of it.
 func (m *Move) LeaseRejected() Action {
 	if m.state != moveEnded {
 		m.end(NoLease)
@@ -98,7 +101,7 @@
 	return Nothing
 }
 
-// DestinationLost handles the loss of the lease: its machine or partition leader is gone, or it expired.
+// DestinationLost handles the loss of the lease: its machine or partition leader is gone, or the lease expired.
 func (m *Move) DestinationLost() Action {
 	if m.state != moveEnded {
 		m.end(DestinationGone)
@@ -106,8 +109,8 @@
 	return Nothing
 }
 
-// SourceGone handles that the task is gone from the source for certain; wanted tells that
-// it is to go on: it is not completed, and its job is neither over nor cancelled.
+// SourceGone handles the evidence that the task is certain to be gone from the source. wanted reports whether the task
+// is to run again: it is not completed, and its job is neither finished nor cancelled.
 func (m *Move) SourceGone(wanted bool) Action {
 	switch {
 	case m.state == moveEnded:
@@ -123,7 +126,7 @@
 	return StartDestination
 }
 
-// Abandon ends a move for a reason outside of it.
+// Abandon ends a move for an external reason, such as the end of the job or of the leadership of its team.
 func (m *Move) Abandon() Action {
 	if m.state == moveEnded {
 		return Nothing
@@ -132,7 +135,7 @@
 	return ReleaseDestination
 }
 
-// Expire ends a move that takes too long: the lease may expire at any time from now on.
+// Expire ends a move that has taken longer than HoldFor, after which the lease may expire at any time.
 func (m *Move) Expire(now clock.Micros) Action {
 	if m.state == moveEnded || now < m.deadline {
 		return Nothing
--- a/internal/rebalance/move_test.go
+++ b/internal/rebalance/move_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moveEvent is an event of a move; name is for the messages of failures.
+// moveEvent is an event of a move. Its name appears in messages of failed assertions.
 type moveEvent struct {
 	name  string
 	apply func(m *Move) Action
@@ -24,10 +24,10 @@
 	{"time passes", func(m *Move) Action { return m.Expire(100*sec + HoldFor - 1) }},
 }
 
-// In every order of events: the destination is started at most once, only
-// after its lease was granted and only at the moment at which the task is gone from the source and
-// still wanted; the source is stopped at most once, and only while the lease is held; a lease
-// that isn't used is released unless it is gone.
+// Messages and losses may arrive in any order. In every sequence of six events, the task is started at the destination
+// at most once, only while the lease is held, and only by the event that the task is gone from the source
+// and still wanted; otherwise two copies of it could run. The source is stopped at most once, and only while the
+// lease is held. A lease that is not used is released unless it is gone, so that it does not block capacity.
 func TestMoveInAnyOrderOfEventsStartsTaskOnlyOnceGoneFromSource(t *testing.T) {
 	const steps = 6
 	total := 1
@@ -36,7 +36,7 @@
 	}
 	outcomes := map[Outcome]int{}
 	for n := range total {
-		m := NewPlanner(limits).StartMove(slowMachineCandidate(), coolDestination(), 20*sec, 8*sec, 100*sec)
+		m := NewPlanner(limits).StartMove(slowMachineCandidate(), lessLoadedDestination(), 20*sec, 8*sec, 100*sec)
 		var applied []string
 		granted, lost, over := false, false, false
 		stops, starts, releases := 0, 0, 0
@@ -62,7 +62,7 @@
 		require.LessOrEqual(t, stops, 1, "%v", applied)
 		require.LessOrEqual(t, starts+releases, 1, "%v", applied)
 		if m.Ended() {
-			require.True(t, starts+releases == 1 || lost, "%v: a lease is left behind", applied)
+			require.True(t, starts+releases == 1 || lost, "%v: the lease was neither used nor released", applied)
 			require.NotEqual(t, UnderWay, m.Outcome)
 		}
 		outcomes[m.Outcome]++
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -1,10 +1,8 @@
-// Package rebalance decides which running tasks are moved to another machine, and what each
-// step of a move is.
+// Package rebalance decides which running tasks are moved to another machine, and which steps a move takes.
 //
-// Planner decides on moves, within budgets; Move is the state machine of one of them. Both are
-// decisions without I/O that take the time as a parameter. A move never starts a task: it only says
-// when a resource lease that was granted at the destination may be used, which is once the task is
-// gone from the source for certain.
+// Planner decides on moves, within budgets. Move is the state machine of one move. Both do no I/O and take the time as
+// a parameter. A move does not start the task itself. It tells the scheduler when the lease that was granted at the
+// destination may be used, which is once the task is certain to be gone from the source.
 package rebalance
 
 import (
@@ -13,20 +11,20 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Reason is why a task is moved. Both are drains of a machine, for which the protocol allows
-// a task to be stopped.
+// Reason is why a task is moved. Both reasons are drains of the machine, for which the protocol permits stopping a
+// task.
 type Reason string
 
 // Reasons for moves.
 const (
-	SpotNotice  Reason = "spot notice"  // the cloud takes the machine away
-	SlowMachine Reason = "slow machine" // it is quarantined, since its tasks take much longer
+	SpotNotice  Reason = "spot notice"  // the machine is a spot instance under an eviction notice
+	SlowMachine Reason = "slow machine" // the machine is quarantined, since tasks take much longer on it
 )
 
 // DeclineReason is why a task was not moved.
 type DeclineReason string
 
-// Why tasks are not moved.
+// Reasons for which tasks are not moved.
 const (
 	NotDeclined   DeclineReason = ""
 	StaleView     DeclineReason = "the view of a machine is old"
@@ -43,7 +41,7 @@
 	Vetoed        DeclineReason = "the policy script vetoed it"
 )
 
-// Key identifies a task, whatever its attempt.
+// Key identifies a task across its attempts.
 type Key struct {
 	Job string
 	N   int
@@ -56,52 +54,54 @@
 	Machine    string
 	Reason     Reason
 	Ran        clock.Micros // run time so far
-	Left       clock.Micros // estimated run time left on this machine
-	Unsaved    clock.Micros // progress that is lost on average if the machine is lost
+	Left       clock.Micros // estimated remaining run time on this machine
+	Unsaved    clock.Micros // run time since the last checkpoint, on average: lost if the machine is lost
 	CanSave    bool         // the task writes checkpoints
-	SaveFor    clock.Micros // checkpoint duration
-	NoticeLeft clock.Micros // until the machine is taken, with an eviction notice
-	Pace       float64      // run times on the machine relative to those elsewhere; 0: unknown
-	Heat       float64      // utilization of the machine
+	SaveFor    clock.Micros // duration of a checkpoint
+	NoticeLeft clock.Micros // with an eviction notice: time until the machine is taken
+	Pace       float64      // run times on the machine relative to those on other machines; 0: unknown
+	Heat       float64      // CPU utilization of the machine, scaled by Pace; very large under an eviction notice
 	ViewAge    clock.Micros // age of the scheduler's view of the machine
 }
 
-// Destination is a machine that has room for a candidate.
+// Destination is a machine that has free capacity for a candidate.
 type Destination struct {
 	Machine string
-	Fetch   clock.Micros // time to fetch the image, until the task can start
+	Fetch   clock.Micros // time to fetch the task's image; 0 if the machine has it
 	Pace    float64      // as in Candidate
-	Heat    float64      // utilization of the machine with the task on it
-	ViewAge clock.Micros
+	Heat    float64      // as in Candidate, with the task on the machine
+	ViewAge clock.Micros // age of the scheduler's view of the machine
 }
 
-// Limits of moves.
+// Limits are the operators' limits on moves.
 type Limits struct {
-	Margin     float64      // the gain must be so many times the cost
-	CoolDown   clock.Micros // a task is not moved again for so long
-	PerTeam    int          // moves in a minute
-	PerMachine int          // moves from or to it in a minute
-	Detect     clock.Micros // how long it takes to notice that a machine is gone
+	Margin     float64      // the gain must exceed the cost by this factor
+	CoolDown   clock.Micros // time after a move in which the task is not moved again
+	PerTeam    int          // largest number of moves of a team's tasks in a minute
+	PerMachine int          // largest number of moves from or to a machine in a minute
+	Detect     clock.Micros // time until the loss of a machine is detected
 }
 
 const (
-	// minRunTime is how long a task runs before it is moved.
+	// minRunTime is the shortest time for which a task must have run before it is moved.
 	minRunTime = 30 * clock.Second
-	// minTimeLeft is how much of its run must be left.
+	// minTimeLeft is the shortest remaining run time of a task that is moved.
 	minTimeLeft = 10 * clock.Second
-	// maxViewAge is how old the view of a machine may be for a decision on it.
+	// maxViewAge is the age of a machine view above which no task is moved from or to the machine.
 	maxViewAge = 5 * clock.Second
-	// messageOverhead is what a move takes beside checkpointing and fetching: heartbeats and responses.
+	// messageOverhead is the part of a move's duration that is spent on heartbeats and responses, in addition to the
+	// checkpoint and the fetch of the image.
 	messageOverhead = 2 * clock.Second
-	// reliableNoticeShare is the part of an eviction notice that can be relied on.
+	// reliableNoticeShare is the share of the time left by an eviction notice that the planner relies on. The cloud
+	// may take the machine earlier.
 	reliableNoticeShare = 0.5
-	// budgetPeriod is the period of the limits PerTeam and PerMachine.
+	// budgetPeriod is the period to which the limits PerTeam and PerMachine apply.
 	budgetPeriod = 60 * clock.Second
-	// maxRecentMoves is how many moves are kept for the operators' commands.
+	// maxRecentMoves is the number of moves that are kept for the operators' commands.
 	maxRecentMoves = 32
 )
 
-// Record is a move as the operators' commands show it.
+// Record describes a move for the operators' commands.
 type Record struct {
 	Team, From, To string
 	Key            Key
@@ -111,17 +111,17 @@
 	Outcome        Outcome
 }
 
-// Planner decides on moves and keeps their budgets. It is not safe for concurrent use.
+// Planner decides on moves and enforces their budgets. It is not safe for concurrent use.
 type Planner struct {
 	limits       Limits
-	lastMoved    map[Key]clock.Micros             // start of the latest move, for the cool-down
+	lastMoved    map[Key]clock.Micros             // start of each task's latest move, for the cool-down
 	teamMoves    map[string][]clock.Micros        // starts of moves, by team
 	machineMoves map[string][]clock.Micros        // starts of moves from or to a machine, by machine
-	declines     map[string]map[DeclineReason]int // since the start, by team
-	recent       []*Record                        // the latest maxRecentMoves, oldest first
+	declines     map[string]map[DeclineReason]int // counts since the planner was made, by team
+	recent       []*Record                        // the latest maxRecentMoves moves, oldest first
 }
 
-// NewPlanner makes a planner without moves.
+// NewPlanner returns a planner without moves.
 func NewPlanner(l Limits) *Planner {
 	return &Planner{
 		limits:       l,
@@ -132,7 +132,7 @@
 	}
 }
 
-// Evaluate reports whether a task may be moved at all, before a destination is chosen.
+// Evaluate returns why a task may not be moved to any destination, or NotDeclined if it may be.
 func (p *Planner) Evaluate(c *Candidate, now clock.Micros) DeclineReason {
 	movedAt, moved := p.lastMoved[c.Key]
 	switch {
@@ -154,8 +154,9 @@
 	return NotDeclined
 }
 
-// Weigh reports whether a move to a destination is worth it: its gain exceeds its cost with a
-// margin, and the destination is cooler with the task than the source is now.
+// Weigh returns the gain and the cost of a move to a destination, and why the task is not moved there. why is
+// NotDeclined if the gain exceeds the cost by the margin, and the Heat of the destination with the task is lower than
+// the present Heat of the source. The second condition keeps tasks from being moved back and forth.
 func (p *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > maxViewAge {
 		return 0, 0, StaleView
@@ -174,7 +175,7 @@
 	return gain, cost, NotDeclined
 }
 
-// gain is how much earlier a task completes by a move, the move's cost left out.
+// gain returns how much earlier a task completes if it is moved, before the cost of the move is subtracted.
 func (p *Planner) gain(c *Candidate, to *Destination) clock.Micros {
 	leftAtDestination := clock.Micros(float64(c.Left) / paceOrDefault(c.Pace) * paceOrDefault(to.Pace))
 	switch c.Reason {
@@ -183,14 +184,14 @@
 	case SpotNotice:
 		reliable := clock.Micros(float64(c.NoticeLeft) * reliableNoticeShare)
 		if c.Left <= reliable || c.SaveFor >= reliable {
-			return 0 // it completes before, or can't checkpoint in time
+			return 0 // the task completes before the machine is taken, or can't checkpoint in time
 		}
 		return c.Unsaved + p.limits.Detect + c.Left - leftAtDestination
 	}
 	return 0
 }
 
-// paceOrDefault is a machine's pace, 1 where it is unknown.
+// paceOrDefault returns a machine's Pace, or 1 if it is unknown.
 func paceOrDefault(pace float64) float64 {
 	if pace <= 0 {
 		return 1
@@ -198,7 +199,7 @@
 	return pace
 }
 
-// Decline counts why a task was not moved.
+// Decline counts a task of a team that was not moved, by the reason.
 func (p *Planner) Decline(team string, why DeclineReason) {
 	if p.declines[team] == nil {
 		p.declines[team] = map[DeclineReason]int{}
@@ -206,7 +207,7 @@
 	p.declines[team][why]++
 }
 
-// StartMove starts a move: it counts against the budgets, whatever its outcome.
+// StartMove starts a move. The move counts against the budgets whatever its outcome is.
 func (p *Planner) StartMove(c *Candidate, to *Destination, gain, cost, now clock.Micros) *Move {
 	p.lastMoved[c.Key] = now
 	p.teamMoves[c.Team] = append(p.teamMoves[c.Team], now)
@@ -224,7 +225,7 @@
 	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HoldFor}
 }
 
-// Forget drops the starts of moves that no budget and no cool-down counts any more.
+// Forget drops the starts of moves that are too old to count for a budget or a cool-down.
 func (p *Planner) Forget(now clock.Micros) {
 	for key, movedAt := range p.lastMoved {
 		if now >= movedAt+p.limits.CoolDown {
@@ -251,7 +252,7 @@
 	return count
 }
 
-// Recent returns the latest moves of a team, the last one first.
+// Recent returns the latest moves of a team, newest first.
 func (p *Planner) Recent(team string) (out []Record) {
 	for _, r := range slices.Backward(p.recent) {
 		if r.Team == team {
@@ -261,5 +262,5 @@
 	return out
 }
 
-// DeclinedOf counts why tasks of a team were not moved.
+// DeclinedOf returns how often tasks of a team were not moved, by the reason.
 func (p *Planner) DeclinedOf(team string) map[DeclineReason]int { return p.declines[team] }
--- a/internal/rebalance/planner_test.go
+++ b/internal/rebalance/planner_test.go
@@ -12,13 +12,15 @@
 
 var limits = Limits{Margin: 1.5, CoolDown: 120 * sec, PerTeam: 3, PerMachine: 2, Detect: 20 * sec}
 
-// slowMachineCandidate is a task with 60 s to go on a machine that takes twice as long as others.
+// slowMachineCandidate returns a task with 60 s left to run, on a machine where tasks take twice as long as elsewhere.
 func slowMachineCandidate() *Candidate {
 	return &Candidate{Key: Key{"job-1", 0}, Team: "red", Machine: "m-1", Reason: SlowMachine, Ran: 40 * sec, Left: 60 * sec,
 		Unsaved: 5 * sec, CanSave: true, SaveFor: 2 * sec, Pace: 2, Heat: 1}
 }
 
-func coolDestination() *Destination { return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5} }
+func lessLoadedDestination() *Destination {
+	return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5}
+}
 
 func TestTaskThatMeetsALimitIsDeclinedWithReason(t *testing.T) {
 	for _, test := range []struct {
@@ -31,13 +33,13 @@
 		{CannotSave, func(c *Candidate, _ *Destination) { c.CanSave = false }},
 		{JustStarted, func(c *Candidate, _ *Destination) { c.Ran = 29 * sec }},
 		{NearlyDone, func(c *Candidate, _ *Destination) { c.Left = 9 * sec }},
-		{NoGain, func(c *Candidate, _ *Destination) { c.Left = 24 * sec }}, // 12 s for a cost of 8
+		{NoGain, func(c *Candidate, _ *Destination) { c.Left = 24 * sec }}, // a gain of 12 s for a cost of 8 s
 		{NoGain, func(_ *Candidate, to *Destination) { to.Fetch = 17 * sec }},
 		{NoGain, func(_ *Candidate, to *Destination) { to.Pace = 1.9 }},
 		{NoGain, func(c *Candidate, _ *Destination) { c.Pace = 0 }},
 		{NotCooler, func(_ *Candidate, to *Destination) { to.Heat = 1 }},
 	} {
-		c, to := slowMachineCandidate(), coolDestination()
+		c, to := slowMachineCandidate(), lessLoadedDestination()
 		test.change(c, to)
 		p := NewPlanner(limits)
 		why := p.Evaluate(c, 100*sec)
@@ -48,26 +50,27 @@
 	}
 }
 
-// With an eviction notice a task is moved only if it would not complete by then, and can checkpoint in time.
+// Under an eviction notice a task is moved only if it would not complete before the machine is taken, and can checkpoint
+// in time. The planner relies on half of the time left.
 func TestMoveOnEvictionNoticeIsMadeOnlyWithGain(t *testing.T) {
 	for _, test := range []struct {
 		left, notice, save clock.Micros
 		want               DeclineReason
 	}{
 		{60 * sec, 40 * sec, 2 * sec, NotDeclined},
-		{20 * sec, 40 * sec, 2 * sec, NoGain}, // done by then, even if the notice is short
+		{20 * sec, 40 * sec, 2 * sec, NoGain}, // completes within half of the time left
 		{60 * sec, 40 * sec, 20 * sec, NoGain},
 		{60 * sec, 0, 2 * sec, NoGain},
 	} {
 		c := slowMachineCandidate()
 		c.Reason, c.Left, c.NoticeLeft, c.SaveFor, c.Pace = SpotNotice, test.left, test.notice, test.save, 0
-		_, _, why := NewPlanner(limits).Weigh(c, coolDestination(), 100*sec)
+		_, _, why := NewPlanner(limits).Weigh(c, lessLoadedDestination(), 100*sec)
 		require.Equal(t, test.want, why, "%+v", test)
 	}
 }
 
-// Budgets bound what moves in a minute, and a task that was moved stays where it is for a
-// while: no task is moved back and forth.
+// Budgets bound the moves of a team and of a machine in a minute, and a task that was moved is not moved again during its
+// cool-down. Without them tasks could be moved back and forth, each time at a cost.
 func TestMovesBeyondBudgetsAreDeclined(t *testing.T) {
 	p := NewPlanner(limits)
 	now := 100 * sec
@@ -77,7 +80,7 @@
 		return c
 	}
 	begin := func(n int, from, to string) {
-		d := coolDestination()
+		d := lessLoadedDestination()
 		d.Machine = to
 		p.StartMove(task(n, from), d, 20*sec, 8*sec, now)
 	}
@@ -85,7 +88,7 @@
 	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+sec))
 	refused := p.StartMove(task(9, "m-8"), &Destination{Machine: "m-9"}, 20*sec, 8*sec, now-budgetPeriod)
 	refused.LeaseRejected()
-	require.Equal(t, NotDeclined, p.Evaluate(task(9, "m-8"), now), "nothing was moved")
+	require.Equal(t, NotDeclined, p.Evaluate(task(9, "m-8"), now), "the destination refused, so nothing was moved")
 	begin(1, "m-1", "m-3")
 	require.Equal(t, MachineBudget, p.Evaluate(task(2, "m-1"), now))
 	begin(2, "m-4", "m-2")
@@ -93,8 +96,8 @@
 	other := task(4, "m-6")
 	other.Team = "blue"
 	require.Equal(t, NotDeclined, p.Evaluate(other, now))
-	_, _, why := p.Weigh(other, coolDestination(), now)
-	require.Equal(t, MachineBudget, why, "m-2 has had two")
+	_, _, why := p.Weigh(other, lessLoadedDestination(), now)
+	require.Equal(t, MachineBudget, why, "two moves to m-2 have started within the minute")
 	require.Equal(t, NotDeclined, p.Evaluate(task(3, "m-1"), now+budgetPeriod))
 	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+119*sec))
 	require.Equal(t, NotDeclined, p.Evaluate(task(0, "m-2"), now+120*sec))
