--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -8,38 +8,38 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Settings of an arbiter.
+// Settings are the operators' settings of an Arbiter.
 type Settings struct {
-	Weights map[string]float64 // by team; 1 where none is given
-	// Fresh is how old a demand may be. An older one counts as if nothing of the team waited.
+	Weights map[string]float64 // by team; a team without a weight has weight 1
+	// Fresh is the age up to which a demand counts. With an older one the team counts as if no task waited.
 	Fresh clock.Micros
-	// Withhold is for how long free resources of a machine are withheld from a team that exceeds its
-	// share. A team below its share that waits has requested them by then, or can't use them.
+	// Withhold is how long the free resources of a machine are withheld from teams that exceed their shares. If a
+	// waiting team below its share could use them, its scheduler has requested them by then.
 	Withhold clock.Micros
-	// Open is for how long a machine whose resources were withheld in vain is open to every team.
+	// Open is how long a machine is open to every team after its resources were withheld and not requested.
 	Open clock.Micros
 }
 
-// receivedDemand is a team's demand and when it arrived.
+// receivedDemand is a team's demand with the time at which it arrived.
 type receivedDemand struct {
 	Demand
 	receivedAt clock.Micros
 }
 
-// Arbiter decides, for one partition leader, which assignments must yield to teams below their share.
+// Arbiter decides for one partition leader which assignments must yield to waiting tasks of teams below their shares.
 // It is not safe for concurrent use.
 type Arbiter struct {
 	settings  Settings
 	demands   map[string]receivedDemand // by team
-	capacity  resources.Amounts         // of the leader's machines, as of countedAt
-	used      map[string]Use            // by team: as of countedAt, and what was granted since
+	capacity  resources.Amounts         // of the partition leader's machines, as of countedAt
+	used      map[string]Use            // by team: as of countedAt, plus the leases granted since
 	shares    map[string]float64        // by team, as of countedAt
-	countedAt clock.Micros              // latest UpdateUsage; 0: none yet
+	countedAt clock.Micros              // time of the latest UpdateUsage; 0: none yet
 	withheld  *withholdings
-	yielded   uint64 // assignments that yielded, since the start
+	yielded   uint64 // number of assignments that yielded, since the arbiter was made
 }
 
-// NewArbiter makes an arbiter that knows of no demand, and so withholds nothing.
+// NewArbiter returns an arbiter without any demand. It withholds nothing until it receives some.
 func NewArbiter(s Settings) *Arbiter {
 	return &Arbiter{
 		settings: s,
@@ -50,7 +50,8 @@
 	}
 }
 
-// UpdateDemand handles the demand of a scheduler's teams. Demand of an earlier term is ignored.
+// UpdateDemand replaces the demand of teams by that received from a scheduler at now. Demand of an earlier term than the
+// known one is ignored, since it comes from a scheduler that no longer leads the team.
 func (a *Arbiter) UpdateDemand(demands []Demand, now clock.Micros) {
 	for _, d := range demands {
 		if old, ok := a.demands[d.Team]; ok && old.Term > d.Term {
@@ -60,17 +61,18 @@
 	}
 }
 
-// usageInterval is how often usage is counted anew and shares are divided. Grants in between are added
-// to the last count.
+// usageInterval is the time between two counts of the teams' usage, with each of which the shares are divided again.
+// Leases that are granted in between are added to the last count.
 const usageInterval = clock.Second / 2
 
-// UsageDue reports whether usage should be counted: some demand is known, and the last count is old.
+// UsageDue reports whether the caller should count usage and call UpdateUsage: some demand is known, and the last count
+// is older than usageInterval.
 func (a *Arbiter) UsageDue(now clock.Micros) bool {
 	return len(a.demands) > 0 && (a.countedAt == 0 || now >= a.countedAt+usageInterval)
 }
 
-// UpdateUsage sets what the teams' tasks take of the leader's capacity, drops demand that is too old and
-// withholdings that are over, and divides the capacity.
+// UpdateUsage sets the partition leader's capacity and what the teams' tasks take of it, drops demand that is too old and
+// withholdings that have ended, and divides the capacity into shares.
 func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.countedAt = capacity, used, now
 	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.Fresh })
@@ -78,7 +80,8 @@
 	a.shares = Divide(capacity, a.claimants())
 }
 
-// claimants returns the division's input: use and demand of each team, also demand that is too old.
+// claimants returns the use and the demand of each team as the input of Divide. It includes demand that is too old and
+// has not been dropped yet.
 func (a *Arbiter) claimants() map[string]Claimant {
 	out := make(map[string]Claimant, len(a.used)+len(a.demands))
 	for team, u := range a.used {
@@ -100,7 +103,7 @@
 	return out
 }
 
-// weight is a team's weight, 1 where the settings give none.
+// weight returns a team's weight, or 1 if the settings have none.
 func (a *Arbiter) weight(team string) float64 {
 	if w, ok := a.settings.Weights[team]; ok {
 		return w
@@ -108,45 +111,50 @@
 	return 1
 }
 
-// Yields reports whether an assignment must yield: its team exceeds its share, and a team below its own has
-// waiting work of the same priority or a higher one that could start on the machine, and could not once
-// the assignment had its part. Work within a guarantee never yields. Resources are withheld for as many
-// tasks as wait, one on a machine, and for a bounded time: what nobody takes is open to every team.
-func (a *Arbiter) Yields(ask *Assignment, room *FreeCapacity, now clock.Micros) bool {
-	if ask.WithinGuarantee || a.capacity == (resources.Amounts{}) || !a.exceedsShare(ask) || a.withheld.isOpen(room.Machine, now) {
+// Yields reports whether an assignment must be refused in favour of another team. It must if its team would exceed its
+// share, and a team below its share has a waiting task of the same or a higher priority that could start on the
+// machine now, but not after the assignment. A task that its team's guarantee covers never yields.
+//
+// Each refusal withholds the machine for one waiting task. No more machines are withheld for a team than it has waiting
+// tasks, and each for a bounded time, after which the machine is open to every team. So resources that a waiting
+// team does not request are not left unused.
+func (a *Arbiter) Yields(assignment *Assignment, machine *FreeCapacity, now clock.Micros) bool {
+	if assignment.WithinGuarantee || a.capacity == (resources.Amounts{}) || !a.exceedsShare(assignment) ||
+		a.withheld.isOpen(machine.Machine, now) {
 		return false
 	}
-	team, ok := a.waitingTeam(ask, room, now)
-	if !ok || !a.withheld.withhold(room.Machine, team, now) {
+	team, ok := a.waitingTeam(assignment, machine, now)
+	if !ok || !a.withheld.withhold(machine.Machine, team, now) {
 		return false
 	}
 	a.yielded++
 	return true
 }
 
-// exceedsShare reports whether a team takes more than its share once it is granted the task:
+// exceedsShare reports whether a team would take more than its share with the assignment:
 // dominant(used + need) > share.
-func (a *Arbiter) exceedsShare(ask *Assignment) bool {
-	return Dominant(a.used[ask.Team].All.Plus(ask.Need), a.capacity) > a.shares[ask.Team]+roundingTolerance
+func (a *Arbiter) exceedsShare(assignment *Assignment) bool {
+	return Dominant(a.used[assignment.Team].All.Plus(assignment.Need), a.capacity) > a.shares[assignment.Team]+roundingTolerance
 }
 
-// waitingTeam finds a team below its share with waiting work that only fits the machine without the
-// asked task. Teams are looked at in order of their names, so that the answer is always the same.
-func (a *Arbiter) waitingTeam(ask *Assignment, room *FreeCapacity, now clock.Micros) (team string, ok bool) {
-	remaining := *room
-	remaining.Free = room.Free.Minus(ask.Need)
+// waitingTeam returns the first team below its share with a waiting task that fits on the machine, but not together with
+// the assignment. Teams are checked in the order of their names, so that the result does not depend on the iteration
+// order of a map.
+func (a *Arbiter) waitingTeam(assignment *Assignment, machine *FreeCapacity, now clock.Micros) (team string, ok bool) {
+	remaining := *machine
+	remaining.Free = machine.Free.Minus(assignment.Need)
 	for _, team := range slices.Sorted(maps.Keys(a.demands)) {
 		d := a.demands[team]
-		if team == ask.Team || now > d.receivedAt+a.settings.Fresh || !a.belowShare(team) {
+		if team == assignment.Team || now > d.receivedAt+a.settings.Fresh || !a.belowShare(team) {
 			continue
 		}
 		for i := range d.Shapes {
 			s := &d.Shapes[i]
-			if s.Rank < ask.Rank {
+			if s.Rank < assignment.Rank {
 				continue
 			}
-			onlyWithoutAsked := s.fitsRoom(room) && !s.fitsRoom(&remaining)
-			if onlyWithoutAsked && a.withheld.machines(team, room.Machine) < s.Tasks {
+			onlyWithoutAssignment := s.fitsOn(machine) && !s.fitsOn(&remaining)
+			if onlyWithoutAssignment && a.withheld.machines(team, machine.Machine) < s.Tasks {
 				return team, true
 			}
 		}
@@ -154,45 +162,47 @@
 	return "", false
 }
 
-// belowShare reports whether a team takes less than its share: dominant(used) < share.
+// belowShare reports whether a team takes less than its share, dominant(used) < share.
 func (a *Arbiter) belowShare(team string) bool {
 	return Dominant(a.used[team].All, a.capacity) < a.shares[team]-roundingTolerance
 }
 
-// RecordAccepted adds a granted resource lease to the team's use, and takes its task off the team's demand.
-func (a *Arbiter) RecordAccepted(ask *Assignment, machine string) {
-	u := a.used[ask.Team]
-	u.All = u.All.Plus(ask.Need)
-	if ask.WithinGuarantee {
-		u.WithinGuarantee = u.WithinGuarantee.Plus(ask.Need)
+// RecordAccepted records that a resource lease was granted on a machine: it adds the lease to the team's use, removes the
+// task from the team's demand, and ends the withholding of the machine.
+func (a *Arbiter) RecordAccepted(assignment *Assignment, machine string) {
+	u := a.used[assignment.Team]
+	u.All = u.All.Plus(assignment.Need)
+	if assignment.WithinGuarantee {
+		u.WithinGuarantee = u.WithinGuarantee.Plus(assignment.Need)
 	}
-	a.used[ask.Team] = u
+	a.used[assignment.Team] = u
 	a.withheld.release(machine)
-	a.reduceDemand(ask)
+	a.reduceDemand(assignment)
 }
 
-// reduceDemand takes a granted task off its team's demand: it doesn't wait any more, whatever its
-// scheduler has sent before. The shapes are cloned since they belong to the message.
-func (a *Arbiter) reduceDemand(ask *Assignment) {
-	d := a.demands[ask.Team]
+// reduceDemand removes a task with a granted lease from its team's demand, since the demand was sent before the grant
+// and still counts the task as waiting. It copies the shapes, since they belong to the received message.
+func (a *Arbiter) reduceDemand(assignment *Assignment) {
+	d := a.demands[assignment.Team]
 	shapes := slices.Clone(d.Shapes)
 	for i := range shapes {
-		if s := &shapes[i]; s.Need == ask.Need && s.Rank == ask.Rank && s.Owed == ask.WithinGuarantee && s.Tasks > 0 {
+		if s := &shapes[i]; s.Need == assignment.Need && s.Rank == assignment.Rank && s.Owed == assignment.WithinGuarantee && s.Tasks > 0 {
 			s.Tasks--
 			d.Shapes = shapes
-			a.demands[ask.Team] = d
+			a.demands[assignment.Team] = d
 			return
 		}
 	}
 }
 
-// YieldCount is how many assignments have yielded since the start.
+// YieldCount returns the number of assignments that have yielded since the arbiter was made.
 func (a *Arbiter) YieldCount() uint64 { return a.yielded }
 
-// Capacity is what the standings are fractions of.
+// Capacity returns the capacity of which the shares in Standings are fractions.
 func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
 
-// Standings lists the teams that use resources here or wait for them, in order of their names.
+// Standings returns the standings of all teams that use resources at this partition leader or wait for them, in the
+// order of their names.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
 	all := a.claimants()
 	for _, team := range slices.Sorted(maps.Keys(all)) {
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -1,9 +1,9 @@
 // Package fairshare divides contended resources among teams.
 //
-// Divide computes the shares: weighted max-min fairness of the dominant resource. Arbiter applies them
-// where resource leases are granted: at each partition leader, from what runs there and from the
-// schedulers' latest demand of their teams. Both are decisions without I/O that take the time as a
-// parameter; neither is safe for concurrent use.
+// Divide computes the teams' shares by weighted max-min fairness of the dominant resource. Arbiter applies the shares
+// at each partition leader, where resource leases are granted, by the tasks that run there and the demand that the
+// schedulers last sent for their teams. Both do no I/O and take the time as a parameter. An Arbiter is not safe for
+// concurrent use.
 package fairshare
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Claimant is a team that uses resources or waits for them.
+// Claimant is the input of Divide for one team that uses resources or waits for them.
 type Claimant struct {
-	Weight          float64           // its part of what is divided, relative to the others'
-	Used            resources.Amounts // by its tasks
-	Waiting         resources.Amounts // what its waiting tasks would use
-	WithinGuarantee resources.Amounts // the part of both that its guarantee covers
+	Weight          float64           // of the team's share, relative to other teams' weights
+	Used            resources.Amounts // by its running tasks
+	Waiting         resources.Amounts // requested by its waiting tasks
+	WithinGuarantee resources.Amounts // the part of Used and Waiting that the team's guarantee covers
 }
 
-// resourceCount is how many kinds of resources there are: CPU, GPU, memory.
+// resourceCount is the number of kinds of resources: CPU, GPU and memory.
 const resourceCount = 3
 
-// fractions returns amounts as fractions of a capacity. A resource that the capacity has none of counts
-// as 0: work that needs it can't be placed here.
+// fractions returns amounts as fractions of a capacity, in the order CPU, GPU, memory. A resource whose capacity is 0
+// gets fraction 0, since no task that needs it can be placed here anyway.
 func fractions(a, capacity resources.Amounts) (out [resourceCount]float64) {
 	for i, pair := range [resourceCount][2]int64{{a.CPU, capacity.CPU}, {a.GPU, capacity.GPU}, {a.Mem, capacity.Mem}} {
 		if pair[1] > 0 {
@@ -35,24 +35,24 @@
 	return out
 }
 
-// Dominant is the dominant share of amounts: the largest fraction that they take of any resource of a
-// capacity (Dominant Resource Fairness, Ghodsi et al., NSDI 2011).
+// Dominant returns the dominant share of amounts: the largest of their fractions of a capacity, over all resources
+// (Dominant Resource Fairness, Ghodsi et al., NSDI 2011).
 func Dominant(a, capacity resources.Amounts) float64 {
 	f := fractions(a, capacity)
 	return max(f[0], f[1], f[2])
 }
 
-// teamShare is a team's demand and share while shares are divided, in fractions of the capacity.
+// teamShare is a team's demand and share during the division, as fractions of the capacity.
 type teamShare struct {
 	weight           float64
 	demand           [resourceCount]float64 // used and waiting, by resource
-	maxDominantShare float64                // its dominant share if all of its demand were met
-	guaranteedShare  float64                // its dominant share by its guarantee, at most maxDominantShare
-	share            float64                // its dominant share
+	maxDominantShare float64                // dominant share if all demand were met
+	guaranteedShare  float64                // dominant share of what the guarantee covers, at most maxDominantShare
+	share            float64                // dominant share that the team gets, so far
 	final            bool                   // the share is not raised any more
 }
 
-// newTeamShare is a claimant before the division. A weight that is not above 0 counts as 1.
+// newTeamShare returns a claimant's demand with a share of 0. A weight of 0 or less counts as 1.
 func newTeamShare(c Claimant, capacity resources.Amounts) *teamShare {
 	t := &teamShare{weight: c.Weight, demand: fractions(c.Used.Plus(c.Waiting), capacity)}
 	if t.weight <= 0 {
@@ -64,8 +64,8 @@
 	return t
 }
 
-// shareAt is the team's dominant share at a water level: level * weight, at least what its guarantee
-// covers and at most its demand.
+// shareAt returns the team's dominant share at a level of the progressive filling: level * weight, but at least its
+// guaranteed share and at most the share that meets all its demand.
 func (t *teamShare) shareAt(level float64) float64 {
 	return min(t.maxDominantShare, max(t.guaranteedShare, level*t.weight))
 }
@@ -80,18 +80,18 @@
 	return false
 }
 
-// roundingTolerance is how far the sum of a resource may exceed its capacity, as a fraction, by rounding.
+// roundingTolerance is the fraction of the capacity up to which differences count as rounding errors.
 const roundingTolerance = 1e-9
 
-// Divide returns each team's share of a capacity as a fraction of its dominant resource: weighted max-min
-// fairness (progressive filling, as in Bertsekas and Gallager, Data Networks) of dominant shares. A team
-// gets no more than it demands and no less than its guarantee covers of that.
+// Divide returns each team's share of a capacity, as a fraction of the team's dominant resource. The shares are
+// weighted max-min fair (progressive filling, as in Bertsekas and Gallager, Data Networks). A team gets no more than
+// its demand, and no less than the part of its demand that its guarantee covers.
 //
-// One level rises for all teams until a resource is exhausted; teams that demand it keep their share, the
-// level rises on for the others. Unless guarantees exceed the capacity, each pass meets all demand or
-// exhausts one resource more, hence resourceCount passes.
+// One level rises for all teams until a resource is exhausted. Teams that demand this resource keep their shares, and
+// the level rises further for the others. Unless the guarantees exceed the capacity, each pass meets all
+// demand or exhausts one more resource, so that resourceCount passes suffice.
 func Divide(capacity resources.Amounts, teams map[string]Claimant) map[string]float64 {
-	names := slices.Sorted(maps.Keys(teams)) // a fixed order, so that sums round alike everywhere
+	names := slices.Sorted(maps.Keys(teams)) // a fixed order, so that floating-point sums are the same in every process
 	shares := make([]*teamShare, 0, len(names))
 	for _, name := range names {
 		shares = append(shares, newTeamShare(teams[name], capacity))
@@ -113,11 +113,12 @@
 	return out
 }
 
-// levelBisections is how often the interval of the level is halved: more than the 53 bits of a float64.
+// levelBisections is the number of bisections that find the level. It exceeds the 53 bits of a float64's significand,
+// so that more would not improve the result.
 const levelBisections = 60
 
-// raiseLevel raises the level until a resource is exhausted or all demand is met, and returns the
-// resources that are exhausted.
+// raiseLevel returns the highest level at which no resource is exceeded, and the resources that are exhausted there.
+// If all demand can be met, it returns the lowest level that meets it, and no exhausted resource.
 func raiseLevel(shares []*teamShare) (level float64, exhausted [resourceCount]bool) {
 	high := 0.0
 	for _, t := range shares {
@@ -144,8 +145,8 @@
 	return low, exhausted
 }
 
-// consumption sums what the teams take of each resource at a level, as fractions of the capacity: a
-// team takes of each resource in proportion to its demand.
+// consumption returns what all teams together take of each resource at a level, as fractions of the capacity. A team
+// takes all resources in the proportions of its demand.
 func consumption(shares []*teamShare, level float64) (sum [resourceCount]float64) {
 	for _, t := range shares {
 		if t.maxDominantShare == 0 {
@@ -162,7 +163,7 @@
 	return sum
 }
 
-// withinCapacity reports whether no resource is taken beyond its capacity.
+// withinCapacity reports whether no resource is exceeded, up to the rounding tolerance.
 func withinCapacity(sum [resourceCount]float64) bool {
 	return max(sum[0], sum[1], sum[2]) <= 1+roundingTolerance
 }
--- a/internal/fairshare/divide_test.go
+++ b/internal/fairshare/divide_test.go
@@ -19,24 +19,24 @@
 		teams    map[string]Claimant
 		want     map[string]float64
 	}{
-		{"alone it may have all", cpus(100),
+		{"a team without others gets the whole capacity", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}}, map[string]float64{"a": 1}},
-		{"no more than is demanded, the rest goes on", cpus(100),
+		{"a team gets no more than its demand, the others get the rest", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Used: cpus(5), Waiting: cpus(5)}, "c": {}},
 			map[string]float64{"a": 0.9, "b": 0.1, "c": 0}},
-		{"by weight", cpus(100),
+		{"shares are proportional to weights", cpus(100),
 			map[string]Claimant{"a": {Weight: 3, Waiting: cpus(500)}, "b": {Weight: 1, Waiting: cpus(500)}},
 			map[string]float64{"a": 0.75, "b": 0.25}},
-		{"a guarantee comes first", cpus(100),
+		{"a guarantee is met before other demand", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(500), WithinGuarantee: cpus(80)}},
 			map[string]float64{"a": 0.2, "b": 0.8}},
-		{"a guarantee is no more than the demand", cpus(100),
+		{"a guarantee counts up to the demand", cpus(100),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(10), WithinGuarantee: cpus(80)}},
 			map[string]float64{"a": 0.9, "b": 0.1}},
-		{"by the dominant resource", resources.Capacity(90, 0, 180),
+		{"shares are equal in the dominant resource", resources.Capacity(90, 0, 180),
 			map[string]Claimant{"a": {Waiting: resources.Capacity(100, 0, 400)}, "b": {Waiting: resources.Capacity(300, 0, 100)}},
 			map[string]float64{"a": 2.0 / 3, "b": 2.0 / 3}},
-		{"one resource is used up, who needs another goes on", resources.Capacity(100, 10, 0),
+		{"a team that needs no exhausted resource gets more", resources.Capacity(100, 10, 0),
 			map[string]Claimant{"a": {Waiting: cpus(500)}, "b": {Waiting: cpus(500)}, "g": {Waiting: resources.Capacity(0, 50, 0)}},
 			map[string]float64{"a": 0.5, "b": 0.5, "g": 1}},
 		{"without capacity there are no shares", resources.Amounts{},
@@ -52,10 +52,8 @@
 	}
 }
 
-// With any demand: no resource is exceeded unless guarantees are, no team has more than it
-// demands or less than its guarantee, no room is left while a demand for it isn't met, and of
-// two teams that both want more the one with the smaller share by weight has a guarantee or
-// lacks a resource that the other doesn't need.
+// For random demand: no resource is exceeded, no team gets more than its demand or less than the part of it that its
+// guarantee covers, and a team whose demand is not met demands a resource that is exhausted.
 func TestDivideOfRandomDemandKeepsInvariants(t *testing.T) {
 	rng := fakes.Rand(7)
 	for range 2000 {
@@ -101,7 +99,7 @@
 			for r := range resourceCount {
 				exhausted = exhausted || demand[r] > 0 && used[r] > 1-1e-6
 			}
-			require.True(t, exhausted, "room is left, and %s wants more", name)
+			require.True(t, exhausted, "%s demands more, and none of its resources is exhausted", name)
 		}
 	}
 }
--- a/internal/fairshare/withholding.go
+++ b/internal/fairshare/withholding.go
@@ -6,21 +6,21 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// withholdings are the machines whose free resources are withheld from teams that exceed their share. A
-// machine goes through three states:
+// withholdings tracks the machines whose free resources are withheld from teams that exceed their share. A machine
+// goes through three states:
 //
 //	open to every team -- withhold --> withheld -- timeout --> open until openFor has passed
 //	        ^                              |                              |
 //	        +---- release (a grant) -------+                              |
 //	        +-------------------------------------------------------------+
 type withholdings struct {
-	timeout  clock.Micros // for how long a machine is withheld
-	openFor  clock.Micros // for how long it is open after it was withheld in vain
-	withheld map[string]withholding
-	open     map[string]clock.Micros // until when a machine is open, by machine that was withheld in vain
+	timeout  clock.Micros            // how long a machine is withheld
+	openFor  clock.Micros            // how long a machine is open to every team after a withholding timed out
+	withheld map[string]withholding  // by machine
+	open     map[string]clock.Micros // until when a machine is open after a withholding timed out, by machine
 }
 
-// withholding is that a machine is withheld in favour of a team.
+// withholding says that a machine has been withheld in favour of a team since a time.
 type withholding struct {
 	team  string
 	since clock.Micros
@@ -35,11 +35,11 @@
 	}
 }
 
-// isOpen reports whether a machine was withheld in vain and is open to every team for now.
+// isOpen reports whether a machine is open to every team at present, since a withholding of it timed out.
 func (w *withholdings) isOpen(machine string, now clock.Micros) bool { return now < w.open[machine] }
 
-// withhold withholds a machine in favour of a team, unless it is withheld already; false once that has
-// lasted for the timeout: the machine is open then.
+// withhold withholds a machine in favour of a team, unless the machine is withheld already. It returns true while the
+// withholding lasts. After the timeout it opens the machine to every team and returns false.
 func (w *withholdings) withhold(machine, team string, now clock.Micros) bool {
 	current, ok := w.withheld[machine]
 	if !ok {
@@ -54,10 +54,10 @@
 	return true
 }
 
-// release ends the withholding of a machine.
+// release ends the withholding of a machine without opening the machine to every team.
 func (w *withholdings) release(machine string) { delete(w.withheld, machine) }
 
-// machines counts the machines that are withheld in favour of a team, one left out.
+// machines returns the number of machines that are withheld in favour of a team, not counting the machine except.
 func (w *withholdings) machines(team, except string) int {
 	count := 0
 	for machine, current := range w.withheld {
@@ -68,7 +68,7 @@
 	return count
 }
 
-// forget drops what is over.
+// forget drops withholdings and openings that have ended.
 func (w *withholdings) forget(now clock.Micros) {
 	maps.DeleteFunc(w.open, func(_ string, until clock.Micros) bool { return now >= until })
 	maps.DeleteFunc(w.withheld, func(_ string, current withholding) bool { return now >= current.since+w.timeout })
