--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,10 +16,12 @@
 	require.Equal(t, 27*time.Second, (27 * Second).Duration())
 }
 
-// What one process counts to the shortened span ends, by any clock, before the same span elsewhere.
+// A span shortened by LessDrift on one process's clock ends before the full span on any other's, and one lengthened by
+// PlusDrift ends after it, for clocks of any permitted rates. Otherwise two processes could both believe that they
+// hold the same lease.
 func TestSpansWithDriftBoundTheSameSpanElsewhere(t *testing.T) {
 	const lease = 24 * Second
-	fastest, slowest := 1.0005, 0.9995 // rates of steady clocks
+	fastest, slowest := 1.0005, 0.9995 // extreme rates of monotonic clocks
 	require.LessOrEqual(t, float64(lease.LessDrift())/slowest, float64(lease)/fastest)
 	require.GreaterOrEqual(t, float64(lease.PlusDrift())/fastest*1.000001, float64(lease)/slowest, "to a millionth")
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -1,42 +1,42 @@
-// Package placement estimates the cost of placing a task on a machine: by how many seconds it starts or ends
-// later than on an ideal machine. It is a pure function of Task, Machine and Weights; the scheduler collects
-// these and takes the cheapest machine.
+// Package placement estimates the cost of placing a task on a machine: the number of seconds by which the task starts
+// or ends later than on an ideal machine. The cost is a pure function of Task, Machine and Weights. The scheduler
+// collects these and takes the machine with the lowest cost.
 package placement
 
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
-// Task is what the cost takes into account of a task.
+// Task holds the properties of a task on which the cost depends.
 type Task struct {
-	Estimate clock.Micros // of its run time
-	Fetch    clock.Micros // of its image, by a machine that fetches nothing else; 0: not known
+	Estimate clock.Micros // estimated run time
+	Fetch    clock.Micros // time to fetch the image on a machine that fetches nothing else; 0: unknown
 }
 
-// Machine is what the cost takes into account of a machine that the task fits.
+// Machine holds the properties of a machine on which the cost depends. The task fits on the machine.
 type Machine struct {
-	HasImage  bool
-	Fetching  bool    // it fetches the task's image already
-	Others    int     // other images that it fetches now
-	Pace      float64 // run times on the machine relative to those elsewhere; 0: not known
-	InUse     float64 // share of the machine that is in use with the task on it
-	PricePart float64 // its price relative to the most expensive kind's; 0: not known
+	HasImage  bool    // the machine has the task's image
+	Fetching  bool    // the machine is fetching the task's image
+	Others    int     // number of other images that the machine is fetching
+	Pace      float64 // run times on the machine relative to those on other machines; 0: unknown
+	InUse     float64 // CPU utilization of the machine with the task on it, from 0 to 1
+	PricePart float64 // price of a CPU relative to that of the most expensive kind; 0: unknown
 }
 
 // Weights are the operators' weights of the parts of the cost.
 type Weights struct {
-	Data  float64 // of seconds spent on images: 0 ignores where they are
-	Even  float64 // seconds that a full machine costs more than an empty one
-	Price float64 // seconds that a machine of the most expensive kind costs more than a free one
+	Data  float64 // factor of the seconds spent on fetching images; 0: the location of images does not matter
+	Even  float64 // seconds that a fully used machine costs more than an empty one
+	Price float64 // seconds that a machine of the most expensive kind costs more than one that costs nothing
 }
 
-// remainingFetchShare is the part of a fetch in progress that is left on average.
+// remainingFetchShare is the part of a fetch that is left on average when the fetch is already under way.
 const remainingFetchShare = 0.5
 
-// Known reports whether enough is known of the image to estimate costs at all.
+// Known reports whether the time to fetch the image is known, without which costs are not estimated.
 func (t *Task) Known() bool { return t.Fetch > 0 }
 
-// Cost is the cost of a machine in seconds: the time to fetch the image, the time by which a slow machine delays
-// the task, and the operators' weights of utilization and price. Images that are fetched concurrently share the
-// machine's rate.
+// Cost returns the cost, in seconds, of placing a task on a machine: the weighted time to fetch the image, the time by
+// which a slow machine prolongs the run, and the weighted utilization and price. Images that a machine fetches
+// concurrently share its bandwidth.
 func Cost(t *Task, m *Machine, w *Weights) float64 {
 	cost := 0.0
 	if !m.HasImage {
@@ -52,12 +52,12 @@
 	return cost + w.Even*m.InUse + w.Price*m.PricePart
 }
 
-// Tie is the difference in cost, in seconds, below which machines count as equally good: estimates are not more
-// accurate than that, and other reasons decide.
+// Tie is the difference in cost, in seconds, up to which machines count as equally good. The estimates are not more
+// accurate than that, so other criteria decide between such machines.
 const Tie = 0.5
 
-// WaitFor is for how long a task should wait for a machine that has its image: no longer than the fetch would
-// take, by the weight of data, and no longer than the bound.
+// WaitFor returns how long a task should wait for capacity on a machine that has its image: the time to fetch the
+// image, multiplied by the weight of data, but at most bound.
 func WaitFor(t *Task, w *Weights, bound clock.Micros) clock.Micros {
 	return min(clock.FromSeconds(t.Fetch.Seconds()*w.Data), bound)
 }
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -18,16 +18,16 @@
 		weights *Weights
 		want    float64
 	}{
-		"it has the image":                       {Machine{HasImage: true}, w, 0},
-		"the image is fetched":                   {Machine{}, w, 8},
-		"beside two others, at a third the rate": {Machine{Others: 2}, w, 24},
-		"the fetch has begun":                    {Machine{Fetching: true}, w, 4},
-		"a slow machine that has the image":      {Machine{HasImage: true, Pace: 1.5}, w, 15},
-		"a fast machine":                         {Machine{HasImage: true, Pace: 0.9}, w, -3},
-		"where images are does not matter":       {Machine{Others: 5}, &Weights{}, 0},
-		"evenness against data":                  {Machine{HasImage: true, InUse: 0.75}, &Weights{Data: 1, Even: 20}, 15},
-		"the most expensive kind":                {Machine{HasImage: true, PricePart: 1}, &Weights{Data: 1, Price: 3}, 3},
-		"what is not known counts for nothing":   {Machine{HasImage: true}, &Weights{Data: 1, Price: 3}, 0},
+		"the machine has the image":             {Machine{HasImage: true}, w, 0},
+		"the image must be fetched":             {Machine{}, w, 8},
+		"two other fetches share the bandwidth": {Machine{Others: 2}, w, 24},
+		"the fetch is under way":                {Machine{Fetching: true}, w, 4},
+		"a slow machine that has the image":     {Machine{HasImage: true, Pace: 1.5}, w, 15},
+		"a fast machine":                        {Machine{HasImage: true, Pace: 0.9}, w, -3},
+		"the location of images has no weight":  {Machine{Others: 5}, &Weights{}, 0},
+		"a utilized machine that has the image": {Machine{HasImage: true, InUse: 0.75}, &Weights{Data: 1, Even: 20}, 15},
+		"the most expensive kind":               {Machine{HasImage: true, PricePart: 1}, &Weights{Data: 1, Price: 3}, 3},
+		"an unknown price costs nothing":        {Machine{HasImage: true}, &Weights{Data: 1, Price: 3}, 0},
 	} {
 		t.Run(name, func(t *testing.T) { require.InDelta(t, test.want, Cost(task, &test.machine, test.weights), 1e-9) })
 	}
@@ -37,6 +37,6 @@
 	w := &Weights{Data: 1}
 	require.Equal(t, 3*sec, WaitFor(&Task{Fetch: 3 * sec}, w, 8*sec))
 	require.Equal(t, 8*sec, WaitFor(&Task{Fetch: 30 * sec}, w, 8*sec))
-	require.Zero(t, WaitFor(&Task{Fetch: 30 * sec}, &Weights{}, 8*sec), "where images are does not matter")
+	require.Zero(t, WaitFor(&Task{Fetch: 30 * sec}, &Weights{}, 8*sec), "the location of images does not matter")
 	require.False(t, (&Task{}).Known())
 }
