--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -2,10 +2,10 @@
 // from the cloud to meet the demand that the schedulers report, returns instances that are no longer needed,
 // and decides the states of zones.
 //
-// Decisions are made by code without I/O: Plan decides what to request and what to return, in the steps
-// available kinds, capacity, bin packing of the demand, limits and requests; instanceList tracks which
-// instances exist; requestPacer limits how many requests are sent at a time; package zone decides the
-// states of zones. Autoscaler, zoneStates and CloudClient do the I/O.
+// Decisions are made by code without I/O. Plan decides what to request and what to return: it finds the kinds of
+// instances that may be requested, collects the capacity there is and will be, packs the demand into it, applies
+// limits, and makes the requests. instanceList tracks which instances exist, requestPacer limits how many requests
+// are sent at a time, and package zone decides the states of zones. Autoscaler, zoneStates and CloudClient do the I/O.
 //
 // Invariants; the numbers are those of the arguments in docs/design.md, "Why the rules hold":
 //   - An instance counts as gone only on evidence from the cloud: it was returned, is listed as failed, or is
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -62,7 +62,7 @@
 }
 
 // observePage adds the instances on one page of a list. The read of the list began at startedAt, and the page
-// arrived at now.
+// arrived at now. Instances that are known to be gone are ignored, since a lagging list may still show them.
 func (l *instanceList) observePage(page []wire.Instance, startedAt, now clock.Micros) {
 	for _, listed := range page {
 		if l.goneSince[listed.ID] != 0 {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -88,7 +88,7 @@
 
 // Machines that are idle for too long, silent for too long, quarantined without tasks, failed, or did not come up are
 // returned; those that are idle for a shorter time or still have tasks are not.
-func TestPlanReturnsMachinesOfNoUse(t *testing.T) {
+func TestPlanReturnsMachinesNoLongerNeeded(t *testing.T) {
 	in := testInput()
 	old := Instance{InstanceKind: InstanceKind{"big", "a", true}, Phase: wire.MachineBooting, Since: in.Now - 91*sec}
 	in.Instances["m-5"], in.Instances["m-6"] = instanceAs(old, "m-5", ""), instanceAs(old, "m-6", wire.MachineFailed)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -84,7 +84,7 @@
 }
 
 // scaleOut sends the planned requests. If the cloud grants less than was requested, scaleOut plans again and
-// requests other kinds in the same step. It reports false if it stopped since this controller lost the leadership.
+// requests other kinds in the same step. It returns false if it stopped because this controller lost the leadership.
 func (a *Autoscaler) scaleOut(ctx context.Context, in Input, planned []ScaleOut) (leading bool) {
 	for pass := 0; pass < maxScaleOutPasses && len(planned) > 0; pass++ {
 		if !a.stillLeading() {
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// Errors and malformed responses of the cloud add no instances; the requests are repeated later.
+// Errors and malformed responses of the cloud add no instances, and don't keep the next step from requesting them again.
 func TestMalformedCloudResponseGrantsNothing(t *testing.T) {
 	s := newScenario(t)
 	s.controllers.demands = waitingDemand(2, nil)
--- a/internal/zone/decider_test.go
+++ b/internal/zone/decider_test.go
@@ -85,7 +85,7 @@
 
 // A zone stays healthy if less than two thirds of its machines are missing, if it has too few machines to tell, and if no
 // other zone is reachable, so that the deciding controller itself may be cut off.
-func TestZoneWithoutZoneLossStaysHealthy(t *testing.T) {
+func TestZoneStaysHealthyWithoutEvidenceOfZoneLoss(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
 		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, MissedHeartbeats: 5}},
 		"no zone is reachable: the controller is cut off": {allMissing, allMissing},
