--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -10,52 +10,54 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// eachPlaceableJob visits the jobs of the queue team by team, in order, each
-// with how many tasks its team's limit leaves room for.
+// eachPlaceableJob calls visit for the jobs of the scheduling queue, team by team and within a team in the queue's order. tasks
+// is how many of the job's waiting tasks fit below the team's limit, after those of the team's earlier jobs. Jobs without such
+// tasks, and jobs that fail too often, are left out.
 func (s *Scheduler) eachPlaceableJob(now clock.Micros, visit func(j *job, tasks int)) {
 	queue := s.schedulingOrder(now)
 	for _, tm := range s.teams {
-		room := tm.roomBelowLimit()
+		remaining := tm.remainingQuota()
 		for _, j := range queue {
 			if j.team != tm || j.consecutiveErrors > maxErrorsWithDemand {
 				continue
 			}
-			if n := min(j.waiting(), tasksThatFit(room, j.Need)); n > 0 {
-				room = room.Minus(j.Need.Times(int64(n)))
+			if n := min(j.waiting(), tasksThatFit(remaining, j.Need)); n > 0 {
+				remaining = remaining.Minus(j.Need.Times(int64(n)))
 				visit(j, n)
 			}
 		}
 	}
 }
 
-// maxErrorsWithDemand is after how many errors in a row a job's tasks count as no demand: machines for it would be wasted.
+// maxErrorsWithDemand is how many errors in a row a job may have while its tasks still count as demand: machines that are rented
+// for a job that keeps failing would be wasted.
 const maxErrorsWithDemand = 6
 
-// roomBelowLimit is what a team may still use.
-func (tm *team) roomBelowLimit() resources.Amounts {
-	room := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
+// remainingQuota returns how many CPUs and GPUs the team may still use below its limit.
+func (tm *team) remainingQuota() resources.Amounts {
+	remaining := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
 	if tm.Limit.CPU > 0 {
-		room.CPU = tm.Limit.CPU - tm.used.CPU
+		remaining.CPU = tm.Limit.CPU - tm.used.CPU
 	}
 	if tm.Limit.GPU > 0 {
-		room.GPU = tm.Limit.GPU - tm.used.GPU
+		remaining.GPU = tm.Limit.GPU - tm.used.GPU
 	}
-	return room
+	return remaining
 }
 
-// tasksThatFit is how many tasks fit by CPUs and GPUs; it may be below 0.
-func tasksThatFit(room, need resources.Amounts) int {
+// tasksThatFit returns how many tasks fit into a capacity by their CPUs and GPUs. It is negative if the capacity is.
+func tasksThatFit(capacity, need resources.Amounts) int {
 	n := math.MaxInt
 	if need.CPU > 0 {
-		n = min(n, int(room.CPU/need.CPU))
+		n = min(n, int(capacity.CPU/need.CPU))
 	}
 	if need.GPU > 0 {
-		n = min(n, int(room.GPU/need.GPU))
+		n = min(n, int(capacity.GPU/need.GPU))
 	}
 	return n
 }
 
-// Demands lists what waits, for the autoscaler.
+// Demands returns, for the autoscaler, the tasks of each job that wait for capacity.
 func (s *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
 	s.eachPlaceableJob(now, func(j *job, tasks int) {
 		out = append(out, peer.Demand{
@@ -73,7 +75,8 @@
 	return out
 }
 
-// slack is how long a job's tasks may wait; 0: not known, or late already.
+// slack returns for how long a job's tasks may still wait before they are late; 0 if they are late already, or if nothing
+// demands a time.
 func (s *Scheduler) slack(j *job, now clock.Micros) clock.Micros {
 	if j.DeadlineS != nil {
 		if j.missesDeadline(now) {
@@ -81,33 +84,34 @@
 		}
 		return max(clock.Second, j.deadline()-now-clock.FromSeconds(j.RuntimeEstimateS))
 	}
-	// To be finished within a time is as good as a deadline.
+	// The time within which jobs of this class should be finished counts like a deadline.
 	if start := s.timing.latestStart(j); start != math.MaxInt64 && now < start {
 		return start - now
 	}
 	return 0
 }
 
-// maxDemandShapes bounds how many shapes of work are published for a team: the first in the queue. The others are
-// published once those are placed.
+// maxDemandShapes limits how many shapes are published for a team, which are the first ones in the queue. The others are
+// published after these have been placed. A shape stands for tasks with the same requirements.
 const maxDemandShapes = 24
 
-// demandInterval is how often demand is published to a partition leader, and counted anew for that. Polls follow
-// one another much faster under load, and most of a small controller's time goes into them.
+// demandInterval is the minimum time between two publications of the demand to a partition leader. Polls follow each other much
+// faster under load, and a small controller would spend most of its time on demands if each poll carried them.
 const demandInterval = 250 * clock.Millisecond
 
-// demandPublication is the demand of the teams led here, as last counted for the partition leaders.
+// demandPublication is the demand of the teams that this process leads, as last computed for the partition leaders.
 type demandPublication struct {
-	demands   []fairshare.Demand
-	countedAt clock.Micros // 0: never
+	demands    []fairshare.Demand
+	computedAt clock.Micros // 0: never
 }
 
-// isStale reports whether the demand is to be counted anew.
+// isStale reports whether the demand must be computed again before it is published.
 func (p *demandPublication) isStale(now clock.Micros) bool {
-	return p.countedAt == 0 || now >= p.countedAt+demandInterval/2
+	return p.computedAt == 0 || now >= p.computedAt+demandInterval/2
 }
 
-// DemandsFor returns what to publish to a partition leader with a poll, nothing where it was sent a moment ago.
+// DemandsFor returns the demand to publish to a partition leader with the next poll, or nil if demandInterval has not passed since
+// the last publication to it.
 func (s *Scheduler) DemandsFor(host string, now clock.Micros) []fairshare.Demand {
 	session := s.sessions[host]
 	if session.demandsSentAt != 0 && now < session.demandsSentAt+demandInterval {
@@ -115,14 +119,14 @@
 	}
 	session.demandsSentAt = now
 	if s.published.isStale(now) {
-		s.published = demandPublication{demands: s.teamDemands(now), countedAt: now}
+		s.published = demandPublication{demands: s.teamDemands(now), computedAt: now}
 	}
 	return s.published.demands
 }
 
-// teamDemands counts what waits of each team that is led here, also where nothing does. Tasks
-// that a former leader may have started, and that wait for machines to be accounted for, are
-// left out: no capacity could be used for them now.
+// teamDemands computes the demand of each team that this process leads, also of teams for which nothing waits. It leaves out jobs
+// with tasks that a former leader may have started and that therefore wait until all machines are accounted for, since they
+// could not use capacity now.
 func (s *Scheduler) teamDemands(now clock.Micros) []fairshare.Demand {
 	shapes := map[string][]fairshare.Shape{}
 	indices := map[shapeKey]int{}
@@ -150,7 +154,7 @@
 	return out
 }
 
-// shapeKey is what makes work of a team alike for the partition leaders.
+// shapeKey identifies a shape: tasks of a team with the same key are alike for the partition leaders.
 type shapeKey struct {
 	team            string
 	need            resources.Amounts
--- a/internal/scheduler/exhausted_demand.go
+++ b/internal/scheduler/exhausted_demand.go
@@ -4,16 +4,17 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// exhaustedDemand remembers, for one scheduling cycle, what found no capacity: a job that needs as
-// much or more, and is as constrained or more, need not search again.
+// exhaustedDemand records, for one scheduling cycle, for which jobs no capacity was found, so that the search is not repeated for
+// the same job or for a job that needs at least as much as an unconstrained one.
 type exhaustedDemand struct {
-	needs     []resources.Amounts // of unconstrained jobs
-	jobs      map[*job]bool
-	staged    bool                 // work returns to a zone: what one job may not have another may
-	noVictims map[victimClass]bool // for which no victims were found: of lower priority, of other teams
+	needs  []resources.Amounts // requests of one task of unconstrained jobs for which no machine had capacity
+	jobs   map[*job]bool       // jobs for which no machine had capacity
+	staged bool                // work returns to a zone in stages, so capacity that one job can't get may be open to another
+	// noVictims has the classes for which no tasks to preempt were found.
+	noVictims map[victimClass]bool
 }
 
-// victimClass is what decides, beside the capacity that a task needs, whose tasks it may preempt.
+// victimClass is what decides which tasks a job may preempt: jobs of the same class have the same victims.
 type victimClass struct {
 	need            resources.Amounts
 	team            string
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -9,20 +9,21 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Moves configures moves of running tasks off machines that are to be drained.
+// Moves configures how running tasks are moved off machines that should be drained.
 type Moves struct {
 	rebalance.Limits
-	// Veto reports that the operators' script does not want a move. nil: no move is vetoed.
+	// Veto reports whether the operators' policy script vetoes a move. nil: no move is vetoed.
 	Veto func(rebalance.Record) bool
 }
 
-// move is a move under way: the task's assignment at the source, and the held lease at the destination.
+// move is a move in progress: its state machine, the task's assignment at the source, and the assignment of the held resource
+// lease at the destination.
 type move struct {
 	*rebalance.Move
 	source, destination *assignment
 }
 
-// moves are those under way, by both of their assignments.
+// moves are the moves in progress, indexed by each of their two assignments.
 type moves struct {
 	planner       *rebalance.Planner // nil: moves are off
 	bySource      map[*assignment]*move
@@ -44,7 +45,7 @@
 	delete(m.byDestination, mv.destination)
 }
 
-// underWay lists the moves in the order in which they began.
+// underWay returns the moves in progress in the order in which they began.
 func (m *moves) underWay() []*move {
 	out := make([]*move, 0, len(m.bySource))
 	for _, mv := range m.bySource {
@@ -54,7 +55,7 @@
 	return out
 }
 
-// hasDestination reports whether a move to a machine is under way.
+// hasDestination reports whether a move to a machine is in progress.
 func (m *moves) hasDestination(machine string) bool {
 	for a := range m.byDestination {
 		if a.machine == machine {
@@ -64,10 +65,10 @@
 	return false
 }
 
-// moveInterval is how often moves are looked for.
+// moveInterval is the minimum time between two searches for tasks to move.
 const moveInterval = clock.Second
 
-// moveTasks gives up moves that take too long and starts new ones, once every moveInterval.
+// moveTasks abandons moves that take too long and starts new ones, at most once every moveInterval.
 func (s *Scheduler) moveTasks(now clock.Micros) {
 	if s.timing.Moves == nil || now < s.movesCheckedAt+moveInterval {
 		return
@@ -84,11 +85,11 @@
 	}
 }
 
-// drainReason reports whether a machine is to be drained, and why.
+// drainReason returns why a machine should be drained, or false if it should not be.
 func (s *Scheduler) drainReason(m *machineState) (rebalance.Reason, bool) {
 	switch {
 	case !m.Accounted || m.Silent || !s.isCurrent(m):
-		return "", false // what is known of it may be old
+		return "", false // its cached state may be out of date
 	case m.Noticed:
 		return rebalance.SpotNotice, true
 	case m.Sick && m.slow:
@@ -97,7 +98,7 @@
 	return "", false
 }
 
-// moveTasksOff starts moves of a machine's tasks.
+// moveTasksOff starts moves of a machine's tasks where that is possible and worthwhile, and counts why the others stay.
 func (s *Scheduler) moveTasksOff(m *machineState, reason rebalance.Reason, now clock.Micros) {
 	for _, a := range m.assignmentsByAttempt() {
 		if !s.isMovable(a) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// isMovable reports whether an assignment is a running task of an active job, and no move of it is under way.
+// isMovable reports whether an assignment is a running task of an active job and is not being moved already.
 func (s *Scheduler) isMovable(a *assignment) bool {
 	j := a.job
 	if a.orphaned || a.reserved || a.stopping || a.unanswered || a.phase != wire.TaskRunning {
@@ -119,7 +120,7 @@
 	return !j.cancelling && !j.finalWriteInFlight && j.isCurrent(a) && j.isActive() && s.moves.bySource[a] == nil
 }
 
-// moveCandidate is what is known of a task that is to be moved.
+// moveCandidate returns what the planner needs to know of a task that should be moved.
 func (s *Scheduler) moveCandidate(a *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
 	j, age := a.job, now-m.updatedAt
 	c := &rebalance.Candidate{
@@ -142,13 +143,13 @@
 	return c
 }
 
-// tryMove starts a move of a task, or returns why it is not moved.
+// tryMove starts a move of a task, or returns why the task is not moved.
 func (s *Scheduler) tryMove(a *assignment, c *rebalance.Candidate, now clock.Micros) rebalance.DeclineReason {
 	planner, j := s.moves.planner, a.job
 	if declined := planner.Evaluate(c, now); declined != rebalance.NotDeclined {
 		return declined
 	}
-	// The task counts twice until it is gone from the source.
+	// The task counts twice against the team's limit until it is gone from the source.
 	if !j.team.withinLimit(j.Need) {
 		return rebalance.TeamAtLimit
 	}
@@ -171,10 +172,11 @@
 	return reason
 }
 
-// machinesForMove filters machines with capacity for a task of a job, those with its image first.
+// machinesForMove returns the machines to which a task of a job may move, those that have its image first.
 func (s *Scheduler) machinesForMove(j *job, from string, now clock.Micros) (out []*machineState) {
 	for _, m := range s.findCapacityAnyImage(j, now) {
-		// A partition leader of an earlier version would start the task immediately.
+		// A partition leader of an earlier version can't hold a lease and would start the task immediately, while it still runs
+		// at the source.
 		if m.ID != from && s.sessions[m.leader].supportsReservations && !s.moves.hasDestination(m.ID) {
 			out = append(out, m)
 		}
@@ -182,7 +184,7 @@
 	return out
 }
 
-// moveDestination is what is known of a machine that a task is to move to.
+// moveDestination returns what the planner needs to know of a machine to which a task may move.
 func (s *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
 	to := &rebalance.Destination{
 		Machine: m.ID,
@@ -196,14 +198,14 @@
 	return to
 }
 
-// startMove asks for a lease at the destination that holds capacity and starts nothing.
-func (s *Scheduler) startMove(source *assignment, to *machineState, m *rebalance.Move, now clock.Micros) {
+// startMove begins a move: it requests a resource lease at the destination, which reserves capacity but starts no task.
+func (s *Scheduler) startMove(source *assignment, to *machineState, plan *rebalance.Move, now clock.Micros) {
 	a := newAssignment(source.job, source.id.N, to, now)
 	a.reserved = true
 	to.addAssignment(a)
 	to.available = to.available.Minus(a.job.Need)
 	s.reindex(to)
-	s.moves.add(&move{m, source, a})
+	s.moves.add(&move{plan, source, a})
 	s.counters.Moves++
 	message := a.message()
 	message.Hold = rebalance.HoldFor
@@ -211,7 +213,7 @@
 	session.pending.Asks = append(session.pending.Asks, message)
 }
 
-// applyMoveAction carries out what a move's state calls for.
+// applyMoveAction carries out the action that an event of a move has returned, and removes the move if it has ended.
 func (s *Scheduler) applyMoveAction(mv *move, action rebalance.Action) {
 	if mv.Ended() {
 		s.moves.remove(mv)
@@ -236,9 +238,9 @@
 	}
 }
 
-// handleMoveAssignmentGone applies to a move, if there is one, that an assignment is gone. started reports that the task
-// goes on at the destination and need not be placed. It can only if the assignment was the task's
-// current one.
+// handleMoveAssignmentGone tells the move to which an assignment belongs, if there is one, that the assignment is gone. current
+// says whether it was the task's current assignment. started reports that the task now starts at the destination and must not
+// be queued; that requires that the assignment was the current one.
 func (s *Scheduler) handleMoveAssignmentGone(a *assignment, current bool) (started bool) {
 	if mv := s.moves.byDestination[a]; mv != nil {
 		s.applyMoveAction(mv, mv.DestinationLost())
@@ -255,7 +257,7 @@
 	return action == rebalance.StartDestination
 }
 
-// abandonMoves gives up the moves of a job, or of a whole team where no job is named.
+// abandonMoves abandons the moves of a team's job, or of the whole team if job is empty.
 func (s *Scheduler) abandonMoves(tm *team, job string) {
 	for _, mv := range s.moves.underWay() {
 		if j := mv.source.job; j.team == tm && (job == "" || j.ID == job) {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -6,23 +6,23 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Counters is what happened since the start, for the logs.
+// Counters counts what has happened since the scheduler started, for the logs.
 type Counters struct {
-	Placed, Rejected, Preempted, Done, Stopped, Failed, Lost int
-	Yielded                                                  int          // rejected since other teams have a better right
-	Moves, Moved                                             int          // begun, and carried out
-	MachinesExamined                                         int          // machines examined in search of capacity
-	FetchCPUs                                                clock.Micros // CPU time from placing tasks until they ran
+	Placed, Rejected, Preempted, Done, Stopped, Failed, Lost int          // tasks
+	Yielded                                                  int          // assignments rejected in favour of teams below their shares
+	Moves, Moved                                             int          // moves begun, and completed
+	MachinesExamined                                         int          // machines examined in searches for capacity
+	FetchCPUs                                                clock.Micros // CPU time that tasks reserved before they ran
 }
 
-// Summary is the state of scheduling in numbers.
+// Summary is the present state of a scheduler in numbers.
 type Summary struct {
 	Counters              // since the start
 	Waiting, Assigned int // tasks
-	CancellingJobs    int // whose final state is not written yet
+	CancellingJobs    int // cancelled jobs whose final state has not been written
 }
 
-// Summary returns the state of scheduling in numbers.
+// Summary returns the present numbers of tasks and jobs, and the counters.
 func (s *Scheduler) Summary() Summary {
 	out := Summary{Counters: s.counters}
 	out.MachinesExamined = s.examined
@@ -38,7 +38,7 @@
 	return out
 }
 
-// Status returns what a job's user may be answered.
+// Status returns the answer to a query of an active job's state.
 func (s *Scheduler) Status(teamName, id string) peer.JobResponse {
 	tm := s.teams[teamName]
 	if tm == nil {
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -10,16 +10,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// distributions is what this process has observed of a team since it started.
+// distributions are the durations that this process has observed for a team since it started.
 type distributions struct {
 	waits    *telemetry.Distribution // from a job's submission until a task of it runs
-	lateness *telemetry.Distribution // by how much jobs with a deadline ended after it; 0 for those in time
+	lateness *telemetry.Distribution // from a job's deadline until its last task was done; 0 for jobs in time
 }
 
-// teamDistributions are distributions by team.
+// teamDistributions has the distributions by team.
 type teamDistributions map[string]distributions
 
-func (d teamDistributions) of(team string) distributions {
+func (d teamDistributions) forTeam(team string) distributions {
 	out, ok := d[team]
 	if !ok {
 		out = distributions{telemetry.NewDistribution(), telemetry.NewDistribution()}
@@ -28,22 +28,22 @@
 	return out
 }
 
-// recordWait records how long a task waited that is seen running. Tasks of a job that had
-// to place some once more are left out: their waits began later than the job's.
+// recordWait records how long a task waited until it was first seen running. It records nothing for jobs that had to place a
+// task again, since the wait of such a task began later than the job's.
 func (d teamDistributions) recordWait(j *job, now clock.Micros) {
 	if j.retries == 0 {
-		d.of(j.team.Name).waits.Record(now - j.acceptedAt)
+		d.forTeam(j.team.Name).waits.Record(now - j.acceptedAt)
 	}
 }
 
-// recordLateness records how late a job's last task was done.
+// recordLateness records how long after the job's deadline its last task was done.
 func (d teamDistributions) recordLateness(j *job, now clock.Micros) {
 	if j.DeadlineS != nil {
-		d.of(j.team.Name).lateness.Record(now - j.deadline())
+		d.forTeam(j.team.Name).lateness.Record(now - j.deadline())
 	}
 }
 
-// TeamStatuses returns the state of each team that is led here.
+// TeamStatuses returns the status of each team that this process leads.
 func (s *Scheduler) TeamStatuses(now clock.Micros) []peer.TeamStatus {
 	out := make([]peer.TeamStatus, 0, len(s.teams))
 	for name, tm := range s.teams {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// addMoveRecords adds a team's moves to its status.
+// addMoveRecords adds a team's recent moves to its status, and how often each reason has kept a task from being moved.
 func (s *Scheduler) addMoveRecords(status *peer.TeamStatus, now clock.Micros) {
 	for _, r := range s.moves.planner.Recent(status.Team) {
 		status.Moves = append(status.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -7,11 +7,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// zoneGates are the gates of the zones to which work returns, by the clock here. What a zone's partition leaders would not
-// admit is not assigned; they decide, whatever a scheduler assumes.
+// zoneGates has the gates of the zones to which work returns in stages, by zone. Each gate follows the clock of this process. It
+// keeps the scheduler from assigning tasks that the zone's partition leaders would reject; their own gates decide.
 type zoneGates map[string]*recovery.Gate
 
-// update applies the state of a zone.
+// update applies a zone's state: a zone has a gate only while work returns to it.
 func (g zoneGates) update(name string, r zone.Record, now clock.Micros) {
 	if r.State != zone.Returning {
 		delete(g, name)
@@ -24,18 +24,18 @@
 	g[name] = recovery.NewGate(r.Stage, r.Held, now)
 }
 
-// admits reports whether a zone admits a job: work does not return to it, or has come to the job's stage.
-func (g zoneGates) admits(zone string, j *job, now clock.Micros) bool {
-	gate := g[zone]
+// admits reports whether a zone admits a job: either the zone has no gate, or its return has reached the job's stage.
+func (g zoneGates) admits(zoneName string, j *job, now clock.Micros) bool {
+	gate := g[zoneName]
 	return gate == nil || j.stage <= gate.Stage(now)
 }
 
-// SetZoneState applies the state of a zone.
+// SetZoneState applies a zone's state, which decides which jobs may be assigned to machines there.
 func (s *Scheduler) SetZoneState(name string, r zone.Record, now clock.Micros) {
 	s.zones.update(name, r, now)
 }
 
-// stageOf is the stage of a return that admits a job.
+// stageOf returns the stage of a zone's return from which on a job is admitted.
 func (s *Scheduler) stageOf(j *jobs.Job) recovery.Stage {
 	if s.timing.Stages != nil {
 		return s.timing.Stages(j)
@@ -43,9 +43,9 @@
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
-// ZoneEvidence counts for each zone how many of its machines are known, are not heard from, and are heard from but
-// not accounted for. Misdirected machines belong to other controllers and send their heartbeats to this one: it is
-// their controller that is unreachable, and not they.
+// ZoneEvidence returns for each zone how many of its machines are known, have missed heartbeats, or are reachable but not
+// accounted for. misdirected names the machines of other controllers that send their heartbeats to this one. They do not count as
+// missing: only their controller is unreachable, and the machines are not.
 func (s *Scheduler) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	out := map[string]zone.Evidence{}
 	for _, m := range s.machines {
