--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -7,12 +7,13 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// The decisions of a cancellation; canceller does the I/O.
+// This file has the decisions of a cancellation; canceller does the I/O.
 //
-// A cancellation becomes durable while every partition is either led by a process that has the cancellation in memory, under
-// the very leadership that the transaction names, or has no leader. So whoever answers the job's workers afterwards knows
-// of it, or has acquired its partition later and found it in its replica. It need not have reached the key-value store since
-// (docs/design.md, "Why the rules hold", 11).
+// The final state of a cancelled job is written only while each partition either has no leader, or is led by a process that has
+// the cancellation in memory, under exactly the leadership that is a condition of the transaction. A partition leader that
+// handles the job's workers afterwards therefore either has the cancellation in memory, or acquired its partition later and
+// found the final state in its replica. Otherwise a partition leader whose replica is behind the key-value store could still
+// let a task of the cancelled job start (docs/design.md, "Why the rules hold", 11).
 
 // PartitionLeadership is the leadership of a partition as this controller's replica shows it.
 type PartitionLeadership struct {
@@ -20,16 +21,16 @@
 	Key         string
 	ModRevision uint64
 	Term        uint64
-	Host        string // of the leader; empty when that is not registered any more
+	Host        string // controller that leads; empty when the incarnation that the leadership names is no longer registered
 }
 
-// MaxPartitions is how many partitions there may be where a transaction takes so many operations, and four times as many
-// conditions: the final state of a cancelled job is written on the condition of all their leaderships, of its team's
-// and of its own record.
+// MaxPartitions returns how many partitions there may be when a transaction takes up to txnOps operations and four times as
+// many conditions. The final state of a cancelled job is written in one transaction with a condition for each partition's
+// leadership, one for the team's leadership and one for the job's record.
 func MaxPartitions(txnOps int) int { return max(1, min(4*txnOps-2, 1000)) }
 
-// CancelJob begins the cancellation of a job: nothing of it starts any more, and every partition leader is to be notified. found
-// is false when the job is not active here. Repeating it changes nothing.
+// CancelJob begins the cancellation of a job: the scheduler starts none of its tasks any more, and the next batch to each
+// partition leader carries the cancellation. found is false when the job is not active here. A repeated call changes nothing.
 func (s *Scheduler) CancelJob(teamName, id string) (found bool) {
 	tm := s.teams[teamName]
 	if tm == nil || tm.jobs[id] == nil {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// dropPendingAssignments takes a job's assignments, and starts of its held leases, out of the batch that is not sent yet.
+// dropPendingAssignments removes a job's assignments, and starts on its held leases, from the messages that have not been sent.
 func (s *Scheduler) dropPendingAssignments(session *leaderSession, jobID string) {
 	pending := &session.pending
 	pending.Starts = slices.DeleteFunc(pending.Starts, func(start peer.StartTask) bool { return start.ID.Job == jobID })
@@ -64,7 +65,8 @@
 	})
 }
 
-// requestCancel has the present process of a partition leader notified of a job's cancellation, once.
+// requestCancel queues a job's cancellation for the present process of a partition leader, unless it is queued or in flight to
+// that process already.
 func (l *leaderSession) requestCancel(j *job) {
 	c := peer.CancelJob{Job: j.ID, Team: j.Team}
 	inFlight := l.inFlight != nil && l.inFlightInstance == l.instance && slices.Contains(l.inFlight.Cancels, c)
@@ -73,22 +75,23 @@
 	}
 }
 
-// mayHaveBeenOffered reports whether any task of a job may ever have been assigned, at any partition leader. Where none was, only
-// this scheduler could start one, and the cancellation needs no acknowledgement.
-func (j *job) mayHaveBeenOffered() bool { return j.offeredHere || j.offeredByFormer > 0 }
+// mayHaveBeenAssigned reports whether this scheduler or a former one may have assigned a task of the job to any machine. If
+// neither has, no task can start without a new assignment by this scheduler, and the cancellation needs no acknowledgements.
+func (j *job) mayHaveBeenAssigned() bool { return j.offeredHere || j.offeredByFormer > 0 }
 
-// CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these leaderships:
-// the present process of each leader has the cancellation in memory, and nothing of the job can start any more. Processes
-// that have not acknowledged it are notified (docs/design.md, "Why the rules hold", 11).
+// CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these
+// leaderships: the present process of each leader has the cancellation in memory, and no task of the job can start any more.
+// It queues the cancellation for processes that have not acknowledged it. A final state that was written earlier could be
+// answered to the user while a partition leader still starts a task of the job (docs/design.md, "Why the rules hold", 11).
 func (s *Scheduler) CancellationConfirmed(j *job, partitions []PartitionLeadership) bool {
-	if !j.mayHaveBeenOffered() {
+	if !j.mayHaveBeenAssigned() {
 		return j.cancelling
 	}
 	confirmed := j.cancelling && !j.mayStillStart()
 	for _, partition := range partitions {
 		if partition.Host == "" {
-			// Its last leader never acts on it again, and whoever acquires it, by a change of this leadership, finds the
-			// final state in its replica.
+			// The partition's last leader never acts on it again. The next leader changes this leadership when it acquires the
+			// partition: either the final state's condition then fails, or that leader finds the final state in its replica.
 			continue
 		}
 		session := s.sessions[partition.Host]
@@ -96,18 +99,18 @@
 			return false
 		}
 		if !j.cancelAcknowledged[session.instance] {
-			// Perhaps a new process of the same host: it knows nothing of what an earlier one has acknowledged.
+			// This may be a new process of the controller: it does not know what an earlier process has acknowledged.
 			session.requestCancel(j)
 			confirmed = false
 		} else if session.partitionTerms[partition.Partition] != partition.Term {
-			confirmed = false // that process has not said that it leads the partition under this leadership
+			confirmed = false // the process has not reported that it leads the partition under this leadership's term
 		}
 	}
 	return confirmed
 }
 
-// mayStillStart reports whether some task of a job may be about to start: its run command is on the way, it waits for its image,
-// or a machine is unaccounted on which a former scheduler may have placed one.
+// mayStillStart reports whether some task of a job may be about to start: its run command is on the way to the worker, it waits
+// for its image, or a former scheduler may have placed it on a machine that is not accounted for.
 func (j *job) mayStillStart() bool {
 	notRunning := 0
 	for _, assigned := range j.tasksByZone {
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// cancelWait is how long a cancellation is tried before its user is asked to come back.
-	cancelWait = 1500 * time.Millisecond
-	// cancelRetryInterval is how long the final state of a cancelled job waits after a failed write: most often a leadership
-	// has changed, and the replica is about to show it.
+	// cancelTimeout is how long a request waits for its cancellation before its user is asked to retry.
+	cancelTimeout = 1500 * time.Millisecond
+	// cancelRetryInterval is how long the final state of a cancelled job is not written after a write failed. Most writes fail
+	// because a leadership has changed and the replica does not show the change yet.
 	cancelRetryInterval = 200 * clock.Millisecond
 )
 
-// canceller carries cancellations out: it has the decision notify partition leaders, waits until they have acknowledged, and
-// writes the final state on the condition of all partitions' leaderships. It keeps the invariant of cancellations
-// (docs/design.md, "Why the rules hold", 11); when one is confirmed is Scheduler.CancellationConfirmed's decision.
+// canceller carries out cancellations: it has the Scheduler send them to the partition leaders, waits until all have
+// acknowledged, and writes the final state on the condition that no partition's leadership has changed.
+// Scheduler.CancellationConfirmed decides when it may write. A job that is answered as cancelled therefore starts no task
+// afterwards (docs/design.md, "Why the rules hold", 11).
 type canceller struct {
 	*core
 	store           Store
@@ -29,24 +30,25 @@
 	lifetime        *lifetime
 }
 
-// cancelStep is what a cancellation has come to.
+// cancelStep is the result of one call of canceller.advance.
 type cancelStep struct {
-	response *peer.JobResponse // the answer to the user; nil: the cancellation goes on
-	// write is whether the caller is to write the job's final state on the condition of these leaderships.
+	response *peer.JobResponse // the answer to the user; nil: the cancellation is not finished
+	// write tells the caller to write the final state of job on the condition of the leaderships in partitions.
 	write      bool
 	job        *job
 	partitions []PartitionLeadership
-	updated    <-chan struct{} // closed when the step may come out otherwise
+	updated    <-chan struct{} // closed when another call of advance may give another result
 }
 
-// CancelJob cancels a job: no task of it starts from now on; once that is certain of every machine, the final state is written,
-// and only then is it answered as cancelled. Where that takes long the answer is to retry.
+// CancelJob cancels a job: no task of it is assigned from now on. Once it is certain that no task can start on any machine the
+// final state is written, and only then is the job answered as cancelled. When that takes longer than cancelTimeout the user is
+// asked to retry.
 func (s *Server) CancelJob(request peer.JobRequest) peer.JobResponse {
 	return s.cancellations.cancel(request)
 }
 
-// cancelRetry is the answer to a user who is to come back.
-var cancelRetry = peer.JobResponse{Known: true, Found: true, Retry: true}
+// retryResponse asks the user to repeat the request.
+var retryResponse = peer.JobResponse{Known: true, Found: true, Retry: true}
 
 func (c *canceller) cancel(request peer.JobRequest) peer.JobResponse {
 	if _, ok := c.elections.Leading(Duty(request.Team)); !ok {
@@ -54,7 +56,7 @@
 	}
 	ctx, cancel := c.lifetime.newContext()
 	defer cancel()
-	deadline := time.NewTimer(cancelWait)
+	deadline := time.NewTimer(cancelTimeout)
 	defer deadline.Stop()
 	for {
 		step := c.advance(request)
@@ -68,20 +70,20 @@
 		select {
 		case <-step.updated:
 		case <-deadline.C:
-			return cancelRetry
+			return retryResponse
 		case <-ctx.Done():
-			return cancelRetry
+			return retryResponse
 		}
 	}
 }
 
-// advance takes a cancellation as far as it goes without waiting.
+// advance begins a cancellation, or continues it as far as it gets without waiting.
 func (c *canceller) advance(request peer.JobRequest) cancelStep {
 	partitions := c.partitionLeaderships()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Under the lock: otherwise the final state could be written and the job dropped in between, and its user be asked to come
-	// back although it is cancelled.
+	// The final state is looked up under the lock. Otherwise it could be written and the job dropped between this lookup and
+	// the next one, and the user would be asked to retry although the job is cancelled.
 	if final, ok := c.jobs.Final(request.ID); ok {
 		return cancelStep{response: &peer.JobResponse{Known: true, Found: true, State: final.State(request.ID)}}
 	}
@@ -91,14 +93,14 @@
 	}
 	j := tm.jobs[request.ID]
 	if j.finalWriteInFlight && !j.cancelling {
-		return cancelStep{response: &cancelRetry} // its final state as done is being written
+		return cancelStep{response: &retryResponse} // the final state that marks the job as done is being written
 	}
 	c.scheduler.CancelJob(request.Team, request.ID)
 	return cancelStep{job: j, partitions: partitions, write: c.beginFinalWrite(j, partitions), updated: c.updated.next()}
 }
 
-// resume goes on with cancellations whose users were asked to come back: they find the final state written, and a job of which
-// nothing may start is not left for ever.
+// resume continues all cancellations, also those whose users were asked to retry. The users then find the final state written,
+// and no job stays active for ever that may not start any task.
 func (c *canceller) resume(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,14 +114,14 @@
 				partitions = c.partitionLeaderships()
 			}
 			if c.beginFinalWrite(j, partitions) {
-				c.lifetime.start(func() { _ = c.writeFinalState(ctx, j, partitions) }) // after an error it is tried again
+				c.lifetime.start(func() { _ = c.writeFinalState(ctx, j, partitions) }) // after an error a later call tries again
 			}
 		}
 	}
 }
 
-// beginFinalWrite reports whether the final state of a cancelled job is to be written now, by the caller, and marks it as in
-// flight then. The lock is held.
+// beginFinalWrite reports whether the caller must write the final state of a cancelled job now, and in that case marks the
+// write as in flight. The caller holds the lock.
 func (c *canceller) beginFinalWrite(j *job, partitions []PartitionLeadership) bool {
 	if j.finalWriteInFlight || c.clock.Now() < j.finalWriteAfter || !c.scheduler.CancellationConfirmed(j, partitions) {
 		return false
@@ -128,12 +130,12 @@
 	return true
 }
 
-// writeFinalState writes the final state of a cancelled job that is marked as in flight, on the condition that no partition has
-// changed leaders.
+// writeFinalState writes the final state of a cancelled job after beginFinalWrite has returned true, on the condition that no
+// partition's leadership has changed.
 func (c *canceller) writeFinalState(ctx context.Context, j *job, partitions []PartitionLeadership) error {
 	write := &finalWrite{store: c.store, jobs: []*job{j}, phase: wire.Cancelled}
 	c.mu.Lock()
-	if j.mayHaveBeenOffered() {
+	if j.mayHaveBeenAssigned() {
 		for _, p := range partitions {
 			write.conditions = append(write.conditions, wire.Condition{Key: p.Key, ModRevision: p.ModRevision})
 		}
@@ -150,7 +152,7 @@
 	return err
 }
 
-// partitionLeaderships returns the leaderships of all partitions as the replica shows them.
+// partitionLeaderships returns the leadership of each partition as the replica shows it.
 func (c *canceller) partitionLeaderships() []PartitionLeadership {
 	out := make([]PartitionLeadership, 0, len(c.partitionDuties))
 	for i, duty := range c.partitionDuties {
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -12,36 +12,38 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// core is what the loops, writers and queries of a Server share: the decisions with the lock that guards them, and the
-// signals by which one wakes another.
+// core is the state that the loops, writers and queries of a Server share: the Scheduler with the lock that guards it, and
+// the signals by which one loop wakes another.
 type core struct {
 	elections Elections
 	jobs      *jobs.Cache // has a lock of its own
 	clock     clock.Clock
 	log       *slog.Logger
-	txnOps    int // operations that a transaction takes
+	txnOps    int // maximum number of operations in a transaction
 
-	scheduleWake loop.Signal // there may be something to decide
-	writeWake    loop.Signal // there may be something to write
+	scheduleWake loop.Signal // wakes scheduleLoop: an input of the decision may have changed
+	writeWake    loop.Signal // wakes writeLoop: a record may be due to be written
 
 	mu        sync.Mutex
-	scheduler *Scheduler // guarded by mu, with the teams and jobs that it gives
-	updated   broadcast  // guarded by mu: a partition leader has answered, or a cancellation's write has
+	scheduler *Scheduler // guarded by mu, as are the teams and jobs that it returns
+	updated   broadcast  // guarded by mu; notified after each answer of a partition leader and each write of a cancellation
 }
 
-// errTeamLost means that a team is not led any more, or under another term.
-var errTeamLost = errors.New("team leadership lost")
+// errLeadershipLost means that this process no longer leads a team, or leads it under another term.
+var errLeadershipLost = errors.New("team leadership lost")
 
-// teamCondition returns the condition that a team is still led under the term in which its jobs were taken.
-func (c *core) teamCondition(t *team) (wire.Condition, error) {
+// leadershipCondition returns the transaction condition that this process still leads a team under the term under which it
+// acquired the team's jobs. It returns errLeadershipLost where that no longer holds.
+func (c *core) leadershipCondition(t *team) (wire.Condition, error) {
 	leadership, ok := c.elections.Leading(Duty(t.Name))
 	if !ok || leadership.Term != t.term {
-		return wire.Condition{}, errTeamLost
+		return wire.Condition{}, errLeadershipLost
 	}
 	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: leadership.ModRevision}, nil
 }
 
-// isActive reports whether a job is still this scheduler's to write about. The lock is held.
+// isActive reports whether this scheduler may still write records of a job: it still leads the job's team under the same
+// term, and the job has not been dropped. The caller holds the lock.
 func (c *core) isActive(j *job) bool {
 	return j.team.jobs[j.ID] == j && c.scheduler.teams[j.team.Name] == j.team
 }
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -13,73 +13,78 @@
 )
 
 const (
-	// maxFinalWritesInFlight is how many transactions with final states of one team are under way at a time: the budget
-	// goes round among the teams, however many final states one of them has.
+	// maxFinalWritesInFlight limits the transactions with final states that one team has in flight, so that all teams get a
+	// part of the write budget, however many final states one of them has.
 	maxFinalWritesInFlight = 3
-	// maxFinalWriteOperations bounds the operations of a transaction with final states: it waits until the budget has room
-	// for all of them.
+	// maxFinalWriteOperations limits the operations of a transaction with final states, since a transaction waits until the
+	// budget has room for all its operations.
 	maxFinalWriteOperations = 12
-	// finalWriteRetryInterval spaces the attempts of one write.
+	// finalWriteRetryInterval is the pause between two attempts of a write.
 	finalWriteRetryInterval = 300 * time.Millisecond
-	// maxUncertainCancelAttempts is after how many attempts the write of a cancellation without a definite answer is given
-	// up: its user asks again, and writeLoop goes on with it.
+	// maxUncertainCancelAttempts limits the attempts to write the final state of a cancelled job when they have no definite
+	// answer. After that the user is asked to retry, and writeLoop continues the cancellation.
 	maxUncertainCancelAttempts = 3
 )
 
-// errJobsChanged means that some job of a transaction was found over before the transaction was sent.
+// errJobsChanged means that a job of a transaction was no longer active when the transaction was about to be sent.
 var errJobsChanged = errors.New("some jobs are not active any more")
 
-// finalStateWriter writes final states of jobs. It keeps the invariant of job records (docs/design.md, "Why the rules hold", 10):
-// a final state replaces the active record in one transaction, on the condition of the team's leadership and the record's
-// mod revision; and from the moment that it is sent until its outcome is known the job's status is not answered
-// (job.finalStateUncertain). Jobs that end as done need no confirmation by partition leaders; those that are cancelled are
-// written by way of canceller (11).
+// finalStateWriter writes the final states of jobs. One transaction replaces the active record by the final state, on the
+// condition of the team's leadership and of the active record's mod revision. From the moment at which it is sent until its
+// outcome is known the job's status is not answered (job.finalStateUncertain), so that no user is told that a job is active
+// after its final state has been written (docs/design.md, "Why the rules hold", 10).
+//
+// A job that ends as done needs no confirmation by partition leaders. The final state of a cancelled job is written through
+// canceller, which waits for their confirmation (argument 11 there).
 type finalStateWriter struct {
 	*core
-	store    Store // for jobs that are done, and for what is removed afterwards
+	store    Store // for jobs that are done, and for progress records that are deleted afterwards
 	lifetime *lifetime
 }
 
-// finalWrite is the final state of some jobs of one team, to be written in one transaction.
+// finalWrite describes a transaction that writes the final states of some jobs of one team.
 type finalWrite struct {
 	store Store
 	jobs  []*job
 	phase string // wire.Done or wire.Cancelled
-	// inPlace writes the end into the active records: one operation for each job instead of two.
+	// inPlace has the end written into the active record, which takes one operation for each job; otherwise a final record
+	// is written and the active record deleted, which takes two.
 	inPlace    bool
-	conditions []wire.Condition // beside the team's leadership and the jobs' records
+	conditions []wire.Condition // in addition to those on the team's leadership and the jobs' records
 }
 
-// startDue starts the writes of final states of done jobs, as many jobs to a transaction as it takes. A job's status is
-// answered until its final state is about to be sent.
+// startDue starts writing the final states of jobs whose tasks are all done, with as many jobs in a transaction as fit. The
+// status of a job is answered until immediately before its final state is sent.
 func (w *finalStateWriter) startDue(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	limit := min(w.txnOps, maxFinalWriteOperations)
+	maxOperations := min(w.txnOps, maxFinalWriteOperations)
 	for _, tm := range w.scheduler.teams {
 		ready := w.scheduler.CompletedJobs(tm)
-		// Where many wait for the budget, each costs one operation instead of two.
-		inPlace := limit < 2 || len(ready) > limit/2
+		// When more jobs are ready than fit into one transaction with two operations each, one operation must do for each.
+		inPlace := maxOperations < 2 || len(ready) > maxOperations/2
 		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
-			n := w.batchSize(ready, limit, inPlace)
+			n := w.batchSize(ready, maxOperations, inPlace)
 			w.start(ctx, tm, &finalWrite{store: w.store, jobs: ready[:n], phase: wire.Done, inPlace: inPlace})
 			ready = ready[n:]
 		}
 	}
 }
 
-// batchSize returns how many of some jobs fit a transaction of at most so many operations, at least one. The lock is held.
-func (w *finalStateWriter) batchSize(ready []*job, limit int, inPlace bool) int {
+// batchSize returns how many of the jobs fit into a transaction of at most maxOperations operations, but at least one. The
+// caller holds the lock.
+func (w *finalStateWriter) batchSize(ready []*job, maxOperations int, inPlace bool) int {
 	operations := 0
 	for n, j := range ready {
-		if operations += w.operationCount(j, inPlace); n > 0 && operations > limit {
+		if operations += w.operationCount(j, inPlace); n > 0 && operations > maxOperations {
 			return n
 		}
 	}
 	return len(ready)
 }
 
-// operationCount returns how many operations the final state of a job takes. The lock is held.
+// operationCount returns how many operations the final state of a job takes, with the deletion of its progress records. The
+// caller holds the lock.
 func (w *finalStateWriter) operationCount(j *job, inPlace bool) int {
 	n := 2 + len(w.scheduler.progress[j.ID])
 	if inPlace {
@@ -88,7 +93,7 @@
 	return n
 }
 
-// start writes final states of a team's done jobs in a goroutine that the lifetime owns. The lock is held.
+// start writes the final states of some of a team's jobs in a goroutine that the lifetime owns. The caller holds the lock.
 func (w *finalStateWriter) start(ctx context.Context, tm *team, f *finalWrite) {
 	for _, j := range f.jobs {
 		j.finalWriteInFlight = true
@@ -105,8 +110,10 @@
 	})
 }
 
-// write writes final states, again until it has a definite answer; jobs that are over in the meantime are left out. Errors are
-// errTeamLost, the context's, or for a cancellation that of its last attempt.
+// write writes final states, and repeats the transaction until it is written. Jobs that are no longer active at an attempt are
+// left out of it. It gives up when the team's leadership is lost (errLeadershipLost) or the context ends. The write of a
+// cancellation it also gives up when an attempt was rejected and none is open, or after maxUncertainCancelAttempts attempts; the
+// error is then that of the last attempt.
 func (w *finalStateWriter) write(ctx context.Context, f *finalWrite) error {
 	tm := f.jobs[0].team
 	for attempt := 1; ctx.Err() == nil; attempt++ {
@@ -120,13 +127,13 @@
 			w.dropProgress(ctx, tm, txn.Conditions[:1], remaining)
 			return nil
 		}
-		if errors.Is(err, errTeamLost) {
+		if errors.Is(err, errLeadershipLost) {
 			return err
 		}
 		if loop.LogsFailure(attempt) {
 			w.log.Warn("final state write retried", "job", f.jobs[0].ID, "jobs", len(f.jobs), "attempts", attempt, "error", err)
 		}
-		uncertain := w.noteFailure(f.jobs, err)
+		uncertain := w.recordFailedAttempt(f.jobs, err)
 		if f.phase == wire.Cancelled && (!uncertain || attempt >= maxUncertainCancelAttempts) {
 			return err
 		}
@@ -138,7 +145,7 @@
 	return ctx.Err()
 }
 
-// prepare leaves out jobs that are not active any more, and makes the transaction for the others.
+// prepare removes the jobs that are no longer active from f, and returns the transaction for the others.
 func (w *finalStateWriter) prepare(f *finalWrite) (txn wire.Txn, remaining []wire.Operation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -146,8 +153,9 @@
 	return w.txn(f)
 }
 
-// txn makes the transaction that ends jobs of one team, its first condition being the team's leadership. What it has no room
-// for of the removal of their progress remains. The lock is held.
+// txn returns the transaction that writes the final states of some jobs of one team. Its first condition is the one on the
+// team's leadership. remaining has the deletions of progress records for which the transaction has no room. The caller holds
+// the lock.
 func (w *finalStateWriter) txn(f *finalWrite) (txn wire.Txn, remaining []wire.Operation) {
 	if len(f.jobs) == 0 {
 		return txn, nil
@@ -184,11 +192,12 @@
 	return jobs.Final{Phase: phase, Team: j.Team, Tasks: j.Tasks}
 }
 
-// beforeSending is called when a transaction is about to be sent, after its wait for the budget: it checks again that the team is
-// led and its jobs are active, and only then makes their status uncertain. With hundreds of final states a minute most of
-// the time goes into the wait, and jobs whose status is not answered for so long count as forgotten.
+// beforeSending is called after a transaction has waited for the budget and immediately before it is sent. It checks again that
+// this process leads the team and that the jobs are active, and only then marks their final states as uncertain. With hundreds
+// of final states a minute most of the time is spent waiting for the budget. If the jobs were marked before the wait, their
+// status would not be answered for so long that users would take the jobs for lost.
 func (w *finalStateWriter) beforeSending(tm *team, batch []*job) error {
-	if _, err := w.teamCondition(tm); err != nil {
+	if _, err := w.leadershipCondition(tm); err != nil {
 		return err
 	}
 	w.mu.Lock()
@@ -204,21 +213,22 @@
 	return nil
 }
 
-// noteFailure keeps what a failed attempt leaves open, and tells whether the jobs' final states may have been written. A
-// condition that does not hold, or a refusal, is a definite answer to this attempt, not to earlier ones.
-func (w *finalStateWriter) noteFailure(batch []*job, err error) (uncertain bool) {
+// recordFailedAttempt records whether the jobs' final states may have been written after a failed attempt, and returns it. A
+// failed condition or a refusal is a definite answer to this attempt, but not to earlier ones that had no answer.
+func (w *finalStateWriter) recordFailedAttempt(failedJobs []*job, err error) (uncertain bool) {
 	definite := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, j := range batch {
+	for _, j := range failedJobs {
 		j.finalWriteUnanswered = j.finalWriteUnanswered || !definite
 		j.finalStateUncertain = j.finalWriteUnanswered
 	}
-	return batch[0].finalWriteUnanswered
+	return failedJobs[0].finalWriteUnanswered
 }
 
-// writeSeparately writes the final states of several jobs one by one: one of them is over already, by an earlier attempt that
-// had no answer, and must not keep the others from their end.
+// writeSeparately writes the final states of several jobs one by one after a condition has failed. An earlier attempt without an
+// answer may have ended one of the jobs, and its condition would make every transaction with it fail, so that the final states
+// of the other jobs would never be written.
 func (w *finalStateWriter) writeSeparately(ctx context.Context, f *finalWrite) error {
 	for _, j := range f.jobs {
 		single := *f
@@ -230,21 +240,21 @@
 	return nil
 }
 
-// dropProgress removes records of progress that a transaction with final states had no room for. What fails stays: it is read
-// by nobody.
-func (w *finalStateWriter) dropProgress(ctx context.Context, tm *team, leading []wire.Condition, drops []wire.Operation) {
+// dropProgress deletes the progress records for which the transaction with the final states had no room. A record whose deletion
+// fails stays in the key-value store, where nobody reads it.
+func (w *finalStateWriter) dropProgress(ctx context.Context, tm *team, leadership []wire.Condition, drops []wire.Operation) {
 	for operations := range slices.Chunk(drops, w.txnOps) {
-		if _, err := w.store.Commit(ctx, wire.Txn{Conditions: leading, Operations: operations}); err != nil {
+		if _, err := w.store.Commit(ctx, wire.Txn{Conditions: leadership, Operations: operations}); err != nil {
 			w.log.Warn("progress deletion failed", "team", tm.Name, "error", err)
 		}
 	}
 }
 
-// markFinished takes note that final states are written.
-func (w *finalStateWriter) markFinished(batch []*job, phase string) {
+// markFinished records that final states have been written: it adds them to the job cache and drops the jobs.
+func (w *finalStateWriter) markFinished(finished []*job, phase string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, j := range batch {
+	for _, j := range finished {
 		w.jobs.AddFinal(j.ID, finalState(j, phase))
 		w.scheduler.DropJob(j.ID)
 		w.log.Info("job finished", "job", j.ID, "class", j.Class, "phase", phase, "tasks", j.Tasks,
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -36,7 +36,7 @@
 	})
 	for _, c := range []chunkID{{0, ChunkTasks}, {12, ChunkTasks}, {3, 4096}} {
 		_, text, _ := strings.Cut(strings.TrimPrefix(progressKey("job-1", c), kvstore.ProgressPrefix), "/")
-		got, ok := parseChunk(text)
+		got, ok := parseChunkID(text)
 		require.True(t, ok)
 		require.Equal(t, c, got)
 	}
--- a/internal/scheduler/lifetime.go
+++ b/internal/scheduler/lifetime.go
@@ -5,36 +5,37 @@
 	"sync"
 )
 
-// lifetime is the time from New until the context of Server.Run ends. It owns the goroutines that outlive the call that
-// starts them: Run waits for them before it returns.
+// lifetime spans the time from New until the context of Server.Run ends. It owns the goroutines that outlive the call that
+// starts them, so that Run can wait for them before it returns.
 type lifetime struct {
-	over chan struct{} // closed when the context of Run has ended
+	ended chan struct{} // closed when the context of Run has ended
 
-	mu     sync.Mutex
-	closed bool           // guarded by mu: nothing is started any more
-	tasks  sync.WaitGroup // incremented under mu only while closed is false
+	mu         sync.Mutex
+	closed     bool           // guarded by mu; set by wait: no goroutine may be started any more
+	goroutines sync.WaitGroup // incremented only under mu and while closed is false
 }
 
-func newLifetime() *lifetime { return &lifetime{over: make(chan struct{})} }
+func newLifetime() *lifetime { return &lifetime{ended: make(chan struct{})} }
 
-// start runs f in a goroutine of its own; false once wait has begun.
+// start runs f in a goroutine of its own. It returns false, and does not run f, once wait has been called.
 func (l *lifetime) start(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return false
 	}
-	l.tasks.Go(f)
+	l.goroutines.Go(f)
 	return true
 }
 
-// newContext returns a context that ends with the lifetime or when cancel is called, which its caller must do. A write that a
-// request begins lives under it: the request's own end must not leave the outcome of the write unknown.
+// newContext returns a context that ends with the lifetime or when cancel is called, which its caller must do. A write that
+// serves a request runs under this context and not under the request's: a request that ends early would otherwise abort the
+// write and leave its outcome unknown.
 func (l *lifetime) newContext() (ctx context.Context, cancel context.CancelFunc) {
 	ctx, cancel = context.WithCancel(context.Background())
 	started := l.start(func() {
 		select {
-		case <-l.over:
+		case <-l.ended:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -45,13 +46,13 @@
 	return ctx, cancel
 }
 
-// end marks that the context of Run has ended. It is called once.
-func (l *lifetime) end() { close(l.over) }
+// end records that the context of Run has ended. It must be called only once.
+func (l *lifetime) end() { close(l.ended) }
 
-// wait returns when all that was started has returned; nothing is started from then on.
+// wait prevents further starts, and returns when all goroutines that were started have returned.
 func (l *lifetime) wait() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	l.tasks.Wait()
+	l.goroutines.Wait()
 }
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// maxPollWait is how long a partition leader may hold a poll while nothing changes.
+	// maxPollWait is how long a partition leader may hold a poll open while nothing changes.
 	maxPollWait = clock.Second
-	// unreachablePause spaces calls to a controller that doesn't answer.
+	// unreachablePause is the pause before the next call to a controller that did not answer.
 	unreachablePause = 150 * time.Millisecond
-	// newInstancePause spaces batches to a controller whose new process no poll has shown yet: only the next poll can help.
+	// newInstancePause is the pause before the next batch to a controller whose process has been replaced. Batches are of no
+	// use until the next poll has shown the new process.
 	newInstancePause = 50 * time.Millisecond
-	// summaryInterval spaces the summaries in the log.
+	// summaryInterval is the time between two summaries in the log.
 	summaryInterval = 10 * time.Second
-	// scheduleTick is the longest time between two decisions, since deadlines pass without an event.
+	// scheduleTick is the interval at which scheduleLoop runs without being woken, since deadlines pass without an event.
 	scheduleTick = 200 * time.Millisecond
-	// writeTick is the longest time between two looks for something to write, since retries fall due without an event.
+	// writeTick is the interval at which writeLoop runs without being woken, since retries become due without an event.
 	writeTick = 500 * time.Millisecond
 )
 
-// Run schedules until ctx ends. It returns when all goroutines that the server has started have returned.
+// Run schedules until ctx ends. It returns after all goroutines that the server has started have returned.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.lifetime.wait()
 	g, ctx := errgroup.WithContext(ctx)
@@ -46,7 +47,7 @@
 	return g.Wait()
 }
 
-// pollLoop keeps the cached machines of a partition leader up to date.
+// pollLoop polls a partition leader until ctx ends, which keeps the cached state of its machines up to date.
 func (s *Server) pollLoop(ctx context.Context, host string) error {
 	for ctx.Err() == nil {
 		if err := s.poll(host, maxPollWait); err != nil {
@@ -59,8 +60,10 @@
 	return nil
 }
 
-// poll asks a partition leader for changed machines; for all of them when a team's term is new to it, so that its answer is
-// given under the fence of that term (docs/design.md, "Why the rules hold", 7).
+// poll asks a partition leader once for the machines that have changed, and applies the answer. When the partition leader has
+// not answered under a team's present term yet, NextPoll asks for all machines: the partition leader rejects assignments under
+// lower terms before it answers, so the answer misses no task that a former leader of the team can still start there
+// (docs/design.md, "Why the rules hold", 7).
 func (s *Server) poll(host string, wait clock.Micros) error {
 	s.mu.Lock()
 	request := s.scheduler.NextPoll(host)
@@ -82,14 +85,15 @@
 	return nil
 }
 
-// notifyUpdated wakes all that a partition leader's answer may let go on. The lock is held.
+// notifyUpdated wakes the goroutines for which a partition leader's answer may matter: waiting cancellations, scheduleLoop and
+// writeLoop. The caller holds the lock.
 func (s *Server) notifyUpdated() {
 	s.updated.notify()
 	s.scheduleWake.Notify()
 	s.writeWake.Notify()
 }
 
-// sendLoop sends batches to a partition leader, one at a time.
+// sendLoop sends batches to a partition leader until ctx ends, one at a time.
 func (s *Server) sendLoop(ctx context.Context, host string) error {
 	for {
 		select {
@@ -109,7 +113,8 @@
 	}
 }
 
-// sendBatch sends a batch and takes its answer. It pauses where the next batch would fare no better immediately.
+// sendBatch sends a batch and applies its answer. It pauses after a failure that would also affect a batch sent immediately
+// afterwards.
 func (s *Server) sendBatch(ctx context.Context, host string, batch *peer.Batch) {
 	response, err := s.partitions[host].ApplyBatch(*batch)
 	if err != nil {
@@ -125,12 +130,13 @@
 	s.notifyUpdated()
 	s.mu.Unlock()
 	if !sameInstance {
-		// What bears repeating goes to the new process, once a poll has shown it: not again and again until then.
+		// Messages that are to be sent again go to the new process once a poll has shown it. Without the pause this loop
+		// would send them again and again until then.
 		loop.Pause(ctx, newInstancePause)
 	}
 }
 
-// summaryLoop logs how scheduling stands, where something has happened.
+// summaryLoop logs a summary at intervals, unless no counter has changed since the last one.
 func (s *Server) summaryLoop(ctx context.Context) error {
 	var last Counters
 	for ctx.Err() == nil {
@@ -146,7 +152,7 @@
 	return nil
 }
 
-// logSummary logs the tasks and jobs as they are, and what has happened since the last summary.
+// logSummary logs the present numbers of tasks and jobs, and by how much the counters have grown since the last summary.
 func (s *Server) logSummary(now Summary, last Counters) {
 	s.log.Info("scheduler summary",
 		"waiting", now.Waiting, "bound", now.Assigned, "cancelling", now.CancellingJobs,
@@ -156,19 +162,20 @@
 		"fetch_cpu_s", int((now.FetchCPUs - last.FetchCPUs).Seconds()))
 }
 
-// scheduleInterval gathers what comes close together into one decision. It widens with the assigned tasks and with what the
-// last decision took, so that a controller that is short of CPU decides on more at a time.
+// scheduleInterval returns the pause after a scheduling cycle, so that events which follow each other closely are handled by
+// one cycle. The pause grows with the number of assigned tasks and with the duration of the last cycle, so that a controller
+// that is short of CPU runs fewer cycles and decides more in each.
 func scheduleInterval(assigned int, took time.Duration) time.Duration {
 	const (
 		shortest    = 8 * time.Millisecond
 		perTask     = 20 * time.Microsecond
-		longest     = 50 * time.Millisecond // unless decisions take long
-		pauseFactor = 3                     // decisions take a quarter of the time at most
+		longest     = 50 * time.Millisecond // unless pauseFactor requires more
+		pauseFactor = 3                     // scheduling cycles take at most a quarter of the time
 	)
 	return max(min(shortest+time.Duration(assigned)*perTask, longest), pauseFactor*took)
 }
 
-// scheduleLoop decides when something has changed, and has the decisions sent.
+// scheduleLoop runs a scheduling cycle when something has changed, and at least every scheduleTick unless cycles take long.
 func (s *Server) scheduleLoop(ctx context.Context) error {
 	tick := time.NewTicker(scheduleTick)
 	defer tick.Stop()
@@ -185,7 +192,8 @@
 	}
 }
 
-// schedule decides once, and gives the time until the next decision.
+// schedule runs one scheduling cycle, wakes sendLoop for each partition leader to which a batch is due, and returns the
+// pause until the next cycle.
 func (s *Server) schedule() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +210,8 @@
 	return scheduleInterval(assigned, took)
 }
 
-// writeLoop writes final states as soon as they are due, goes on with cancellations, and writes progress at intervals.
+// writeLoop writes final states as soon as they are due, continues cancellations whose users were asked to retry, and writes
+// progress at intervals.
 func (s *Server) writeLoop(ctx context.Context) error {
 	tick := time.NewTicker(writeTick)
 	defer tick.Stop()
--- a/internal/scheduler/progress_records.go
+++ b/internal/scheduler/progress_records.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// ChunkTasks is how many tasks one record of progress covers, where a record may be as large as that takes.
+// ChunkTasks is how many tasks one progress record covers, unless the maximum size of a record requires fewer.
 const ChunkTasks = 32768
 
-// chunkID names a record of progress: the tasks from N*Size on. Where records must be smaller their keys say so, and each is
-// read by its own size.
+// chunkID identifies a progress record of a job, which covers the Size tasks from number N*Size on. The record's key names the
+// size if it is not ChunkTasks, so that a record can be read whatever maximum size applied when it was written.
 type chunkID struct{ N, Size int }
 
 func (c chunkID) String() string {
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("%d.%d", c.N, c.Size)
 }
 
-// parseChunk reads what String gives.
-func parseChunk(text string) (c chunkID, ok bool) {
+// parseChunkID is the inverse of chunkID.String. ok is false when text is not valid.
+func parseChunkID(text string) (c chunkID, ok bool) {
 	number, size, hasSize := strings.Cut(text, ".")
 	c.Size = ChunkTasks
 	var numberErr, sizeErr error
@@ -32,19 +32,20 @@
 	return c, numberErr == nil && sizeErr == nil && c.N >= 0 && c.Size > 0 && c.Size%8 == 0
 }
 
-// chunkTasks is how many tasks a record of at most maxBytes covers: a multiple of 64, in base64 between two quotes.
+// chunkTasks returns how many tasks a progress record of at most maxBytes bytes covers, a multiple of 64. The record has one bit
+// for each task, in base64 between two quotes.
 func chunkTasks(maxBytes int) int {
 	return min(ChunkTasks, max(1, (maxBytes-2)/4*3/8)*64)
 }
 
-// progress is a record of completed tasks as last known.
+// progress is the newest known version of a progress record.
 type progress struct {
-	bits        []byte
+	bits        []byte // one for each task, set if the task is done
 	modRevision uint64
 }
 
-// HandleProgressRecord takes a record of completed tasks, as the replica shows it or as it was written. What is older than the
-// newest known changes nothing.
+// HandleProgressRecord applies a progress record that the replica shows or that this scheduler has written. A record that is
+// older than the newest known version changes nothing.
 func (s *Scheduler) HandleProgressRecord(id string, chunk chunkID, bits []byte, modRevision uint64) {
 	if s.progress[id] == nil {
 		s.progress[id] = map[chunkID]progress{}
@@ -54,5 +55,5 @@
 	}
 }
 
-// DropProgress takes note that a record of completed tasks is gone.
+// DropProgress records that a progress record has been deleted.
 func (s *Scheduler) DropProgress(id string, chunk chunkID) { delete(s.progress[id], chunk) }
--- a/internal/scheduler/progress_records_test.go
+++ b/internal/scheduler/progress_records_test.go
@@ -13,13 +13,13 @@
 	require.Zero(t, chunkTasks(100)%64)
 	require.LessOrEqual(t, base64.StdEncoding.EncodedLen(chunkTasks(700)/8)+2, 700)
 	for _, c := range []chunkID{{0, ChunkTasks}, {3, ChunkTasks}, {7, 4096}} {
-		got, ok := parseChunk(c.String())
+		got, ok := parseChunkID(c.String())
 		require.True(t, ok)
 		require.Equal(t, c, got)
 	}
 	require.Equal(t, "3", chunkID{3, ChunkTasks}.String(), "as ever")
 	for _, odd := range []string{"", "x", "1.", "1.7", "-1", "1.-8"} {
-		_, ok := parseChunk(odd)
+		_, ok := parseChunkID(odd)
 		require.False(t, ok, odd)
 	}
 	sim := newSimulationWithLimit(t, 1, 4, 0)
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -16,41 +16,41 @@
 	return fmt.Sprintf("%s%s/%s", kvstore.ProgressPrefix, id, chunk)
 }
 
-// progressWriter writes at intervals which tasks are completed, and only then lets their workers forget them. A write is
-// conditional on the mod revision of its own record too, so that a late copy takes no bit back (docs/design.md, "Late writes").
+// progressWriter writes at intervals which tasks are completed. Only after the write are the tasks' ends acknowledged, so that
+// the workers forget them. Each write has a condition on the mod revision of the record that it replaces: otherwise a late copy
+// of an earlier write could mark tasks as not done that the workers have forgotten (docs/design.md, "Late writes").
 type progressWriter struct {
 	*core
 	store    Store
 	interval clock.Micros
 
-	startedAt clock.Micros // of the last write; used by writeLoop alone, as is failures
-	failures  int          // writes that failed in a row
+	lastWriteAt clock.Micros // start of the last round of writes; used only by writeLoop, as is failures
+	failures    int          // writes that failed in a row
 }
 
-// progressWrite is a record of a job's progress that is to be written.
+// progressWrite is a progress record of a job that is to be written.
 type progressWrite struct {
 	job            *job
-	chunk          int
-	bits           []byte                 // as written
-	unacknowledged map[peer.TaskID]string // attempts to be acknowledged once it is written, and their machines
+	chunk          int                    // number of the record among the job's records
+	bits           []byte                 // its value, set by snapshot
+	unacknowledged map[peer.TaskID]string // machines by attempts that are to be acknowledged after the write, set by snapshot
 }
 
-// id names the record.
 func (p *progressWrite) id() chunkID { return chunkID{p.chunk, p.job.chunkTasks} }
 
-// size estimates how many bytes it takes of a transaction.
+// size estimates how many bytes the record takes in a transaction.
 func (p *progressWrite) size() int { return min(p.job.chunkTasks, p.job.Tasks)/6 + 300 }
 
-// writeIfDue writes progress when the interval is over.
+// writeIfDue writes progress if the interval since the last write has passed.
 func (w *progressWriter) writeIfDue(ctx context.Context) {
-	if now := w.clock.Now(); now >= w.startedAt+w.interval {
-		w.startedAt = now
+	if now := w.clock.Now(); now >= w.lastWriteAt+w.interval {
+		w.lastWriteAt = now
 		w.write(ctx)
 	}
 }
 
-// write writes all records that have changed. It stops at a failure, or where the budget has no changes to spare; the rest is
-// written with the next interval.
+// write writes all progress records that have changed. It stops when a write fails or the budget has no room for more; the other
+// records are written after the next interval.
 func (w *progressWriter) write(ctx context.Context) {
 	for tm, writes := range w.changedRecords() {
 		if !w.writeTeam(ctx, tm, writes) {
@@ -60,7 +60,8 @@
 	w.scheduleWake.Notify()
 }
 
-// changedRecords lists the records to write by team, and acknowledges attempts of jobs that have none.
+// changedRecords returns the records to write by team. For jobs without changed records it acknowledges the ended attempts, since
+// their completed tasks are durable already.
 func (w *progressWriter) changedRecords() map[*team][]progressWrite {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,7 +69,7 @@
 	for _, tm := range w.scheduler.teams {
 		for _, j := range tm.jobs {
 			if j.finalWriteInFlight || j.doneCount == j.Tasks {
-				continue // its final state costs no more, and says all of it
+				continue // the final state covers all progress and takes no more operations than a progress record
 			}
 			for chunk := range j.dirtyChunks {
 				byTeam[tm] = append(byTeam[tm], progressWrite{job: j, chunk: chunk})
@@ -84,18 +85,19 @@
 	return byTeam
 }
 
-// writeTeam writes records of one team; false when nothing more is to be written now, of any team.
+// writeTeam writes the records of one team. It returns false when no records of any team should be written any more before the
+// next interval.
 func (w *progressWriter) writeTeam(ctx context.Context, tm *team, writes []progressWrite) (proceed bool) {
 	for len(writes) > 0 {
 		n := w.batchSize(writes)
 		if n == 0 {
 			return false
 		}
-		leading, err := w.teamCondition(tm)
+		leadership, err := w.leadershipCondition(tm)
 		if err != nil {
-			return true // the team's next leader writes its progress; other teams' is written
+			return true // the team's next leader writes its progress; the other teams' progress is still written here
 		}
-		rev, err := w.store.Commit(ctx, w.txn(leading, writes[:n]))
+		rev, err := w.store.Commit(ctx, w.txn(leadership, writes[:n]))
 		w.handleResult(writes[:n], rev, err)
 		if err != nil {
 			if w.failures++; loop.LogsFailure(w.failures) && ctx.Err() == nil {
@@ -109,7 +111,7 @@
 	return true
 }
 
-// batchSize returns how many of some records to write in one transaction; 0 when the budget has no change to spare.
+// batchSize returns how many of the records to write in one transaction; 0 when the budget has no room even for one.
 func (w *progressWriter) batchSize(writes []progressWrite) int {
 	n := 1
 	for size := writes[0].size(); n < min(len(writes), w.txnOps) && size+writes[n].size() < wire.MaxTxnBytes; n++ {
@@ -124,17 +126,17 @@
 	return 0
 }
 
-// txn makes the transaction that writes some records of a team, as they are now.
-func (w *progressWriter) txn(leading wire.Condition, writes []progressWrite) wire.Txn {
+// txn returns the transaction that writes some records of a team with their present values.
+func (w *progressWriter) txn(leadership wire.Condition, writes []progressWrite) wire.Txn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	txn := wire.Txn{Conditions: []wire.Condition{leading}}
+	txn := wire.Txn{Conditions: []wire.Condition{leadership}}
 	for i := range writes {
 		p := &writes[i]
-		p.take()
+		p.snapshot()
 		key := progressKey(p.job.ID, p.id())
-		// Without the condition of the record's own mod revision a late copy of an earlier write would take back what is
-		// written, and forgotten by the workers, since.
+		// Without the condition on the record's own mod revision, a late copy of an earlier write would undo newer writes, and
+		// the workers have forgotten the ends of the tasks that those cover.
 		txn.Conditions = append(txn.Conditions,
 			wire.Condition{Key: kvstore.ActiveJobPrefix + p.job.ID, ModRevision: p.job.ModRevision},
 			wire.Condition{Key: key, ModRevision: w.scheduler.progress[p.job.ID][p.id()].modRevision})
@@ -143,8 +145,9 @@
 	return txn
 }
 
-// take copies the record's present bits, and the attempts that they cover, from the job. The lock is held.
-func (p *progressWrite) take() {
+// snapshot copies the record's present bits, and the attempts to acknowledge that they cover, from the job. The caller holds the
+// lock.
+func (p *progressWrite) snapshot() {
 	p.bits = p.job.chunk(p.chunk)
 	delete(p.job.dirtyChunks, p.chunk)
 	p.unacknowledged = map[peer.TaskID]string{}
@@ -155,7 +158,8 @@
 	}
 }
 
-// handleResult takes the outcome of a transaction: attempts are acknowledged only where their record is written.
+// handleResult applies the outcome of a transaction. It acknowledges attempts only if their record was written; if not, the
+// record stays marked as changed and is written again.
 func (w *progressWriter) handleResult(writes []progressWrite, rev uint64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -5,8 +5,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// Status answers what a job's user may learn; nothing is known unless the team is led. While the outcome of a final write is
-// unknown the answer is to retry (docs/design.md, "Why the rules hold", 10).
+// Status returns the state of a job for its user. The answer is empty (Known is false) unless this process leads the team. While
+// the outcome of the write of the job's final state is unknown, the user is asked to retry: otherwise a job could be reported as
+// active after it has been reported as over (docs/design.md, "Why the rules hold", 10).
 func (s *Server) Status(request peer.JobRequest) peer.JobResponse {
 	if _, ok := s.elections.Leading(Duty(request.Team)); !ok {
 		return peer.JobResponse{}
@@ -19,28 +20,29 @@
 	return s.scheduler.Status(request.Team, request.ID)
 }
 
-// Demands lists the tasks that wait, by shape, for the autoscaler.
+// Demands returns, for the autoscaler, the tasks of each job that wait for capacity.
 func (s *Server) Demands() []peer.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.scheduler.Demands(s.clock.Now())
 }
 
-// MachineViews appends all cached machines, for the autoscaler.
-func (s *Server) MachineViews(to []peer.MachineView) []peer.MachineView {
+// MachineViews appends the cached states of all machines to views, for the autoscaler.
+func (s *Server) MachineViews(views []peer.MachineView) []peer.MachineView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.scheduler.MachineViews(to, s.clock.Now())
+	return s.scheduler.MachineViews(views, s.clock.Now())
 }
 
-// TeamStatuses returns the state of each team that is led.
+// TeamStatuses returns the status of each team that this process leads.
 func (s *Server) TeamStatuses() []peer.TeamStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.scheduler.TeamStatuses(s.clock.Now())
 }
 
-// ZoneEvidence counts for each zone what is known of its machines.
+// ZoneEvidence returns for each zone how many of its machines are known, have missed heartbeats, or are not accounted for.
+// misdirected names the machines of other controllers that send their heartbeats to this one.
 func (s *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/replica_events.go
+++ b/internal/scheduler/replica_events.go
@@ -10,7 +10,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// Apply takes events of the replica: jobs, progress, watermarks and machine records. The cache of jobs has taken them already.
+// Apply applies events of the replica: changes of jobs, progress, watermarks and machine records. The job cache must have applied
+// them before.
 func (s *Server) Apply(events []kvstore.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +35,7 @@
 	s.scheduleWake.Notify()
 }
 
-// applyJob takes an active record, which may also say that its job is over. The lock is held.
+// applyJob applies a change of a job's active record, which may itself say that the job is over. The caller holds the lock.
 func (s *Server) applyJob(e kvstore.Event, now clock.Micros) {
 	id := strings.TrimPrefix(e.Key, kvstore.ActiveJobPrefix)
 	if j, ok := s.jobs.Active(id); ok && e.Value != nil {
@@ -44,10 +45,10 @@
 	}
 }
 
-// applyProgress takes a record of progress; one that is not understood changes nothing. The lock is held.
+// applyProgress applies a change of a progress record. A record that can't be decoded changes nothing. The caller holds the lock.
 func (s *Server) applyProgress(e kvstore.Event) {
 	id, suffix, _ := strings.Cut(strings.TrimPrefix(e.Key, kvstore.ProgressPrefix), "/")
-	chunk, ok := parseChunk(suffix)
+	chunk, ok := parseChunkID(suffix)
 	if !ok {
 		return
 	}
@@ -64,7 +65,8 @@
 	}
 }
 
-// applyWatermarks takes a record of watermarks; one that is not understood changes nothing. The lock is held.
+// applyWatermarks applies a change of a watermark record. A record that can't be decoded changes nothing. The caller holds the
+// lock.
 func (s *Server) applyWatermarks(e kvstore.Event) {
 	var tasksByJob map[string]int
 	if e.Value != nil && json.Unmarshal(e.Value, &tasksByJob) != nil {
@@ -73,7 +75,7 @@
 	s.scheduler.HandleWatermarkRecord(e.Key, tasksByJob, e.ModRevision)
 }
 
-// applyMachineRecord takes a record of machines. The lock is held.
+// applyMachineRecord applies a change of a record of machines. The caller holds the lock.
 func (s *Server) applyMachineRecord(e kvstore.Event) {
 	added, removed := s.records.Apply(e)
 	for _, id := range removed {
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -16,47 +16,48 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Elections tells which leaderships this process has, and who leads otherwise.
+// Elections reports which leaderships this process holds, and which process holds the others.
 type Elections interface {
-	// Leading gives this process's leadership of a duty; false when it may not act on it now.
+	// Leading returns this process's leadership of a duty. It returns false when the process does not lead, or must not act as
+	// the leader now because its controller lease may have expired or the leadership is being transferred.
 	Leading(duty string) (leaderelection.Leadership, bool)
-	// Current gives the leadership as the replica shows it; live tells whether the incarnation that it names is registered: one that
-	// is not never acts again.
+	// Current returns the leadership of a duty as the replica shows it. live reports whether the incarnation that it names is
+	// registered; an incarnation that is not registered never acts as the leader again.
 	Current(duty string) (leadership leaderelection.Leadership, live bool)
 }
 
-// Store carries out transactions within a budget of operations. Errors wrap kvstore.ErrRefused and kvstore.ErrConflict where
-// nothing was written for certain, and kvstore.ErrOutcomeUnknown where it may have been, or may yet be.
+// Store commits transactions within a budget of operations. Errors wrap kvstore.ErrRefused or kvstore.ErrConflict when nothing
+// was written for certain, and kvstore.ErrOutcomeUnknown when the transaction may have been written or may still be written.
 type Store interface {
-	// Commit gives the revision that the transaction was written at.
+	// Commit returns the revision at which the transaction was written.
 	Commit(ctx context.Context, txn wire.Txn) (uint64, error)
-	// CommitWithCheck calls sending when the transaction is about to be sent, after the wait for the budget; where that fails
-	// nothing is sent.
-	CommitWithCheck(ctx context.Context, txn wire.Txn, sending func() error) (uint64, error)
-	// HasSpareWrites tells whether n operations that can wait may be made now.
+	// CommitWithCheck does the same, but calls beforeSend after it has waited for the budget and immediately before it sends
+	// the transaction. When beforeSend returns an error the transaction is not sent.
+	CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error)
+	// HasSpareWrites reports whether the budget has room now for n operations that are not urgent.
 	HasSpareWrites(n int) bool
 }
 
-// PartitionClient calls the partition leader of a controller, this one's or a peer's. Its calls end by a timeout of their own.
+// PartitionClient calls the partition leader in one controller, this controller or a peer. Each call has its own timeout.
 type PartitionClient interface {
 	ApplyBatch(batch peer.Batch) (peer.BatchResponse, error)
 	Poll(request peer.PollRequest) (peer.PollResponse, error)
 }
 
-// Duty names the leadership of a team.
+// Duty returns the name of a team's leadership in the leader election.
 func Duty(team string) string { return "team-" + url.PathEscape(team) }
 
-// Server schedules the jobs of the teams that this process leads. It does the I/O around a Scheduler: it polls partition
-// leaders, sends them batches, and writes watermarks, progress and final states. All methods may be called concurrently.
+// Server schedules the jobs of the teams that this process leads. It does the I/O for a Scheduler: it polls partition
+// leaders, sends them batches, and writes watermarks, progress and final states. All its methods are safe for concurrent use.
 type Server struct {
 	*core
 	teams           []Team
 	partitions      map[string]PartitionClient // by controller
 	fairShares      bool                       // polls carry the teams' demands
-	scheduleMetrics *telemetry.Duty            // passes of the decision
-	pollMetrics     *telemetry.Duty            // answers to polls
-	batchWakes      map[string]loop.Signal     // by controller: there may be a batch to send
-	records         *inventory.Records         // machine records of the replica; guarded by mu
+	scheduleMetrics *telemetry.Duty            // durations and delays of scheduling cycles
+	pollMetrics     *telemetry.Duty            // time taken to apply answers to polls
+	batchWakes      map[string]loop.Signal     // by controller; wakes its sendLoop: there may be a batch to send
+	records         *inventory.Records         // machine records as the replica shows them; guarded by mu
 	lifetime        *lifetime
 
 	watermarks    *watermarkWriter
@@ -65,26 +66,26 @@
 	cancellations *canceller
 }
 
-// Options of a server.
+// Options configures a Server.
 type Options struct {
 	Teams           []Team
-	PartitionDuties []string
+	PartitionDuties []string                   // names of the partitions' leaderships, by partition
 	Partitions      map[string]PartitionClient // by controller
-	TxnOps          int                        // operations in a transaction
-	MaxRecordBytes  int
-	ProgressEvery   clock.Micros
-	FairShares      bool // polls carry the teams' demands
+	TxnOps          int                        // maximum number of operations in a transaction
+	MaxRecordBytes  int                        // maximum size of a record's value
+	ProgressEvery   clock.Micros               // interval between writes of progress
+	FairShares      bool                       // polls carry the teams' demands
 
 	Elections     Elections
 	Store         Store
-	PriorityStore Store // for what starts and users wait for
+	PriorityStore Store // for writes that task starts or users wait for
 	Jobs          *jobs.Cache
 	Clock         clock.Clock
 	Log           *slog.Logger
-	Telemetry     *telemetry.Reporter // nil: nothing is counted
+	Telemetry     *telemetry.Reporter // nil: no metrics are collected
 }
 
-// New makes a server around a scheduler.
+// New returns a server that does the I/O for a scheduler.
 func New(scheduler *Scheduler, o Options) *Server {
 	scheduler.chunkTasks = chunkTasks(o.MaxRecordBytes)
 	c := &core{
@@ -113,21 +114,21 @@
 	return s
 }
 
-// SetFetchRates sets how fast machine types fetch images, in GB a second.
+// SetFetchRates sets how fast each machine type fetches images, in GB per second.
 func (s *Server) SetFetchRates(rates map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scheduler.SetFetchRates(rates)
 }
 
-// SetPrices sets what machines cost.
+// SetPrices sets the prices of the machine types.
 func (s *Server) SetPrices(types []wire.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scheduler.SetPrices(types)
 }
 
-// SetZoneState applies the state of a zone.
+// SetZoneState applies a zone's state and wakes the scheduling loop, since the zone may admit more jobs than before.
 func (s *Server) SetZoneState(name string, r zone.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,9 +136,12 @@
 	s.scheduleWake.Notify()
 }
 
-// Reconcile compares the teams that are scheduled with the leaderships of this process: it acquires those that it leads, under
-// a new term also those that it had, and releases the others. Polls fence lower terms of an acquired team at every
-// partition leader (docs/design.md, "Why the rules hold", 7).
+// Reconcile makes the scheduler's teams match the leaderships of this process: it acquires each team that the process leads,
+// again if the term has changed, and releases each team that it no longer leads.
+//
+// It polls every partition leader at once after an acquisition. The poll carries the new term, and from then on the partition
+// leader rejects assignments under lower terms. Otherwise the team's former leader could still start a task that this one has
+// placed elsewhere (docs/design.md, "Why the rules hold", 7).
 func (s *Server) Reconcile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +163,7 @@
 	}
 	if acquired {
 		for host := range s.partitions {
-			s.lifetime.start(func() { _ = s.poll(host, 0) }) // after an error the poll loop polls again
+			s.lifetime.start(func() { _ = s.poll(host, 0) }) // an error needs no handling: pollLoop polls again
 		}
 		s.scheduleWake.Notify()
 	}
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -9,17 +9,18 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// watermarkInterval gathers raised watermarks into one write.
+// watermarkInterval is the time between two rounds of writes, so that many raised watermarks share one write.
 const watermarkInterval = 150 * time.Millisecond
 
-// watermarkWriter writes watermarks ahead of the tasks that need them. The decision learns of one only once it is durable, so
-// that no task above it is assigned (docs/design.md, "Why the rules hold", 7).
+// watermarkWriter writes watermarks before the tasks below them are assigned. It passes a watermark to the Scheduler only after
+// the write, so that no task is assigned that the durable watermark does not cover: the team's next scheduler would start such a
+// task a second time (docs/design.md, "Why the rules hold", 7).
 type watermarkWriter struct {
 	*core
 	store          Store
 	maxRecordBytes int
 
-	failures int // writes that failed in a row; used by run alone
+	failures int // writes that failed in a row; used only by run
 }
 
 // run writes watermarks at intervals until ctx ends.
@@ -36,7 +37,8 @@
 	return nil
 }
 
-// write writes one record of watermarks, where its team is still led. What fails is planned anew.
+// write writes one watermark record if this process still leads its team. It does not retry: PlanWatermarks plans the watermarks
+// of a failed write again.
 func (w *watermarkWriter) write(ctx context.Context, write WatermarkWrite) {
 	leadership, ok := w.elections.Leading(Duty(write.Team))
 	if !ok {
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -12,34 +12,36 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// The decisions about watermarks; watermarkWriter does the I/O.
+// This file has the decisions about watermarks; watermarkWriter does the I/O.
 //
-// A job's watermark is the number of its tasks that may ever have been assigned: a task is assigned only when a watermark above
-// it is in the key-value store. So the next scheduler of the team knows which tasks can't be on any machine, and starts those
-// immediately, also while some machines are unaccounted (docs/design.md, "Why the rules hold", 7). Many jobs' watermarks share
-// a key. Jobs whose tasks should start within a time are watermarked as a whole when they are accepted: users wait for the same
-// budget of changes.
+// Only those of a job's tasks may have been assigned whose numbers are below its watermark: a task is assigned only after a
+// watermark above its number is in the key-value store. The team's next scheduler therefore knows which tasks can't be on
+// any machine, and starts those immediately, while all others wait until every machine is accounted for. Without this order of
+// writes it could start a task that a former scheduler has started too (docs/design.md, "Why the rules hold", 7).
+//
+// The watermarks of many jobs share a record. A job whose tasks should start within a given time has all its tasks watermarked
+// by its acceptance record, since a separate watermark would be one more write for which its user waits.
 
 const (
-	// watermarkStep is by how many tasks a watermark is raised.
+	// watermarkStep is the number of tasks by which a watermark is raised.
 	watermarkStep = 256
-	// watermarkLead is how long before a job's first task becomes due its watermark is raised whatever its turn.
-	watermarkLead = 10 * clock.Second
-	// aheadShare is the part of this team's share of the usable CPUs that is to be covered by watermarks ahead of the tasks'
-	// turn, one in so many; aheadCPU is added, in millionths of a CPU, for small fleets.
-	aheadShare = 4
-	aheadCPU   = 64e6
-	// watermarkEntryBytes is what a job takes of a record beside its id.
+	// watermarkLeadTime is how long before firstTaskDeadline a job's watermark is raised whatever the job's place in the queue.
+	watermarkLeadTime = 10 * clock.Second
+	// aheadDivisor and minAheadCPU determine how much work each team should be able to assign without another watermark: its
+	// equal part of the usable CPUs divided by aheadDivisor, plus minAheadCPU, in micro-CPUs, for small fleets.
+	aheadDivisor = 4
+	minAheadCPU  = 64e6
+	// watermarkEntryBytes is how many bytes a job takes in a record in addition to its id.
 	watermarkEntryBytes = 12
 )
 
-// watermarks is a record of watermarks as last known.
+// watermarks is the newest known version of a watermark record.
 type watermarks struct {
 	modRevision uint64         // 0: there is no such record
 	tasksByJob  map[string]int // watermarks by job id
 }
 
-// WatermarkWrite is one key's new value, to be written on the condition of its mod revision.
+// WatermarkWrite is a new value of a watermark record, to be written on the condition that its mod revision has not changed.
 type WatermarkWrite struct {
 	Team        string
 	Key         string
@@ -49,8 +51,8 @@
 
 func watermarkPrefix(team string) string { return kvstore.WatermarkPrefix + url.PathEscape(team) + "/" }
 
-// HandleWatermarkRecord takes a record of watermarks, as the replica shows it or as it was written; nil means that it is gone.
-// What is older than the newest known changes nothing.
+// HandleWatermarkRecord applies a watermark record that the replica shows or that this scheduler has written; nil means that it
+// was deleted. A record that is older than the newest known version changes nothing.
 func (s *Scheduler) HandleWatermarkRecord(key string, tasksByJob map[string]int, modRevision uint64) {
 	if old := s.watermarks[key]; modRevision < old.modRevision {
 		return
@@ -71,7 +73,7 @@
 	}
 }
 
-// watermarkOf returns a job's watermark on record.
+// watermarkOf returns a job's watermark according to its acceptance record and the watermark records.
 func (s *Scheduler) watermarkOf(team string, j *jobs.Job) (n int) {
 	if j.Watermarked {
 		return j.Tasks
@@ -84,12 +86,12 @@
 	return n
 }
 
-// PlanWatermarks decides which watermarks to raise: those of the jobs that go first, until what may be assigned fills a quarter
-// of this team's part of the usable CPUs. Jobs that are not near their turn stay free for any next scheduler. A value takes
-// at most maxBytes.
+// PlanWatermarks decides which watermarks to raise: those of the jobs that are first in the queue, until the tasks that may be
+// assigned fill a quarter of the team's part of the usable CPUs (see aheadDivisor). The watermarks of later jobs are not raised
+// yet, so that a next scheduler of the team could start their tasks without waiting. A record's value takes at most maxBytes.
 func (s *Scheduler) PlanWatermarks(now clock.Micros, maxBytes int) (out []WatermarkWrite) {
 	plan := watermarkPlan{
-		limitCPU: s.capacity.usableCPU/int64(aheadShare*max(1, len(s.teamConfigs))) + aheadCPU,
+		limitCPU: s.capacity.usableCPU/int64(aheadDivisor*max(1, len(s.teamConfigs))) + minAheadCPU,
 		aheadCPU: map[*team]int64{},
 		raised:   map[*team]map[string]int{},
 	}
@@ -105,14 +107,15 @@
 
 // watermarkPlan collects the watermarks to raise while jobs are considered in the order of the queue.
 type watermarkPlan struct {
-	limitCPU int64                    // how much of each team is to be covered ahead
-	aheadCPU map[*team]int64          // how much is, by the jobs considered so far
+	limitCPU int64                    // micro-CPUs of the tasks that each team should be able to assign
+	aheadCPU map[*team]int64          // micro-CPUs of the tasks that it can assign, of the jobs considered so far
 	raised   map[*team]map[string]int // new watermarks by job id
 }
 
-// consider raises a job's watermark if all its tasks below it are queued and its team has not enough ahead.
+// consider raises a job's watermark if all its tasks below the watermark have been queued, and either its team can't assign
+// enough yet or the job's first task is nearly due.
 func (p *watermarkPlan) consider(j *job, now clock.Micros) {
-	firstTaskDue := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-watermarkLead
+	firstTaskDue := !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline-watermarkLeadTime
 	if p.aheadCPU[j.team] > p.limitCPU && !firstTaskDue {
 		return
 	}
@@ -121,7 +124,7 @@
 		return
 	}
 	raised := j.Tasks
-	if raised > j.watermark+watermarkStep*3/2 { // a small rest is not worth a write of its own
+	if raised > j.watermark+watermarkStep*3/2 { // a small remainder is not worth a separate write
 		raised = j.watermark + watermarkStep
 	}
 	p.aheadCPU[j.team] += int64(raised-j.watermark) * j.Need.CPU
@@ -131,7 +134,8 @@
 	p.raised[j.team][j.ID] = raised
 }
 
-// watermarkWrites puts raised watermarks into the records that hold the jobs' watermarks, or into the first that has room.
+// watermarkWrites puts raised watermarks into the records that have the jobs' watermarks already, or else into the first record
+// with room.
 func (s *Scheduler) watermarkWrites(tm *team, raised map[string]int, maxBytes int) (out []WatermarkWrite) {
 	remaining := slices.Sorted(maps.Keys(raised))
 	for n := 0; len(remaining) > 0; n++ {
@@ -146,7 +150,7 @@
 	return out
 }
 
-// ofActiveJobs copies the watermarks of jobs that are active; those that are over need none.
+// ofActiveJobs copies the watermarks of the team's active jobs; the other jobs are over and need none.
 func (w watermarks) ofActiveJobs(tm *team) map[string]int {
 	out := map[string]int{}
 	for id, n := range w.tasksByJob {
@@ -157,7 +161,7 @@
 	return out
 }
 
-// raise sets the watermarks of the jobs that the record holds, and of those that it has room for; it gives the other ids.
+// raise sets the watermarks of the jobs that are in the record or fit into it, and returns the ids of the other jobs.
 func (w *WatermarkWrite) raise(raised map[string]int, ids []string, maxBytes int) (remaining []string) {
 	size := 0
 	for id := range w.Watermarks {
@@ -175,8 +179,8 @@
 	return remaining
 }
 
-// releaseFormerlyOffered queues the tasks that a former scheduler may have assigned: all machines are accounted, and the tasks
-// that run on one are known.
+// releaseFormerlyOffered queues the tasks that a former scheduler may have assigned. It is called once all machines are
+// accounted for, when the tasks that run on any of them are known and need not be queued.
 func (j *job) releaseFormerlyOffered() {
 	j.awaitsAccounting = false
 	var released []int
