--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// busyMachines lists the machines that run something.
+// busyMachines returns the machines that have a task which has not exited.
 func (s *simulation) busyMachines() (out []string) {
 	for _, id := range s.machineIDs {
 		for _, task := range s.workers[id].InOrder() {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// cancelJob has a job cancelled and its final state written.
+// cancelJob cancels a job, has all partition leaders acknowledge it, and writes the job's final state.
 func (s *simulation) cancelJob(id string) {
 	s.t.Helper()
 	s.scheduler.CancelJob(red, id)
@@ -33,24 +33,25 @@
 			s.poll(c, false)
 		}
 	}
-	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "the partition leaders have acknowledged it")
+	require.True(s.t, s.scheduler.CancellationConfirmed(j, s.partitionLeaderships()), "all partition leaders have acknowledged")
 	s.endJob(id, wire.Cancelled)
 }
 
-// A team is at its limit with a job whose machines hang, get no answers, or have a new
-// partition leader. The job is cancelled, and the team's leader changes. What may
-// run there still counts against the limit, though its job is known to nobody any more.
+// Guards against a team that exceeds its limit with tasks of a job that is over. The team is at its limit with one job, whose
+// machines hang, get no answers, or have a new process of their partition leader. The job is cancelled, and another process
+// takes over the team. No controller knows the job any more, but its tasks may still run on those machines and must count
+// against the limit.
 func TestLimitCountsAttemptsOfCancelledJobs(t *testing.T) {
-	for _, x := range []struct {
+	for _, scenario := range []struct {
 		name       string
-		heartbeats bool // of the machines arrive, but no answers
-		restarted  bool // the process of their partition leader
+		heartbeats bool // heartbeats of the job's machines arrive, but the answers are lost
+		restarted  bool // the partition leaders' processes restart after the cancellation
 	}{
 		{"machines hang", false, false},
 		{"heartbeats arrive, answers don't", true, false},
 		{"and the partition leader has restarted", true, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			sim := newSimulation(t, 6)
 			sim.runSteps(8)
 			sim.addJob("job-1", 6, nil)
@@ -58,13 +59,13 @@
 			require.Equal(t, 6, sim.runningTasks())
 			busy := sim.busyMachines()
 			sim.cancelJob("job-1")
-			if x.restarted {
+			if scenario.restarted {
 				for p, c := range sim.controllers {
 					sim.boot(c)
 					sim.acquirePartition(p, p)
 				}
 				for _, id := range sim.machineIDs {
-					sim.heartbeat(id, true) // its answer brings the new token, and nothing else
+					sim.heartbeat(id, true) // the answer carries only the new fencing token
 				}
 			}
 			sim.newScheduler()
@@ -79,7 +80,7 @@
 					if !hung[id] {
 						sim.heartbeat(id, true)
 						sim.deliverCommands(id, false, true)
-					} else if x.heartbeats {
+					} else if scenario.heartbeats {
 						sim.heartbeat(id, false)
 					}
 				}
@@ -89,25 +90,26 @@
 					sim.sendBatch(c, true, true)
 				}
 				sim.schedule()
-				sim.checkInvariants("the cancelled job's machines are out of reach")
+				sim.checkInvariants("the cancelled job's machines are unreachable")
 			}
-			require.Len(t, sim.busyMachines(), len(busy), "nothing of the cancelled job has been stopped, and nothing fits beside it")
-			require.Empty(t, sim.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves nothing for the other job")
+			require.Len(t, sim.busyMachines(), len(busy), "no task of the cancelled job has been stopped, and no other task has started")
+			require.Empty(t, sim.scheduler.teams[red].jobs["job-2"].assignments, "the limit leaves no room for the second job")
 			sim.now += 2 * lease
 			sim.runSteps(30)
-			require.Equal(t, 6, sim.runningTasks(), "the other job runs once their leases are over")
+			require.Equal(t, 6, sim.runningTasks(), "the second job runs once the workers' leases have expired")
 		})
 	}
 }
 
-// A job is cancelled while a start of it is on its way, its image is being fetched, or
-// nothing is known yet of a machine on which a former scheduler may have put it. Every partition leader
-// has acknowledged the cancellation; its final state waits until nothing of it can start.
+// Guards against a task that starts after its job has been answered as cancelled. The job is cancelled while a run command is on
+// its way to the worker, while its image is being fetched, or while a machine on which a former scheduler may have placed it is
+// not accounted for. Every partition leader has acknowledged the cancellation, but it must not count as confirmed before no task
+// can start any more.
 func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
-	for _, x := range []struct {
+	for _, scenario := range []struct {
 		name    string
-		prepare func(sim *simulation, machine string) // brings about what may start on a machine
-		resolve func(sim *simulation, machine string) // and lets it be known
+		prepare func(sim *simulation, machine string) // makes a task that may start on the machine
+		resolve func(sim *simulation, machine string) // makes certain whether the task starts
 	}{
 		{"a start is on its way", delayStart, func(sim *simulation, machine string) {
 			sim.now += 3 * sec
@@ -117,7 +119,7 @@
 		{"the image is being fetched", startFetching, func(sim *simulation, _ string) { sim.runSteps(4) }},
 		{"a former scheduler's machine hangs", failOver, func(sim *simulation, _ string) { sim.runSteps(8) }},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			sim := newSimulation(t, 2)
 			sim.runSteps(8)
 			sim.addJob("job-1", 1, nil)
@@ -125,23 +127,23 @@
 			for _, c := range sim.controllers {
 				sim.sendBatch(c, true, true)
 			}
-			at := ""
+			machine := ""
 			for id, m := range sim.scheduler.machines {
 				if len(m.assignments) > 0 {
-					at = id
+					machine = id
 				}
 			}
-			x.prepare(sim, at)
+			scenario.prepare(sim, machine)
 			sim.scheduler.CancelJob(red, "job-1")
 			j := sim.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
-				sim.runWithSilentMachine(at)
-				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "it may start yet")
+				sim.runWithSilentMachine(machine)
+				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "the task may still start")
 			}
 			for _, c := range sim.controllers {
-				require.True(t, j.cancelAcknowledged[c.instance], "its partition leaders know")
+				require.True(t, j.cancelAcknowledged[c.instance], "each partition leader has acknowledged the cancellation")
 			}
-			x.resolve(sim, at)
+			scenario.resolve(sim, machine)
 			require.True(t, sim.ended["job-1"])
 			require.Zero(t, sim.runningTasks())
 		})
@@ -158,7 +160,7 @@
 	sim.heartbeat(machine, true)
 }
 
-// failOver starts a task, and replaces the scheduler and the process of the machine's partition leader.
+// failOver starts a task, and then replaces the scheduler and the process of the machine's partition leader.
 func failOver(sim *simulation, machine string) {
 	sim.deliverCommands(machine, false, true)
 	sim.heartbeat(machine, true)
@@ -166,7 +168,7 @@
 	sim.restart(sim.controllers[sim.leaderOf[sim.partitionOf(machine)]])
 }
 
-// runWithSilentMachine lets all go on for a moment but one machine, which sends no heartbeats.
+// runWithSilentMachine runs the cluster for 200 ms while one machine sends no heartbeats.
 func (s *simulation) runWithSilentMachine(silent string) {
 	s.now += 200 * clock.Millisecond
 	for _, c := range s.controllers {
@@ -180,7 +182,8 @@
 	}
 }
 
-// A cancellation counts as acknowledged only by the partition leaders whose answer has come.
+// Guards against a cancellation that counts as confirmed although a partition leader has not acknowledged it, as the scheduler
+// knows it: a batch that reaches the partition leader but whose answer is lost is not an acknowledgement.
 func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -23,8 +23,8 @@
 	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 }
 
-// The next leader of a team, maybe of another release, finds records of progress and watermarks by their keys: a key of another
-// form would be a record lost.
+// Guards against records that a team's next leader, possibly of another release, does not find: it looks progress and watermark
+// records up by their keys, so the form of the keys must not change.
 func TestRecordKeysKeepTheirForm(t *testing.T) {
 	require.Equal(t, goldenLines(t, "golden_keys.txt"), []string{
 		progressKey("job-1", chunkID{0, ChunkTasks}),
@@ -45,23 +45,24 @@
 	}
 }
 
-// A record of progress is the bits of its tasks in base64, a record of watermarks the numbers of tasks by job.
+// Guards against progress and watermark records that another release can't decode. A progress record has one bit for each of its
+// tasks, in base64; a watermark record has the watermarks by job id.
 func TestRecordsKeepEncodedForm(t *testing.T) {
 	lines := goldenLines(t, "golden_records.txt")
 	require.Len(t, lines, 2)
 	j := &job{Job: &jobs.Job{}, chunkTasks: 64, done: []uint64{0x1000000000ff8001}}
 	j.Tasks = 64
 	bits := j.chunk(0)
-	done, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
+	encodedProgress, err := json.Marshal(base64.StdEncoding.EncodeToString(bits))
 	require.NoError(t, err)
-	require.Equal(t, lines[0], string(done))
+	require.Equal(t, lines[0], string(encodedProgress))
 	writes := (&Scheduler{}).watermarkWrites(&team{Team: Team{Name: "red"}}, map[string]int{"job-1": 256, "job-2": 40}, 1000)
 	require.Len(t, writes, 1)
-	marks, err := json.Marshal(writes[0].Watermarks)
+	encodedWatermarks, err := json.Marshal(writes[0].Watermarks)
 	require.NoError(t, err)
-	require.Equal(t, lines[1], string(marks))
+	require.Equal(t, lines[1], string(encodedWatermarks))
 
-	// And a server understands them.
+	// The records are applied through a server as well.
 	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: "red"}}, Seed: 1, WallMS: func() int64 { return 0 }})
 	server := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewSteady(), Log: slog.New(slog.DiscardHandler)})
 	server.Apply([]kvstore.Event{
--- a/internal/scheduler/lifetime_test.go
+++ b/internal/scheduler/lifetime_test.go
@@ -12,14 +12,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// slowPartition answers every poll after a while, whatever it is asked to wait.
+// slowPartition answers each poll with an error after a delay, whatever wait the poll asks for.
 type slowPartition struct {
-	took  time.Duration
+	delay time.Duration
 	polls int // answered
 }
 
 func (p *slowPartition) Poll(peer.PollRequest) (peer.PollResponse, error) {
-	time.Sleep(p.took)
+	time.Sleep(p.delay)
 	p.polls++
 	return peer.PollResponse{}, peer.ErrUnavailable
 }
@@ -35,14 +35,14 @@
 		defer cancel()
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		require.NoError(t, ctx.Err(), "also before Run has begun")
+		require.NoError(t, ctx.Err(), "the context must not end before the lifetime, even if Run has not been called")
 		l.end()
 		synctest.Wait()
 		require.ErrorIs(t, ctx.Err(), context.Canceled)
 		l.wait()
 		late, cancel := l.newContext()
 		defer cancel()
-		require.ErrorIs(t, late.Err(), context.Canceled, "it is over")
+		require.ErrorIs(t, late.Err(), context.Canceled, "a context made after the lifetime must have ended")
 	})
 }
 
@@ -54,11 +54,12 @@
 		l.end()
 		l.wait()
 		require.True(t, returned)
-		require.False(t, l.start(func() { t.Error("started after the end") }))
+		require.False(t, l.start(func() { t.Error("a function was started after wait") }))
 	})
 }
 
-// A poll that an acquired team has started is under way when the server stops: Run returns after it.
+// Guards against goroutines that outlive Run. Reconcile has acquired a team and started a poll, which is still in flight when the
+// context of Run ends: Run must return only after the poll, and no further poll may be started.
 func TestServerRunReturnsAfterStartedPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
@@ -66,7 +67,7 @@
 		f.teams = []Team{{Name: red}}
 		f.scheduler.ReleaseTeam(red)
 		f.scheduler.sessions["a"] = &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
-		slow := &slowPartition{took: 700 * time.Millisecond}
+		slow := &slowPartition{delay: 700 * time.Millisecond}
 		f.partitions = map[string]PartitionClient{"a": slow}
 		f.Reconcile()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -77,6 +78,6 @@
 		f.Reconcile()
 		synctest.Wait()
 		time.Sleep(time.Minute)
-		require.Equal(t, 1, slow.polls, "nothing is started after the end")
+		require.Equal(t, 1, slow.polls, "no poll may be started after Run has returned")
 	})
 }
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -13,12 +13,12 @@
 
 var testMoves = &Moves{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
 
-// longJob has tasks that checkpoint and run for 200 s.
+// longJob gives a job tasks that write checkpoints and run for 200 s.
 func longJob(j *wire.Job) {
 	j.CheckpointIntervalS, j.CheckpointDurationS, j.RuntimeEstimateS = 10, 1, 200
 }
 
-// simulationWithNotice is a simulation whose only task has run for a while on a machine that then gets an eviction notice.
+// simulationWithNotice returns a simulation with one task, which has run for a while on a machine that now has an eviction notice.
 func simulationWithNotice(t *testing.T) (sim *simulation, from string) {
 	t.Helper()
 	sim = newSimulationWithLimit(t, 1, 4, limitCPU)
@@ -32,14 +32,15 @@
 	return sim, from
 }
 
-// sendEvictionNotice has a machine report from now on that it is taken away in a minute.
+// sendEvictionNotice makes a machine report from now on that the cloud takes it away in a minute.
 func (s *simulation) sendEvictionNotice(id string) {
 	left := 60.0
 	s.workers[id].NoticeS = &left
 }
 
-// runUntil runs the cluster until a move is at a point, and no further.
-func (s *simulation) runUntil(what string, reached func() bool) {
+// runUntil runs the cluster until reached returns true, and stops immediately then. It fails after
+// 10 s of simulated time.
+func (s *simulation) runUntil(step string, reached func() bool) {
 	s.t.Helper()
 	for range 200 {
 		if reached() {
@@ -66,12 +67,13 @@
 				return
 			}
 		}
-		s.checkInvariants(what)
+		s.checkInvariants(step)
 	}
-	require.Fail(s.t, "never reached", what)
+	require.Fail(s.t, "step was not reached", step)
 }
 
-// lastMoveOutcome is the outcome of the last move; empty while it is under way, or where there was none.
+// lastMoveOutcome returns the outcome of the latest move, which is UnderWay while it is in progress, or the empty string if there
+// was no move.
 func (s *simulation) lastMoveOutcome() rebalance.Outcome {
 	recent := s.scheduler.moves.planner.Recent(red)
 	if len(recent) == 0 {
@@ -80,24 +82,25 @@
 	return recent[0].Outcome
 }
 
-// movesInFlight is how many moves are under way.
+// movesInFlight returns how many moves are in progress.
 func (s *simulation) movesInFlight() int { return len(s.scheduler.moves.bySource) }
 
-// A task leaves a machine that is taken away: a lease elsewhere is held first.
+// Guards against a task that is lost with a machine although an eviction notice gave enough time to move it. The machine of a
+// running task gets a notice: the task must run once on another machine, and no assignment may be left at the first.
 func TestTaskMovesOffMachineWithEvictionNotice(t *testing.T) {
 	sim, from := simulationWithNotice(t)
 	sim.runSteps(12)
-	at := sim.machineRunning("job-1/0")
-	require.NotEqual(t, from, at)
+	destination := sim.machineRunning("job-1/0")
+	require.NotEqual(t, from, destination)
 	require.Equal(t, rebalance.Moved, sim.lastMoveOutcome())
 	require.Equal(t, 1, sim.scheduler.counters.Moved)
 	require.Zero(t, sim.movesInFlight())
 	require.Empty(t, sim.scheduler.moves.byDestination)
-	require.Equal(t, 1, sim.workers[at].Starts["job-1/0"])
-	require.EqualValues(t, 2_000_000, sim.scheduler.teams[red].used.CPU, "nothing is left behind")
+	require.Equal(t, 1, sim.workers[destination].Starts["job-1/0"])
+	require.EqualValues(t, 2_000_000, sim.scheduler.teams[red].used.CPU, "only the moved task counts against the limit")
 }
 
-// moveSteps are the moments in a move just before what they name is known.
+// moveSteps are the steps of a move at which a failure is applied, each with a condition that holds immediately after it.
 var moveSteps = map[string]func(sim *simulation) bool{
 	"lease requested": func(sim *simulation) bool { return sim.movesInFlight() == 1 },
 	"lease accepted":  func(sim *simulation) bool { return sim.movesInFlight() == 1 && !sim.anyMove().destination.unanswered },
@@ -106,14 +109,14 @@
 	},
 }
 
-// Names that TestMoveSurvivesFailureAtEachStep tells apart.
+// Names for which TestMoveSurvivesFailureAtEachStep makes additional checks.
 const (
 	stepSourceGone   = "source gone"
 	failureTaskDone  = "the task is done"
 	failureCancelled = "the job is cancelled"
 )
 
-// moveFailures are what may happen at a step of a move from a machine to another.
+// moveFailures are the failures and events that are applied at a step of a move from one machine to another.
 var moveFailures = map[string]func(sim *simulation, from, to string){
 	"the destination's partition leader restarts": func(sim *simulation, _, to string) { sim.restartLeaderOf(to) },
 	"the source's partition leader restarts":      func(sim *simulation, from, _ string) { sim.restartLeaderOf(from) },
@@ -152,8 +155,9 @@
 	"the destination gets a notice": func(sim *simulation, _, to string) { sim.sendEvictionNotice(to) },
 }
 
-// Whatever fails at whatever step of a move, the task runs on one machine at a time, and goes on
-// in the end.
+// Guards against a task that runs on two machines, is lost, or counts twice against the limit because something fails during its
+// move. Each failure is applied at each step of a move: the task must run on one machine at a time, and must run in the end
+// unless it or its job is over.
 func TestMoveSurvivesFailureAtEachStep(t *testing.T) {
 	for step, reached := range moveSteps {
 		for name, fail := range moveFailures {
@@ -163,19 +167,19 @@
 				to := sim.scheduler.moves.planner.Recent(red)[0].To
 				fail(sim, from, to)
 				sim.runSteps(160)
-				require.Zero(t, sim.movesInFlight(), "no move is left")
-				over := sim.active["job-1"] == nil
+				require.Zero(t, sim.movesInFlight(), "no move may be left in progress")
+				ended := sim.active["job-1"] == nil
 				if name == failureTaskDone && step != stepSourceGone {
-					require.True(t, over)
+					require.True(t, ended)
 				}
 				if name == failureCancelled {
-					require.True(t, over, "cancelled in the end")
+					require.True(t, ended, "the cancellation must finish")
 					require.Zero(t, sim.runningTasks())
 				}
-				if !over {
-					require.Equal(t, 1, sim.runningTasks(), "it goes on")
+				if !ended {
+					require.Equal(t, 1, sim.runningTasks(), "the task must run")
 				}
-				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "nothing is left behind")
+				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "nothing else may count")
 			})
 		}
 	}
@@ -186,7 +190,7 @@
 	s.restart(s.controllers[s.leaderOf[s.partitionOf(machine)]])
 }
 
-// replaceSchedulerWithLateBatch replaces the scheduler, and lets the former one's last batches arrive afterwards.
+// replaceSchedulerWithLateBatch replaces the scheduler. The former scheduler's last batches arrive after the new one has started.
 func (s *simulation) replaceSchedulerWithLateBatch() {
 	s.t.Helper()
 	for _, c := range s.controllers {
@@ -199,7 +203,7 @@
 	}
 }
 
-// runStepsWith runs the cluster for a while, with heartbeats as the caller sends them.
+// runStepsWith runs the cluster for so many steps of 250 ms. heartbeat sends the heartbeat of a machine, or leaves it out.
 func (s *simulation) runStepsWith(steps int, heartbeat func(id string)) {
 	s.t.Helper()
 	for range steps {
@@ -213,14 +217,14 @@
 			s.schedule()
 			s.sendBatch(c, true, true)
 		}
-		s.checkInvariants("going on")
+		s.checkInvariants("with the caller's heartbeats")
 	}
 }
 
-// anyMove is the only move under way.
+// anyMove returns the move that began first of those in progress.
 func (s *simulation) anyMove() *move { return s.scheduler.moves.underWay()[0] }
 
-// without returns the names but one.
+// without returns the names except for one.
 func without(names []string, name string) (out []string) {
 	for _, n := range names {
 		if n != name {
@@ -230,11 +234,12 @@
 	return out
 }
 
-// Tasks stay where they are: each reason is counted.
+// Guards against moves that must not be made, and against tasks that stay on a machine without a reason that operators can see:
+// in each case the task is not moved, and the reason is counted.
 func TestTaskIsNotMovedWhenDeclined(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, scenario := range map[string]struct {
 		change func(sim *simulation, from string)
-		why    rebalance.DeclineReason
+		reason rebalance.DeclineReason
 	}{
 		"the team is at its limit": {func(sim *simulation, _ string) {
 			sim.addJob("job-2", 5, longJob)
@@ -261,18 +266,19 @@
 			sim.addJob("job-1", 1, longJob)
 			sim.runSteps(160)
 			from := sim.machineRunning("job-1/0")
-			x.change(sim, from)
+			scenario.change(sim, from)
 			sim.sendEvictionNotice(from)
 			sim.runSteps(12)
 			require.True(t, sim.workers[from].Running("job-1/0"))
-			require.Positive(t, sim.scheduler.moves.planner.DeclinedOf(red)[x.why], "%v", sim.scheduler.moves.planner.DeclinedOf(red))
+			require.Positive(t, sim.scheduler.moves.planner.DeclinedOf(red)[scenario.reason], "%v", sim.scheduler.moves.planner.DeclinedOf(red))
 			require.Zero(t, sim.scheduler.counters.Moves)
 		})
 	}
 }
 
-// Whatever fails while tasks are moved off machines that get eviction notices and lose them again: no
-// task on two machines, no team over its limit, no move left behind, and every job done.
+// Guards against any order of faults during moves in which a task runs on two machines, a team exceeds its limit, a move is never
+// finished, or a job never ends. Machines get eviction notices at random, and some notices are withdrawn. Each seed gives one
+// random order.
 func TestMovesKeepInvariantsUnderRandomFaults(t *testing.T) {
 	seeds := uint64(500)
 	if testing.Short() {
@@ -303,28 +309,28 @@
 			sim.runSteps(4)
 			sim.exitAll(wire.CauseDone)
 		}
-		require.Empty(t, sim.active, "seed %d: some job never ended", seed)
+		require.Empty(t, sim.active, "seed %d: not all jobs have ended", seed)
 		require.Zero(t, sim.movesInFlight(), "seed %d", seed)
-		require.Zero(t, sim.scheduler.teams[red].used.CPU, "seed %d: something is left behind", seed)
+		require.Zero(t, sim.scheduler.teams[red].used.CPU, "seed %d: an assignment is left over", seed)
 	}
 	require.Greater(t, begun, 3*int(seeds)/10, "moves begun")
 	require.Greater(t, carriedOut, int(seeds)/20, "moves carried out")
 	t.Logf("%d moves begun, %d carried out", begun, carriedOut)
 }
 
-// moveFaults lets things happen at random to a simulation with moves, and counts the moves.
+// moveFaults applies random events and faults to a simulation with moves, and counts the moves.
 type moveFaults struct {
 	randomFaults
 	begun, carriedOut int
 }
 
-// countMoves adds the moves of the present scheduler.
+// countMoves adds the moves of the present scheduler to the totals. It is called before a scheduler is replaced.
 func (f *moveFaults) countMoves() {
 	f.begun += f.scheduler.counters.Moves
 	f.carriedOut += f.scheduler.counters.Moved
 }
 
-// step lets one thing happen.
+// step applies one random event or fault.
 func (f *moveFaults) step() {
 	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
 	c, id := f.controllers[f.rng.IntN(2)], f.machineIDs[f.rng.IntN(len(f.machineIDs))]
@@ -345,7 +351,7 @@
 		}
 	case 10:
 		f.advance()
-		for _, late := range f.lateBatches { // some reach the process they were sent to, if that lives
+		for _, late := range f.lateBatches { // some arrive, unless the process they were sent to has been replaced
 			if late.controller.partitionState == late.sentTo && f.oneIn(4) {
 				late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
 			}
@@ -369,24 +375,24 @@
 	}
 }
 
-// checkMoves compares the scheduler's moves with each other: none ends where it began, and a task that
-// was stopped for one stays for the cool-down.
+// checkMoves checks that no move of the present scheduler has the same source and destination, and that a task which was stopped
+// for a move is not moved again before the cool-down has passed.
 func (s *simulation) checkMoves() {
 	s.t.Helper()
-	last := map[rebalance.Key]clock.Micros{}
-	for _, r := range s.scheduler.moves.planner.Recent(red) { // the last one first
+	nextBegan := map[rebalance.Key]clock.Micros{}
+	for _, r := range s.scheduler.moves.planner.Recent(red) { // the latest one first
 		require.NotEqual(s.t, r.From, r.To)
 		if r.Outcome == rebalance.NoLease {
 			continue
 		}
-		if later, again := last[r.Key]; again {
-			require.GreaterOrEqual(s.t, later-r.Began, testMoves.CoolDown, "%v goes to and fro", r.Key)
+		if next, movedAgain := nextBegan[r.Key]; movedAgain {
+			require.GreaterOrEqual(s.t, next-r.Began, testMoves.CoolDown, "%v was moved again before the cool-down had passed", r.Key)
 		}
-		last[r.Key] = r.Began
+		nextBegan[r.Key] = r.Began
 	}
 }
 
-// With moves off nothing is moved, and nothing is examined.
+// Guards against tasks that are moved although the settings turn moves off: a machine gets an eviction notice, and its task stays.
 func TestTaskIsNotMovedWhenMovesAreOff(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, limitCPU)
 	sim.runSteps(8)
--- a/internal/scheduler/progress_records_test.go
+++ b/internal/scheduler/progress_records_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Records of progress cover as many tasks as fit; each is read by the size it names.
+// Guards against progress that is lost when the maximum size of a record changes. A record covers as many tasks as fit, and must be
+// read with the size that its key names and not with the present one.
 func TestProgressRecordsNameTheirSize(t *testing.T) {
 	require.Equal(t, ChunkTasks, chunkTasks(7372))
 	require.Zero(t, chunkTasks(100)%64)
@@ -17,10 +18,10 @@
 		require.True(t, ok)
 		require.Equal(t, c, got)
 	}
-	require.Equal(t, "3", chunkID{3, ChunkTasks}.String(), "as ever")
-	for _, odd := range []string{"", "x", "1.", "1.7", "-1", "1.-8"} {
-		_, ok := parseChunkID(odd)
-		require.False(t, ok, odd)
+	require.Equal(t, "3", chunkID{3, ChunkTasks}.String(), "the key of a full-size record keeps its form")
+	for _, invalid := range []string{"", "x", "1.", "1.7", "-1", "1.-8"} {
+		_, ok := parseChunkID(invalid)
+		require.False(t, ok, invalid)
 	}
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.scheduler.HandleProgressRecord("job-1", chunkID{1, 8}, []byte{0b101}, 1)
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -11,8 +11,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Whatever is lost, late or repeated, and whoever crashes: no task on two
-// machines, no team over its limit, and in the end every job is done.
+// Guards against any order of lost, late and repeated messages and writes, crashes and changes of leaders in which a task runs on
+// two machines, a team exceeds its limit, or a job never ends. Each seed gives one random order.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
@@ -30,21 +30,21 @@
 			sim.runSteps(4)
 			sim.exitAll(wire.CauseDone)
 		}
-		require.Empty(t, sim.active, "seed %d: some job never ended", seed)
+		require.Empty(t, sim.active, "seed %d: not all jobs have ended", seed)
 	}
 }
 
-// randomFaults lets things happen to a simulation at random.
+// randomFaults applies random events and faults to a simulation.
 type randomFaults struct {
 	*simulation
 	rng          *rand.Rand
 	jobsAccepted int
 }
 
-// oneIn reports true once in n times.
+// oneIn returns true with a probability of 1/n.
 func (f *randomFaults) oneIn(n int) bool { return f.rng.IntN(n) == 0 }
 
-// step lets one thing happen.
+// step applies one random event or fault.
 func (f *randomFaults) step() {
 	f.now += clock.Micros(f.rng.IntN(200)) * clock.Millisecond
 	c := f.controllers[f.rng.IntN(2)]
@@ -85,7 +85,7 @@
 func (f *randomFaults) scheduleWithLostWrites() {
 	f.writeWatermarks(!f.oneIn(4), !f.oneIn(4))
 	f.scheduler.Schedule(f.now)
-	for key, m := range f.watermarks { // the replica shows them in the end
+	for key, m := range f.watermarks { // the replica shows every write eventually
 		f.scheduler.HandleWatermarkRecord(key, m.Watermarks, m.ModRevision)
 	}
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// lateBatchArrives lets a late batch reach the process that it was sent to, if that lives.
+// lateBatchArrives delivers a late batch to the process to which it was sent, unless that has been replaced.
 func (f *randomFaults) lateBatchArrives() {
 	if len(f.lateBatches) > 0 {
 		if late := f.lateBatches[f.rng.IntN(len(f.lateBatches))]; late.controller.partitionState == late.sentTo {
@@ -125,7 +125,7 @@
 	}
 }
 
-// heartbeatCopyArrives lets a copy of a heartbeat come late, also of an earlier incarnation.
+// heartbeatCopyArrives delivers a late copy of a heartbeat, possibly one of an earlier incarnation of the worker.
 func (f *randomFaults) heartbeatCopyArrives() {
 	if len(f.heartbeatCopies) > 0 {
 		heartbeat := f.heartbeatCopies[f.rng.IntN(len(f.heartbeatCopies))]
@@ -135,7 +135,7 @@
 
 func (f *randomFaults) pauseOrCancel() {
 	switch f.rng.IntN(20) {
-	case 0: // all controllers stand still, and go on as though no time had passed
+	case 0: // all controllers are suspended for 3 to 42 s, and continue as if no time had passed
 		f.now += clock.Micros(3+f.rng.IntN(40)) * sec
 	case 1:
 		if id := fmt.Sprintf("job-%d", 1+f.rng.IntN(6)); f.active[id] != nil {
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -21,37 +21,37 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// budgetedStore is a key-value store that takes few operations a second from this controller.
+// budgetedStore is a key-value store with a write budget that allows this controller few operations a second.
 type budgetedStore struct {
 	*fakes.KVClient
 	budget     *rate.Limiter
 	operations int
 }
 
-func (s *budgetedStore) CommitWithCheck(ctx context.Context, txn wire.Txn, sending func() error) (uint64, error) {
+func (s *budgetedStore) CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if err := s.budget.WaitN(ctx, len(txn.Operations)); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrBudgetExhausted)
 	}
 	s.operations += len(txn.Operations)
-	return s.KVClient.CommitWithCheck(ctx, txn, sending)
+	return s.KVClient.CommitWithCheck(ctx, txn, beforeSend)
 }
 
-// alwaysLeading has every leadership.
+// alwaysLeading are elections in which this process holds every leadership.
 type alwaysLeading struct{ leaderelection.Leadership }
 
 func (a alwaysLeading) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 func (a alwaysLeading) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
 
-// serverFixture is a server that leads the team red, before Run; what it writes goes to a store.
+// serverFixture is a server that leads the team red and has not been started with Run, and the store to which it writes.
 type serverFixture struct {
 	*Server
 	t     *testing.T
 	store *fakes.KVClient
 }
 
-// newServerFixture makes a server that writes to store, over a store that shows its team's leadership.
+// newServerFixture returns a server that writes to store, which is kv or wraps it. kv gets the record of the team's leadership.
 func newServerFixture(t *testing.T, kv *fakes.KVClient, store Store) *serverFixture {
 	t.Helper()
 	rev, err := kv.Commit(t.Context(), wire.Txn{
@@ -69,7 +69,7 @@
 	return &serverFixture{server, t, kv}
 }
 
-// accept puts a job on record and into the scheduler.
+// accept writes the active record of a job and adds the job to the scheduler.
 func (f *serverFixture) accept(id string, tasks int) *job {
 	f.t.Helper()
 	record := jobs.Record{Job: wire.Job{ID: id, Team: red, Tasks: tasks}}
@@ -79,8 +79,9 @@
 	return f.scheduler.teams[red].jobs[id]
 }
 
-// Hundreds of jobs of one task each are done within moments, far more than the budget has operations for. While their
-// final states wait for the budget the status of each is answered: only what is being sent at the moment may get a retry.
+// Guards against a job's status that is not answered while its final state waits for the write budget. Hundreds of jobs with one
+// task each are done at once, far more than the budget has operations for. Only a job whose final state is being sent at the
+// moment may be answered with a retry.
 func TestFinalStateQueuedForWriteBudgetKeepsStatusAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -88,19 +89,19 @@
 		store := &budgetedStore{KVClient: &fakes.KVClient{KVStore: fakes.NewKVStore()}, budget: rate.NewLimiter(8, 13)}
 		f := newServerFixture(t, store.KVClient, store)
 		const jobCount = 300
-		name := func(i int) string { return fmt.Sprintf("job-%06d", i) }
+		jobID := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 		for i := range jobCount {
-			f.accept(name(i), 1).markDone(0)
+			f.accept(jobID(i), 1).markDone(0)
 		}
 		go f.writeLoop(ctx) //nolint:errcheck // ends with the context
 		startedAt := time.Now()
 		for finished := 0; finished < jobCount; {
 			time.Sleep(500 * time.Millisecond)
-			synctest.Wait() // what is sent at this very instant has its answer
+			synctest.Wait() // no write is in flight any more
 			finished = 0
 			retries := 0
 			for i := range jobCount {
-				response := f.Status(peer.JobRequest{Team: red, ID: name(i)})
+				response := f.Status(peer.JobRequest{Team: red, ID: jobID(i)})
 				require.True(t, response.Known && response.Found)
 				if response.Retry {
 					retries++
@@ -109,15 +110,15 @@
 					finished++
 				}
 			}
-			require.Zero(t, retries, "nothing is being sent at this moment")
+			require.Zero(t, retries, "no final state is being sent at this moment")
 			require.Less(t, time.Since(startedAt), 60*time.Second)
 		}
-		require.LessOrEqual(t, store.operations, jobCount+maxFinalWriteOperations, "one operation for each")
+		require.LessOrEqual(t, store.operations, jobCount+maxFinalWriteOperations, "one operation for each job")
 	})
 }
 
-// A write of progress has no answer and is carried out late, after a newer one of the same scheduler. What was written since,
-// and forgotten by the workers, stays.
+// Guards against a late copy of a progress write that undoes newer ones. The first write has no answer, and the store executes it
+// only after the same scheduler has written more completed tasks, which the workers have forgotten: those must stay recorded.
 func TestLateProgressWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
@@ -140,8 +141,9 @@
 	})
 }
 
-// However few operations a transaction takes, or many controllers there are: four times as many conditions name the
-// leaderships of all partitions, the team's and the job's record.
+// Guards against a cancellation whose transaction the store rejects because it has too many conditions, however few operations a
+// transaction may have and however many controllers there are. The conditions on the leaderships of all partitions and of the
+// team and on the job's record must not exceed four times the number of operations.
 func TestCancelledFinalStateFitsTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
