--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -42,7 +42,7 @@
 // takes over the team. No controller knows the job any more, but its tasks may still run on those machines and must count
 // against the limit.
 func TestLimitCountsAttemptsOfCancelledJobs(t *testing.T) {
-	for _, scenario := range []struct {
+	for _, tc := range []struct {
 		name       string
 		heartbeats bool // heartbeats of the job's machines arrive, but the answers are lost
 		restarted  bool // the partition leaders' processes restart after the cancellation
@@ -51,7 +51,7 @@
 		{"heartbeats arrive, answers don't", true, false},
 		{"and the partition leader has restarted", true, true},
 	} {
-		t.Run(scenario.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			sim := newSimulation(t, 6)
 			sim.runSteps(8)
 			sim.addJob("job-1", 6, nil)
@@ -59,7 +59,7 @@
 			require.Equal(t, 6, sim.runningTasks())
 			busy := sim.busyMachines()
 			sim.cancelJob("job-1")
-			if scenario.restarted {
+			if tc.restarted {
 				for p, c := range sim.controllers {
 					sim.boot(c)
 					sim.acquirePartition(p, p)
@@ -80,7 +80,7 @@
 					if !hung[id] {
 						sim.heartbeat(id, true)
 						sim.deliverCommands(id, false, true)
-					} else if scenario.heartbeats {
+					} else if tc.heartbeats {
 						sim.heartbeat(id, false)
 					}
 				}
@@ -106,7 +106,7 @@
 // not accounted for. Every partition leader has acknowledged the cancellation, but it must not count as confirmed before no task
 // can start any more.
 func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
-	for _, scenario := range []struct {
+	for _, tc := range []struct {
 		name    string
 		prepare func(sim *simulation, machine string) // makes a task that may start on the machine
 		resolve func(sim *simulation, machine string) // makes certain whether the task starts
@@ -119,7 +119,7 @@
 		{"the image is being fetched", startFetching, func(sim *simulation, _ string) { sim.runSteps(4) }},
 		{"a former scheduler's machine hangs", failOver, func(sim *simulation, _ string) { sim.runSteps(8) }},
 	} {
-		t.Run(scenario.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			sim := newSimulation(t, 2)
 			sim.runSteps(8)
 			sim.addJob("job-1", 1, nil)
@@ -133,7 +133,7 @@
 					machine = id
 				}
 			}
-			scenario.prepare(sim, machine)
+			tc.prepare(sim, machine)
 			sim.scheduler.CancelJob(red, "job-1")
 			j := sim.scheduler.teams[red].jobs["job-1"]
 			for range 4 {
@@ -143,7 +143,7 @@
 			for _, c := range sim.controllers {
 				require.True(t, j.cancelAcknowledged[c.instance], "each partition leader has acknowledged the cancellation")
 			}
-			scenario.resolve(sim, machine)
+			tc.resolve(sim, machine)
 			require.True(t, sim.ended["job-1"])
 			require.Zero(t, sim.runningTasks())
 		})
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -75,8 +75,8 @@
 	return out
 }
 
-// slack returns for how long a job's tasks may still wait before they are late; 0 if they are late already, or if nothing
-// demands a time.
+// slack returns for how long a job's tasks may still wait before they are late; 0 if they are late already, or if neither a
+// deadline nor the job's class sets a time.
 func (s *Scheduler) slack(j *job, now clock.Micros) clock.Micros {
 	if j.DeadlineS != nil {
 		if j.missesDeadline(now) {
@@ -95,8 +95,8 @@
 // published after these have been placed. A shape stands for tasks with the same requirements.
 const maxDemandShapes = 24
 
-// demandInterval is the minimum time between two publications of the demand to a partition leader. Polls follow each other much
-// faster under load, and a small controller would spend most of its time on demands if each poll carried them.
+// demandInterval is the minimum time between two publications of the demand to a partition leader. Not every poll carries the
+// demand, since polls follow each other much faster under load and take most of a small controller's time.
 const demandInterval = 250 * clock.Millisecond
 
 // demandPublication is the demand of the teams that this process leads, as last computed for the partition leaders.
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -112,8 +112,8 @@
 
 // write writes final states, and repeats the transaction until it is written. Jobs that are no longer active at an attempt are
 // left out of it. It gives up when the team's leadership is lost (errLeadershipLost) or the context ends. The write of a
-// cancellation it also gives up when an attempt was rejected and none is open, or after maxUncertainCancelAttempts attempts; the
-// error is then that of the last attempt.
+// cancellation it also gives up when an attempt is rejected and no earlier one is without an answer, or after
+// maxUncertainCancelAttempts attempts; the error is then that of the last attempt.
 func (w *finalStateWriter) write(ctx context.Context, f *finalWrite) error {
 	tm := f.jobs[0].team
 	for attempt := 1; ctx.Err() == nil; attempt++ {
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// recordFailedAttempt records whether the jobs' final states may have been written after a failed attempt, and returns it. A
-// failed condition or a refusal is a definite answer to this attempt, but not to earlier ones that had no answer.
+// recordFailedAttempt records and returns whether the jobs' final states may have been written, by this failed attempt or an
+// earlier one. A failed condition or a refusal is a definite answer to this attempt, but not to earlier ones without an answer.
 func (w *finalStateWriter) recordFailedAttempt(failedJobs []*job, err error) (uncertain bool) {
 	definite := errors.Is(err, kvstore.ErrRefused) || errors.Is(err, kvstore.ErrConflict)
 	w.mu.Lock()
@@ -227,8 +227,8 @@
 }
 
 // writeSeparately writes the final states of several jobs one by one after a condition has failed. An earlier attempt without an
-// answer may have ended one of the jobs, and its condition would make every transaction with it fail, so that the final states
-// of the other jobs would never be written.
+// answer may have ended one of the jobs. The condition on that job's record would make every transaction with it fail, so that
+// the final states of the other jobs would never be written.
 func (w *finalStateWriter) writeSeparately(ctx context.Context, f *finalWrite) error {
 	for _, j := range f.jobs {
 		single := *f
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -237,7 +237,7 @@
 // Guards against moves that must not be made, and against tasks that stay on a machine without a reason that operators can see:
 // in each case the task is not moved, and the reason is counted.
 func TestTaskIsNotMovedWhenDeclined(t *testing.T) {
-	for name, scenario := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change func(sim *simulation, from string)
 		reason rebalance.DeclineReason
 	}{
@@ -266,11 +266,11 @@
 			sim.addJob("job-1", 1, longJob)
 			sim.runSteps(160)
 			from := sim.machineRunning("job-1/0")
-			scenario.change(sim, from)
+			tc.change(sim, from)
 			sim.sendEvictionNotice(from)
 			sim.runSteps(12)
 			require.True(t, sim.workers[from].Running("job-1/0"))
-			require.Positive(t, sim.scheduler.moves.planner.DeclinedOf(red)[scenario.reason], "%v", sim.scheduler.moves.planner.DeclinedOf(red))
+			require.Positive(t, sim.scheduler.moves.planner.DeclinedOf(red)[tc.reason], "%v", sim.scheduler.moves.planner.DeclinedOf(red))
 			require.Zero(t, sim.scheduler.counters.Moves)
 		})
 	}
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -14,13 +14,13 @@
 
 // This file has the decisions about watermarks; watermarkWriter does the I/O.
 //
-// Only those of a job's tasks may have been assigned whose numbers are below its watermark: a task is assigned only after a
-// watermark above its number is in the key-value store. The team's next scheduler therefore knows which tasks can't be on
-// any machine, and starts those immediately, while all others wait until every machine is accounted for. Without this order of
-// writes it could start a task that a former scheduler has started too (docs/design.md, "Why the rules hold", 7).
+// A job's watermark bounds the tasks that may have been assigned: a task is assigned only after a watermark above its number is
+// in the key-value store. The team's next scheduler therefore knows which tasks can't be on any machine, and starts those
+// immediately, while the others wait until every machine is accounted for. Without the watermark it could start a task that a
+// former scheduler has started too (docs/design.md, "Why the rules hold", 7).
 //
-// The watermarks of many jobs share a record. A job whose tasks should start within a given time has all its tasks watermarked
-// by its acceptance record, since a separate watermark would be one more write for which its user waits.
+// The watermarks of many jobs share a record. The acceptance record of a job whose tasks should start within a given time
+// watermarks all its tasks, since writes of watermarks take from the same write budget for which users wait.
 
 const (
 	// watermarkStep is the number of tasks by which a watermark is raised.
