--- a/internal/leaderelection/campaign.go
+++ b/internal/leaderelection/campaign.go
@@ -6,25 +6,28 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// How many grace periods a leadership has to be free before this controller passes over those that it prefers to itself.
+// Grace periods for which a leadership has to be free before a controller that is not its preferred leader may campaign for it.
 const (
-	// gracesUnseen is for a controller that was never seen: it may be about to start.
-	gracesUnseen = 1
-	// gracesRegistered is for a registered one: it should have acquired the leadership long since.
-	gracesRegistered = 2
-	// gracesIneligible is until one that its workers don't reach is asked as well: a duty is never without any candidate.
-	gracesIneligible = 4
+	// unseenGracePeriods applies while a preferred controller has never been seen registered: it may be about to start.
+	unseenGracePeriods = 1
+	// registeredGracePeriods applies while a preferred controller is registered. It should have acquired the leadership long
+	// before.
+	registeredGracePeriods = 2
+	// ineligibleGracePeriods applies to a controller that its workers do not reach. It campaigns too after that time, so that a
+	// duty always has a candidate.
+	ineligibleGracePeriods = 4
 )
 
-// Campaign decides which free leaderships to acquire, and returns the writes: those that this controller is preferred for
-// immediately, also those of a controller whose lease has just expired; those of one that was never seen after the grace period,
-// any after twice that.
+// Campaign decides which free leaderships to acquire and returns the writes. Immediately it acquires those that this controller
+// is preferred for, and those of a controller whose lease has just expired. It waits for one grace period where a preferred
+// controller has never been seen registered, and for two where one is registered. It does not wait for a controller whose
+// workers do not reach it if the duty needs the workers.
 func (e *Election) Campaign(now, grace clock.Micros) []Write {
 	if !e.isRegistered() || !e.LeaseValid(now) {
 		return nil
 	}
 	term := e.highestTerm() + 1
-	var out []Write
+	var writes []Write
 	for i, duty := range e.duties {
 		if _, led := e.Leader(duty); led {
 			delete(e.freeSince, duty)
@@ -36,15 +39,15 @@
 			e.freeSince[duty] = now
 		}
 		if e.mayCampaign(i, now-since, grace) {
-			out = append(out, e.acquisition(duty, term))
+			writes = append(writes, e.acquisition(duty, term))
 		}
 	}
-	return out
+	return writes
 }
 
-// highestTerm returns the highest term so far. Terms grow over all leaderships, also those of duties that are no longer in use:
-// when the number of controllers, and so of partitions, has changed, the new partitions' fencing tokens are still above what any
-// worker has seen.
+// highestTerm returns the highest term of all leaderships, including those of duties that no longer exist. When the number of
+// controllers changes, so do the partitions; the fencing tokens of the new partitions still exceed every token that a worker
+// has seen.
 func (e *Election) highestTerm() (term uint64) {
 	for _, l := range e.leaderships {
 		term = max(term, l.Term)
@@ -52,46 +55,51 @@
 	return term
 }
 
-// acquisition returns the write that acquires a free leadership: on the condition that it has not changed, that this incarnation
-// is registered, and that the registration of the leader that it names, if any, has not changed either.
+// acquisition returns the write that acquires a free leadership. It is conditional on the leadership being unchanged, on this
+// incarnation being registered, and, if the leadership names another controller, on the registration of that controller being
+// unchanged.
 func (e *Election) acquisition(duty string, term uint64) Write {
-	l := e.leaderships[duty]
+	leadership := e.leaderships[duty]
 	conditions := []wire.Condition{
-		{Key: kvstore.LeaderPrefix + duty, ModRevision: l.ModRevision},
+		{Key: kvstore.LeaderPrefix + duty, ModRevision: leadership.ModRevision},
 		{Key: kvstore.ControllerPrefix + e.controller, ModRevision: e.registrations[e.controller].modRevision},
 	}
-	if l.Leader != "" && l.Leader != e.controller {
-		former := wire.Condition{Key: kvstore.ControllerPrefix + l.Leader, ModRevision: e.registrations[l.Leader].modRevision}
-		conditions = append(conditions, former)
+	if leadership.Leader != "" && leadership.Leader != e.controller {
+		formerLeader := wire.Condition{
+			Key:         kvstore.ControllerPrefix + leadership.Leader,
+			ModRevision: e.registrations[leadership.Leader].modRevision,
+		}
+		conditions = append(conditions, formerLeader)
 	}
 	return Write{duty, wire.Txn{Conditions: conditions, Operations: []wire.Operation{
 		{Put: kvstore.LeaderPrefix + duty, Value: Record{e.controller, e.incarnation, term}},
 	}}}
 }
 
-// mayCampaign reports whether it is this controller's turn for the i-th duty, which has been free for a time: whether there is none
-// before it, in the duty's order of preference, that is still waited for.
-func (e *Election) mayCampaign(i int, free, grace clock.Micros) bool {
+// mayCampaign reports whether this controller may campaign for a duty that has been free for the time freeFor: it no longer
+// waits for any controller that comes before it in the duty's order of preference.
+func (e *Election) mayCampaign(dutyIndex int, freeFor, grace clock.Micros) bool {
 	for k := range e.controllers {
-		name := PreferredLeader(e.controllers, i, k)
-		if e.ineligible(i, name) && free < gracesIneligible*grace {
-			continue // also this controller itself
+		name := PreferredLeader(e.controllers, dutyIndex, k)
+		if e.isIneligible(dutyIndex, name) && freeFor < ineligibleGracePeriods*grace {
+			continue // applies to this controller as well
 		}
 		if name == e.controller {
 			return true
 		}
-		if e.awaited(name, free, grace) {
+		if e.waitsFor(name, freeFor, grace) {
 			return false
 		}
 	}
 	return false
 }
 
-// awaited reports whether a duty that has been free for a time is left to another controller. One whose registration has ended
-// was away for all of its lease: the leases of its workers are about to end as well, so it is not waited for.
-func (e *Election) awaited(controller string, free, grace clock.Micros) bool {
+// waitsFor reports whether this controller leaves a duty that has been free for the time freeFor to another controller. It does
+// not wait for one whose registration has ended: that controller was away for its whole lease, so the leases of its workers are
+// about to expire as well.
+func (e *Election) waitsFor(controller string, freeFor, grace clock.Micros) bool {
 	if _, registered := e.registrations[controller]; registered {
-		return free < gracesRegistered*grace
+		return freeFor < registeredGracePeriods*grace
 	}
-	return !e.departed[controller] && free < gracesUnseen*grace
+	return !e.deregistered[controller] && freeFor < unseenGracePeriods*grace
 }
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -6,31 +6,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// resign ends the present incarnation for good. The caller holds the lock.
+// resign ends the present incarnation, which is never used again, and logs the reason. The caller holds e.mu.
 func (e *Elector) resign(reason string) {
 	e.lastResigned = e.election.Resign()
 	e.log.Warn("leaderships resigned", "incarnation", e.lastResigned, "reason", reason)
 }
 
-// StoreContact returns how long ago the key-value store last confirmed the controller lease, and the last incarnation that
-// resigned.
-func (e *Elector) StoreContact() (ago clock.Micros, resigned string) {
+// StoreContact returns the age of the last contact with the key-value store, and the last incarnation that resigned. Contact is
+// the sending of the last renewal or registration that the store has confirmed.
+func (e *Elector) StoreContact() (age clock.Micros, resigned string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lastRenewal == 0 {
-		return math.MaxInt64, e.lastResigned // never in this process's life
+		return math.MaxInt64, e.lastResigned // no contact since this process started
 	}
 	return e.clock.Now() - e.lastRenewal, e.lastResigned
 }
 
-// ObservePeer takes how long ago a peer had contact with the key-value store. When the peer has contact and this process has not,
-// its incarnation resigns: the promise to the peer is that it never acts again.
-func (e *Elector) ObservePeer(peerAgo clock.Micros) {
+// ObservePeer records a peer's heartbeat, which gives the age of the peer's last contact with the key-value store. If the peer
+// has contact and this process has had none for Timing.ResignAfter, this process resigns its incarnation, so that peers can
+// remove the registration and acquire the leaderships before the lease expires. They rely on the incarnation never acting
+// again.
+func (e *Elector) ObservePeer(peerContactAge clock.Micros) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
 	e.lastPeerHeartbeat = now
-	if peerAgo >= e.peerContactLimit() {
+	if peerContactAge >= e.peerContactLimit() {
 		return
 	}
 	e.lastPeerContact = now
@@ -40,12 +42,13 @@
 	}
 }
 
-// peerContactLimit is how long ago the store may have confirmed a peer's lease for the peer to count as having contact: half the
-// time after which this process counts as cut off, so that an outage that both share makes neither resign.
+// peerContactLimit returns the age of a peer's last contact from which on the peer counts as having no contact with the store.
+// It is half the time after which this process counts as cut off, so that an outage that both share makes neither resign.
 func (e *Elector) peerContactLimit() clock.Micros { return e.timing.ResignAfter / 2 }
 
-// SharedOutage reports whether neither this process nor any peer that it hears has contact with the key-value store. Then no
-// controller is better placed than this one to answer users.
+// SharedOutage reports whether this process hears its peers but neither it nor any of them has contact with the key-value
+// store. No other controller can then serve users better than this one. It is also true for the only controller of a cluster
+// when that has no contact.
 func (e *Elector) SharedOutage() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,8 +57,8 @@
 	return renewalMissed && now-e.lastPeerContact > e.peerContactLimit() && !e.isolated(now)
 }
 
-// Isolated reports whether this process reaches neither the key-value store nor any peer: as far as it can tell it is cut off by
-// itself, and users are better served elsewhere.
+// Isolated reports whether this process reaches neither the key-value store nor any peer. As far as it can tell it alone is cut
+// off, and other controllers serve users better.
 func (e *Elector) Isolated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leaderelection/doc.go
+++ b/internal/leaderelection/doc.go
@@ -1,14 +1,15 @@
-// Package leaderelection decides which controller acts for what: one mechanism for machine partitions, teams and the fleet. A
-// leadership is a key of the key-value store that names its leader, the leader's incarnation and a term; it is acquired, and given
-// up, by a conditional write.
+// Package leaderelection decides which controller leads each duty: a machine partition, a team or the fleet. One mechanism
+// serves all three. A leadership is a key of the key-value store that names its leader, the leader's incarnation and a term.
+// Controllers acquire and release leaderships by conditional writes.
 //
-// Election is the decision: plain code on what the replica has shown, without I/O and without a clock of its own. Elector is the
-// I/O around it: it holds the lock, keeps this process's incarnation registered under a controller lease, and carries out the
-// writes that Election decides on. All other packages ask Elector.Leading before each action, and again when it is about to be sent.
+// Election makes the decisions from the state that the replica has shown. It does no I/O and reads no clock. Elector does the
+// I/O: it guards Election by a lock, keeps this process's incarnation registered under a controller lease, and sends the writes
+// that Election decides on. All other packages call Elector.Leading before each action, and again right before the action is
+// sent.
 //
 // # An incarnation
 //
-// An incarnation is one registration of one process. What a process may do under it:
+// An incarnation is one registration of one process. Its states, and what the process may do in each:
 //
 //	                 Elector.register: ml/n/HOST written, attached to a new lease
 //	+--------------+                                            +---------------------------------------+
@@ -31,18 +32,19 @@
 //	| for good     | <---------------------------------------------- |                                  |
 //	+--------------+    next pass of Elector.Run                     +----------------------------------+
 //
-// A resigned incarnation is never used again: the process registers a new one, whose leaderships have higher terms.
+// A resigned incarnation is never used again. The process registers a new one, whose leaderships have higher terms.
 //
 // # What a leadership starts and stops
 //
-// Each part of a controller compares Elector.Leading with what it holds, after each event about leaderships and at a timer
-// (docs/architecture.md, "A failover"). This package starts and stops nothing by itself.
+// Each part of a controller compares Elector.Leading with the duties that it serves, after each leadership event and at each
+// tick of a timer (docs/architecture.md, "A failover"), and starts or stops work as follows. This package starts and stops
+// nothing itself.
 //
 //	duty       key               on acquiring                               on losing
 //	partition  ml/c/part-NNN     State.AcquirePartition: recorded machines  State.ReleasePartition: machines, tasks and
 //	                             are unaccounted, get empty commands under  resource leases are dropped; heartbeats get 421
 //	                             the new fencing token; heartbeats are      or 503, batches are rejected, no delivery is sent
-//	                             answered, batches taken
+//	                             answered, batches accepted
 //	team       ml/c/team-NAME    Scheduler.AcquireTeam: cached active jobs  Scheduler.ReleaseTeam: jobs and assignments are
 //	                             are queued; all partition leaders polled,  dropped; a write under way fails on the
 //	                             which fences former leaders of the team    leadership's condition
@@ -52,18 +54,20 @@
 //
 // # Invariants
 //
-// Numbers are those of docs/design.md, "Why the rules hold".
+// Numbers refer to docs/design.md, "Why the rules hold"; titles in quotation marks are sections of that page.
 //
-//   - At most one controller acts on a leadership at any time. A leader acts only while its lease is valid by its own steady clock,
-//     and no other can acquire the leadership before the store has dropped the leader's registration, which outlasts that
-//     ("Leadership"). The one exception is decided by the leader: it stops acting, for good, and then says so (Elector.ObservePeer,
-//     Election.TransferLeadership).
-//   - A leadership takes effect when the replica shows it, so that its leader knows every record written before (5, 6, 7).
-//   - Terms only grow, over all leaderships, also of duties that no longer exist; fencing tokens (1), attempts (3) and the fences of
-//     team leaders (7) rest on that.
-//   - A leadership that is being transferred is not acted on, whatever becomes of the write that frees it ("Late writes").
-//   - Every write is conditional on the mod revision of what it replaces, so that a late copy fails ("Late writes"); a leadership is
-//     written on the condition of one's own registration as well.
-//   - An outage of the store that is shorter than the lease ends no leadership (14); one that all controllers share makes none of
-//     them resign before its lease expires.
+//   - At most one controller acts on a leadership at any time ("Leadership"). A leader acts only while its lease is valid by
+//     its own steady clock, and no other controller can acquire the leadership before the store has dropped the leader's
+//     registration, which lasts longer than that. The one exception is a leader that resigns or transfers the leadership: it
+//     stops acting on it for good, and only then lets another acquire it (Elector.ObservePeer, Election.TransferLeadership).
+//   - A leadership takes effect only when the replica shows it, so that the new leader has applied every record written before
+//     it (5, 6, 7).
+//   - Terms grow over all leaderships, including those of duties that no longer exist. Fencing tokens (1), attempt numbers (3)
+//     and the checks that reject former team leaders (7) rely on that.
+//   - A controller does not act on a leadership that it is transferring, whether the write that frees it succeeds, fails or
+//     gets no response: the store may carry it out late ("Late writes").
+//   - Every write is conditional on the mod revision of the value that it replaces, so that a delayed copy of the write fails
+//     ("Late writes"). A write that acquires a leadership is also conditional on the writer's own registration.
+//   - An outage of the store that is shorter than the lease ends no leadership (14). In an outage that all controllers share,
+//     none of them resigns before its lease expires.
 package leaderelection
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -13,94 +13,99 @@
 
 // Record is the value of a leadership's key.
 type Record struct {
-	Leader      string `json:"holder"` // a controller; empty: free
+	Leader      string `json:"holder"` // controller that leads the duty; empty: the leadership is free
 	Incarnation string `json:"incarnation"`
 	Term        uint64 `json:"term"`
 }
 
-// Registration is the value of a controller's key, attached to its controller lease.
+// Registration is the value of a controller's key. The key is attached to the controller lease: the store deletes it when the
+// lease expires.
 type Registration struct {
 	Incarnation string `json:"incarnation"`
-	// Unreachable says that this controller's workers don't reach it: it should lead nothing that needs them, and its other
-	// leaderships go on.
+	// Unreachable means that this controller's workers do not reach it. It then campaigns last for the duties that need the
+	// workers and transfers those that it leads; its other leaderships stay.
 	Unreachable bool `json:"deaf,omitempty"`
 }
 
-// Leadership is a leadership as the replica last showed it.
+// Leadership is the record of a leadership and the mod revision of its key, as the replica last showed them.
 type Leadership struct {
 	Record
 	ModRevision uint64
 }
 
-// Write is a conditional write of a leadership's key.
+// Write is a transaction that acquires or frees the leadership of a duty, on the condition that the leadership has not changed.
 type Write struct {
 	Duty string
 	Txn  wire.Txn
 }
 
-// observedRegistration is a registration as the replica last showed it.
+// observedRegistration is a registration and the mod revision of its key, as the replica last showed them.
 type observedRegistration struct {
 	Registration
 	modRevision uint64
 }
 
-// presence is since when a controller has been registered, or not, as it is.
-type presence struct {
+// registrationPeriod is a registration and the time since which it has stayed the same. A zero Registration stands for a
+// controller that is not registered.
+type registrationPeriod struct {
 	Registration
 	since clock.Micros
 }
 
-// Election knows which incarnations are registered and what each leads, and decides what to acquire and what to transfer. It is
-// not safe for concurrent use: Elector's lock guards it.
+// Election holds which incarnations are registered and which leaderships each of them has, and decides which leaderships this
+// controller acquires and transfers. It is not safe for concurrent use: Elector guards it by a lock.
 //
-// It keeps the invariants of the package comment: Leading is true only under a valid lease, for a leadership that the replica
-// shows with this incarnation and that is not being transferred.
+// Invariant: Leading reports true only while the lease of the present incarnation is valid, for a leadership that the replica
+// shows with this incarnation and that is not being transferred. Otherwise two controllers could act on one leadership.
 type Election struct {
-	controller   string   // this one
-	controllers  []string // all of them, sorted
-	duties       []string // all duties, in the same order at every controller
-	workerDuties int      // the first so many of them need the workers
+	controller      string   // this controller
+	controllers     []string // all controllers, sorted
+	duties          []string // all duties, in the same order at every controller
+	workerDutyCount int      // number of duties, at the front of duties, whose leader needs the workers to reach it
 
-	// What the replica has shown, by controller and by duty.
+	// The state that the replica has shown, by controller or by duty.
 	registrations map[string]observedRegistration
-	departed      map[string]bool // controllers that were registered and no longer are
+	deregistered  map[string]bool // controllers that were seen registered and no longer are
 	leaderships   map[string]Leadership
 
-	// What follows from it over time.
-	presences    map[string]presence     // by controller, as of the last look of TransferLeadership
-	freeSince    map[string]clock.Micros // by duty without a leader, as of the last look of Campaign
-	transferring map[string]uint64       // by duty: mod revision of the leadership that this controller gives up
+	// Times and decisions that follow from that state.
+	registrationPeriods map[string]registrationPeriod // by controller, as of the last call of TransferLeadership
+	freeSince           map[string]clock.Micros       // by duty without a leader, as of the last call of Campaign
+	transferring        map[string]uint64             // by duty: mod revision of the leadership that this controller is transferring
 
-	incarnation     string // of this process; empty: none
+	incarnation     string // present incarnation of this process; empty: none
 	leaseID         uint64
-	leaseValidUntil clock.Micros // this incarnation may act until then
+	leaseValidUntil clock.Micros // the present incarnation acts only before this time
 }
 
-// NewElection makes the election of one controller; controllers names all of them, duties all duties, of which the first so many,
-// workerDuties, need the workers.
-func NewElection(controller string, controllers, duties []string, workerDuties int) *Election {
+// NewElection makes the election state of one controller. controllers names all controllers, this one included; duties names
+// all duties. The first workerDutyCount duties need the workers to reach their leader.
+func NewElection(controller string, controllers, duties []string, workerDutyCount int) *Election {
 	return &Election{
-		controller:    controller,
-		controllers:   slices.Sorted(slices.Values(controllers)),
-		duties:        duties,
-		workerDuties:  workerDuties,
-		registrations: map[string]observedRegistration{},
-		departed:      map[string]bool{},
-		leaderships:   map[string]Leadership{},
-		presences:     map[string]presence{},
-		freeSince:     map[string]clock.Micros{},
-		transferring:  map[string]uint64{},
+		controller:          controller,
+		controllers:         slices.Sorted(slices.Values(controllers)),
+		duties:              duties,
+		workerDutyCount:     workerDutyCount,
+		registrations:       map[string]observedRegistration{},
+		deregistered:        map[string]bool{},
+		leaderships:         map[string]Leadership{},
+		registrationPeriods: map[string]registrationPeriod{},
+		freeSince:           map[string]clock.Micros{},
+		transferring:        map[string]uint64{},
 	}
 }
 
-// PreferredLeader names the controller that the i-th duty is meant for, of all controllers in order; k others come before the one
-// that it returns.
-func PreferredLeader(sorted []string, i, k int) string { return sorted[(i+k)%len(sorted)] }
+// PreferredLeader names the controller at place rank, counted from 0, in the order of preference for a duty. The orders of
+// different duties start at different controllers, which spreads the duties evenly. dutyIndex is the duty's place in the list
+// of all duties, and controllers are sorted.
+func PreferredLeader(controllers []string, dutyIndex, rank int) string {
+	return controllers[(dutyIndex+rank)%len(controllers)]
+}
 
 // PeerCount returns how many other controllers there are.
 func (e *Election) PeerCount() int { return len(e.controllers) - 1 }
 
-// Apply takes one event of the replica; keys that are neither registrations nor leaderships are passed over.
+// Apply applies one event of the replica. It ignores keys that are neither registrations nor leaderships.
 func (e *Election) Apply(ev kvstore.Event) {
 	if name, ok := strings.CutPrefix(ev.Key, kvstore.ControllerPrefix); ok {
 		e.applyRegistration(name, ev)
@@ -113,46 +118,48 @@
 	var r Registration
 	if ev.Value == nil || json.Unmarshal(ev.Value, &r) != nil {
 		if _, known := e.registrations[controller]; known {
-			e.departed[controller] = true
+			e.deregistered[controller] = true
 		}
 		delete(e.registrations, controller)
 		return
 	}
 	e.registrations[controller] = observedRegistration{r, ev.ModRevision}
-	delete(e.departed, controller)
+	delete(e.deregistered, controller)
 }
 
 func (e *Election) applyLeadership(duty string, ev kvstore.Event) {
 	l := Leadership{ModRevision: ev.ModRevision}
 	if ev.Value != nil && json.Unmarshal(ev.Value, &l.Record) != nil {
-		return // not understood: nothing is acquired on it
+		return // the former state stays, so that no write conditional on its mod revision succeeds
 	}
 	e.leaderships[duty] = l
 }
 
-// StartIncarnation starts a new incarnation: every leadership of the former one is given up.
+// StartIncarnation starts a new incarnation. That ends every leadership of the former one, since a leadership names the
+// incarnation that has it.
 func (e *Election) StartIncarnation(incarnation string, leaseID uint64, validUntil clock.Micros) {
 	e.incarnation, e.leaseID, e.leaseValidUntil = incarnation, leaseID, validUntil
 }
 
-// Resign ends the present incarnation for good and returns its name.
+// Resign ends the present incarnation, which is never used again, and returns its name.
 func (e *Election) Resign() string {
 	incarnation := e.incarnation
 	e.incarnation, e.leaseID, e.leaseValidUntil = "", 0, 0
 	return incarnation
 }
 
-// ExtendLease takes that the controller lease of an incarnation is confirmed until a time. It says nothing of another incarnation.
+// ExtendLease records that the controller lease of an incarnation is confirmed until validUntil. It changes nothing if that is
+// not the present incarnation: a new one may have been registered while the renewal was under way.
 func (e *Election) ExtendLease(incarnation string, validUntil clock.Micros) {
 	if incarnation == e.incarnation && incarnation != "" {
 		e.leaseValidUntil = max(e.leaseValidUntil, validUntil)
 	}
 }
 
-// Incarnation returns the present incarnation and its controller lease; empty when there is none.
+// Incarnation returns the present incarnation and the id of its controller lease, or zero values when there is none.
 func (e *Election) Incarnation() (string, uint64) { return e.incarnation, e.leaseID }
 
-// LeaseValid reports whether this process may act.
+// LeaseValid reports whether this process may act: it has an incarnation whose lease is valid.
 func (e *Election) LeaseValid(now clock.Micros) bool {
 	return e.incarnation != "" && now < e.leaseValidUntil
 }
@@ -162,18 +169,19 @@
 	return e.incarnation != "" && e.registrations[e.controller].Incarnation == e.incarnation
 }
 
-// Leading returns a leadership, and whether this incarnation has it and may act on it now.
+// Leading returns a leadership, and whether the present incarnation has it and may act on it now.
 func (e *Election) Leading(duty string, now clock.Micros) (Leadership, bool) {
 	l, ok := e.leaderships[duty]
 	return l, ok && e.LeaseValid(now) && e.isOwn(l) && e.transferring[duty] != l.ModRevision
 }
 
-// isOwn reports whether a leadership names the present incarnation.
+// isOwn reports whether a leadership names this controller and its present incarnation.
 func (e *Election) isOwn(l Leadership) bool {
 	return l.Incarnation == e.incarnation && l.Leader == e.controller
 }
 
-// Leader names the controller whose registered incarnation has a leadership.
+// Leader names the controller that leads a duty. It reports false when the leadership is free or names an incarnation that is
+// no longer registered.
 func (e *Election) Leader(duty string) (string, bool) {
 	l, ok := e.leaderships[duty]
 	if !ok || l.Leader == "" || e.registrations[l.Leader].Incarnation != l.Incarnation {
@@ -182,7 +190,7 @@
 	return l.Leader, true
 }
 
-// Current returns a leadership as it stands; live reports whether the incarnation that it names is registered.
+// Current returns a leadership as the replica last showed it; live reports whether the incarnation that it names is registered.
 func (e *Election) Current(duty string) (l Leadership, live bool) {
 	_, live = e.Leader(duty)
 	return e.leaderships[duty], live
@@ -194,8 +202,8 @@
 	return r.Incarnation, r.modRevision
 }
 
-// ReachabilityUpdate returns the write that says in this controller's registration whether its workers reach it; ok is false when
-// it says so already.
+// ReachabilityUpdate returns the write that records in this controller's registration whether its workers reach it. ok is false
+// when the registration says so already, or when the replica does not show the present incarnation as registered.
 func (e *Election) ReachabilityUpdate(unreachable bool) (txn wire.Txn, ok bool) {
 	r := e.registrations[e.controller]
 	if !e.isRegistered() || r.Unreachable == unreachable {
@@ -208,15 +216,16 @@
 	}, true
 }
 
-// ineligible reports whether the i-th duty needs the workers and a controller's workers don't reach it.
-func (e *Election) ineligible(i int, controller string) bool {
-	return i < e.workerDuties && e.registrations[controller].Unreachable
+// isIneligible reports whether a duty needs the workers and a controller's workers do not reach it. dutyIndex is the duty's
+// place in the list of all duties.
+func (e *Election) isIneligible(dutyIndex int, controller string) bool {
+	return dutyIndex < e.workerDutyCount && e.registrations[controller].Unreachable
 }
 
-// otherEligible reports whether some other controller could lead the i-th duty.
-func (e *Election) otherEligible(i int) bool {
+// hasOtherEligible reports whether another registered controller may lead a duty.
+func (e *Election) hasOtherEligible(dutyIndex int) bool {
 	for name, r := range e.registrations {
-		if name != e.controller && r.Incarnation != "" && !e.ineligible(i, name) {
+		if name != e.controller && r.Incarnation != "" && !e.isIneligible(dutyIndex, name) {
 			return true
 		}
 	}
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// passPause is how long Run waits between two passes, unless it is woken: an event of the replica wakes it.
+	// passPause is how long Run waits between two passes. A replica event wakes it earlier.
 	passPause = 200 * time.Millisecond
-	// retryPause is how long Run waits after a registration or a renewal that failed. With passPause a renewal is retried within
-	// half a second of the end of an outage (docs/design.md, "Leadership"); more often would spend the request budget.
+	// retryPause is how long Run waits after a failed registration or renewal. Together with passPause it makes a renewal retry
+	// within half a second of the end of an outage (docs/design.md, "Leadership"); more frequent retries would spend the
+	// request budget.
 	retryPause = 300 * time.Millisecond
-	// transferInterval is the least time from one pass with transfers to the next: the replica has shown their outcome by then, as
-	// a rule.
+	// transferInterval is the minimum time between two passes that transfer leaderships, as a rule long enough for the replica
+	// to show the outcome of the earlier transfers.
 	transferInterval = clock.Second
 )
 
-// Store is the part of the key-value store that the elector needs.
+// Store is the part of the key-value store client that Elector uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
 	Commit(ctx context.Context, txn wire.Txn) (uint64, error)
@@ -31,38 +32,39 @@
 	KeepAlive(ctx context.Context, leaseID uint64, timeout time.Duration) error
 }
 
-// Timing is how long things last: TTL of the controller lease; RenewInterval from one renewal of it to the next; TakeoverGrace, for
-// which a free leadership is left to its preferred leader; ResignAfter without contact with the store, where a peer has contact;
-// TransferDelay, for which a preferred leader is registered before a leadership goes back to it.
+// Timing holds the durations of an election. TTL is that of the controller lease, and RenewInterval the time between two of its
+// renewals. A free leadership is left to its preferred leader for TakeoverGrace. A process without contact with the store
+// resigns after ResignAfter if a peer has contact. A preferred leader has to be registered for TransferDelay before a
+// leadership goes back to it.
 type Timing struct{ TTL, RenewInterval, TakeoverGrace, ResignAfter, TransferDelay clock.Micros }
 
-// Elector keeps this controller registered under a controller lease, campaigns for free leaderships and transfers those that others
-// should have. Its methods may be called from any goroutine; one goroutine runs Run.
+// Elector keeps this controller registered under a controller lease, campaigns for free leaderships, and transfers leaderships
+// that other controllers should have. Its methods are safe for concurrent use, except Run, which only one goroutine runs.
 type Elector struct {
 	store  Store
 	clock  clock.Clock
 	timing Timing
 	log    *slog.Logger
-	wake   loop.Signal // has Run go on before its pause is over
+	wake   loop.Signal // ends the present pause of Run early
 
-	renewalFailures int // in a row; of Run's goroutine only
+	renewalFailures int // consecutive failures; used only by the goroutine of Run
 
-	mu                sync.Mutex // guards what follows; not held during I/O with the store
+	mu                sync.Mutex // guards the fields below; not held during requests to the store
 	election          *Election
-	lastRenewal       clock.Micros // when the last confirmed renewal, or registration, was sent; zero: never
+	lastRenewal       clock.Micros // when the last confirmed renewal or registration was sent; 0: never
 	lastResigned      string       // the last incarnation that resigned
-	lastPeerContact   clock.Micros // when a peer last said that it has contact with the store
-	lastPeerHeartbeat clock.Micros // when a peer last said anything
-	lastTransfer      clock.Micros // when a leadership was last transferred
-	unreachable       bool         // no worker reaches this controller
+	lastPeerContact   clock.Micros // when a peer last reported contact with the store
+	lastPeerHeartbeat clock.Micros // when a peer heartbeat last arrived
+	lastTransfer      clock.Micros // when this controller last decided to transfer leaderships
+	unreachable       bool         // this controller's workers do not reach it
 }
 
-// NewElector makes an elector around an election.
+// NewElector makes an elector for an election.
 func NewElector(election *Election, store Store, c clock.Clock, t Timing, log *slog.Logger) *Elector {
 	return &Elector{election: election, store: store, clock: c, timing: t, log: log, wake: loop.NewSignal()}
 }
 
-// Apply takes events of the replica.
+// Apply applies events of the replica and wakes Run.
 func (e *Elector) Apply(events []kvstore.Event, _ uint64) {
 	e.mu.Lock()
 	for _, ev := range events {
@@ -79,15 +81,15 @@
 	return e.election.Leading(duty, e.clock.Now())
 }
 
-// Leader names the registered leader of a duty.
+// Leader names the controller that leads a duty. It reports false when none leads it.
 func (e *Elector) Leader(duty string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.election.Leader(duty)
 }
 
-// Current returns a leadership as it stands, and whether the incarnation that it names is registered: one that is not never acts
-// again.
+// Current returns a leadership as the replica last showed it, and whether the incarnation that it names is registered. An
+// incarnation that is not registered never acts again.
 func (e *Elector) Current(duty string) (Leadership, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +103,8 @@
 	return e.election.LeaseValid(e.clock.Now())
 }
 
-// Run keeps the incarnation registered, campaigns for free leaderships and transfers others until ctx ends.
+// Run keeps an incarnation registered, campaigns for free leaderships, and transfers leaderships that other controllers should
+// have, until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	for attempts := 0; ctx.Err() == nil; {
 		if e.hasIncarnation() {
@@ -127,22 +130,22 @@
 	return incarnation != ""
 }
 
-// actions is what one pass is to do for an incarnation, as decided at one moment.
+// actions holds what one pass does for an incarnation, as decided at one moment.
 type actions struct {
 	incarnation string
 	leaseID     uint64
-	at          clock.Micros
+	decidedAt   clock.Micros
 
-	renew        bool // the lease
-	publish      bool // whether the workers reach this controller, unreachable, by the write reachability
+	renew        bool // renew the lease
+	publish      bool // write unreachable into the registration, by the transaction reachability
 	unreachable  bool
 	reachability wire.Txn
 	transfers    []Write
 	campaigns    []Write
 }
 
-// pass carries out what is due: first a renewal of the lease, and only if that succeeds all else, of which transfers and campaigns
-// go at the same time. All of it is decided before the renewal.
+// pass decides what is due and carries it out. It renews the lease first and does everything else only if the renewal succeeds:
+// publishes the reachability, then sends transfers and campaigns concurrently.
 func (e *Elector) pass(ctx context.Context) {
 	due, ok := e.plan()
 	if !ok {
@@ -164,7 +167,8 @@
 	wg.Wait()
 }
 
-// plan decides what is due now. It resigns an incarnation whose lease has expired; ok is false when there is none to act for.
+// plan decides what is due now. It resigns an incarnation whose lease has expired; ok is false when there is no incarnation to
+// act for.
 func (e *Elector) plan() (due actions, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,7 +181,7 @@
 		e.resign("lease not confirmed in time")
 		return due, false
 	}
-	due = actions{incarnation: incarnation, leaseID: leaseID, at: now, unreachable: e.unreachable}
+	due = actions{incarnation: incarnation, leaseID: leaseID, decidedAt: now, unreachable: e.unreachable}
 	due.renew = now-e.lastRenewal >= e.timing.RenewInterval
 	due.campaigns = e.election.Campaign(now, e.timing.TakeoverGrace)
 	if now >= e.lastTransfer+transferInterval {
@@ -189,7 +193,8 @@
 	return due, true
 }
 
-// transfer frees a leadership that this controller no longer acts on. A write that fails is decided on again in a later pass.
+// transfer sends the write that frees a leadership. This controller has already stopped acting on the leadership; if the write
+// fails, a later pass plans it again.
 func (e *Elector) transfer(ctx context.Context, w Write) {
 	if _, err := e.store.Commit(ctx, w.Txn); err != nil {
 		e.log.Warn("leadership transfer failed", "duty", w.Duty, "error", err)
@@ -198,7 +203,8 @@
 	e.log.Info("leadership transferred", "duty", w.Duty)
 }
 
-// campaign acquires a free leadership; it takes effect when the replica shows it. That it fails is usual: another was faster.
+// campaign sends the write that acquires a free leadership. The leadership takes effect when the replica shows it. Failure is
+// usual, since another controller may have been faster.
 func (e *Elector) campaign(ctx context.Context, w Write) {
 	if _, err := e.store.Commit(ctx, w.Txn); err != nil {
 		e.log.Debug("leadership campaign failed", "duty", w.Duty, "error", err)
--- a/internal/leaderelection/registration.go
+++ b/internal/leaderelection/registration.go
@@ -10,15 +10,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// register creates a controller lease and puts a new incarnation under this controller's key. The write is conditional on the key
-// as read, so that a late copy of an old process's write can't undo it.
+// register creates a controller lease and writes a new incarnation under it to this controller's key. The write is conditional
+// on the key's mod revision as just read. A delayed copy of an older process's registration therefore fails and does not
+// replace the newer one.
 func (e *Elector) register(ctx context.Context) error {
 	key := kvstore.ControllerPrefix + e.election.controller
 	former, _, err := e.store.Get(ctx, key)
 	if err != nil {
 		return fmt.Errorf("read former registration: %w", err)
 	}
-	sent := e.clock.Now()
+	sentAt := e.clock.Now()
 	leaseID, err := e.store.GrantLease(ctx, e.timing.TTL.Duration())
 	if err != nil {
 		return fmt.Errorf("create controller lease: %w", err)
@@ -35,14 +36,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.election.StartIncarnation(registration.Incarnation, leaseID, e.leaseLimit(sent))
-	e.lastRenewal = sent
+	e.election.StartIncarnation(registration.Incarnation, leaseID, e.leaseExpiry(sentAt))
+	e.lastRenewal = sentAt
 	e.log.Info("controller registered", "incarnation", registration.Incarnation)
 	return nil
 }
 
-// SetUnreachable takes whether this controller's workers don't reach it. The loop publishes it in the registration, and transfers
-// the leaderships that need workers.
+// SetUnreachable records whether this controller's workers do not reach it. Run publishes that in the registration, and
+// transfers the leaderships that need the workers.
 func (e *Elector) SetUnreachable(unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +51,7 @@
 	e.wake.Notify()
 }
 
-// publishReachability writes into this controller's registration whether its workers reach it.
+// publishReachability records in this controller's registration whether its workers reach it.
 func (e *Elector) publishReachability(ctx context.Context, due actions) {
 	if _, err := e.store.Commit(ctx, due.reachability); err != nil {
 		e.log.Warn("reachability publication failed", "unreachable", due.unreachable, "error", err)
@@ -59,8 +60,8 @@
 	e.log.Info("reachability published", "unreachable", due.unreachable)
 }
 
-// RemoveResigned removes the registration of a peer's incarnation that has resigned, so that its leaderships are free before its
-// lease expires. It does nothing if the peer has registered anew since.
+// RemoveResigned deletes the registration of a peer's incarnation that has resigned, so that its leaderships are free before
+// its lease expires. It does nothing if the peer has registered another incarnation since.
 func (e *Elector) RemoveResigned(ctx context.Context, peer, incarnation string) {
 	e.mu.Lock()
 	registered, modRevision := e.election.Registered(peer)
--- a/internal/leaderelection/renewal.go
+++ b/internal/leaderelection/renewal.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// renewalTimeout bounds a renewal. A store that answers slowly still renews the lease: giving up sooner would lose every
-	// leadership to it, and all in vain.
+	// renewalTimeout bounds a renewal. A store that answers slowly still renews the lease; a shorter timeout would lose every
+	// leadership during a slow phase of the store, without need.
 	renewalTimeout = 3 * time.Second
-	// leaseMargin is how much earlier than by the drift bound alone a lease counts as expired here: an action that was checked
-	// against it takes a moment to be carried out.
+	// leaseMargin is subtracted from a lease in addition to the clock drift, since an action that was checked against the lease
+	// takes a moment to be carried out.
 	leaseMargin = 300 * clock.Millisecond
 )
 
-// leaseLimit returns until when a lease surely lasts that was confirmed by a request sent at a time.
-func (e *Elector) leaseLimit(sent clock.Micros) clock.Micros {
-	return sent + e.timing.TTL.LessDrift() - leaseMargin
+// leaseExpiry returns the time up to which a lease is certainly valid that was confirmed by a request sent at sentAt.
+func (e *Elector) leaseExpiry(sentAt clock.Micros) clock.Micros {
+	return sentAt + e.timing.TTL.LessDrift() - leaseMargin
 }
 
-// renew renews the controller lease; it reports whether it is confirmed. If the store has dropped the lease the incarnation
-// resigns; any other failure is followed by a pause.
+// renew renews the controller lease and reports whether the store confirmed it. If the store has dropped the lease, the
+// incarnation resigns. After any other failure renew pauses before it returns.
 func (e *Elector) renew(ctx context.Context, due actions) bool {
 	err := e.store.KeepAlive(ctx, due.leaseID, renewalTimeout)
 	switch {
@@ -33,8 +33,8 @@
 		e.renewalFailures = 0
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.election.ExtendLease(due.incarnation, e.leaseLimit(due.at))
-		e.lastRenewal = max(e.lastRenewal, due.at)
+		e.election.ExtendLease(due.incarnation, e.leaseExpiry(due.decidedAt))
+		e.lastRenewal = max(e.lastRenewal, due.decidedAt)
 		return true
 	case errors.Is(err, kvstore.ErrLeaseNotFound):
 		e.mu.Lock()
--- a/internal/leaderelection/transfer.go
+++ b/internal/leaderelection/transfer.go
@@ -6,53 +6,56 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// TransferLeadership picks leaderships of this controller that others should have, and returns the writes that free them: one
-// whose preferred leader has been registered for a time, after, or all that need the workers when they don't reach this
-// controller and another could lead. From now on this controller does not act on them, whether the writes succeed or not: should
-// an answer be lost, another may be leader already.
-func (e *Election) TransferLeadership(now, after clock.Micros) (out []Write) {
-	e.observePresences(now)
+// TransferLeadership decides which leaderships of this controller go to others, and returns the writes that free them. One
+// leadership at a time goes back to its preferred leader, once that has been registered for the time delay. All that need the
+// workers go when the workers do not reach this controller and another controller can lead them. From then on this controller
+// does not act on these leaderships, whether the writes succeed or not: if a response is lost, another controller may be the
+// leader already.
+func (e *Election) TransferLeadership(now, delay clock.Micros) (writes []Write) {
+	e.updateRegistrationPeriods(now)
 	if !e.isRegistered() || !e.LeaseValid(now) {
 		return nil
 	}
-	returned := false // one at a time goes back to its preferred leader
+	returned := false // only one at a time goes back to its preferred leader
 	for i, duty := range e.duties {
-		l := e.leaderships[duty]
-		if !e.isOwn(l) {
+		leadership := e.leaderships[duty]
+		if !e.isOwn(leadership) {
 			continue
 		}
-		underWay := e.transferring[duty] == l.ModRevision
-		forced := e.ineligible(i, e.controller) && e.otherEligible(i)
-		returning := !returned && e.preferredIsBack(i, now, after)
+		underWay := e.transferring[duty] == leadership.ModRevision
+		forced := e.isIneligible(i, e.controller) && e.hasOtherEligible(i)
+		returning := !returned && e.preferredIsBack(i, now, delay)
 		if !underWay && !forced && !returning {
 			continue
 		}
 		if !forced {
 			returned = true
 		}
-		e.transferring[duty] = l.ModRevision
+		e.transferring[duty] = leadership.ModRevision
 		key := kvstore.LeaderPrefix + duty
-		out = append(out, Write{duty, wire.Txn{
-			Conditions: []wire.Condition{{Key: key, ModRevision: l.ModRevision}},
-			Operations: []wire.Operation{{Put: key, Value: Record{Term: l.Term}}},
+		writes = append(writes, Write{duty, wire.Txn{
+			Conditions: []wire.Condition{{Key: key, ModRevision: leadership.ModRevision}},
+			Operations: []wire.Operation{{Put: key, Value: Record{Term: leadership.Term}}},
 		}})
 	}
-	return out
+	return writes
 }
 
-// observePresences takes the time at which a controller's registration is seen to have changed.
-func (e *Election) observePresences(now clock.Micros) {
+// updateRegistrationPeriods starts a new period, at now, for each controller whose registration has changed since the last
+// call.
+func (e *Election) updateRegistrationPeriods(now clock.Micros) {
 	for _, name := range e.controllers {
-		if r := e.registrations[name].Registration; e.presences[name].Registration != r {
-			e.presences[name] = presence{r, now}
+		if r := e.registrations[name].Registration; e.registrationPeriods[name].Registration != r {
+			e.registrationPeriods[name] = registrationPeriod{r, now}
 		}
 	}
 }
 
-// preferredIsBack reports whether the i-th duty's preferred leader is another controller that has been registered, as eligible,
-// for a time.
-func (e *Election) preferredIsBack(i int, now, after clock.Micros) bool {
-	preferred := PreferredLeader(e.controllers, i, 0)
-	p := e.presences[preferred]
-	return preferred != e.controller && p.Registration != Registration{} && now >= p.since+after && !e.ineligible(i, preferred)
+// preferredIsBack reports whether a duty's preferred leader is another controller, may lead the duty, and has kept the same
+// registration for the time delay.
+func (e *Election) preferredIsBack(dutyIndex int, now, delay clock.Micros) bool {
+	preferred := PreferredLeader(e.controllers, dutyIndex, 0)
+	period := e.registrationPeriods[preferred]
+	return preferred != e.controller && period.Registration != Registration{} && now >= period.since+delay &&
+		!e.isIneligible(dutyIndex, preferred)
 }
