--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -6,45 +6,46 @@
 	"golang.org/x/time/rate"
 )
 
-// The parts of a controller's budget, of the requests or changes a second that the store allows it (docs/design.md,
-// "Request budget"). Changes are counted by operations, not by transactions.
+// Shares and bursts of a controller's budget, which is its part of the requests and of the changes per second that the store
+// allows (docs/design.md, "Request budget"). Changes are counted by operations, not by transactions.
 const (
-	// requestShare is below one: a lease renewal takes its request without waiting for it.
+	// requestShare is below 1 because a lease renewal takes its request from the budget without waiting for it.
 	requestShare = 0.95
-	// requestBurstSeconds is how many seconds' worth of requests may be sent in a burst after a quiet time.
+	// requestBurstSeconds is how many seconds' worth of requests may be sent in one burst after an idle time.
 	requestBurstSeconds = 0.9
 	minRequestBurst     = 1
 
-	// userReadShare is the part of the requests that reads on users' behalf may take: polls for ids that nobody knows
-	// can't delay a lease renewal. Its burst is the same part of one second.
+	// userReadShare is the part of the requests that reads for users may take, so that users who poll for unknown job ids can't
+	// delay a lease renewal. Its burst is the same part of one second's requests.
 	userReadShare    = 0.4
 	minUserReadBurst = 2
 
-	// writeShare is the part of the changes that may wait: final states, progress, machine records.
+	// writeShare is the part of the changes for writes that may wait: final states, progress and machine records.
 	writeShare = 0.65
-	// minWriteBurst is above the 12 operations that a transaction of final states has at most (package scheduler): a limiter
-	// refuses what is above its burst.
+	// minWriteBurst exceeds the 12 operations that a transaction of final states has at most (package scheduler), because a
+	// limiter refuses any request above its burst.
 	minWriteBurst = 13
 
-	// priorityWriteShare is the part of the changes that users or other controllers wait for; the rest up to one is spare.
+	// priorityWriteShare is the part of the changes for writes that users or other controllers wait for. What remains up to 1
+	// is a reserve.
 	priorityWriteShare = 0.3
-	// priorityBurstDivisor makes the burst half a second's worth of all changes.
+	// priorityBurstDivisor makes the burst of priority writes half a second's worth of all changes.
 	priorityBurstDivisor  = 2
 	minPriorityWriteBurst = 8
 
-	// spareBurstDivisor is the part of the burst of writes that changes without hurry leave to others: a third.
+	// spareBurstDivisor is the part of the write burst that writes without urgency leave to others, as a divisor: one third.
 	spareBurstDivisor = 3
 )
 
-// budget is one controller's part of the requests and changes that the store allows all of them.
+// budget limits one controller to its part of the requests and changes per second that the store allows all controllers.
 type budget struct {
-	requests       *rate.Limiter // every request; Client.KeepAlive takes from it without waiting
-	userReads      *rate.Limiter // of these, keys read on users' behalf
+	requests       *rate.Limiter // all requests; Client.KeepAlive takes from it without waiting
+	userReads      *rate.Limiter // of these, reads of keys for users
 	writes         *rate.Limiter // changes that may wait
 	priorityWrites *rate.Limiter // changes that users or other controllers wait for
 }
 
-// newBudget divides requests and changes a second among so many controllers.
+// newBudget returns the budget of one of so many controllers, which share the requests and changes per second equally.
 func newBudget(requestsPerSecond, writesPerSecond float64, controllers int) budget {
 	n := float64(max(controllers, 1))
 	requests, writes := requestsPerSecond/n, writesPerSecond/n
@@ -56,16 +57,17 @@
 	}
 }
 
-// newLimiter allows so many events a second, and a burst of so many, rounded down, but at least minBurst.
+// newLimiter returns a limiter that allows perSecond events per second and a burst of the given size, rounded down, but of at
+// least minBurst.
 func newLimiter(perSecond, burst float64, minBurst int) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(burst)))
 }
 
-// HasSpareWrites reports whether n changes that can wait may be made now, leaving room for others.
+// HasSpareWrites reports whether n changes that can wait may be made now and still leave part of the burst to other writes.
 func (c *Client) HasSpareWrites(n int) bool {
 	writes := c.budget.writes
 	return writes.Tokens() >= float64(n)+float64(writes.Burst())/spareBurstDivisor
 }
 
-// errBudget is the error of a request that was not sent since the budget did not suffice.
-func errBudget() error { return fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted) }
+// budgetError returns the error of a request that was not sent because the budget is spent.
+func budgetError() error { return fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted) }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -12,88 +12,91 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// maxIdleConnections is how many connections to the store are kept open between requests.
+// maxIdleConnections is the number of idle connections to the store that are kept open.
 const maxIdleConnections = 8
 
-// callTimeout bounds a call. The store may answer slowly for a while: a call that is given up too soon has been carried out all
-// the same.
+// callTimeout bounds a call. The store may answer slowly for a while, and it still executes a request whose caller has timed
+// out, so a short timeout would only hide the outcome.
 const callTimeout = 3 * time.Second
 
-// Client calls the key-value store. Its methods may be called from any goroutine. They return ErrRefused, ErrOutcomeUnknown or
-// an error of their own that they name, with what was attempted.
+// Client sends requests to the key-value store. It is safe for concurrent use. Errors wrap ErrRefused, ErrOutcomeUnknown or
+// another error that the method names, and say what was attempted.
 type Client struct {
 	http   *httpx.Client
 	budget budget
 }
 
-// NewClient makes a client that keeps to its part of rps requests and writes changes a second, which so many controllers share;
-// answers over limit bytes are rejected.
-func NewClient(addr string, rps, writes float64, controllers, limit int) *Client {
-	return &Client{http: httpx.NewClient(addr, maxIdleConnections, limit), budget: newBudget(rps, writes, controllers)}
+// NewClient makes a client that keeps to its part of the requests and changes per second, which so many controllers share. It
+// rejects responses with more than maxResponseBytes bytes.
+func NewClient(addr string, requestsPerSecond, writesPerSecond float64, controllers, maxResponseBytes int) *Client {
+	return &Client{
+		http:   httpx.NewClient(addr, maxIdleConnections, maxResponseBytes),
+		budget: newBudget(requestsPerSecond, writesPerSecond, controllers),
+	}
 }
 
-// CountTraffic has the client count its traffic.
+// CountTraffic makes the client count its traffic in t. It is called before the first request.
 func (c *Client) CountTraffic(t *telemetry.Traffic) { c.http.Count(t) }
 
-// request is a request to the store.
+// request is a request to the store and how to send it.
 type request struct {
 	method, target string
-	body           any           // sent as JSON; nil: none
-	timeout        time.Duration // of the call, the wait for the budget included
-	// beforeSend, if there is one, is called when the budget is had and the request is about to be sent. If it fails nothing is
-	// sent, and the call is refused with its error.
+	body           any           // sent as JSON; nil: no body
+	timeout        time.Duration // of the call, including the wait for the budget
+	// beforeSend, unless it is nil, is called after the wait for the budget, right before the request is sent. If it fails,
+	// nothing is sent and the call returns ErrRefused with its error.
 	beforeSend func() error
 }
 
-// call waits for the budget and sends a request.
-func (c *Client) call(ctx context.Context, in request) (*httpx.Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, in.timeout)
+// call waits until the budget allows a request, and sends it.
+func (c *Client) call(ctx context.Context, req request) (*httpx.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, req.timeout)
 	defer cancel()
 	if err := c.budget.requests.Wait(ctx); err != nil {
-		return nil, errBudget()
+		return nil, budgetError()
 	}
-	if in.beforeSend != nil {
-		if err := in.beforeSend(); err != nil {
+	if req.beforeSend != nil {
+		if err := req.beforeSend(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 	}
-	return c.send(ctx, in)
+	return c.send(ctx, req)
 }
 
-// send sends a request for which the budget is had. The answers that it returns are those that a call may give a meaning to;
-// all others are errors.
-func (c *Client) send(ctx context.Context, in request) (*httpx.Response, error) {
+// send sends a request that the budget already covers. It returns the responses whose status has a meaning for some call, and
+// turns all others into errors.
+func (c *Client) send(ctx context.Context, req request) (*httpx.Response, error) {
 	var body []byte
-	if in.body != nil {
+	if req.body != nil {
 		var err error
-		if body, err = json.Marshal(in.body); err != nil {
+		if body, err = json.Marshal(req.body); err != nil {
 			return nil, fmt.Errorf("%w: encode request: %w", ErrRefused, err)
 		}
 	}
-	r, err := c.http.Do(ctx, in.method, in.target, body)
+	resp, err := c.http.Do(ctx, req.method, req.target, body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	switch r.Status {
+	switch resp.Status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusGone:
-		return r, nil
+		return resp, nil
 	case http.StatusTooManyRequests:
 		return nil, fmt.Errorf("%w: %w", ErrRefused, errRateLimited)
 	case http.StatusBadRequest, http.StatusServiceUnavailable:
-		return nil, fmt.Errorf("%w: status %d %.100s", ErrRefused, r.Status, r.Body)
+		return nil, fmt.Errorf("%w: status %d %.100s", ErrRefused, resp.Status, resp.Body)
 	}
-	return nil, errUnexpectedStatus(r)
+	return nil, unexpectedStatusError(resp)
 }
 
-// decode reads an answer's body. One that can't be read proves nothing about the request.
-func decode(r *httpx.Response, v any) error {
-	if err := json.Unmarshal(r.Body, v); err != nil {
+// decode decodes the body of a response into v. A body that can't be decoded does not show whether the request was executed.
+func decode(resp *httpx.Response, v any) error {
+	if err := json.Unmarshal(resp.Body, v); err != nil {
 		return fmt.Errorf("%w: decode answer: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
 
-// errUnexpectedStatus is the error of an answer whose status has no meaning for the call.
-func errUnexpectedStatus(r *httpx.Response) error {
-	return fmt.Errorf("%w: unexpected status %d", ErrOutcomeUnknown, r.Status)
+// unexpectedStatusError returns the error of a response whose status has no meaning for the call.
+func unexpectedStatusError(resp *httpx.Response) error {
+	return fmt.Errorf("%w: unexpected status %d", ErrOutcomeUnknown, resp.Status)
 }
--- a/internal/kvstore/keys.go
+++ b/internal/kvstore/keys.go
@@ -10,10 +10,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// RootPrefix is the prefix of every key of the project; the watch covers it.
+// RootPrefix is the prefix of every key of the project. The replica watches it.
 const RootPrefix = "ml/"
 
-// Prefixes of keys below RootPrefix; docs/design.md, "Keys", says what each holds.
+// Key prefixes below RootPrefix. docs/design.md, "Keys", describes the values of each.
 const (
 	LeaderPrefix     = RootPrefix + "c/" // leaderships
 	ControllerPrefix = RootPrefix + "n/" // registered incarnations of controllers
@@ -28,10 +28,10 @@
 	catalogPrefix = RootPrefix + "k/"
 )
 
-// listPageSize is how many keys a page of List may have.
+// listPageSize is the maximum number of keys in a page of List.
 const listPageSize = 500
 
-// Get reads a key; found is false when it does not exist.
+// Get reads a key; found is false when the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (item wire.Item, found bool, err error) {
 	if item, found, err = c.get(ctx, key); err != nil {
 		return wire.Item{}, false, fmt.Errorf("read key %s: %w", key, err)
@@ -40,25 +40,26 @@
 }
 
 func (c *Client) get(ctx context.Context, key string) (item wire.Item, found bool, err error) {
-	r, err := c.call(ctx, request{method: http.MethodGet, target: wire.PathKeys + "/" + key, timeout: callTimeout})
+	resp, err := c.call(ctx, request{method: http.MethodGet, target: wire.PathKeys + "/" + key, timeout: callTimeout})
 	if err != nil {
 		return item, false, err
 	}
-	if r.Status == http.StatusNotFound {
-		// A 404 counts only when it is the store's own answer, not that of something on the way to it.
-		var absent struct {
+	if resp.Status == http.StatusNotFound {
+		// A 404 without a revision may come from something on the way to the store, such as a proxy, and does not show that the
+		// key is absent.
+		var notFound struct {
 			Revision *uint64 `json:"ledger_rev"`
 		}
-		if err := decode(r, &absent); err != nil || absent.Revision == nil {
-			return item, false, fmt.Errorf("%w: status 404 without a revision", ErrOutcomeUnknown)
+		if err := decode(resp, &notFound); err != nil || notFound.Revision == nil {
+			return item, false, fmt.Errorf("%w: status 404 without a store revision", ErrOutcomeUnknown)
 		}
 		return item, false, nil
 	}
-	if err := decode(r, &item); err != nil {
+	if err := decode(resp, &item); err != nil {
 		return item, false, err
 	}
-	if r.Status != http.StatusOK || item.Key != key {
-		return item, false, fmt.Errorf("%w: answer with status %d and key %q", ErrOutcomeUnknown, r.Status, item.Key)
+	if resp.Status != http.StatusOK || item.Key != key {
+		return item, false, fmt.Errorf("%w: response has status %d and key %q", ErrOutcomeUnknown, resp.Status, item.Key)
 	}
 	return item, true, nil
 }
@@ -82,16 +83,17 @@
 	}
 }
 
-// listPage reads the keys with a prefix that come after a key; an empty one stands for the beginning.
+// listPage reads one page of the keys with a prefix. The page starts at the key that follows after, or at the first key if
+// after is empty.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (page wire.ItemPage, err error) {
 	target := wire.PathKeys + "?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(listPageSize)
 	if after != "" {
 		target += "&after=" + url.QueryEscape(after)
 	}
-	r, err := c.call(ctx, request{method: http.MethodGet, target: target, timeout: callTimeout})
+	resp, err := c.call(ctx, request{method: http.MethodGet, target: target, timeout: callTimeout})
 	if err != nil {
 		return page, err
 	}
-	err = decode(r, &page)
+	err = decode(resp, &page)
 	return page, err
 }
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// watchBlock is how long a watch may wait in the store for a change.
+	// watchBlock is how long the store may block a watch that has no changes yet.
 	watchBlock = 20 * time.Second
-	// minWatchInterval bounds how often a watch is opened anew, since each counts as a request.
+	// minWatchInterval is the minimum time between two watch requests, since each of them counts towards the request budget.
 	minWatchInterval = 90 * time.Millisecond
-	// loadRetryPause and watchRetryPause bound how often a store that does not answer is asked again: soon enough that an
-	// outage's end is noticed immediately, seldom enough for the request budget.
+	// loadRetryPause and watchRetryPause are the pauses before a failed request is retried: short enough to notice the end of
+	// an outage immediately, long enough for the request budget.
 	loadRetryPause  = 300 * time.Millisecond
 	watchRetryPause = 250 * time.Millisecond
 )
 
-// loadedPrefixes are the prefixes read at the start; final states are only followed.
+// loadedPrefixes are the prefixes whose keys are read at the start. Final states are not read, only watched.
 var loadedPrefixes = []string{
 	LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, catalogPrefix,
 }
 
-// Event is one change of a key, in order of revisions.
+// Event is one change of a key. Events come in order of revisions.
 type Event struct {
 	Key         string
 	Value       json.RawMessage // nil: deleted
 	ModRevision uint64
 }
 
-// Source is what the replica reads from.
+// Source is the part of the key-value store client that Replica reads from.
 type Source interface {
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error)
 }
 
-// Replica follows all keys and notifies a listener of every change. It keeps mod revisions, not values: what is to be known is
-// kept by the listener. Only the goroutine of Run uses its fields.
+// Replica follows all keys and notifies a listener of every change. It keeps only mod revisions; the listener keeps the values
+// that it needs. Only the goroutine of Run uses its fields.
 type Replica struct {
 	source Source
 	notify func([]Event, uint64)
 	log    *slog.Logger
 
-	modRevisions map[string]uint64 // of all keys that the listener knows, but for final states
-	revision     uint64            // all changes up to it are known
+	modRevisions map[string]uint64 // by key, for all keys that the listener knows except final states
+	revision     uint64            // the listener knows all changes up to this one
 }
 
-// NewReplica makes a replica that notifies its listener of changes, in order, and up to which revision it knows all of them
-// then. The listener is called by the goroutine of Run and must not block.
+// NewReplica makes a replica that notifies the listener of changes, in order, together with the revision up to which the
+// listener then knows all changes. The goroutine of Run calls the listener, which must not block.
 func NewReplica(source Source, listener func([]Event, uint64), log *slog.Logger) *Replica {
 	return &Replica{source: source, notify: listener, log: log, modRevisions: map[string]uint64{}}
 }
 
-// Run follows the keys until ctx ends: it reads all of them, then watches for changes until the store no longer has the watched
-// revision, and so on. loadedOnce is closed after the first full read.
+// Run follows the keys until ctx ends. It reads all keys, then watches for changes until the store no longer has the watched
+// revision, and starts over. It closes loadedOnce after the first full read.
 func (r *Replica) Run(ctx context.Context, loadedOnce chan<- struct{}) error {
 	for ctx.Err() == nil {
 		if !r.loadWithRetry(ctx) {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// loadWithRetry reads all keys, again and again until it succeeds; it reports false when ctx has ended before.
+// loadWithRetry reads all keys and retries until that succeeds. It reports false if ctx ends first.
 func (r *Replica) loadWithRetry(ctx context.Context) bool {
 	for attempts := 1; ctx.Err() == nil; attempts++ {
 		err := r.load(ctx)
@@ -90,11 +90,11 @@
 	return false
 }
 
-// watchUntilCompacted notifies the listener of changes until all keys are to be read anew, or ctx ends.
+// watchUntilCompacted notifies the listener of changes until all keys have to be read again or ctx ends.
 func (r *Replica) watchUntilCompacted(ctx context.Context) {
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	for ctx.Err() == nil {
-		began := time.Now()
+		started := time.Now()
 		changes, err := r.source.Watch(ctx, RootPrefix, r.revision, watchBlock)
 		switch {
 		case errors.Is(err, ErrCompacted):
@@ -108,59 +108,60 @@
 		}
 		failures = 0
 		r.applyChanges(changes)
-		if rest := minWatchInterval - time.Since(began); rest > 0 {
-			loop.Pause(ctx, rest)
+		if remaining := minWatchInterval - time.Since(started); remaining > 0 {
+			loop.Pause(ctx, remaining)
 		}
 	}
 }
 
-// applyChanges takes a watch's answer. Repetitions of what is known are dropped by their mod revisions.
-func (r *Replica) applyChanges(ch wire.WatchResponse) {
+// applyChanges notifies the listener of the changes in the response of a watch. It drops changes that the listener already
+// knows, by their mod revisions.
+func (r *Replica) applyChanges(response wire.WatchResponse) {
 	var events []Event
-	for _, c := range ch.Changes {
-		key := c.Put
+	for _, change := range response.Changes {
+		key := change.Put
 		if key == "" {
-			key = c.Drop
+			key = change.Drop
 		}
-		if c.ModRevision <= r.modRevisions[key] || key == "" {
+		if change.ModRevision <= r.modRevisions[key] || key == "" {
 			continue
 		}
-		if c.Put != "" {
+		if change.Put != "" {
 			if !strings.HasPrefix(key, FinalJobPrefix) {
-				r.modRevisions[key] = c.ModRevision
+				r.modRevisions[key] = change.ModRevision
 			}
-			events = append(events, Event{key, c.Value, c.ModRevision})
+			events = append(events, Event{key, change.Value, change.ModRevision})
 		} else {
 			delete(r.modRevisions, key)
-			events = append(events, Event{key, nil, c.ModRevision})
+			events = append(events, Event{key, nil, change.ModRevision})
 		}
 	}
-	r.publish(events, max(r.revision, ch.Revision))
+	r.publish(events, max(r.revision, response.Revision))
 }
 
-// load reads all keys and notifies the listener of the differences from what it knew.
+// load reads all keys and notifies the listener of the differences from what the listener knew.
 func (r *Replica) load(ctx context.Context) error {
 	var events []Event
-	var lowest uint64 // revision of the earliest page: the watch goes on from there
-	present := map[string]bool{}
+	var lowestRevision uint64 // lowest revision of the lists; the watch starts after it
+	presentKeys := map[string]bool{}
 	for i, prefix := range loadedPrefixes {
 		items, rev, err := r.source.List(ctx, prefix)
 		if err != nil {
 			return err
 		}
-		if i == 0 || rev < lowest {
-			lowest = rev
+		if i == 0 || rev < lowestRevision {
+			lowestRevision = rev
 		}
-		for _, it := range items {
-			present[it.Key] = true
-			if it.ModRevision > r.modRevisions[it.Key] {
-				events = append(events, Event{it.Key, it.Value, it.ModRevision})
+		for _, item := range items {
+			presentKeys[item.Key] = true
+			if item.ModRevision > r.modRevisions[item.Key] {
+				events = append(events, Event{item.Key, item.Value, item.ModRevision})
 			}
 		}
 	}
 	for key, modRevision := range r.modRevisions {
-		if !present[key] {
-			events = append(events, Event{key, nil, max(lowest, modRevision)})
+		if !presentKeys[key] {
+			events = append(events, Event{key, nil, max(lowestRevision, modRevision)})
 			delete(r.modRevisions, key)
 		}
 	}
@@ -169,11 +170,11 @@
 			r.modRevisions[e.Key] = e.ModRevision
 		}
 	}
-	r.publish(events, lowest)
+	r.publish(events, lowestRevision)
 	return nil
 }
 
-// publish notifies the listener of events, if there are any, once all changes up to a revision are known.
+// publish records that all changes up to revision are known, and notifies the listener of events if there are any.
 func (r *Replica) publish(events []Event, revision uint64) {
 	r.revision = revision
 	if len(events) > 0 {
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -12,11 +12,12 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// watchAnswerMargin is how much longer than it may block a watch may take: its wait for the budget and a slow answer.
-const watchAnswerMargin = 5 * time.Second
+// watchResponseMargin is the time that a watch may take beyond the time for which the store may block it: the wait for the
+// budget and a slow response.
+const watchResponseMargin = 5 * time.Second
 
-// Watch waits for changes of keys with a prefix after revision rev, for at most block. It returns ErrCompacted when the store no
-// longer has them all, or they are too large for one answer: then all keys are to be read anew.
+// Watch waits for changes of keys with a prefix after revision rev, for at most the time block. It returns ErrCompacted when
+// the store no longer has all of these changes, or they are too large for one response: all keys then have to be read again.
 func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	changes, err := c.watch(ctx, prefix, rev, block)
 	if err != nil {
@@ -27,23 +28,23 @@
 
 func (c *Client) watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (changes wire.WatchResponse, err error) {
 	target := fmt.Sprintf("%s?prefix=%s&after=%d&block_ms=%d", wire.PathWatch, url.QueryEscape(prefix), rev, block.Milliseconds())
-	r, err := c.call(ctx, request{method: http.MethodGet, target: target, timeout: block + watchAnswerMargin})
+	resp, err := c.call(ctx, request{method: http.MethodGet, target: target, timeout: block + watchResponseMargin})
 	if errors.Is(err, httpx.ErrTooLarge) {
-		// An answer has no limit of size. What can't be held is read page by page instead: asking for the same again would fail
-		// for ever.
+		// The store does not limit the size of a response. Changes too large to be held are read page by page from the keys
+		// instead: the same request would fail every time.
 		return changes, ErrCompacted
 	}
 	if err != nil {
 		return changes, err
 	}
-	if r.Status == http.StatusGone {
+	if resp.Status == http.StatusGone {
 		return changes, ErrCompacted
 	}
-	if err := decode(r, &changes); err != nil {
+	if err := decode(resp, &changes); err != nil {
 		return changes, err
 	}
-	if r.Status != http.StatusOK || changes.Revision < rev {
-		return changes, fmt.Errorf("%w: answer with status %d at revision %d", ErrOutcomeUnknown, r.Status, changes.Revision)
+	if resp.Status != http.StatusOK || changes.Revision < rev {
+		return changes, fmt.Errorf("%w: response has status %d and revision %d", ErrOutcomeUnknown, resp.Status, changes.Revision)
 	}
 	return changes, nil
 }
