--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -9,19 +9,19 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// maxMachinesPerGroup bounds how many machines share a key, and so what a change of one costs: the whole
-// group is written.
+// maxMachinesPerGroup is the maximum number of machines that share a key. It limits the cost of changing
+// one machine, which writes the whole group.
 const maxMachinesPerGroup = 32
 
-// Write is one key's new value, to be written on the condition of the key's mod revision: a
-// late copy of an earlier write must not bring an older list back.
+// Write is the new value of one key, to be written on the condition of the key's mod revision. Without the
+// condition a delayed copy of an earlier write would restore an older list of machines.
 type Write struct {
 	Key         string
-	ModRevision uint64 // that the key must have; 0: it must be absent
-	Group       Group  // empty: the key is dropped
+	ModRevision uint64 // that the key must have; 0: the key must be absent
+	Group       Group  // empty: the key is deleted
 }
 
-// AppendTo adds the write and its condition to a transaction.
+// AppendTo appends the write and its condition to a transaction.
 func (w Write) AppendTo(txn *wire.Txn) {
 	operation := wire.Operation{Put: w.Key, Value: w.Group}
 	if len(w.Group) == 0 {
@@ -31,10 +31,10 @@
 	txn.Operations = append(txn.Operations, operation)
 }
 
-// Size is about how many bytes the write takes of a transaction's values.
+// Size returns about how many bytes the write takes of a transaction's values.
 func (w Write) Size() int { return w.Group.maxBytes() }
 
-// maxBytes is at most how many bytes the group takes as a value.
+// maxBytes returns an upper bound of the bytes of the group's encoded records.
 func (g Group) maxBytes() (n int) {
 	for id, record := range g {
 		n += record.maxBytes(id)
@@ -42,35 +42,37 @@
 	return n
 }
 
-// PlanWrites returns the writes that record some machines of a partition and drop the
-// records of others, in the order of their keys; a value takes at most maxBytes. Machines that are recorded
-// already keep their keys, also where fresh has a new record of them.
-func (r *Records) PlanWrites(partition int, fresh Group, drop []string, maxBytes int) []Write {
+// PlanWrites returns the writes that record some machines of a partition and remove the records of others,
+// in the order of their keys. A machine that is recorded already stays under its key, also when updated has
+// a new record of it. A new machine goes to a key whose value then takes at most maxBytes; a record that is
+// larger than that gets a key to itself.
+func (r *Records) PlanWrites(partition int, updated Group, removed []string, maxBytes int) []Write {
 	p := plan{records: r, groups: map[string]Group{}}
-	for _, id := range drop {
-		if key, ok := r.keyOf[id]; ok {
-			delete(p.edit(key), id)
+	for _, id := range removed {
+		if key, ok := r.keyByMachine[id]; ok {
+			delete(p.editGroup(key), id)
 		}
 	}
 	filler := groupFiller{plan: &p, partition: partition, maxBytes: maxBytes}
-	for _, id := range slices.Sorted(maps.Keys(fresh)) {
-		if key, ok := r.keyOf[id]; ok {
-			p.edit(key)[id] = fresh[id]
+	for _, id := range slices.Sorted(maps.Keys(updated)) {
+		if key, ok := r.keyByMachine[id]; ok {
+			p.editGroup(key)[id] = updated[id]
 			continue
 		}
-		filler.add(id, fresh[id])
+		filler.add(id, updated[id])
 	}
 	return p.writes()
 }
 
-// plan is a set of groups that are to be written.
+// plan is a set of groups to be written.
 type plan struct {
-	records *Records         // not changed: they are once the writes have been carried out
-	groups  map[string]Group // by key, as they are to be
+	records *Records         // unchanged by the plan; updated after the writes have succeeded
+	groups  map[string]Group // new groups, by key
 }
 
-// edit returns the group of a key as it is to be, for changes.
-func (p *plan) edit(key string) Group {
+// editGroup returns the planned group of a key, for the caller to change. It starts as a copy of the stored
+// group.
+func (p *plan) editGroup(key string) Group {
 	if p.groups[key] == nil {
 		p.groups[key] = Group{}
 		maps.Copy(p.groups[key], p.records.groups[key].machines)
@@ -78,7 +80,7 @@
 	return p.groups[key]
 }
 
-// writes returns the groups that differ from what is stored.
+// writes returns the writes of all planned groups that differ from the stored ones.
 func (p *plan) writes() (out []Write) {
 	for _, key := range slices.Sorted(maps.Keys(p.groups)) {
 		stored := p.records.groups[key]
@@ -89,24 +91,25 @@
 	return out
 }
 
-// groupFiller adds machines to the groups of a partition, to the first one that has room.
+// groupFiller adds machines to the groups of a partition, each to the current group or to the first later
+// one that has room.
 type groupFiller struct {
 	plan      *plan
 	partition int
-	maxBytes  int // of a group's value
+	maxBytes  int // limit of a group's value
 
-	next  int   // number of the group after the present one
-	group Group // the present one; nil before the first
-	size  int   // bytes that it takes at most
+	nextGroup int   // number of the group after the current one
+	group     Group // current group; nil before the first
+	size      int   // upper bound of its bytes
 }
 
-// add puts a machine into the present group, or into the next one that has room.
+// add puts a machine into the current group, or into the next one that has room.
 func (f *groupFiller) add(id string, record Record) {
 	size := record.maxBytes(id)
 	for !f.hasRoom(size) {
-		f.group = f.plan.edit(fmt.Sprintf("%s%03d/%d", kvstore.MachinePrefix, f.partition, f.next))
+		f.group = f.plan.editGroup(fmt.Sprintf("%s%03d/%d", kvstore.MachinePrefix, f.partition, f.nextGroup))
 		f.size = f.group.maxBytes()
-		f.next++
+		f.nextGroup++
 		if len(f.group) == 0 {
 			break // an empty group takes a record of any size
 		}
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -1,14 +1,14 @@
-// Package inventory holds the records of the machines that may hold tasks, as they are in the key-value
+// Package inventory holds the records of the machines that may hold tasks, as stored in the key-value
 // store.
 //
-// Many machines share one key (a Group), since each key's change costs a part of the request budget: a
-// thousand machines are recorded while they boot. Records are the groups as a controller knows them
-// (records.go); PlanWrites decides on the writes that record machines or drop their records (plan.go).
-// The package does no I/O: the partition server carries the writes out.
+// Many machines share one key (a Group), because each change of a key takes part of the request budget and
+// a thousand machines may be recorded while they boot. Records holds the groups as a controller knows them
+// (records.go). PlanWrites decides which writes record machines or remove their records (plan.go). The
+// package does no I/O: the partition server sends the writes.
 //
-// Invariant: a write replaces a group only as its writer knew it, by the condition on the key's mod revision.
-// So a late copy of an earlier write can't remove a machine's record (docs/design.md, "Why the rules hold",
-// number 5).
+// Invariant: a write replaces a group only if the group is still as its writer knew it, by a condition on
+// the key's mod revision. A delayed copy of an earlier write therefore can't remove a machine's record
+// (docs/design.md, "Why the rules hold", number 5).
 package inventory
 
 import (
@@ -20,22 +20,22 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// Record is what is stored of one machine. Its encoded form is kept by the golden tests.
+// Record is the stored record of one machine. Golden tests check its encoded form.
 type Record struct {
-	Addr string `json:"a"` // of the worker, host:port
-	Type string `json:"t"` // of the catalog
+	Addr string `json:"a"` // address of the worker, host:port
+	Type string `json:"t"` // machine type in the catalog
 	Zone string `json:"z"`
 	Spot bool   `json:"s,omitempty"`
-	// AtMS is the time of day when the record was made, in milliseconds: the
-	// machine existed then. 0: not known.
+	// AtMS is the time of day, in milliseconds, when the record was made; the machine existed then. 0:
+	// unknown.
 	AtMS int64 `json:"w,omitempty"`
 }
 
-// recordOverhead is at most how many bytes the JSON of a record takes beyond its strings and the id: names of
-// fields, punctuation and the digits of a time.
+// recordOverhead is the maximum number of bytes that a record takes in JSON beyond its strings and the
+// machine id: field names, punctuation and the digits of a time.
 const recordOverhead = 66
 
-// maxBytes is at most how many bytes a machine's record takes of its group's value.
+// maxBytes returns an upper bound of the bytes that a machine's record takes in the value of its group.
 func (r Record) maxBytes(id string) int {
 	return len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + recordOverhead
 }
@@ -43,13 +43,14 @@
 // Group is the value of one key: records by machine id.
 type Group map[string]Record
 
-// storedGroup is a group as it is known to be in the key-value store.
+// storedGroup is a group that is known to be in the key-value store.
 type storedGroup struct {
 	machines    Group
 	modRevision uint64 // of the key's last change
 }
 
-// conditionRevision is the mod revision that the key has: a key without machines is absent.
+// conditionRevision returns the mod revision to put into a condition on the key: 0 if the group has no
+// machines, since its key is then absent.
 func (g storedGroup) conditionRevision() uint64 {
 	if len(g.machines) == 0 {
 		return 0
@@ -57,21 +58,21 @@
 	return g.modRevision
 }
 
-// Records are the groups as the key-value store last showed them, or as their writer knows them to be. They
-// are not safe for concurrent use: whoever keeps them guards them.
+// Records holds the groups as the key-value store last showed them, or as their writer knows them to be. It
+// is not safe for concurrent use.
 type Records struct {
-	groups map[string]storedGroup // by key
-	keyOf  map[string]string      // the key that a machine is recorded under, by machine id
+	groups       map[string]storedGroup // by key
+	keyByMachine map[string]string      // key of the group that holds a machine, by machine id
 }
 
-// NewRecords makes records without machines.
+// NewRecords returns empty records.
 func NewRecords() *Records {
-	return &Records{groups: map[string]storedGroup{}, keyOf: map[string]string{}}
+	return &Records{groups: map[string]storedGroup{}, keyByMachine: map[string]string{}}
 }
 
-// Apply takes one event of the replica and gives the machines whose records are new or changed, and those
-// whose records were removed. An event older than what is known changes nothing, nor does a value that is not
-// understood.
+// Apply applies one event of the replica. It returns the machines whose records are new or changed, and
+// those whose records were removed. It ignores an event that is older than the known state of its key, and
+// a value that can't be decoded.
 func (r *Records) Apply(e kvstore.Event) (added Group, removed []string) {
 	if !strings.HasPrefix(e.Key, kvstore.MachinePrefix) || e.ModRevision < r.groups[e.Key].modRevision {
 		return nil, nil
@@ -87,8 +88,8 @@
 	return r.Put(e.Key, g, e.ModRevision)
 }
 
-// legacyRecord is the record of the release before machines shared keys: one to a
-// key, under the machine's own id. It stays there until its machine is gone.
+// legacyRecord is a machine record of the release before machines shared keys. That release stored each
+// machine under a key with the machine's own id, which stays until the machine is gone.
 type legacyRecord struct {
 	Addr string `json:"addr"`
 	Type string `json:"type"`
@@ -96,12 +97,13 @@
 	Spot bool   `json:"spot"`
 }
 
-// isLegacyKey tells a key of that release from one of a partition's groups.
+// isLegacyKey reports whether a key was written by that release; the keys of a partition's groups contain a
+// further slash.
 func isLegacyKey(key string) bool {
 	return !strings.Contains(strings.TrimPrefix(key, kvstore.MachinePrefix), "/")
 }
 
-// legacyGroup reads a record of that release as a group of one machine.
+// legacyGroup decodes a record of that release as a group of one machine.
 func legacyGroup(e kvstore.Event) (g Group, ok bool) {
 	var record legacyRecord
 	if !isLegacyKey(e.Key) || json.Unmarshal(e.Value, &record) != nil || record.Type == "" {
@@ -111,8 +113,8 @@
 	return Group{id: {Addr: record.Addr, Type: record.Type, Zone: record.Zone, Spot: record.Spot}}, true
 }
 
-// HasLegacy reports that there are machines which an earlier release has recorded:
-// tasks may be on them of which its schedulers left no watermark.
+// HasLegacy reports whether an earlier release has recorded machines that still exist. They may run tasks
+// of jobs for which the schedulers of that release wrote no watermark.
 func (r *Records) HasLegacy() bool {
 	for key, g := range r.groups {
 		if isLegacyKey(key) && len(g.machines) > 0 {
@@ -122,24 +124,24 @@
 	return false
 }
 
-// Put sets what a key holds since a revision, and gives the differences as Apply does.
+// Put sets the value that a key has since modRevision, and returns the differences as Apply does.
 func (r *Records) Put(key string, g Group, modRevision uint64) (added Group, removed []string) {
 	known := r.groups[key].machines
 	for id := range known {
-		// A machine may have moved to another key in the same transaction.
-		if _, still := g[id]; !still && r.keyOf[id] == key {
-			delete(r.keyOf, id)
+		// The same transaction may have moved the machine to another key.
+		if _, remains := g[id]; !remains && r.keyByMachine[id] == key {
+			delete(r.keyByMachine, id)
 			removed = append(removed, id)
 		}
 	}
 	for id, record := range g {
-		if before, ok := known[id]; !ok || before != record || r.keyOf[id] != key {
+		if previous, ok := known[id]; !ok || previous != record || r.keyByMachine[id] != key {
 			if added == nil {
 				added = Group{}
 			}
 			added[id] = record
 		}
-		r.keyOf[id] = key
+		r.keyByMachine[id] = key
 	}
 	r.groups[key] = storedGroup{g, modRevision}
 	slices.Sort(removed)
@@ -148,16 +150,16 @@
 
 // Find returns a machine's record.
 func (r *Records) Find(id string) (Record, bool) {
-	key, ok := r.keyOf[id]
+	key, ok := r.keyByMachine[id]
 	if !ok {
 		return Record{}, false
 	}
 	return r.groups[key].machines[id], true
 }
 
-// Each visits all machines that are recorded, in no order.
+// Each calls visit for every recorded machine, in no particular order.
 func (r *Records) Each(visit func(id string, record Record)) {
-	for id, key := range r.keyOf {
+	for id, key := range r.keyByMachine {
 		visit(id, r.groups[key].machines[id])
 	}
 }
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -1,12 +1,13 @@
-// Package jobs holds the jobs in the key-value store as each controller knows them: all active ones, and
-// the final states of recent ones.
+// Package jobs caches the jobs in the key-value store at each controller: all active ones, and the final
+// states of recent ones.
 //
-// Record and Final are the stored forms (record.go), Job is an active job with what is derived from its
-// record, and Cache is fed with the replica's events. The package does no I/O.
+// Record and Final are the stored forms (record.go). Job is an active job with values derived from its
+// record. Cache is updated by the replica's events. The package does no I/O.
 //
-// Invariants: a final state stays known, whatever events follow, until maxFinals others have become known
-// since; and Ended never takes a job for ended only because the cache is behind the key-value store
-// (docs/design.md, "Why the rules hold", numbers 10 and 11).
+// Invariants: a final state stays known, whatever events follow, until maxFinals newer final states have
+// become known. Ended never reports a job as ended only because the cache is behind the key-value store;
+// otherwise a partition leader would reject or stop tasks of a job whose record has not reached its cache
+// yet (docs/design.md, "Why the rules hold", numbers 10 and 11).
 package jobs
 
 import (
@@ -18,26 +19,26 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// maxFinals bounds how many final states are cached, some megabytes; older ones are read from the key-value
-// store when a user asks for them.
+// maxFinals is the maximum number of cached final states, which take some megabytes. Older ones are read
+// from the key-value store when a user asks for them.
 const maxFinals = 20_000
 
-// Cache holds the jobs. It may be used concurrently.
+// Cache holds the active jobs and the latest final states. It is safe for concurrent use.
 type Cache struct {
-	onFinal func(id string, f Final) // nil: none
+	onFinal func(id string, f Final) // nil: no listener
 
-	mu         sync.RWMutex // guards what follows
+	mu         sync.RWMutex // guards the fields below
 	active     map[string]*Job
 	finals     map[string]Final
-	finalOrder []string // ids of the final states, the one that was added first in front
+	finalOrder []string // ids of the final states, in the order in which they were added
 	revision   uint64   // all changes up to this one have been applied
 }
 
-// Option sets up a cache.
+// Option configures a cache.
 type Option func(*Cache)
 
-// OnFinal has a listener called with each final state when it is first known here. The cache's lock
-// is held then: the listener must not use the cache.
+// OnFinal makes the cache call listener with each final state when it first becomes known. The cache's lock
+// is held during the call, so the listener must not use the cache.
 func OnFinal(listener func(id string, f Final)) Option {
 	return func(c *Cache) { c.onFinal = listener }
 }
@@ -45,14 +46,13 @@
 // NewCache makes an empty cache.
 func NewCache(options ...Option) *Cache {
 	c := &Cache{active: map[string]*Job{}, finals: map[string]Final{}}
-	for _, set := range options {
-		set(c)
+	for _, option := range options {
+		option(c)
 	}
 	return c
 }
 
-// Apply takes one event of the replica. Keys of other kinds and values that are not understood change
-// nothing.
+// Apply applies one event of the replica. It ignores keys of other kinds and values that can't be decoded.
 func (c *Cache) Apply(e kvstore.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// applyActive takes a change of an active record, which may itself say that the job has ended. The lock is
-// held.
+// applyActive applies a change of an active job's record, which may itself say that the job has ended. The
+// caller holds the lock.
 func (c *Cache) applyActive(id string, e kvstore.Event) {
 	if e.Value == nil {
 		delete(c.active, id)
@@ -82,7 +82,8 @@
 	c.active[id] = New(record, e.ModRevision)
 }
 
-// applyFinal takes a final state; that its key is dropped changes nothing. The lock is held.
+// applyFinal adds a final state. It ignores the deletion of the key, since a final state stays known. The
+// caller holds the lock.
 func (c *Cache) applyFinal(id string, e kvstore.Event) {
 	if e.Value == nil {
 		return
@@ -93,7 +94,8 @@
 	}
 }
 
-// addFinal keeps a final state, and forgets the oldest one when there are too many. The lock is held.
+// addFinal adds a final state, and drops the oldest one when there are more than maxFinals. The caller
+// holds the lock.
 func (c *Cache) addFinal(id string, f Final) {
 	if _, known := c.finals[id]; !known {
 		if c.onFinal != nil {
@@ -108,14 +110,14 @@
 	c.finals[id] = f
 }
 
-// AddFinal adds a final state that was read from the key-value store, or written to it.
+// AddFinal adds a final state that was read from the key-value store or written to it.
 func (c *Cache) AddFinal(id string, f Final) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addFinal(id, f)
 }
 
-// AdvanceRevision notes that all changes up to a revision have been applied.
+// AdvanceRevision records that all changes up to a revision have been applied.
 func (c *Cache) AdvanceRevision(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +132,7 @@
 	return j, ok
 }
 
-// ActiveOfTeam lists a team's active jobs, in no order.
+// ActiveOfTeam returns a team's active jobs, in no particular order.
 func (c *Cache) ActiveOfTeam(team string) []*Job {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -143,7 +145,7 @@
 	return out
 }
 
-// Final returns the final state of a job, if it is known here.
+// Final returns the final state of a job, if it is cached.
 func (c *Cache) Final(id string) (Final, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -151,8 +153,8 @@
 	return f, ok
 }
 
-// Ended reports that a job whose record had a mod revision has ended: its final state
-// is known, or the cache is as new as that record and does not show the job any more.
+// Ended reports whether a job has ended whose record had the mod revision modRevision: its final state is
+// known, or the cache includes that revision and has no active job with this id.
 func (c *Cache) Ended(id string, modRevision uint64) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
