--- a/internal/leaderelection/contact_scenario_test.go
+++ b/internal/leaderelection/contact_scenario_test.go
@@ -11,12 +11,12 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 )
 
-// One controller alone can't reach the store. At no time are there two leaders of a duty; as a peer reports contact, it resigns
-// before its lease expires.
+// One controller loses the store while its peers still reach it. It resigns before its lease expires as soon as a peer reports
+// contact, and a duty never has two leaders.
 func TestIsolatedLeaderResignsWhenPeerHasContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
+		kv := fakes.NewKVStore()
+		a, b := startProcess(t, kv, "a"), startProcess(t, kv, "b")
 		time.Sleep(10 * time.Second)
 		a.store.SetCut(true)
 		time.Sleep(6 * time.Second)
@@ -33,38 +33,39 @@
 	})
 }
 
-// A controller that restarts in an outage has had no contact at all: it must not have its peers conclude that they alone are cut off.
+// A controller that restarts during an outage of the store has had no contact with it. If it reported contact, its peers would
+// conclude that they alone are cut off and resign.
 func TestRestartInOutageReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a := startProcess(t, st, "a")
+		kv := fakes.NewKVStore()
+		a := startProcess(t, kv, "a")
 		time.Sleep(10 * time.Second)
-		st.SetDown(true)
+		kv.SetDown(true)
 		time.Sleep(8 * time.Second)
-		b := startProcess(t, st, "b")
+		b := startProcess(t, kv, "b")
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			ago, _ := b.StoreContact()
 			a.ObservePeer(ago)
-			require.True(t, a.leads("one"), "the outage is shared: leaderships go on")
+			require.True(t, a.leads("one"), "a shared outage must not end leaderships")
 		}
-		st.SetDown(false)
+		kv.SetDown(false)
 		time.Sleep(2 * time.Second)
 		ago, _ := b.StoreContact()
 		require.Less(t, ago, 3*clock.Second)
 	})
 }
 
-// An outage counts as shared only while peers are heard and none has contact.
+// An outage counts as shared only while peers are heard and none of them has contact with the store.
 func TestSharedOutageDiffersFromIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a := startProcess(t, st, "a")
+		kv := fakes.NewKVStore()
+		a := startProcess(t, kv, "a")
 		time.Sleep(10 * time.Second)
 		require.False(t, a.SharedOutage())
-		st.SetDown(true)
+		kv.SetDown(true)
 		time.Sleep(6 * time.Second)
-		require.False(t, a.SharedOutage(), "no peer says so")
+		require.False(t, a.SharedOutage(), "no peer has reported that it has no contact")
 		a.ObservePeer(6 * clock.Second)
 		require.True(t, a.SharedOutage())
 		a.ObservePeer(clock.Second)
--- a/internal/leaderelection/election_test.go
+++ b/internal/leaderelection/election_test.go
@@ -11,20 +11,20 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Units of the decision: what Election decides on given events, at given moments.
+// Unit tests of the decisions that Election makes on given events at given times.
 
-// electionOf makes the election of one controller of a, b and c, with the first two of three duties in need of workers, registered
-// under incarnation i at mod revision 1 and with a lease valid for 1000 s.
-func electionOf(t *testing.T, controller string) *Election {
+// newRegisteredElection makes the election state of one of the controllers a, b and c. The first two of the three duties need
+// the workers. The controller is registered as incarnation i at mod revision 1, with a lease that is valid for 1000 s.
+func newRegisteredElection(t *testing.T, controller string) *Election {
 	t.Helper()
 	e := NewElection(controller, []string{"c", "b", "a"}, duties, 2)
 	e.StartIncarnation("i", 9, clock.Second*1000)
-	show(t, e, kvstore.ControllerPrefix+controller, Registration{Incarnation: "i"}, 1)
+	applyValue(t, e, kvstore.ControllerPrefix+controller, Registration{Incarnation: "i"}, 1)
 	return e
 }
 
-// show has the replica show a key's value; nil: it is deleted.
-func show(t *testing.T, e *Election, key string, value any, modRevision uint64) {
+// applyValue applies an event that sets a key to a value; nil deletes the key.
+func applyValue(t *testing.T, e *Election, key string, value any, modRevision uint64) {
 	t.Helper()
 	ev := kvstore.Event{Key: key, ModRevision: modRevision}
 	if value != nil {
@@ -46,7 +46,7 @@
 	const grace = 3 * clock.Second
 	registered, unreachable := Registration{Incarnation: "x"}, Registration{Incarnation: "x", Unreachable: true}
 	for name, c := range map[string]struct {
-		preferred []any // what the replica shows of a, the preferred leader of duty one, in turn
+		preferred []any // successive registrations of a, the preferred leader of duty one; nil: deleted
 		wantAfter clock.Micros
 	}{
 		"never seen":                      {nil, grace},
@@ -58,13 +58,13 @@
 		"unreachable, then lease expired": {[]any{unreachable, nil}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := electionOf(t, "b")
+			e := newRegisteredElection(t, "b")
 			for i, value := range c.preferred {
-				show(t, e, kvstore.ControllerPrefix+"a", value, uint64(i)+2)
+				applyValue(t, e, kvstore.ControllerPrefix+"a", value, uint64(i)+2)
 			}
 			start := 100 * clock.Second
 			campaigned := dutiesOf(e.Campaign(start, grace))
-			require.Contains(t, campaigned, "two", "its own")
+			require.Contains(t, campaigned, "two", "b is preferred for it")
 			if c.wantAfter == 0 {
 				require.Contains(t, campaigned, "one")
 				return
@@ -76,9 +76,9 @@
 }
 
 func TestCampaignIsConditionalOnLeadershipAndRegistrations(t *testing.T) {
-	e := electionOf(t, "a")
-	show(t, e, kvstore.LeaderPrefix+"one", Record{"b", "gone", 7}, 5)
-	show(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "another"}, 6)
+	e := newRegisteredElection(t, "a")
+	applyValue(t, e, kvstore.LeaderPrefix+"one", Record{"b", "gone", 7}, 5)
+	applyValue(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "another"}, 6)
 	writes := e.Campaign(clock.Second, clock.Second)
 	require.Equal(t, []Write{{"one", wire.Txn{
 		Conditions: []wire.Condition{
@@ -109,48 +109,48 @@
 			e.StartIncarnation("next", 10, 1000*clock.Second)
 		}, clock.Second, false},
 		"registration removed by a peer": {func(t *testing.T, e *Election) {
-			show(t, e, kvstore.ControllerPrefix+"a", nil, 2)
+			applyValue(t, e, kvstore.ControllerPrefix+"a", nil, 2)
 		}, clock.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := electionOf(t, "a")
+			e := newRegisteredElection(t, "a")
 			c.change(t, e)
 			require.Equal(t, c.want, len(e.Campaign(c.now, clock.Second)) > 0)
 		})
 	}
 }
 
-// leadAll has the replica show a controller as leader of all duties, under the incarnation of electionOf.
+// leadAll makes a controller the leader of all duties, under the incarnation of newRegisteredElection.
 func leadAll(t *testing.T, e *Election, controller string) {
 	t.Helper()
 	for i, duty := range duties {
-		show(t, e, kvstore.LeaderPrefix+duty, Record{controller, "i", uint64(i)}, uint64(i)+10)
+		applyValue(t, e, kvstore.LeaderPrefix+duty, Record{controller, "i", uint64(i)}, uint64(i)+10)
 	}
 }
 
 func TestLeadershipsReturnToPreferredLeadersOneAtATime(t *testing.T) {
 	const delay = 5 * clock.Second
-	e := electionOf(t, "c")
+	e := newRegisteredElection(t, "c")
 	leadAll(t, e, "c")
-	show(t, e, kvstore.ControllerPrefix+"a", Registration{Incarnation: "x"}, 20)
-	show(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y"}, 21)
+	applyValue(t, e, kvstore.ControllerPrefix+"a", Registration{Incarnation: "x"}, 20)
+	applyValue(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y"}, 21)
 	require.Empty(t, e.TransferLeadership(clock.Second, delay))
-	require.Empty(t, e.TransferLeadership(clock.Second+delay-1, delay), "a and b have not been registered for long enough")
+	require.Empty(t, e.TransferLeadership(clock.Second+delay-1, delay), "a and b have not been registered for the whole delay")
 	require.Equal(t, []string{"one"}, dutiesOf(e.TransferLeadership(clock.Second+delay, delay)))
 	_, leads := e.Leading("one", clock.Second+delay)
-	require.False(t, leads, "from the decision on")
+	require.False(t, leads, "the leadership must not be acted on once its transfer is decided")
 	_, leads = e.Leading("two", clock.Second+delay)
 	require.True(t, leads)
 }
 
 func TestUnreachableControllerTransfersWorkerDutiesTogether(t *testing.T) {
 	const delay = 5 * clock.Second
-	e := electionOf(t, "c")
+	e := newRegisteredElection(t, "c")
 	leadAll(t, e, "c")
-	show(t, e, kvstore.ControllerPrefix+"c", Registration{Incarnation: "i", Unreachable: true}, 20)
-	require.Empty(t, e.TransferLeadership(clock.Second, delay), "there is no other controller")
-	show(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y", Unreachable: true}, 21)
-	require.Empty(t, e.TransferLeadership(clock.Second, delay), "its workers don't reach the other either")
-	show(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y"}, 22)
+	applyValue(t, e, kvstore.ControllerPrefix+"c", Registration{Incarnation: "i", Unreachable: true}, 20)
+	require.Empty(t, e.TransferLeadership(clock.Second, delay), "no other controller is registered")
+	applyValue(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y", Unreachable: true}, 21)
+	require.Empty(t, e.TransferLeadership(clock.Second, delay), "the other controller's workers do not reach it either")
+	applyValue(t, e, kvstore.ControllerPrefix+"b", Registration{Incarnation: "y"}, 22)
 	require.Equal(t, []string{"one", "two"}, dutiesOf(e.TransferLeadership(clock.Second, delay)))
 }
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -18,15 +18,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Tests of the elector's I/O: log events, errors, and what a failed renewal holds up.
+// Tests of the elector's I/O: log events, errors, and passes after the incarnation has resigned.
 
-// eventLog keeps the log events, without their values.
+// eventLog collects the level, message and attribute keys of each log event.
 type eventLog struct {
 	mu     sync.Mutex
 	events []string
 }
 
-// logger logs into it: level, message and keys.
+// logger returns a logger that adds its events to l.
 func (l *eventLog) logger() *slog.Logger {
 	return slog.New(&eventHandler{slog.NewTextHandler(io.Discard, nil), l})
 }
@@ -50,18 +50,18 @@
 func (*eventHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 func (h *eventHandler) Handle(_ context.Context, r slog.Record) error {
-	words := []string{r.Level.String(), r.Message}
+	parts := []string{r.Level.String(), r.Message}
 	r.Attrs(func(a slog.Attr) bool {
-		words = append(words, a.Key)
+		parts = append(parts, a.Key)
 		return true
 	})
 	h.log.mu.Lock()
 	defer h.log.mu.Unlock()
-	h.log.events = append(h.log.events, strings.Join(words, " "))
+	h.log.events = append(h.log.events, strings.Join(parts, " "))
 	return nil
 }
 
-func TestLogEventsSayWhatChanged(t *testing.T) {
+func TestStateChangesAreLoggedWithKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := fakes.NewKVStore()
 		log := &eventLog{}
@@ -79,15 +79,15 @@
 		require.Equal(t, 1, log.count("INFO peer registration removed peer"))
 		b.store.SetCut(true)
 		time.Sleep(10 * time.Second)
-		require.Equal(t, 1, log.count("WARN lease renewal failed error"), "the first of many")
+		require.Equal(t, 1, log.count("WARN lease renewal failed error"), "only the first of several failures is logged")
 		b.ObservePeer(0)
 		time.Sleep(5 * time.Second)
 		require.Equal(t, 1, log.count("WARN leaderships resigned incarnation reason"))
-		require.Equal(t, 1, log.count("WARN registration failed attempts error"), "the first of many")
+		require.Equal(t, 1, log.count("WARN registration failed attempts error"), "only the first of several failures is logged")
 	})
 }
 
-// failingStore fails at one of the steps of a registration.
+// failingStore fails at one step of a registration.
 type failingStore struct {
 	*fakes.KVClient
 	get, grant, commit error
@@ -107,11 +107,11 @@
 	return s.KVClient.GrantLease(ctx, ttl)
 }
 
-func (s failingStore) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
+func (s failingStore) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	if s.commit != nil {
 		return 0, s.commit
 	}
-	return s.KVClient.Commit(ctx, m)
+	return s.KVClient.Commit(ctx, txn)
 }
 
 func TestRegistrationErrorNamesTheStep(t *testing.T) {
@@ -132,7 +132,8 @@
 	}
 }
 
-// Should an incarnation resign between two passes, the next one leaves its name for the peers, that they remove its registration.
+// An incarnation resigns while no pass is under way. The next pass must keep its name, by which the peers remove its
+// registration.
 func TestPassWithoutIncarnationKeepsResignedName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
--- a/internal/leaderelection/helpers_test.go
+++ b/internal/leaderelection/helpers_test.go
@@ -22,7 +22,7 @@
 	TransferDelay: 15 * clock.Second,
 }
 
-// process is a controller's elector and replica in a test's bubble.
+// process is a controller's elector with its client of the key-value store, in a synctest bubble.
 type process struct {
 	*Elector
 	store *fakes.KVClient
@@ -31,7 +31,7 @@
 
 var duties = []string{"one", "two", "three"}
 
-// startProcess starts a controller of three, a, b and c.
+// startProcess starts one of the controllers a, b and c.
 func startProcess(t *testing.T, kv *fakes.KVStore, controller string) *process {
 	t.Helper()
 	return startProcessWithLog(t, kv, controller, discardLog)
@@ -53,25 +53,26 @@
 	return ok
 }
 
-// slowStore is a client of a key-value store that answers renewals late.
+// slowStore is a client of a key-value store that renews leases only after a delay.
 type slowStore struct {
 	*fakes.KVClient
-	by time.Duration
+	delay time.Duration
 }
 
 func (s slowStore) KeepAlive(ctx context.Context, leaseID uint64, timeout time.Duration) error {
-	time.Sleep(min(s.by, timeout))
-	if s.by > timeout {
+	time.Sleep(min(s.delay, timeout))
+	if s.delay > timeout {
 		return kvstore.ErrOutcomeUnknown
 	}
 	return s.KVClient.KeepAlive(ctx, leaseID, timeout)
 }
 
-// clusterWithoutA has three controllers share the duties, and the first stop for longer than its lease. It returns the second.
-func clusterWithoutA(t *testing.T, st *fakes.KVStore) *process {
+// startClusterAndStopA starts three controllers, waits until they share the duties, and stops a for longer than its lease. It
+// returns b.
+func startClusterAndStopA(t *testing.T, kv *fakes.KVStore) *process {
 	t.Helper()
-	a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
-	startProcess(t, st, "c")
+	a, b := startProcess(t, kv, "a"), startProcess(t, kv, "b")
+	startProcess(t, kv, "c")
 	time.Sleep(10 * time.Second)
 	a.stop()
 	time.Sleep(40 * time.Second)
--- a/internal/leaderelection/lease_scenario_test.go
+++ b/internal/leaderelection/lease_scenario_test.go
@@ -13,7 +13,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// The store answers two seconds late for a minute: leaderships are kept.
+// The store answers two seconds late for a minute. The leader must keep its leadership, since each renewal still succeeds.
 func TestSlowStoreKeepsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -30,63 +30,64 @@
 			time.Sleep(time.Second)
 		}
 		cancel()
-		time.Sleep(4 * time.Second) // the last renewal comes back
+		time.Sleep(4 * time.Second) // wait for the last renewal to return
 	})
 }
 
-// A restarted process replaces its former incarnation immediately; the former one, should it still run, leads nothing.
+// A restarted process replaces its former incarnation immediately. The former process, if it still runs, leads nothing any
+// more.
 func TestRestartAcquiresLeadershipsUnderNewTerms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a := startProcess(t, st, "a")
+		kv := fakes.NewKVStore()
+		a := startProcess(t, kv, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
-		again := startProcess(t, st, "a")
+		restarted := startProcess(t, kv, "a")
 		time.Sleep(time.Second)
-		second, ok := again.Leading("one")
+		second, ok := restarted.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, first.Term+1, second.Term)
 		require.False(t, a.leads("one"))
 	})
 }
 
-// The leaderships of a process that is gone for good move when its lease expires, not before.
+// A process stops without notice. Its leaderships move when its lease expires, and not before.
 func TestLeadershipMovesWhenLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a, b := startProcess(t, st, "a"), startProcess(t, st, "b")
+		kv := fakes.NewKVStore()
+		a, b := startProcess(t, kv, "a"), startProcess(t, kv, "b")
 		time.Sleep(10 * time.Second)
 		require.True(t, a.leads("one"))
 		a.stop()
 		time.Sleep(20 * time.Second)
 		require.False(t, b.leads("one"))
 		time.Sleep(4700 * time.Millisecond)
-		require.True(t, b.leads("one"), "immediately: a controller that was away for its whole lease is not waited for")
+		require.True(t, b.leads("one"), "it moves immediately, since a controller that was away for its whole lease is not waited for")
 	})
 }
 
-// An outage of the store of 20 s ends no leadership; a longer one ends them by the leader's own clock, and a new term begins after
-// it.
+// An outage of the store of 20 s ends no leadership. A longer outage ends all of them by the leader's own clock, and a new term
+// begins after the outage.
 func TestOutageLongerThanLeaseEndsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a := startProcess(t, st, "a")
+		kv := fakes.NewKVStore()
+		a := startProcess(t, kv, "a")
 		time.Sleep(time.Second)
 		first, _ := a.Leading("one")
-		st.SetDown(true)
+		kv.SetDown(true)
 		for range 20 {
 			time.Sleep(time.Second)
 			require.True(t, a.leads("one"))
 		}
-		st.SetDown(false)
+		kv.SetDown(false)
 		time.Sleep(3 * time.Second)
 		same, ok := a.Leading("one")
 		require.True(t, ok)
 		require.Equal(t, first.Term, same.Term)
-		st.SetDown(true)
+		kv.SetDown(true)
 		time.Sleep(28 * time.Second)
-		require.False(t, a.leads("one"), "the lease may have expired by now")
-		st.SetDown(false)
+		require.False(t, a.leads("one"), "a leader must not act once its lease may have expired")
+		kv.SetDown(false)
 		time.Sleep(3 * time.Second)
 		next, ok := a.Leading("one")
 		require.True(t, ok)
@@ -94,20 +95,21 @@
 	})
 }
 
-// A registration's write is held back and arrives when the controller has registered anew.
+// The write of a registration is delayed and arrives after the controller has registered again. It must not replace the newer
+// registration.
 func TestLateRegistrationIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		st.SetCapture(true)
-		a := startProcess(t, st, "a")
+		kv := fakes.NewKVStore()
+		kv.SetCapture(true)
+		a := startProcess(t, kv, "a")
 		time.Sleep(time.Second)
 		a.stop()
-		st.SetCapture(false)
-		b := startProcess(t, st, "a")
+		kv.SetCapture(false)
+		b := startProcess(t, kv, "a")
 		time.Sleep(time.Second)
 		before, ok := b.Leading("one")
 		require.True(t, ok)
-		require.Zero(t, st.Release(), "a late registration must not replace the newer one")
+		require.Zero(t, kv.Release(), "a late registration must not replace the newer one")
 		time.Sleep(time.Second)
 		after, ok := b.Leading("one")
 		require.True(t, ok)
--- a/internal/leaderelection/record_test.go
+++ b/internal/leaderelection/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Controllers of the release before and this one read each other's records: these keep their fields' names.
+// Controllers of the previous release and of this one read each other's records, so the field names must stay.
 func TestRecordsKeepTheirJSONFields(t *testing.T) {
 	for want, record := range map[string]any{
 		`{"holder":"a","incarnation":"i","term":3}`: Record{Leader: "a", Incarnation: "i", Term: 3},
--- a/internal/leaderelection/transfer_scenario_test.go
+++ b/internal/leaderelection/transfer_scenario_test.go
@@ -10,50 +10,50 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 )
 
-// A controller that was away for longer than its lease is leader again of what it is preferred for once it has stayed, under a new
-// term, and never are there two leaders.
+// A controller returns after it was away for longer than its lease. Once it has stayed registered for the transfer delay it
+// leads again what it is preferred for, under a new term, and the duty never has two leaders.
 func TestLeadershipReturnsToPreferredLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		b := clusterWithoutA(t, st)
+		kv := fakes.NewKVStore()
+		b := startClusterAndStopA(t, kv)
 		before, ok := b.Leading("one")
 		require.True(t, ok)
-		again := startProcess(t, st, "a")
+		restarted := startProcess(t, kv, "a")
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
-			require.False(t, again.leads("one") && b.leads("one"))
+			require.False(t, restarted.leads("one") && b.leads("one"))
 		}
-		back, ok := again.Leading("one")
+		back, ok := restarted.Leading("one")
 		require.True(t, ok)
 		require.Greater(t, back.Term, before.Term)
-		require.True(t, b.leads("two"), "what b is preferred for stays")
+		require.True(t, b.leads("two"), "b must keep the duty that it is preferred for")
 	})
 }
 
-// A leader that transfers a leadership doesn't act on it from then on, although the write that frees it was refused or had no
-// answer: another may be leader already.
+// A leader stops acting on a leadership as soon as it decides to transfer it, even if the write that frees it fails or gets no
+// response: another controller may be the leader already.
 func TestTransferredLeadershipIsNotActedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		b := clusterWithoutA(t, st)
+		kv := fakes.NewKVStore()
+		b := startClusterAndStopA(t, kv)
 		require.True(t, b.leads("one"))
-		startProcess(t, st, "a")
+		startProcess(t, kv, "a")
 		time.Sleep(14 * time.Second)
-		require.True(t, b.leads("one"), "a has not been back for long enough")
+		require.True(t, b.leads("one"), "a has not been registered for the whole transfer delay")
 		b.store.SetCut(true)
 		time.Sleep(3 * time.Second)
-		require.False(t, b.leads("one"), "the transfer has been decided on")
+		require.False(t, b.leads("one"), "b must not act on a leadership whose transfer is decided")
 		leader, ok := b.Leader("one")
-		require.True(t, ok && leader == "b", "the record still names b")
+		require.True(t, ok && leader == "b", "the replica must still show b as the leader")
 	})
 }
 
-// The workers don't reach a controller: those of its leaderships that need them go to others immediately and stay there, the rest
-// stays; once workers reach it again its own come back.
+// A controller's workers stop reaching it. Its leaderships that need the workers move immediately and stay away; the others
+// stay. Once workers reach it again, it gets its own leaderships back.
 func TestUnreachableControllerTransfersOnlyWorkerDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := fakes.NewKVStore()
-		a, b, c := startProcess(t, st, "a"), startProcess(t, st, "b"), startProcess(t, st, "c")
+		kv := fakes.NewKVStore()
+		a, b, c := startProcess(t, kv, "a"), startProcess(t, kv, "b"), startProcess(t, kv, "c")
 		time.Sleep(20 * time.Second)
 		require.True(t, a.leads("one") && b.leads("two") && c.leads("three"))
 		a.SetUnreachable(true)
