--- a/internal/kvstore/helpers_test.go
+++ b/internal/kvstore/helpers_test.go
@@ -16,37 +16,37 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// absentResponse is the store's own answer to a request for a key or a lease that does not exist.
+// absentResponse is the store's own response to a request for a key or a lease that does not exist.
 var absentResponse = rawResponse(404, `{"ledger_rev":7}`)
 
-// clientWithAnswers makes a client whose store gives one raw answer per connection, on loopback; an empty one closes the
-// connection without an answer.
-func clientWithAnswers(t *testing.T, answers ...string) *kvstore.Client {
+// clientWithResponses makes a client of a server on loopback that sends one raw response per connection. For an empty response
+// it closes the connection without sending anything.
+func clientWithResponses(t *testing.T, responses ...string) *kvstore.Client {
 	t.Helper()
-	return clientWithRate(t, 1000, answers...)
+	return clientWithRate(t, 1000, responses...)
 }
 
-// clientWithRate is clientWithAnswers for a client that may send so many requests a second.
-func clientWithRate(t *testing.T, rps float64, answers ...string) *kvstore.Client {
+// clientWithRate is clientWithResponses for a client that may send rps requests per second.
+func clientWithRate(t *testing.T, rps float64, responses ...string) *kvstore.Client {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
-		for _, a := range answers {
-			c, err := l.Accept()
+		for _, response := range responses {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r := bufio.NewReader(c)
+			reader := bufio.NewReader(conn)
 			for line := "x"; strings.TrimSpace(line) != "" && err == nil; {
-				line, err = r.ReadString('\n')
+				line, err = reader.ReadString('\n')
 			}
-			fmt.Fprint(c, a)
-			c.Close()
+			fmt.Fprint(conn, response)
+			conn.Close()
 		}
 	}()
-	return kvstore.NewClient(l.Addr().String(), rps, 1000, 1, 1<<20)
+	return kvstore.NewClient(listener.Addr().String(), rps, 1000, 1, 1<<20)
 }
 
 func rawResponse(status int, body string) string {
--- a/internal/kvstore/replica_apply_bench_test.go
+++ b/internal/kvstore/replica_apply_bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// BenchmarkReplicaChange measures one change that a watch reports.
+// BenchmarkReplicaChange measures the handling of one change in a watch response.
 func BenchmarkReplicaChange(b *testing.B) {
 	notified := 0
 	r := NewReplica(nil, func(events []Event, _ uint64) { notified += len(events) }, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -23,6 +23,6 @@
 		change()
 	}
 	if notified != int(rev) {
-		b.Fatal("the listener was not notified of a change")
+		b.Fatal("the listener was not notified of every change")
 	}
 }
--- a/internal/kvstore/replica_load_bench_test.go
+++ b/internal/kvstore/replica_load_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// BenchmarkReplicaLoad measures a full read of some hundred keys, as at every start.
+// BenchmarkReplicaLoad measures the full read of 400 keys at the start of a replica.
 func BenchmarkReplicaLoad(b *testing.B) {
 	store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
 	for i := range 400 {
@@ -23,14 +23,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, stop := context.WithCancel(b.Context())
-		loaded, over := make(chan struct{}), make(chan struct{})
+		loaded, stopped := make(chan struct{}), make(chan struct{})
 		r := kvstore.NewReplica(store, func([]kvstore.Event, uint64) {}, discardLog)
 		go func() {
-			defer close(over)
+			defer close(stopped)
 			r.Run(ctx, loaded) //nolint:errcheck // ends with the context
 		}()
 		<-loaded
 		stop()
-		<-over
+		<-stopped
 	}
 }
--- a/internal/kvstore/replica_test.go
+++ b/internal/kvstore/replica_test.go
@@ -14,7 +14,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// compactingStore is a key-value store that now and then no longer has the watched revision.
+// compactingStore is a key-value store that reports the watched revision as compacted in each call of Watch whose number is a
+// multiple of every.
 type compactingStore struct {
 	*fakes.KVClient
 	every int
@@ -28,17 +29,17 @@
 	return s.KVClient.Watch(ctx, prefix, rev, block)
 }
 
-// Whatever the watch no longer has or repeats, the listener ends up with what the store holds, and is never notified of an older
-// value of a key after a newer one.
+// A watch may lack changes because of a compaction or an outage, and may repeat some. The listener must still end up with what
+// the store holds, and must never get an older value of a key after a newer one.
 func TestReplicaConvergesAfterCompactionAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := fakes.NewKVStore()
 		client := &fakes.KVClient{KVStore: store}
-		known, last := map[string]string{}, map[string]uint64{}
+		known, lastRevisions := map[string]string{}, map[string]uint64{}
 		listener := func(events []kvstore.Event, _ uint64) {
 			for _, e := range events {
-				require.GreaterOrEqual(t, e.ModRevision, last[e.Key], e.Key)
-				last[e.Key] = e.ModRevision
+				require.GreaterOrEqual(t, e.ModRevision, lastRevisions[e.Key], e.Key)
+				lastRevisions[e.Key] = e.ModRevision
 				if e.Value == nil {
 					delete(known, e.Key)
 				} else {
@@ -71,8 +72,8 @@
 		items, _, err := client.List(ctx, kvstore.ActiveJobPrefix)
 		require.NoError(t, err)
 		want := map[string]string{}
-		for _, it := range items {
-			want[it.Key] = string(it.Value)
+		for _, item := range items {
+			want[item.Key] = string(item.Value)
 		}
 		stop()
 		synctest.Wait()
