--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -43,10 +43,10 @@
 }
 
 // PlanWrites returns the writes that record some machines of a partition and remove the records of others,
-// in the order of their keys. A machine that is recorded already stays under its key, also when updated has
-// a new record of it. A new machine goes to a key whose value then takes at most maxBytes; a record that is
+// in the order of their keys. A machine that is recorded already stays under its key, and added may have a
+// new record of it. A new machine goes to a key whose value then takes at most maxBytes; a record that is
 // larger than that gets a key to itself.
-func (r *Records) PlanWrites(partition int, updated Group, removed []string, maxBytes int) []Write {
+func (r *Records) PlanWrites(partition int, added Group, removed []string, maxBytes int) []Write {
 	p := plan{records: r, groups: map[string]Group{}}
 	for _, id := range removed {
 		if key, ok := r.keyByMachine[id]; ok {
@@ -54,12 +54,12 @@
 		}
 	}
 	filler := groupFiller{plan: &p, partition: partition, maxBytes: maxBytes}
-	for _, id := range slices.Sorted(maps.Keys(updated)) {
+	for _, id := range slices.Sorted(maps.Keys(added)) {
 		if key, ok := r.keyByMachine[id]; ok {
-			p.editGroup(key)[id] = updated[id]
+			p.editGroup(key)[id] = added[id]
 			continue
 		}
-		filler.add(id, updated[id])
+		filler.add(id, added[id])
 	}
 	return p.writes()
 }
--- a/internal/inventory/plan_test.go
+++ b/internal/inventory/plan_test.go
@@ -14,7 +14,7 @@
 
 const maxValueBytes = 7000
 
-// recordWriter is a partition leader that records machines, with the key-value store in memory.
+// recordWriter records machines like a partition leader, in an in-memory key-value store.
 type recordWriter struct {
 	t       *testing.T
 	store   *fakes.KVClient
@@ -41,74 +41,75 @@
 	return err
 }
 
-// stored returns all machines that a controller reads from the key-value store.
+// stored returns all machines that a controller would read from the key-value store.
 func (w *recordWriter) stored() Group {
 	w.t.Helper()
-	read := NewRecords()
+	reread := NewRecords()
 	items, _, err := w.store.List(w.t.Context(), kvstore.MachinePrefix)
 	require.NoError(w.t, err)
 	for _, item := range items {
-		read.Apply(kvstore.Event{Key: item.Key, Value: item.Value, ModRevision: item.ModRevision})
+		reread.Apply(kvstore.Event{Key: item.Key, Value: item.Value, ModRevision: item.ModRevision})
 	}
 	machines := Group{}
-	read.Each(func(id string, record Record) { machines[id] = record })
+	reread.Each(func(id string, record Record) { machines[id] = record })
 	return machines
 }
 
-// A thousand machines that boot fifty at a time take a few dozen changes.
+// A thousand machines boot fifty at a time. Recording them takes only a few dozen changes, since machines
+// share keys.
 func TestManyMachinesAreRecordedInFewWrites(t *testing.T) {
 	w := newRecordWriter(t)
 	writes := 0
 	for step := range 20 {
-		fresh := Group{}
+		added := Group{}
 		for i := range 50 {
-			fresh[fmt.Sprintf("m-%03d%03d", step, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a"}
+			added[fmt.Sprintf("m-%03d%03d", step, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a"}
 		}
-		planned := w.records.PlanWrites(0, fresh, nil, maxValueBytes)
+		planned := w.records.PlanWrites(0, added, nil, maxValueBytes)
 		writes += len(planned)
 		require.NoError(t, w.commit(planned))
 	}
 	require.LessOrEqual(t, writes, 60)
 }
 
-// Another controller reads what was recorded, whatever is added and removed.
-func TestStoredRecordsAreThoseThatWereWritten(t *testing.T) {
+// Another controller reads back exactly what was recorded, after any sequence of additions and removals.
+func TestStoredRecordsMatchWrites(t *testing.T) {
 	w := newRecordWriter(t)
 	rng := fakes.Rand(7)
 	expected := Group{}
 	for step := range 60 {
-		fresh, drop := Group{}, []string{}
+		added, removed := Group{}, []string{}
 		for i := range rng.IntN(50) {
-			fresh[fmt.Sprintf("m-%03d%03d", step, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a", Spot: i%2 == 0}
+			added[fmt.Sprintf("m-%03d%03d", step, i)] = Record{Addr: "10.1.0.232:9000", Type: "big", Zone: "a", Spot: i%2 == 0}
 		}
 		for id := range expected {
-			if len(drop) < step/4 {
-				drop = append(drop, id)
+			if len(removed) < step/4 {
+				removed = append(removed, id)
 			}
 		}
-		planned := w.records.PlanWrites(3, fresh, drop, maxValueBytes)
+		planned := w.records.PlanWrites(3, added, removed, maxValueBytes)
 		for _, write := range planned {
 			value, err := json.Marshal(write.Group)
 			require.NoError(t, err)
 			require.Less(t, len(value), maxValueBytes)
 		}
 		require.NoError(t, w.commit(planned))
-		for id, record := range fresh {
+		for id, record := range added {
 			expected[id] = record
 		}
-		for _, id := range drop {
+		for _, id := range removed {
 			delete(expected, id)
 		}
 		require.Equal(t, expected, w.stored())
 	}
 }
 
-// A write that seemed lost and is carried out late must not remove the records of
-// machines that were added since: they may hold tasks.
+// A write that got no response is carried out late. It must not remove the records of machines that were
+// added since, because these may run tasks.
 func TestLateWriteRemovesNoNewerRecord(t *testing.T) {
 	w := newRecordWriter(t)
 	require.NoError(t, w.commit(w.records.PlanWrites(0, Group{"m-1": {Type: "big"}}, nil, maxValueBytes)))
-	late := w.records.PlanWrites(0, Group{"m-2": {Type: "big"}}, nil, maxValueBytes) // sent, without an answer
+	late := w.records.PlanWrites(0, Group{"m-2": {Type: "big"}}, nil, maxValueBytes) // sent, but got no response
 	require.NoError(t, w.commit(w.records.PlanWrites(0, Group{"m-3": {Type: "big"}}, nil, maxValueBytes)))
 	require.Error(t, w.commit(late))
 	_, found := w.records.Find("m-3")
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// An event older than what the writer of a key knows removes nothing.
+// An event older than the revision at which the writer knows the key must change nothing.
 func TestEventOlderThanKnownRevisionChangesNothing(t *testing.T) {
 	r := NewRecords()
 	key := kvstore.MachinePrefix + "000/0"
@@ -23,8 +23,8 @@
 	require.Equal(t, []string{"m-1", "m-2"}, removed)
 }
 
-// Records of the release before machines shared keys are read as they are, until
-// their machines are gone.
+// Records of the release before machines shared keys are read in their old form until their machines are
+// gone.
 func TestLegacyRecordIsReadUntilItsMachineIsGone(t *testing.T) {
 	w := newRecordWriter(t)
 	key := kvstore.MachinePrefix + "m-000007"
--- a/internal/jobs/cache_test.go
+++ b/internal/jobs/cache_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// event is a change of a key; a nil value drops it.
+// event returns a change of a key; a nil value deletes the key.
 func event(t *testing.T, key string, value any, modRevision uint64) kvstore.Event {
 	t.Helper()
 	e := kvstore.Event{Key: key, ModRevision: modRevision}
@@ -27,7 +27,7 @@
 	return Record{Job: wire.Job{ID: id, Team: team, Tasks: 16, Priority: "normal"}}
 }
 
-func TestCacheShowsActiveJobsUntilTheirRecordIsDropped(t *testing.T) {
+func TestCacheShowsActiveJobUntilRecordIsDeleted(t *testing.T) {
 	c := NewCache()
 	c.Apply(event(t, kvstore.ActiveJobPrefix+"job-1", record("job-1", "red"), 5))
 	c.Apply(event(t, kvstore.ActiveJobPrefix+"job-2", record("job-2", "blue"), 6))
@@ -54,7 +54,7 @@
 	require.Equal(t, Final{Phase: wire.Done, Team: "red", Tasks: 16}, f)
 }
 
-func TestFinalStateStaysWhenItsKeyIsDropped(t *testing.T) {
+func TestFinalStateStaysWhenKeyIsDeleted(t *testing.T) {
 	c := NewCache()
 	c.Apply(event(t, kvstore.FinalJobPrefix+"job-1", Final{Phase: wire.Cancelled, Team: "red"}, 5))
 	c.Apply(event(t, kvstore.FinalJobPrefix+"job-1", nil, 6))
@@ -63,7 +63,7 @@
 	require.Equal(t, wire.Cancelled, f.Phase)
 }
 
-func TestValueThatIsNotUnderstoodChangesNothing(t *testing.T) {
+func TestUndecodableValueChangesNothing(t *testing.T) {
 	c := NewCache()
 	c.Apply(event(t, kvstore.ActiveJobPrefix+"job-1", record("job-1", "red"), 5))
 	c.Apply(kvstore.Event{Key: kvstore.ActiveJobPrefix + "job-1", Value: json.RawMessage(`[1]`), ModRevision: 6})
@@ -75,19 +75,19 @@
 	require.False(t, final)
 }
 
-func TestJobHasEndedOnlyForCacheAsNewAsItsRecord(t *testing.T) {
+func TestJobEndsOnlyWhenCacheIncludesRecordRevision(t *testing.T) {
 	c := NewCache()
 	c.AdvanceRevision(4)
-	require.False(t, c.Ended("job-1", 5), "the cache is behind the record")
+	require.False(t, c.Ended("job-1", 5), "the cache does not include the record's revision yet")
 	c.Apply(event(t, kvstore.ActiveJobPrefix+"job-1", record("job-1", "red"), 5))
 	c.AdvanceRevision(5)
 	require.False(t, c.Ended("job-1", 5))
 	c.Apply(event(t, kvstore.ActiveJobPrefix+"job-1", nil, 6))
 	c.AdvanceRevision(3)
-	require.True(t, c.Ended("job-1", 5), "a revision never goes back")
+	require.True(t, c.Ended("job-1", 5), "the cache's revision must not decrease")
 	require.False(t, c.Ended("job-2", 9))
 	c.AddFinal("job-2", Final{Phase: wire.Done})
-	require.True(t, c.Ended("job-2", 9), "a final state counts at any revision")
+	require.True(t, c.Ended("job-2", 9), "a known final state means ended at any revision")
 }
 
 func TestListenerIsCalledOnceForEachFinalState(t *testing.T) {
@@ -99,7 +99,7 @@
 	require.Equal(t, []string{"job-1 done", "job-2 cancelled"}, calls)
 }
 
-func TestOldestFinalStateIsForgottenAboveTheBound(t *testing.T) {
+func TestOldestFinalStateIsDroppedAboveMaximum(t *testing.T) {
 	c := NewCache()
 	for i := range maxFinals + 1 {
 		c.AddFinal(fmt.Sprintf("job-%d", i), Final{Phase: wire.Done})
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -16,7 +16,7 @@
 	require.EqualValues(t, 7, j.ModRevision)
 }
 
-func TestStopGraceCoversCheckpointWhereOneIsTaken(t *testing.T) {
+func TestStopGraceCoversCheckpointOnlyIfJobTakesCheckpoints(t *testing.T) {
 	with := New(Record{Job: wire.Job{CheckpointIntervalS: 30, CheckpointDurationS: 4}}, 1)
 	require.InDelta(t, 4.1, with.StopGraceS(), 1e-9)
 	without := New(Record{Job: wire.Job{CheckpointDurationS: 4}}, 1)
