--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -111,7 +111,7 @@
 		f.size = f.group.maxBytes()
 		f.nextGroup++
 		if len(f.group) == 0 {
-			break // an empty group takes a record of any size
+			break // an empty group accepts a record of any size
 		}
 	}
 	f.group[id] = record
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -45,7 +45,8 @@
 	priorityWrites *rate.Limiter // changes that users or other controllers wait for
 }
 
-// newBudget returns the budget of one of so many controllers, which share the requests and changes per second equally.
+// newBudget returns the budget of each of the given number of controllers, which share the requests and changes per second
+// equally.
 func newBudget(requestsPerSecond, writesPerSecond float64, controllers int) budget {
 	n := float64(max(controllers, 1))
 	requests, writes := requestsPerSecond/n, writesPerSecond/n
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -26,8 +26,8 @@
 	budget budget
 }
 
-// NewClient makes a client that keeps to its part of the requests and changes per second, which so many controllers share. It
-// rejects responses with more than maxResponseBytes bytes.
+// NewClient makes the client of one controller. It keeps to an equal part of the requests and changes per second, which the
+// given number of controllers share, and rejects responses with more than maxResponseBytes bytes.
 func NewClient(addr string, requestsPerSecond, writesPerSecond float64, controllers, maxResponseBytes int) *Client {
 	return &Client{
 		http:   httpx.NewClient(addr, maxIdleConnections, maxResponseBytes),
--- a/internal/leaderelection/campaign.go
+++ b/internal/leaderelection/campaign.go
@@ -6,7 +6,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Grace periods for which a leadership has to be free before a controller that is not its preferred leader may campaign for it.
+// Numbers of grace periods for which a leadership has to be free before a controller that is not its preferred leader may
+// campaign for it.
 const (
 	// unseenGracePeriods applies while a preferred controller has never been seen registered: it may be about to start.
 	unseenGracePeriods = 1
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -6,7 +6,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// resign ends the present incarnation, which is never used again, and logs the reason. The caller holds e.mu.
+// resign ends the current incarnation, which is never used again, and logs the reason. The caller holds e.mu.
 func (e *Elector) resign(reason string) {
 	e.lastResigned = e.election.Resign()
 	e.log.Warn("leaderships resigned", "incarnation", e.lastResigned, "reason", reason)
@@ -47,8 +47,8 @@
 func (e *Elector) peerContactLimit() clock.Micros { return e.timing.ResignAfter / 2 }
 
 // SharedOutage reports whether this process hears its peers but neither it nor any of them has contact with the key-value
-// store. No other controller can then serve users better than this one. It is also true for the only controller of a cluster
-// when that has no contact.
+// store. No other controller can then serve users better than this one. In a cluster of one controller it is true whenever that
+// controller has no contact.
 func (e *Elector) SharedOutage() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leaderelection/doc.go
+++ b/internal/leaderelection/doc.go
@@ -49,7 +49,7 @@
 //	                             are queued; all partition leaders polled,  dropped; a write under way fails on the
 //	                             which fences former leaders of the team    leadership's condition
 //	fleet      ml/c/fleet        Autoscaler.Run reads catalog and instance  both loops do nothing; no request is sent under
-//	                             list before it decides; RunZones goes on   the old term
+//	                             list before it decides; RunZones resumes   the old term
 //	                             from the zone records
 //
 // # Invariants
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -55,7 +55,7 @@
 // Election holds which incarnations are registered and which leaderships each of them has, and decides which leaderships this
 // controller acquires and transfers. It is not safe for concurrent use: Elector guards it by a lock.
 //
-// Invariant: Leading reports true only while the lease of the present incarnation is valid, for a leadership that the replica
+// Invariant: Leading reports true only while the lease of the current incarnation is valid, for a leadership that the replica
 // shows with this incarnation and that is not being transferred. Otherwise two controllers could act on one leadership.
 type Election struct {
 	controller      string   // this controller
@@ -73,9 +73,9 @@
 	freeSince           map[string]clock.Micros       // by duty without a leader, as of the last call of Campaign
 	transferring        map[string]uint64             // by duty: mod revision of the leadership that this controller is transferring
 
-	incarnation     string // present incarnation of this process; empty: none
+	incarnation     string // current incarnation of this process; empty: none
 	leaseID         uint64
-	leaseValidUntil clock.Micros // the present incarnation acts only before this time
+	leaseValidUntil clock.Micros // the current incarnation acts only before this time
 }
 
 // NewElection makes the election state of one controller. controllers names all controllers, this one included; duties names
@@ -141,7 +141,7 @@
 	e.incarnation, e.leaseID, e.leaseValidUntil = incarnation, leaseID, validUntil
 }
 
-// Resign ends the present incarnation, which is never used again, and returns its name.
+// Resign ends the current incarnation, which is never used again, and returns its name.
 func (e *Election) Resign() string {
 	incarnation := e.incarnation
 	e.incarnation, e.leaseID, e.leaseValidUntil = "", 0, 0
@@ -149,14 +149,14 @@
 }
 
 // ExtendLease records that the controller lease of an incarnation is confirmed until validUntil. It changes nothing if that is
-// not the present incarnation: a new one may have been registered while the renewal was under way.
+// not the current incarnation: a new one may have been registered while the renewal was under way.
 func (e *Election) ExtendLease(incarnation string, validUntil clock.Micros) {
 	if incarnation == e.incarnation && incarnation != "" {
 		e.leaseValidUntil = max(e.leaseValidUntil, validUntil)
 	}
 }
 
-// Incarnation returns the present incarnation and the id of its controller lease, or zero values when there is none.
+// Incarnation returns the current incarnation and the id of its controller lease, or zero values when there is none.
 func (e *Election) Incarnation() (string, uint64) { return e.incarnation, e.leaseID }
 
 // LeaseValid reports whether this process may act: it has an incarnation whose lease is valid.
@@ -164,18 +164,18 @@
 	return e.incarnation != "" && now < e.leaseValidUntil
 }
 
-// isRegistered reports whether the replica shows the present incarnation as registered.
+// isRegistered reports whether the replica shows the current incarnation as registered.
 func (e *Election) isRegistered() bool {
 	return e.incarnation != "" && e.registrations[e.controller].Incarnation == e.incarnation
 }
 
-// Leading returns a leadership, and whether the present incarnation has it and may act on it now.
+// Leading returns a leadership, and whether the current incarnation has it and may act on it now.
 func (e *Election) Leading(duty string, now clock.Micros) (Leadership, bool) {
 	l, ok := e.leaderships[duty]
 	return l, ok && e.LeaseValid(now) && e.isOwn(l) && e.transferring[duty] != l.ModRevision
 }
 
-// isOwn reports whether a leadership names this controller and its present incarnation.
+// isOwn reports whether a leadership names this controller and its current incarnation.
 func (e *Election) isOwn(l Leadership) bool {
 	return l.Incarnation == e.incarnation && l.Leader == e.controller
 }
@@ -203,7 +203,7 @@
 }
 
 // ReachabilityUpdate returns the write that records in this controller's registration whether its workers reach it. ok is false
-// when the registration says so already, or when the replica does not show the present incarnation as registered.
+// when the registration says so already, or when the replica does not show the current incarnation as registered.
 func (e *Election) ReachabilityUpdate(unreachable bool) (txn wire.Txn, ok bool) {
 	r := e.registrations[e.controller]
 	if !e.isRegistered() || r.Unreachable == unreachable {
--- a/internal/leaderelection/election_test.go
+++ b/internal/leaderelection/election_test.go
@@ -53,8 +53,8 @@
 		"registered":                      {[]any{registered}, 2 * grace},
 		"lease expired":                   {[]any{registered, nil}, 0},
 		"its workers don't reach it":      {[]any{unreachable}, 0},
-		"registered anew after a lapse":   {[]any{registered, nil, registered}, 2 * grace},
-		"reached by its workers anew":     {[]any{unreachable, registered}, 2 * grace},
+		"registered again after expiry":   {[]any{registered, nil, registered}, 2 * grace},
+		"reached by its workers again":    {[]any{unreachable, registered}, 2 * grace},
 		"unreachable, then lease expired": {[]any{unreachable, nil}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -45,7 +45,7 @@
 	clock  clock.Clock
 	timing Timing
 	log    *slog.Logger
-	wake   loop.Signal // ends the present pause of Run early
+	wake   loop.Signal // ends the current pause of Run early
 
 	renewalFailures int // consecutive failures; used only by the goroutine of Run
 
--- a/internal/leaderelection/renewal.go
+++ b/internal/leaderelection/renewal.go
@@ -39,7 +39,7 @@
 	case errors.Is(err, kvstore.ErrLeaseNotFound):
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if present, _ := e.election.Incarnation(); present == due.incarnation {
+		if current, _ := e.election.Incarnation(); current == due.incarnation {
 			e.resign("lease expired")
 		}
 		return false
