--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -9,26 +9,27 @@
 
 // assignment is an attempt of a task that is, or may be, on a machine.
 //
-// Invariant (argument 8, "Limits"): it counts against its team's limit and its job's zones from addAssignment until
-// releaseAssignment, which is called only when the attempt is gone for certain or was rejected.
+// Invariant: it counts against its team's limit and in its job's tasksByZone from addAssignment until releaseAssignment,
+// which is called only when the attempt is known to be gone or was rejected. A release before that would allow more work
+// than the limit (docs/design.md, "Why the rules hold", number 8, "Limits").
 type assignment struct {
 	id           peer.TaskID
 	job          *job
 	machine      string
 	zone         string
-	term         uint64 // of the machine's partition when it was assigned
-	unanswered   bool   // no answer of the partition leader yet
-	viewVersion  uint64 // of the machine's view when it was accepted
-	instance     string // process that it was sent to, or that accepted it
-	phase        string // as last shown, see wire.Task*
-	reserved     bool   // a held lease: the task is to move here and runs elsewhere
-	orphaned     bool   // runs although it is not wanted here: only counted, and stopped
+	term         uint64 // of the machine's partition at the time of the assignment
+	unanswered   bool   // the partition leader has not answered yet
+	viewVersion  uint64 // version of the machine's view from which on it shows the accepted assignment
+	instance     string // incarnation to which it was sent, or which accepted it
+	phase        string // as last reported, see wire.Task*
+	reserved     bool   // it is a held lease: the task runs elsewhere and is to move here
+	orphaned     bool   // it is no longer wanted: it is stopped, and only counted until it is gone
 	stopping     bool
 	assignedAt   clock.Micros
-	runningSince clock.Micros // when it was first seen running; 0: not yet
+	runningSince clock.Micros // when it was first seen to run; 0: not yet
 }
 
-// newAssignment returns an assignment of a new attempt that has no answer yet.
+// newAssignment returns an assignment of a new attempt that the partition leader has not answered yet.
 func newAssignment(j *job, task int, m *machineState, now clock.Micros) *assignment {
 	return &assignment{
 		id:         j.team.nextAttempt(j.ID, task),
@@ -42,7 +43,7 @@
 	}
 }
 
-// message returns what asks the partition leader for an assignment.
+// message returns the request for the assignment to the partition leader.
 func (a *assignment) message() peer.Assignment {
 	j := a.job
 	return peer.Assignment{
@@ -60,7 +61,8 @@
 	}
 }
 
-// addAssignment counts a task as being, or possibly being, on a machine.
+// addAssignment adds an assignment to the machine, its team's use and its job's zones. Unless it is orphaned or a held lease,
+// it becomes the current assignment of its task.
 func (m *machineState) addAssignment(a *assignment) {
 	m.assignments[a.id] = a
 	a.job.team.used = a.job.team.used.Plus(a.job.Need)
@@ -70,8 +72,8 @@
 	}
 }
 
-// releaseAssignment drops an assignment whose attempt is gone from its machine for certain. Its task is queued
-// again unless it is done or goes on elsewhere.
+// releaseAssignment removes an assignment whose attempt is known to be gone from its machine. If it was the current one of
+// its task, the task is queued again, unless it is done or continues at the destination of a move.
 func (s *Scheduler) releaseAssignment(a *assignment) {
 	if m := s.machines[a.machine]; m != nil {
 		if m.assignments[a.id] != a {
@@ -86,13 +88,13 @@
 	if current {
 		delete(j.assignments, a.id.N)
 	}
-	movedOn := s.handleMoveAssignmentGone(a, current)
-	if current && !movedOn {
+	startedAtDestination := s.handleMoveAssignmentGone(a, current)
+	if current && !startedAtDestination {
 		j.requeue(a.id.N)
 	}
 }
 
-// requestStop has a task stopped, with so many seconds to checkpoint.
+// requestStop queues a command to stop a task that gives it graceS seconds to checkpoint.
 func (s *Scheduler) requestStop(a *assignment, graceS float64) {
 	if m := s.machines[a.machine]; m != nil {
 		session := s.sessions[m.leader]
@@ -101,7 +103,7 @@
 	a.stopping = true
 }
 
-// retractAssignment takes back an assignment that was not sent yet.
+// retractAssignment withdraws an assignment that has not been sent yet; done is false if it may have been.
 func (s *Scheduler) retractAssignment(a *assignment) (done bool) {
 	m := s.machines[a.machine]
 	if m == nil || !a.unanswered {
@@ -118,7 +120,8 @@
 	return true
 }
 
-// acknowledge lets a machine's partition leader know that the end of a task is recorded.
+// acknowledge queues the message that tells a machine's partition leader that the end of a task is recorded, so that its
+// worker may forget the task.
 func (s *Scheduler) acknowledge(j *job, id peer.TaskID, machine string) {
 	m := s.machines[machine]
 	if m == nil {
--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -5,26 +5,26 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// HasBatch reports whether there is something to send to a partition leader now.
+// HasBatch reports whether there is a batch to send to a partition leader now.
 func (s *Scheduler) HasBatch(host string, now clock.Micros) bool { return s.sessions[host].isDue(now) }
 
-// NextBatch returns the batch to send to a partition leader now, nil for nothing. A batch
-// without an answer is returned again as it was.
+// NextBatch returns the batch to send to a partition leader now, or nil if there is none. It returns the same batch until that
+// is answered.
 func (s *Scheduler) NextBatch(host string) *peer.Batch {
 	session := s.sessions[host]
 	return session.next(s.instance, session.instance, s.TeamTerms)
 }
 
-// HandleBatchResponse applies the answer to a batch; ok is false when another process has
-// answered than the one that the batch was for.
-func (s *Scheduler) HandleBatchResponse(host string, batch *peer.Batch, ans *peer.BatchResponse, now clock.Micros) (ok bool) {
+// HandleBatchResponse applies the response to a batch; ok is false if another incarnation has answered than the one for which
+// the batch was made.
+func (s *Scheduler) HandleBatchResponse(host string, batch *peer.Batch, response *peer.BatchResponse, now clock.Micros) (ok bool) {
 	session := s.sessions[host]
 	if session.inFlight != batch {
 		return true
 	}
-	if ans.Incarnation != session.inFlightInstance || ans.Incarnation != session.instance {
-		// The process that may have accepted assignments is not the one that has answered.
-		session.abandon()
+	if response.Incarnation != session.inFlightInstance || response.Incarnation != session.instance {
+		// The incarnation that was to get the batch may have accepted assignments, which this response says nothing about.
+		session.abandonInFlight()
 		return false
 	}
 	session.inFlight = nil
@@ -32,76 +32,79 @@
 	for i := range batch.Asks {
 		if m := s.machines[batch.Asks[i].Machine]; m != nil {
 			if a := m.assignments[batch.Asks[i].ID]; a != nil {
-				s.handleAnswer(a, m, answerTo(i, host, ans), now)
+				s.handleAssignmentResponse(a, m, assignmentResponseAt(i, host, response), now)
 			}
 		}
 	}
-	s.recordCancelAcknowledgements(batch, ans.Incarnation)
+	s.recordCancelAcknowledgements(batch, response.Incarnation)
 	return true
 }
 
-// answer is what a partition leader has decided on an assignment.
-type answer struct {
+// assignmentResponse is the response of a partition leader to one assignment.
+type assignmentResponse struct {
 	accepted bool
-	yielded  bool   // rejected since other teams have a better right
-	leader   string // controller that has decided: perhaps not the machine's present leader
-	instance string // its process
-	version  uint64 // of the machine's view with the assignment
+	yielded  bool   // rejected in favour of other teams
+	leader   string // host of the partition leader, which may have lost the machine's partition since
+	instance string // its incarnation
+	version  uint64 // version of the machine's view from which on it shows the assignment
 }
 
-// answerTo returns the answer to the assignment at a place of a batch. What is not in the answer was rejected.
-func answerTo(i int, leader string, ans *peer.BatchResponse) answer {
-	out := answer{yielded: i < len(ans.Yielded) && ans.Yielded[i], leader: leader, instance: ans.Incarnation}
-	if i < len(ans.Refused) && i < len(ans.Versions) && !ans.Refused[i] {
-		out.accepted, out.version = true, ans.Versions[i]
+// assignmentResponseAt returns the response to the assignment with index i of a batch. An assignment that the response does not
+// contain counts as rejected.
+func assignmentResponseAt(i int, leader string, response *peer.BatchResponse) assignmentResponse {
+	out := assignmentResponse{yielded: i < len(response.Yielded) && response.Yielded[i], leader: leader, instance: response.Incarnation}
+	if i < len(response.Refused) && i < len(response.Versions) && !response.Refused[i] {
+		out.accepted, out.version = true, response.Versions[i]
 	}
 	return out
 }
 
-// handleAnswer applies the answer to one assignment.
-func (s *Scheduler) handleAnswer(a *assignment, m *machineState, ans answer, now clock.Micros) {
+// handleAssignmentResponse applies the response to one assignment.
+func (s *Scheduler) handleAssignmentResponse(a *assignment, m *machineState, response assignmentResponse, now clock.Micros) {
 	mv := s.moves.byDestination[a]
-	if mv != nil && !ans.accepted {
+	if mv != nil && !response.accepted {
 		s.applyMoveAction(mv, mv.LeaseRejected())
 	}
 	switch {
-	case ans.yielded:
+	case response.yielded:
 		s.counters.Yielded++
 		s.releaseAssignment(a)
 		s.recomputeAvailable(m)
-		a.job.team.recordYielding(ans.leader, a.job.PriorityLevel, now)
-	case !ans.accepted:
+		a.job.team.recordYielding(response.leader, a.job.PriorityLevel, now)
+	case !response.accepted:
 		s.counters.Rejected++
 		s.releaseAssignment(a)
-		// A newer view will show why; until it is here no task is assigned to the machine.
+		// No task is assigned to the machine for rejectionBackoff, unless a newer view arrives that shows its free capacity.
 		m.rejectedAt, m.rejected = now, true
 		s.recomputeAvailable(m)
 	default:
-		s.handleAcceptance(a, m, ans)
+		s.handleAcceptance(a, m, response)
 	}
 }
 
-// handleAcceptance marks an assignment as accepted.
-func (s *Scheduler) handleAcceptance(a *assignment, m *machineState, ans answer) {
-	a.unanswered, a.instance, a.viewVersion = false, ans.instance, ans.version
-	delete(a.job.team.yielding, ans.leader)
+// handleAcceptance marks an assignment as accepted, and releases it if its task is gone again already.
+func (s *Scheduler) handleAcceptance(a *assignment, m *machineState, response assignmentResponse) {
+	a.unanswered, a.instance, a.viewVersion = false, response.instance, response.version
+	delete(a.job.team.yielding, response.leader)
 	if mv := s.moves.byDestination[a]; mv != nil {
 		s.applyMoveAction(mv, mv.LeaseAccepted())
 	}
-	if m.Accounted && m.instance == ans.instance {
-		// A poll may have shown the machine already as it was after the acceptance, with the
-		// task gone again: no newer view would come to release it.
+	if m.Accounted && m.instance == response.instance {
+		// A poll may have shown the machine after the acceptance already, with the task gone again. No newer view would
+		// release the assignment then.
 		s.releaseIfGone(a, m)
 	}
 	s.recomputeAvailable(m)
 }
 
-// recordCancelAcknowledgements records that a process has a batch's cancellations in memory (argument 11).
+// recordCancelAcknowledgements records that an incarnation has the cancellations of a batch in memory. A cancellation is only
+// confirmed when that holds for every partition leader: otherwise one could still start a task of the job (docs/design.md,
+// "Why the rules hold", number 11).
 func (s *Scheduler) recordCancelAcknowledgements(batch *peer.Batch, instance string) {
 	for _, c := range batch.Cancels {
 		tm := s.teams[c.Team]
 		if tm == nil || tm.term != batch.Terms[c.Team] {
-			continue // acknowledged for a former term, which counts for nothing in this one
+			continue // an acknowledgement under a former term does not count under the present one
 		}
 		if j := tm.jobs[c.Job]; j != nil && j.cancelling {
 			j.cancelAcknowledged[instance] = true
--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// machineSet is a set of machines. Its order depends only on what was added and removed.
+// machineSet is a set of machines. Its order depends only on the additions and removals, so that decisions are
+// reproducible.
 type machineSet struct {
 	machines  []*machineState
 	positions map[*machineState]int
@@ -28,9 +29,11 @@
 	delete(s.positions, m)
 }
 
-// capacityLevels are levels of available CPUs: less than 1, 1, 2 and 3, 4 to 7, and so on.
+// capacityLevels is the number of levels into which machines are sorted by available CPUs: less than 1, 1, 2 and 3, 4 to
+// 7, and so on in powers of two; the last level has no upper bound.
 const capacityLevels = 14
 
+// capacityLevel returns the level of an amount in micro-CPUs.
 func capacityLevel(cpu int64) int {
 	if cpu <= 0 {
 		return 0
@@ -38,12 +41,12 @@
 	return min(bits.Len64(uint64(cpu/1e6)), capacityLevels-1)
 }
 
-// machinesByLevel holds machines by how many CPUs they have available.
+// machinesByLevel holds machines by the level of their available CPUs.
 type machinesByLevel [capacityLevels]machineSet
 
-// walk visits the machines from a level on, those with least capacity first and of a level from any one on,
-// until visit has had enough.
-func (l *machinesByLevel) walk(from int, start uint64, visit func(*machineState) (enough bool)) {
+// walk visits machines until visit returns true, beginning with those of the given level and going on to levels with more
+// capacity. start determines the machine of each level that is visited first.
+func (l *machinesByLevel) walk(from int, start uint64, visit func(*machineState) (stop bool)) {
 	for level := from; level < capacityLevels; level++ {
 		machines := l[level].machines
 		if len(machines) == 0 {
@@ -58,7 +61,7 @@
 	}
 }
 
-// hasMachines reports whether there is a machine at all; l may be nil.
+// hasMachines reports whether any level has a machine; l may be nil.
 func (l *machinesByLevel) hasMachines() bool {
 	for level := range capacityLevels {
 		if l != nil && len(l[level].machines) > 0 {
@@ -68,8 +71,8 @@
 	return false
 }
 
-// capacityIndex finds schedulable machines by available CPUs and by image, so that a search for
-// capacity costs what it finds and does not grow with the fleet.
+// capacityIndex finds schedulable machines by available CPUs and by image. The cost of a search for capacity depends on
+// the machines found, not on the size of the fleet.
 type capacityIndex struct {
 	all       machinesByLevel
 	byImage   map[string]*machinesByLevel
@@ -77,10 +80,10 @@
 	machines  int
 }
 
-// withImage returns the machines that have an image; nil where none ever had it.
+// withImage returns the machines that have an image, or nil if none ever had it.
 func (x *capacityIndex) withImage(image string) *machinesByLevel { return x.byImage[image] }
 
-// update moves a machine to where its available CPUs and its images belong, or out of the index where it is not
+// update moves a machine to its present level and images in the index, or removes it from the index if it is not
 // schedulable.
 func (x *capacityIndex) update(m *machineState, schedulable bool) {
 	level := capacityLevel(m.available.CPU)
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -6,19 +6,19 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Costs configures the choice of machines by estimated seconds.
+// Costs configures the choice of machines by estimated cost, which is measured in seconds.
 type Costs struct {
 	placement.Weights
-	ImageWait clock.Micros // the longest that capacity is left to others until a machine with the image has some
+	ImageWait clock.Micros // longest time for which a job waits for a machine with its image although others have capacity
 }
 
-// priceKey is what decides a machine's price.
+// priceKey identifies machines of the same price.
 type priceKey struct {
 	machineType string
 	spot        bool
 }
 
-// cpuPrices are the prices of a CPU, as parts of the highest.
+// cpuPrices are the prices of one CPU relative to the highest of them.
 type cpuPrices map[priceKey]float64
 
 func newCPUPrices(types []wire.MachineType) cpuPrices {
@@ -38,74 +38,74 @@
 	return out
 }
 
-// of returns the price on a machine; 0 where it is not known.
+// of returns the relative price of a CPU of a machine, or 0 if it is unknown.
 func (p cpuPrices) of(m *machineState) float64 { return p[priceKey{m.Type, m.Spot}] }
 
-// SetPrices sets what machines cost, by the cloud's catalog.
+// SetPrices sets the prices of machines from the cloud's catalog.
 func (s *Scheduler) SetPrices(types []wire.MachineType) { s.prices = newCPUPrices(types) }
 
-// costInputs is what is known of a machine for a task of a job.
+// costInputs collects what the cost of placing a task of a job on a machine depends on.
 func (s *selector) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
-	in := placement.Machine{
+	inputs := placement.Machine{
 		HasImage:  m.hasImage(j),
 		Fetching:  m.fetchingJobs[j.ID] > 0,
 		Others:    len(m.fetchingJobs),
 		PricePart: s.prices.of(m),
 		Pace:      m.knownPace(),
 	}
-	if in.Fetching {
-		in.Others--
+	if inputs.Fetching {
+		inputs.Others--
 	}
-	if now < m.imageFetchUntil && m.imageFetched != j.Image && in.Others == 0 {
-		in.Others = 1 // the fetch for an assignment of this scheduler is not in the view yet
+	if now < m.assignedFetchUntil && m.assignedFetchImage != j.Image && inputs.Others == 0 {
+		inputs.Others = 1 // the view does not show the fetch for a recent assignment of this scheduler yet
 	}
 	if m.Cap.CPU > 0 {
-		in.InUse = 1 - float64(m.available.Minus(j.Need).CPU)/float64(m.Cap.CPU)
+		inputs.InUse = 1 - float64(m.available.Minus(j.Need).CPU)/float64(m.Cap.CPU)
 	}
-	// An image that is listed since a task was sent for it may still be on its way.
-	in.HasImage = in.HasImage && !in.Fetching
-	return in
+	// A machine may list an image that it is still fetching for a task of the same job.
+	inputs.HasImage = inputs.HasImage && !inputs.Fetching
+	return inputs
 }
 
-// selectByCost chooses the machine that costs a task least, of those with capacity. decided is
-// false where too little is known to weigh them, or none has capacity: selectMachine goes on as
-// without costs then. No machine although decided means that the capacity is left to others for a moment: a machine
-// with the image may get some.
+// selectByCost chooses the machine with the lowest estimated cost among those with capacity. decided is false if the
+// cost can't be estimated, no machine has capacity, or preemption may be better; selectMachine then continues with
+// selectByFit. If decided is true and there is no machine, the job leaves the capacity to others for a short time
+// because a machine with its image may get some.
 func (s *selector) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
-	fetch, _ := s.fetchRates.slowest(j)
+	fetch, _ := s.fetchRates.slowestFetchTime(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
 	if !task.Known() {
 		return nil, false
 	}
-	list := s.findCapacityAnyImage(j, now)
-	if len(list) == 0 {
+	candidates := s.findCapacityAnyImage(j, now)
+	if len(candidates) == 0 {
 		return nil, false
 	}
-	cheapest := s.cheapest(j, &task, list, now)
+	cheapest := s.cheapest(j, &task, candidates, now)
 	switch {
 	case cheapest[0].hasImage(j):
-		j.noImageSince = 0
+		j.imageWaitSince = 0
 	case s.imageFetchTooSlow(j, cheapest[0], now):
 		return nil, false // preemption on a machine with the image may be better
 	case s.waitsForImageByCost(j, &task, now):
 		return nil, true
 	}
 	cheapest = preferred(cheapest, s.keepingLargeSlots(j, cheapest))
-	return s.best(j, cheapest), true
+	return s.bestOfSample(j, cheapest), true
 }
 
-// cheapest filters the machines that cost a task least, within a tie of each other.
-func (s *selector) cheapest(j *job, task *placement.Task, list []*machineState, now clock.Micros) (out []*machineState) {
+// cheapest returns the machines whose estimated cost is the lowest, or above it by placement.Tie at most.
+func (s *selector) cheapest(j *job, task *placement.Task, candidates []*machineState, now clock.Micros) (out []*machineState) {
 	least := 0.0
-	costs := make([]float64, len(list))
-	for i, m := range list {
-		in := s.costInputs(j, m, now)
-		costs[i] = placement.Cost(task, &in, &s.timing.Costs.Weights)
+	costs := make([]float64, len(candidates))
+	for i, m := range candidates {
+		inputs := s.costInputs(j, m, now)
+		costs[i] = placement.Cost(task, &inputs, &s.timing.Costs.Weights)
 		if i == 0 || costs[i] < least {
 			least = costs[i]
 		}
 	}
-	for i, m := range list {
+	for i, m := range candidates {
 		if costs[i] <= least+placement.Tie {
 			out = append(out, m)
 		}
@@ -113,12 +113,12 @@
 	return out
 }
 
-// waitsForImageByCost reports whether a job leaves capacity to others for a moment: its image is on machines that are
-// in use now, and none of its tasks would start too late for it.
+// waitsForImageByCost reports whether a job leaves capacity to others for a short time because machines with its image
+// exist and may get capacity. It does not wait so long that a task would miss its start objective.
 func (s *selector) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
 	wait := placement.WaitFor(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
 	if wait == 0 || !s.capacity.withImage(j.Image).hasMachines() {
 		return false
 	}
-	return s.waitForImage(j, task.Fetch, wait, now)
+	return s.startOrContinueImageWait(j, task.Fetch, wait, now)
 }
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -8,25 +8,25 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// yielding is a partition leader's rejection in favour of teams below their shares.
+// yielding describes the latest rejection by a partition leader in favour of teams below their shares.
 type yielding struct {
-	until       clock.Micros
-	backoff     clock.Micros // length of the last one
-	maxPriority int          // the highest that was rejected
+	until       clock.Micros // until then no work of maxPriority or less is assigned there, unless it is guaranteed
+	backoff     clock.Micros // time from the rejection to until
+	maxPriority int          // highest priority that was rejected
 }
 
-// How long a team assigns nothing to a partition leader that keeps its capacity for others. It grows with every
-// rejection in a row, so that a team above its share does not ask over and over.
+// Bounds of the time for which a team assigns nothing to a partition leader that keeps its capacity for other teams. The time
+// doubles with every consecutive rejection, so that a team above its share does not repeat its requests in every cycle.
 const (
 	minYieldBackoff = 100 * clock.Millisecond
 	maxYieldBackoff = 800 * clock.Millisecond
 )
 
-// recordYielding records that a partition leader keeps its capacity from the team's work of a priority.
+// recordYielding records that a partition leader has rejected the team's work of a priority in favour of other teams.
 func (tm *team) recordYielding(host string, priority int, now clock.Micros) {
 	y := tm.yielding[host]
 	if now < y.until {
-		y.maxPriority = max(y.maxPriority, priority) // of the same batch
+		y.maxPriority = max(y.maxPriority, priority) // a further rejection of the same batch
 		tm.yielding[host] = y
 		return
 	}
@@ -35,25 +35,25 @@
 	tm.yielding[host] = y
 }
 
-// yieldsAt reports whether a job should not be assigned to a partition leader now: it keeps its capacity for other teams.
-// Work within a guarantee is assigned all the same, and so is work of higher priority.
+// yieldsAt reports whether the job should not be assigned to a partition leader now because that keeps its capacity for other
+// teams. Work within a guarantee, and work of a higher priority than was rejected, is assigned all the same.
 func (j *job) yieldsAt(host string, now clock.Micros) bool {
 	y, ok := j.team.yielding[host]
 	return ok && now < y.until && j.PriorityLevel <= y.maxPriority && !j.withinGuarantee
 }
 
-// leaderShares is what a partition leader last reported of the teams' shares of its machines.
+// leaderShares are the teams' shares of a partition leader's machines, as it last reported them.
 type leaderShares struct {
 	capacity   resources.Amounts
 	standings  []fairshare.Standing
 	reportedAt clock.Micros
 }
 
-// shareMaxAge is how old a partition leader's report of the shares may be.
+// shareMaxAge is the age up to which a partition leader's report of the shares is used.
 const shareMaxAge = 3 * clock.Second
 
-// updateAboveShare finds out which teams use more than their shares of the fleet. Those that
-// no partition leader reports are not above.
+// updateAboveShare determines which teams use more than their shares of the fleet, from the reports of the reachable partition
+// leaders. Teams that no report contains are not above their shares.
 func (s *Scheduler) updateAboveShare(now clock.Micros) {
 	if len(s.teams) == 0 {
 		return
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -6,13 +6,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// mayOffer reports whether a task of a job may be assigned to a machine now, apart from capacity.
-func (s *selector) mayOffer(j *job, m *machineState, now clock.Micros) bool {
+// mayAssign reports whether a task of a job may be assigned to a machine now, capacity aside.
+func (s *selector) mayAssign(j *job, m *machineState, now clock.Micros) bool {
 	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && s.zones.admits(m.Zone, j, now)
 }
 
-// fitsConstraints reports whether a machine may take one more task of a job, given where
-// the others are or may be (argument 9).
+// fitsConstraints reports whether the job's constraints allow one more of its tasks on a machine. The zone constraints
+// count every task that is or may be on a machine, since an unanswered assignment may have been accepted (docs/design.md,
+// "Why the rules hold", number 9).
 func (j *job) fitsConstraints(m *machineState) bool {
 	if m.Spot && !j.Spot || j.Zone != "" && m.Zone != j.Zone || len(j.Types) > 0 && !slices.Contains(j.Types, m.Type) {
 		return false
@@ -27,27 +28,29 @@
 	return !j.Spread || j.tasksByZone[m.Zone]+1 <= (j.Tasks+1)/2
 }
 
-// unconstrained reports whether nothing but capacity decides where the tasks of a job may go.
+// unconstrained reports whether any machine with enough capacity may take the job's tasks.
 func (j *job) unconstrained() bool {
 	return j.Spot && j.Zone == "" && len(j.Types) == 0 && !j.OneZone && !j.Spread && len(j.avoidUntil) == 0
 }
 
-// rejectionBackoff is how long no task is assigned to a machine after a rejection, unless a newer view comes before.
+// rejectionBackoff is how long no task is assigned to a machine after its partition leader rejected an assignment,
+// unless a newer view of the machine arrives.
 const rejectionBackoff = 200 * clock.Millisecond
 
-// findCapacity filters machines that have capacity for a task of a job, a few times as many
-// as are sampled; for a small one many more, since it goes where its team's small tasks gather.
-func (s *selector) findCapacity(j *job, in *machinesByLevel, now clock.Micros) (out []*machineState) {
-	if in == nil {
+// findCapacity returns machines with capacity for a task of a job: up to four times the sample size, so that the search
+// stays cheap. For a small task it returns up to ten times as many, because all candidates are compared in the order in
+// which the team packs its small tasks.
+func (s *selector) findCapacity(j *job, machines *machinesByLevel, now clock.Micros) (out []*machineState) {
+	if machines == nil {
 		return nil
 	}
 	limit := 4 * s.timing.Sample
 	if s.isSmall(j) {
 		limit *= 10
 	}
-	in.walk(capacityLevel(j.Need.CPU), s.rng.Uint64(), func(m *machineState) bool {
+	machines.walk(capacityLevel(j.Need.CPU), s.rng.Uint64(), func(m *machineState) bool {
 		s.examined++
-		if m.hasCapacity(j) && s.mayOffer(j, m, now) && !m.recentlyRejected(now) {
+		if m.hasCapacity(j) && s.mayAssign(j, m, now) && !m.recentlyRejected(now) {
 			out = append(out, m)
 		}
 		return len(out) >= limit
@@ -55,23 +58,24 @@
 	return out
 }
 
-// hasCapacity reports whether a machine has capacity for a task of a job.
+// hasCapacity reports whether the machine has capacity for a task of a job.
 func (m *machineState) hasCapacity(j *job) bool {
 	return j.Need.Fits(m.available) && m.available.Mem > 0
 }
 
-// recentlyRejected reports whether a machine's partition leader has rejected an assignment, and no newer view has come.
+// recentlyRejected reports whether the machine's partition leader has rejected an assignment within rejectionBackoff and
+// no newer view has arrived since.
 func (m *machineState) recentlyRejected(now clock.Micros) bool {
 	return m.rejected && now < m.rejectedAt+rejectionBackoff
 }
 
-// findCapacityAnyImage filters machines that have capacity for a task of a job, those with its image first.
+// findCapacityAnyImage returns machines with capacity for a task of a job, those with the job's image first.
 func (s *selector) findCapacityAnyImage(j *job, now clock.Micros) []*machineState {
-	list := s.findCapacity(j, s.capacity.withImage(j.Image), now)
+	candidates := s.findCapacity(j, s.capacity.withImage(j.Image), now)
 	for _, m := range s.findCapacity(j, &s.capacity.all, now) {
-		if !slices.Contains(list, m) {
-			list = append(list, m)
+		if !slices.Contains(candidates, m) {
+			candidates = append(candidates, m)
 		}
 	}
-	return list
+	return candidates
 }
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -6,14 +6,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// SetFetchRates sets how fast machine types fetch images, in GB a second.
+// SetFetchRates sets at which rates machine types fetch images, in GB per second.
 func (s *Scheduler) SetFetchRates(rates map[string]float64) { s.fetchRates = rates }
 
-// fetchRates is how fast machine types fetch images, in GB a second by type. A type without a positive rate is not known.
+// fetchRates are the rates at which machine types fetch images, in GB per second by type. A rate that is missing or not
+// positive is unknown.
 type fetchRates map[string]float64
 
-// fetchTime is how long a machine's type takes to fetch a job's image; ok is
-// false while that is not known.
+// fetchTime returns how long a machine of this type takes to fetch a job's image; ok is false if the rate is unknown.
 func (r fetchRates) fetchTime(j *job, m *machineState) (fetch clock.Micros, ok bool) {
 	rate := r[m.Type]
 	if rate <= 0 {
@@ -22,9 +22,9 @@
 	return clock.FromSeconds(j.ImageGB / rate), true
 }
 
-// slowest is how long the image of a job is fetched by the slowest machine type
-// that it may go to; ok is false while that is not known.
-func (r fetchRates) slowest(j *job) (fetch clock.Micros, ok bool) {
+// slowestFetchTime returns how long the slowest machine type that the job allows takes to fetch the job's image; ok is false
+// if a rate is unknown.
+func (r fetchRates) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
 	for name, rate := range r {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
 			continue
@@ -37,50 +37,49 @@
 	return fetch, ok
 }
 
-// imageFetchTooSlow reports whether a task can start in time on a machine that has its image,
-// and not on one that must fetch it.
+// imageFetchTooSlow reports whether a task of the job can meet its start objective on a machine that has the image, but
+// not on this one, which would have to fetch it.
 func (s *selector) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
 	within, ok := s.timing.Waits[j.Class]
 	fetch, known := s.fetchRates.fetchTime(j, m)
 	return ok && known && now <= j.acceptedAt+within && now+fetch > j.acceptedAt+within
 }
 
-// maxImageWait is the longest that a job leaves scarce capacity to others, since a machine with its image may get some.
+// maxImageWait is the longest time for which waitsForImageByFit makes a job wait.
 const maxImageWait = 8 * clock.Second
 
-// waitsForImage reports whether a job of an economical deployment should leave scarce capacity to
-// others for a moment: its image is on some machines, and one of them may have capacity
-// sooner than the image is fetched. The time of a fetch is paid for as well.
-func (s *selector) waitsForImage(j *job, list []*machineState, now clock.Micros) bool {
-	fetch, ok := s.fetchRates.fetchTime(j, list[0])
-	if !s.timing.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(list)*8 >= s.capacity.machines {
+// waitsForImageByFit reports whether, with Economy, a job should leave scarce capacity to others for a short time: some machines
+// have its image, and one of them may get capacity sooner than the image is fetched. The machine is paid for while it
+// fetches. Capacity is scarce if less than an eighth of the machines have some.
+func (s *selector) waitsForImageByFit(j *job, candidates []*machineState, now clock.Micros) bool {
+	fetch, ok := s.fetchRates.fetchTime(j, candidates[0])
+	if !s.timing.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(candidates)*8 >= s.capacity.machines {
 		return false
 	}
-	return s.waitForImage(j, fetch, min(fetch, maxImageWait), now)
+	return s.startOrContinueImageWait(j, fetch, min(fetch, maxImageWait), now)
 }
 
-// waitForImage reports whether a job still waits for a machine with its image, at most for so long from the first time
-// on, and not where half a fetch is all that is left until its tasks should start.
-func (s *selector) waitForImage(j *job, fetch, maxWait, now clock.Micros) bool {
+// startOrContinueImageWait reports whether a job still waits for a machine with its image: for at most maxWait since the
+// first call, and only while a fetch that starts now would end at least half a fetch time before the start objective.
+func (s *selector) startOrContinueImageWait(j *job, fetch, maxWait, now clock.Micros) bool {
 	if within, ok := s.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
 		return false
 	}
-	if j.noImageSince == 0 {
-		j.noImageSince = now
+	if j.imageWaitSince == 0 {
+		j.imageWaitSince = now
 	}
-	return now < j.noImageSince+maxWait
+	return now < j.imageWaitSince+maxWait
 }
 
-// withoutOtherFetches filters the machines that fetch nothing now but the job's own image, as far
-// as is known: images that are fetched at the same time share a machine's rate, and
-// all their tasks wait.
-func withoutOtherFetches(j *job, list []*machineState, now clock.Micros) (out []*machineState) {
-	for _, m := range list {
+// withoutOtherFetches returns the machines that, as far as is known, fetch no image other than the job's own. Images that
+// are fetched concurrently share the machine's rate, which delays all their tasks.
+func withoutOtherFetches(j *job, candidates []*machineState, now clock.Micros) (out []*machineState) {
+	for _, m := range candidates {
 		others := len(m.fetchingJobs)
 		if m.fetchingJobs[j.ID] > 0 {
 			others--
 		}
-		if others == 0 && (now >= m.imageFetchUntil || m.imageFetched == j.Image) {
+		if others == 0 && (now >= m.assignedFetchUntil || m.assignedFetchImage == j.Image) {
 			out = append(out, m)
 		}
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,53 +10,55 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// job is an active job of a team that is led here, with its tasks' state.
+// job is an active job of a team that is led here, with the state of its tasks.
 //
-// Invariant (argument 7): tasks from the watermark on were never assigned by any scheduler. Those below offeredByFormer
-// may have been by a former leader of the team; unless they are seen on a machine they wait while awaitsAccounting.
+// Invariant: no scheduler ever assigned a task whose number is at or above the watermark. A former leader of the team may
+// have assigned those below offeredByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
+// The others are not placed while awaitsAccounting is set, since they may run on a machine that has not been seen yet and
+// would run twice (docs/design.md, "Why the rules hold", number 7).
 type job struct {
 	*jobs.Job
 	team            *team
-	acceptedAt      clock.Micros
-	stage           recovery.Stage // of a zone's return that admits it
+	acceptedAt      clock.Micros   // by the clock of this process
+	stage           recovery.Stage // stage of a zone's return that admits the job
 	withinGuarantee bool           // fits its team's guarantee together with the team's earlier jobs
 
-	watermark        int // tasks from here on were never assigned, by the key-value store
-	offeredByFormer  int
-	offeredHere      bool // a task of it was assigned by this scheduler
+	watermark        int  // by the key-value store: tasks from this number on were never assigned
+	offeredByFormer  int  // tasks below this number may have been assigned by a former leader of the team
+	offeredHere      bool // this scheduler has assigned a task of the job
 	awaitsAccounting bool // tasks below offeredByFormer wait until all machines are accounted for
-	nextTask         int  // tasks from here on were never queued
+	nextTask         int  // tasks from this number on were never queued
 	queue            []int
-	done             []uint64 // one bit for each task
+	done             []uint64 // bitmap, one bit per task
 	doneCount        int
-	assignments      map[int]*assignment // the current one of each task
-	tasksByZone      map[string]int      // tasks that are, or may be, on machines
+	assignments      map[int]*assignment // current assignment by task number
+	tasksByZone      map[string]int      // number of tasks that are, or may be, on machines of a zone
 
 	cancelling           bool
-	cancelAcknowledged   map[string]bool // processes that have its cancellation in memory
-	finalWriteAfter      clock.Micros    // the final state of its cancellation is not written before
-	finalStateUncertain  bool            // its final record may have been written
-	finalWriteUnanswered bool            // and an attempt to write it had no definite answer
+	cancelAcknowledged   map[string]bool // processes that have the cancellation in memory
+	finalWriteAfter      clock.Micros    // earliest time to write the final state of the cancellation
+	finalStateUncertain  bool            // the final state may have been written
+	finalWriteUnanswered bool            // some attempt to write the final state had no definite answer
 	finalWriteInFlight   bool
 
-	chunkTasks        int                    // tasks that a record of its progress covers
-	dirtyChunks       map[int]bool           // chunks to be written
-	unacknowledged    map[peer.TaskID]string // done, not written yet: on which machine
-	acknowledgedTerms map[peer.TaskID]uint64 // ends acknowledged to the partition leader of that term
+	chunkTasks        int                    // number of tasks that a progress record of the job covers
+	dirtyChunks       map[int]bool           // progress records that have to be written
+	unacknowledged    map[peer.TaskID]string // attempts that are done but not recorded yet, with their machines
+	acknowledgedTerms map[peer.TaskID]uint64 // partition terms under which the end of an attempt was acknowledged
 
-	stalledSince clock.Micros // since when some task of it finds no capacity; 0: all do
-	noRoomSince  clock.Micros // since when none does
-	noImageSince clock.Micros // since when there is capacity, but none where its image is
+	stalledSince     clock.Micros // since when some task has found no capacity, or no room below the limit; 0: all found some
+	noPlacementSince clock.Micros // since when no task has been placed for lack of capacity; 0: the last one was placed
+	imageWaitSince   clock.Micros // since when the job waits for a machine with its image; 0: it does not
 
-	runs              []runTime
+	runs              []taskRun
 	consecutiveErrors int
-	retries           int                     // tasks placed once more
-	lastStartAt       clock.Micros            // when its last task was first seen running
-	avoidUntil        map[string]clock.Micros // by machine, after errors there
-	backoffUntil      clock.Micros
+	retries           int                     // how often tasks had to be placed again
+	lastStartAt       clock.Micros            // when a task was last seen to have begun to run
+	avoidUntil        map[string]clock.Micros // by machine: no task is placed there before, since one failed
+	backoffUntil      clock.Micros            // no task is placed before, since many failed
 }
 
-// AddJob adds an active job of a team that is led here.
+// AddJob adds an active job, if its team is led here.
 func (s *Scheduler) AddJob(j *jobs.Job, now clock.Micros) {
 	if tm := s.teams[j.Team]; tm != nil && tm.jobs[j.ID] == nil {
 		s.addJob(tm, j, now)
@@ -89,7 +91,8 @@
 	tm.jobs[spec.ID] = j
 }
 
-// acceptedAt is when a job was accepted, by the clock here.
+// acceptedAt converts the time at which a job was accepted to the clock of this process. A job without one counts as
+// accepted now.
 func (s *Scheduler) acceptedAt(spec *jobs.Job, now clock.Micros) clock.Micros {
 	if spec.AcceptedMS <= 0 {
 		return now
@@ -97,9 +100,10 @@
 	return now - clock.Micros(max(0, s.wallMS()-spec.AcceptedMS))*clock.Millisecond
 }
 
-// setOfferedByFormer marks the tasks that a former leader of the team may have assigned. Where a job's other tasks are
-// decides where those of one_zone and spread may go, so all wait. And while there are machines that an earlier
-// release has recorded, which left no watermarks, any task may have been assigned.
+// setOfferedByFormer marks the tasks that a former leader of the team may have assigned: those below the watermark. If
+// there are any, all tasks of a one_zone or spread job are marked, because the zones of the tasks already assigned
+// determine where the others may go. All tasks are also marked while there are machines that an earlier release has
+// recorded, because that release wrote no watermarks.
 func (j *job) setOfferedByFormer(legacyRecords bool) {
 	j.offeredByFormer = min(j.watermark, j.Tasks)
 	if j.offeredByFormer > 0 && (j.OneZone || j.Spread) || legacyRecords {
@@ -108,18 +112,19 @@
 	j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 }
 
-// restoreProgress marks the tasks that a record of progress shows as done.
+// restoreProgress marks the tasks as done that a progress record shows as done.
 func (j *job) restoreProgress(chunk chunkID, bits []byte) {
 	for i, b := range bits {
-		for k := range 8 {
-			if n := chunk.N*chunk.Size + i*8 + k; b&(1<<k) != 0 && n < j.Tasks {
+		for bit := range 8 {
+			if n := chunk.N*chunk.Size + i*8 + bit; b&(1<<bit) != 0 && n < j.Tasks {
 				j.markDone(n)
 			}
 		}
 	}
 }
 
-// DropJob drops a job that is final. What still runs of it stays counted until it is gone (argument 8).
+// DropJob removes a job that has reached its final state. Its tasks that still run count against the team's limit until
+// they are known to be gone (docs/design.md, "Why the rules hold", number 8).
 func (s *Scheduler) DropJob(id string) {
 	delete(s.progress, id)
 	for _, tm := range s.teams {
@@ -134,8 +139,8 @@
 	}
 }
 
-// CompletedJobs lists a team's jobs whose tasks are all done and whose final state is to be
-// written, those that were accepted first in front.
+// CompletedJobs returns a team's jobs whose tasks are all done and whose final state has to be written, in the order in
+// which they were accepted.
 func (*Scheduler) CompletedJobs(tm *team) (out []*job) {
 	for _, j := range tm.jobs {
 		if j.doneCount == j.Tasks && !j.finalWriteInFlight && !j.cancelling {
@@ -146,20 +151,20 @@
 	return out
 }
 
-// isActive reports whether a job is still one of its team's.
+// isActive reports whether its team still lists the job.
 func (j *job) isActive() bool { return j.team.jobs[j.ID] == j }
 
-// isCurrent reports whether an assignment is the one by which its task is placed.
+// isCurrent reports whether an assignment is the current one of its task.
 func (j *job) isCurrent(a *assignment) bool { return j.assignments[a.id.N] == a }
 
-// hasStarted reports whether some task of a job is, was, or may have been on a machine.
+// hasStarted reports whether some task of the job is, was, or may have been on a machine.
 func (j *job) hasStarted() bool {
 	return len(j.assignments) > 0 || j.doneCount > 0 || j.lastStartAt > 0
 }
 
 func (j *job) isDone(n int) bool { return j.done[n/64]&(1<<(n%64)) != 0 }
 
-// markDone records that a task is done, to be written with its chunk.
+// markDone marks a task as done, and its progress record as to be written.
 func (j *job) markDone(n int) {
 	if !j.isDone(n) {
 		j.done[n/64] |= 1 << (n % 64)
@@ -168,9 +173,9 @@
 	}
 }
 
-// chunk returns the bits of one record of progress.
-func (j *job) chunk(c int) []byte {
-	lo, hi := c*j.chunkTasks, min((c+1)*j.chunkTasks, j.Tasks)
+// chunk returns the bits of a progress record, one per task.
+func (j *job) chunk(chunk int) []byte {
+	lo, hi := chunk*j.chunkTasks, min((chunk+1)*j.chunkTasks, j.Tasks)
 	out := make([]byte, (hi-lo+7)/8)
 	for n := lo; n < hi; n++ {
 		if j.isDone(n) {
@@ -180,10 +185,11 @@
 	return out
 }
 
-// waiting is how many tasks are neither done nor assigned.
+// waiting returns how many tasks are neither done nor assigned.
 func (j *job) waiting() int { return max(0, j.Tasks-j.doneCount-len(j.assignments)) }
 
-// nextWaiting takes the next task to place from the queue, -1 for none. Tasks that are assigned or done are skipped.
+// nextWaiting returns the next task to place, or -1 if there is none: the first of the queue, or else the next one below
+// the watermark that was never queued. It skips tasks that are assigned or done.
 func (j *job) nextWaiting() int {
 	for len(j.queue) > 0 {
 		n := j.queue[0]
@@ -202,31 +208,34 @@
 	return -1
 }
 
-// requeue queues a task whose assignment is gone, unless it is done or waits for machines to be accounted for.
+// requeue queues a task whose assignment is gone, unless the task is done or has to wait until all machines are
+// accounted for.
 func (j *job) requeue(task int) {
 	if !j.isDone(task) && (!j.awaitsAccounting || task >= j.offeredByFormer) {
 		j.queue = append(j.queue, task)
 	}
 }
 
-// markUnplaced puts a task back that found no capacity.
-func (j *job) markUnplaced(task int, now clock.Micros) {
+// requeueUnplaced puts a task for which no machine was found back to the front of the queue, and records since when the job
+// lacks capacity.
+func (j *job) requeueUnplaced(task int, now clock.Micros) {
 	j.queue = append([]int{task}, j.queue...)
 	if j.stalledSince == 0 {
 		j.stalledSince = now
 	}
-	if j.noRoomSince == 0 {
-		j.noRoomSince = now
+	if j.noPlacementSince == 0 {
+		j.noPlacementSince = now
 	}
 }
 
 const (
-	errorMachineBackoff = 20 * clock.Second // a job avoids a machine for so long after an error there
-	maxErrorBackoff     = 30 * clock.Second // a job that fails on many machines pauses for at most so long
+	errorMachineBackoff = 20 * clock.Second // how long a job avoids a machine on which one of its tasks has failed
+	maxErrorBackoff     = 30 * clock.Second // longest pause of a job whose tasks keep failing
 )
 
-// recordFailure lets a job that fails avoid the machine, and back off as a whole when
-// it fails on many: it must not keep taking the capacity that it frees.
+// recordFailure makes the job avoid a machine on which one of its tasks has failed. If its tasks fail on several machines
+// or often in a row, the whole job backs off exponentially: otherwise it would keep taking the capacity that its
+// failures free.
 func (j *job) recordFailure(machine string, now clock.Micros) {
 	j.consecutiveErrors++
 	j.avoidUntil[machine] = now + errorMachineBackoff
--- a/internal/scheduler/leader_session.go
+++ b/internal/scheduler/leader_session.go
@@ -7,19 +7,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// leaderSession is what a scheduler knows of a controller that leads partitions, and what it sends to it.
+// leaderSession is what a scheduler knows about a controller that leads partitions, and what it has to send to it.
 type leaderSession struct {
 	batchQueue
-	instance             string // the process, as it names itself; empty before the first answer
-	cursor               uint64 // position of the last poll
-	generation           uint64 // grows with every process seen: an answer to an older poll is recognized by it
+	instance             string // incarnation of the controller, as it names it; empty before its first response
+	cursor               uint64 // version of the partition leader's state up to which its views have been applied
+	generation           uint64 // number of incarnations seen: polls carry it, so that late responses are recognized
 	partitionTerms       map[int]uint64
-	fencedTerms          map[string]uint64 // team terms under which it rejects assignments of earlier ones (argument 7)
+	fencedTerms          map[string]uint64 // by team: the partition leader rejects assignments of lower terms
 	reachable            bool
 	partitionsCheckedAt  clock.Micros // see partitionCheckInterval
-	polledAt             clock.Micros
-	supportsReservations bool // it holds leases for tasks that are to move
-	resync               bool // a view did not fit the cached state: ask for everything
+	polledAt             clock.Micros // when the latest poll response arrived
+	supportsReservations bool         // grants held leases, which moves of tasks need; earlier releases don't
+	resync               bool         // a view was inconsistent with the cached state: the next poll asks for all machines
 	shares               leaderShares
 	demandsSentAt        clock.Micros
 }
@@ -28,8 +28,8 @@
 	return &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
 }
 
-// start begins a session with another process of the controller. A batch that was on its way to
-// a former process is over: the next leader of the machines tells what became of it.
+// start begins a session with a new incarnation of the controller. Responses to polls of a former one are ignored from
+// now on, and no team's term is known to be fenced.
 func (l *leaderSession) start(instance string) {
 	l.fencedTerms = map[string]uint64{}
 	l.partitionTerms = map[int]uint64{}
@@ -38,23 +38,24 @@
 	l.generation++
 }
 
-// hasFenced reports whether the process rejects assignments of earlier terms of a team.
+// hasFenced reports whether the partition leader rejects assignments of earlier terms of a team, so that no former leader of
+// the team can still start a task there (docs/design.md, "Why the rules hold", number 7).
 func (l *leaderSession) hasFenced(tm *team) bool { return l.fencedTerms[tm.Name] == tm.term }
 
-// batchQueue holds the messages to a partition leader: one batch in flight, given again as it was until it has an
-// answer, and what has gathered for the next one.
+// batchQueue holds the messages for a partition leader: the batch in flight, which is sent again unchanged until it is
+// answered, and the messages for the next batch.
 type batchQueue struct {
 	sequence              uint64
 	inFlight              *peer.Batch
-	inFlightInstance      string // process that it was made for
+	inFlightInstance      string // incarnation for which the batch in flight was made
 	pending               peer.Batch
-	acknowledgementsSince clock.Micros // since when acknowledgements wait; 0: none is known to
+	acknowledgementsSince clock.Micros // when the oldest pending acknowledgement was first seen; 0: none was
 }
 
-// acknowledgementInterval gathers acknowledgements, for which nobody waits.
+// acknowledgementInterval is for how long acknowledgements are collected before they cause a batch: nobody waits for them.
 const acknowledgementInterval = 300 * clock.Millisecond
 
-// isDue reports whether there is something to send now.
+// isDue reports whether there is a batch to send now.
 func (q *batchQueue) isDue(now clock.Micros) bool {
 	if q.inFlight != nil {
 		return true
@@ -70,26 +71,28 @@
 	return !urgent.Empty() || now >= q.acknowledgementsSince+acknowledgementInterval
 }
 
-// next returns the batch in flight to an instance, or makes one of what is pending; nil for nothing.
-func (q *batchQueue) next(from, instance string, terms func() map[string]uint64) *peer.Batch {
+// next returns the batch to send to an incarnation: the one in flight to it, or a new one of the pending messages. It
+// returns nil if there is none, or if no incarnation is known yet.
+func (q *batchQueue) next(sender, instance string, terms func() map[string]uint64) *peer.Batch {
 	if q.inFlight != nil && q.inFlightInstance == instance {
 		return q.inFlight
 	}
-	q.abandon()
+	q.abandonInFlight()
 	batch := q.pending
 	if instance == "" || batch.Empty() {
 		return nil
 	}
 	q.sequence++
-	batch.From, batch.Seq, batch.Terms = from, q.sequence, terms()
+	batch.From, batch.Seq, batch.Terms = sender, q.sequence, terms()
 	q.inFlight, q.inFlightInstance, q.pending, q.acknowledgementsSince = &batch, instance, peer.Batch{}, 0
 	return q.inFlight
 }
 
-// abandon gives up the batch in flight, whose process is gone. Its assignments stay counted: that
-// process may have accepted and started them, and only the next leader of their machines can tell (argument 8).
-// Stops go to the next process; cancellations do when their final states are looked at.
-func (q *batchQueue) abandon() {
+// abandonInFlight gives up the batch in flight because the incarnation for which it was made is gone. The assignments of
+// the batch stay counted: that incarnation may have accepted and started them, which only the next leader of their machines
+// can tell (docs/design.md, "Why the rules hold", number 8). Stops are queued again for the next incarnation.
+// Cancellations are queued again by CancellationConfirmed.
+func (q *batchQueue) abandonInFlight() {
 	if q.inFlight == nil {
 		return
 	}
@@ -97,7 +100,7 @@
 	q.inFlight = nil
 }
 
-// dropTeam removes a team's messages from what was not sent yet.
+// dropTeam removes a team's messages from the pending ones.
 func (q *batchQueue) dropTeam(tm *team) {
 	b := &q.pending
 	b.Asks = slices.DeleteFunc(b.Asks, func(a peer.Assignment) bool { return a.Team == tm.Name })
--- a/internal/scheduler/machine_cache.go
+++ b/internal/scheduler/machine_cache.go
@@ -7,17 +7,17 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// machineCache is the cached state of all machines, of the partition leaders that it comes from, and what is derived of it:
-// the capacity index and the counts of observed tasks. It changes neither teams nor jobs.
+// machineCache is the cached state of all machines and of the partition leaders that report it, and what is derived from
+// it: the capacity index and the counts of observed tasks. It changes neither teams nor jobs.
 //
-// Invariant: a machine's place in the index and the counts follow every change of its state; see reindex.
+// Invariant: the capacity index and the counts are updated with every change of a machine's state, see reindex.
 type machineCache struct {
-	machines         map[string]*machineState  // of all partitions
-	sessions         map[string]*leaderSession // by controller
-	recordedMachines map[string]bool           // in the key-value store
-	capacity         capacityIndex             // machines that may get tasks
+	machines         map[string]*machineState  // by id, of all partitions
+	sessions         map[string]*leaderSession // by host
+	recordedMachines map[string]bool           // ids of machines with a record in the key-value store
+	capacity         capacityIndex             // schedulable machines
 	observedTasks    observedTaskCounts
-	examined         int // machines examined in search of capacity since the start
+	examined         int // machines examined in searches for capacity, since the start
 }
 
 func newMachineCache(hosts []string) machineCache {
@@ -34,18 +34,19 @@
 	return c
 }
 
-// isSchedulable reports whether a machine may get tasks, as far as it and its partition leader are known.
+// isSchedulable reports whether a machine may get tasks: it is usable and its cached state is current.
 func (c *machineCache) isSchedulable(m *machineState) bool {
 	return m.Usable && c.isCurrent(m) && c.machines[m.ID] == m
 }
 
-// isCurrent reports whether a machine's state comes from its present partition leader, and that one is reachable.
+// isCurrent reports whether a machine's state comes from its present partition leader, and whether that is reachable.
 func (c *machineCache) isCurrent(m *machineState) bool {
 	session := c.sessions[m.leader]
 	return session.reachable && session.instance == m.instance && session.partitionTerms[m.Part] == m.Term
 }
 
-// recomputeAvailable derives what a machine has available from its view and the assignments that it does not show yet.
+// recomputeAvailable updates a machine's available capacity: what its view shows as free, less the assignments that the
+// view does not show yet.
 func (c *machineCache) recomputeAvailable(m *machineState) {
 	m.available = m.Free
 	for _, a := range m.assignments {
@@ -56,15 +57,16 @@
 	c.reindex(m)
 }
 
-// forgetSilent drops a machine that is silent, has no record and no assignments. An assignment without an answer
-// keeps it: the machine may come back with a new incarnation, and the assignment be accepted then.
-func (c *machineCache) forgetSilent(m *machineState) {
+// removeIfSilent removes a machine that is silent, has no record and has no assignments. It keeps a machine with an
+// unanswered assignment: the machine may return with a new incarnation, and its partition leader may accept the
+// assignment then.
+func (c *machineCache) removeIfSilent(m *machineState) {
 	if m.Silent && !c.recordedMachines[m.ID] && len(m.assignments) == 0 {
 		c.removeMachine(m)
 	}
 }
 
-// removeMachine removes a machine from the cache.
+// removeMachine removes a machine and its observed tasks from the cache.
 func (c *machineCache) removeMachine(m *machineState) {
 	for id := range m.tasks {
 		c.removeObservedTask(m, id)
@@ -73,10 +75,11 @@
 	c.reindex(m)
 }
 
-// reindex updates a machine in the capacity index. It is called after every change of what its place depends on.
+// reindex updates a machine's position in the capacity index. It has to be called after every change of the machine's
+// available capacity, images or schedulability.
 func (c *machineCache) reindex(m *machineState) { c.capacity.update(m, c.isSchedulable(m)) }
 
-// reindexLeader updates all machines of a partition leader in the capacity index.
+// reindexLeader updates the position of all machines of a partition leader in the capacity index.
 func (c *machineCache) reindexLeader(host string) {
 	for _, m := range c.machines {
 		if m.leader == host {
@@ -85,7 +88,7 @@
 	}
 }
 
-// setReachable records whether a partition leader is reachable.
+// setReachable records whether a partition leader is reachable; machines are schedulable only while it is.
 func (c *machineCache) setReachable(host string, reachable bool) {
 	if session := c.sessions[host]; session.reachable != reachable {
 		session.reachable = reachable
@@ -93,7 +96,7 @@
 	}
 }
 
-// addObservedTask adds a task to a machine's state, or replaces it there.
+// addObservedTask adds a task to a machine's state or replaces the task's earlier state.
 func (c *machineCache) addObservedTask(m *machineState, t *observedTask) {
 	c.removeObservedTask(m, t.ID)
 	m.tasks[t.ID] = t
@@ -106,7 +109,7 @@
 	}
 }
 
-// removeObservedTask removes a task from a machine's state; it need not be there.
+// removeObservedTask removes a task from a machine's state, if it is there.
 func (c *machineCache) removeObservedTask(m *machineState, id peer.TaskID) {
 	t := m.tasks[id]
 	if t == nil {
@@ -124,40 +127,41 @@
 	}
 }
 
-// updateObservedTasks applies a view's tasks, and returns those that are not on the machine any more. A view that is not
-// whole lists only changed tasks and those that left.
-func (c *machineCache) updateObservedTasks(m *machineState, view *peer.MachineView, now clock.Micros) (left []peer.TaskID) {
+// updateObservedTasks applies the tasks of a view and returns those that are no longer on the machine. A view that is not
+// whole lists only tasks that have changed and tasks that have been removed.
+func (c *machineCache) updateObservedTasks(m *machineState, view *peer.MachineView, now clock.Micros) (removed []peer.TaskID) {
 	listed := make(map[peer.TaskID]bool, len(view.Tasks))
 	for i := range view.Tasks {
 		c.addObservedTask(m, &observedTask{TaskView: view.Tasks[i], startedAt: now - view.Tasks[i].Since})
 		listed[view.Tasks[i].ID] = true
 	}
-	left = view.Left
+	removed = view.Left
 	if view.Whole {
-		left = nil
+		removed = nil
 		for id := range m.tasks {
 			if !listed[id] {
-				left = append(left, id)
+				removed = append(removed, id)
 			}
 		}
 	}
-	for _, id := range left {
+	for _, id := range removed {
 		if !listed[id] {
 			c.removeObservedTask(m, id)
 		}
 	}
-	return left
+	return removed
 }
 
-// viewAge is how old what is known of a machine may be. A machine of which there is no news
-// is as it was for as long as its partition leader answers polls, which it does at least once a second.
+// viewAge returns how old the information about a machine may be. A partition leader sends news of changed machines only,
+// and answers polls at least once per second; a machine without news is unchanged up to the last answered poll.
 func (c *machineCache) viewAge(m *machineState, now clock.Micros) clock.Micros {
 	return now - max(m.updatedAt, c.sessions[m.leader].polledAt)
 }
 
-// largestMachine is the most that any machine seen offers.
+// largestMachine returns the largest amount of each resource that any known machine has. Before any is known it returns a
+// thousand CPUs, so that unknown machines are not underestimated.
 func (c *machineCache) largestMachine() resources.Amounts {
-	out := resources.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9} // a thousand CPUs, before any was seen
+	out := resources.Amounts{CPU: 1e9, GPU: 0, Mem: 1e9}
 	c.examined += len(c.machines)
 	seen := false
 	for _, m := range c.machines {
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -10,28 +10,28 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// machineState is the cached state of a machine: its newest view, and what was assigned since.
+// machineState is the cached state of a machine: its latest view, and the assignments made since.
 type machineState struct {
 	peer.MachineView
-	leader          string            // controller that sent the view
-	instance        string            // its process
-	available       resources.Amounts // free by the view, less what was assigned since
-	nameHash        uint64
-	assignments     map[peer.TaskID]*assignment
-	updatedAt       clock.Micros
-	tasks           map[peer.TaskID]*observedTask
-	tasksByPriority [priorities]int // observed tasks that have not exited
-	fetchingJobs    map[string]int  // jobs with tasks there that wait for their image
-	imageFetchUntil clock.Micros    // until then an assignment of this scheduler makes it fetch
-	imageFetched    string
-	paceSum         float64 // sum of the ratios of run times here to those of the same jobs elsewhere
-	paceSamples     int
-	slow            bool
+	leader             string            // host of the controller that sent the view
+	instance           string            // process of that controller
+	available          resources.Amounts // free by the view, less assignments that the view does not show
+	nameHash           uint64
+	assignments        map[peer.TaskID]*assignment
+	updatedAt          clock.Micros
+	tasks              map[peer.TaskID]*observedTask
+	tasksByPriority    [priorities]int // number of observed tasks that have not exited
+	fetchingJobs       map[string]int  // number of tasks that wait for their image, by job id
+	assignedFetchUntil clock.Micros    // estimated end of the image fetch for an assignment of this scheduler
+	assignedFetchImage string          // image of that fetch
+	paceSum            float64         // sum of the ratios of run times here to those of the same jobs elsewhere
+	paceSamples        int             // number of these ratios
+	slow               bool
 
-	rejected   bool // an assignment was rejected, and no newer view has come
+	rejected   bool // an assignment was rejected, and no newer view has arrived since
 	rejectedAt clock.Micros
 
-	indexed       bool // position in the capacity index, see capacityIndex.update
+	indexed       bool // the machine is in the capacity index, under the three values below; see capacityIndex.update
 	indexedLevel  int
 	indexedImages []string
 	indexedCPU    int64
@@ -46,7 +46,7 @@
 	}
 }
 
-// assignmentsByAttempt lists a machine's assignments in a fixed order.
+// assignmentsByAttempt returns the machine's assignments sorted by attempt.
 func (m *machineState) assignmentsByAttempt() []*assignment {
 	out := make([]*assignment, 0, len(m.assignments))
 	for _, a := range m.assignments {
@@ -56,8 +56,9 @@
 	return out
 }
 
-// hasUnidentifiedTask reports whether something is on a machine of which its partition leader knows neither the
-// team nor what it takes: it was found there, and its job is over. Any team may have started it (argument 8).
+// hasUnidentifiedTask reports whether the machine has a task whose team and resource request its partition leader doesn't
+// know: the leader found the task there after its job was over. The task may belong to any team, so that the machine can't
+// be accounted for under any team's term (docs/design.md, "Why the rules hold", number 8).
 func (m *machineState) hasUnidentifiedTask() bool {
 	for _, t := range m.tasks {
 		if t.Team == "" && t.Phase != wire.TaskExited {
@@ -67,10 +68,11 @@
 	return false
 }
 
-// hasImage reports whether the view lists a job's image.
+// hasImage reports whether the machine's view lists the job's image.
 func (m *machineState) hasImage(j *job) bool { return slices.Contains(m.Images, j.Image) }
 
-// knownPace is how long tasks take on a machine as a multiple of elsewhere, 0 while too few have ended there.
+// knownPace returns how long tasks take on the machine relative to the same jobs' tasks elsewhere (2: twice as long), or 0
+// while too few tasks have ended there.
 func (m *machineState) knownPace() float64 {
 	if m.paceSamples < minPaceSamples {
 		return 0
@@ -78,12 +80,13 @@
 	return m.paceSum / float64(m.paceSamples)
 }
 
-// heat is the share of a machine that is in use when so many CPUs are free, times its pace. One
-// that is to be taken away has more than any other.
+// heat returns the load of the machine when so many micro-CPUs are free: the share of its CPUs in use, times its pace. Tasks
+// are moved only to machines with less heat than their own. A machine under an eviction notice, or without known capacity,
+// has more than any other.
 func (m *machineState) heat(free int64) float64 {
-	const takenAway = 1000
+	const maxHeat = 1000
 	if m.Cap.CPU == 0 || m.Noticed {
-		return takenAway
+		return maxHeat
 	}
 	heat := 1 - float64(free)/float64(m.Cap.CPU)
 	if pace := m.knownPace(); pace > 0 {
@@ -92,7 +95,8 @@
 	return heat
 }
 
-// HandleMachineRecord applies a change of a machine's record in the key-value store.
+// HandleMachineRecord applies a change of a machine's record in the key-value store; exists is false if the record was
+// removed. A machine is gone for certain when its record is removed, so that it is no longer unaccounted for.
 func (s *Scheduler) HandleMachineRecord(id string, exists bool) {
 	if exists {
 		s.recordedMachines[id] = true
@@ -108,22 +112,23 @@
 		delete(tm.unaccounted, id)
 	}
 	if m := s.machines[id]; m != nil {
-		s.forgetSilent(m)
+		s.removeIfSilent(m)
 	}
 }
 
-// forgetMachine drops a machine that is gone for certain, with all its assignments.
-func (s *Scheduler) forgetMachine(m *machineState) {
+// releaseMachine removes a machine that is known to be gone, and releases all its assignments.
+func (s *Scheduler) releaseMachine(m *machineState) {
 	for _, a := range m.assignmentsByAttempt() {
 		s.releaseAssignment(a)
 	}
 	s.removeMachine(m)
 }
 
-// MachineViews appends the cached state of all machines, for the autoscaler. An idle machine sends
-// no news of itself, so its idle time is what it was then and what has passed since.
-func (s *Scheduler) MachineViews(to []peer.MachineView, now clock.Micros) []peer.MachineView {
-	to = slices.Grow(to, len(s.machines))
+// MachineViews appends the cached views of all machines to a list, for the autoscaler. It leaves out machines whose
+// partition leader has changed. Partition leaders send no views of an idle machine, so its idle time is that of the latest
+// view plus the time since then.
+func (s *Scheduler) MachineViews(views []peer.MachineView, now clock.Micros) []peer.MachineView {
+	views = slices.Grow(views, len(s.machines))
 	for _, m := range s.machines {
 		if s.sessions[m.leader].partitionTerms[m.Part] != m.Term {
 			continue
@@ -135,7 +140,7 @@
 		} else {
 			view.Idle = 0
 		}
-		to = append(to, view)
+		views = append(views, view)
 	}
-	return to
+	return views
 }
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -6,19 +6,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// What a job's deadline and the objectives of the settings say of its urgency. All of it is a function of the
-// job, the settings and the time.
+// This file derives the urgency of a job from its deadline and the objectives in the settings. Every result depends only on
+// the job, the settings and the time.
 
 // lateness is how late a job is.
 type lateness int
 
 const (
 	onTime        lateness = iota
-	pastDeadline           // but not by the longer measure of its class's objective
-	pastObjective          // by that as well: only the end of all work matters
+	pastDeadline           // misses its deadline, but can meet the longer bound of its class's objective (Timing.Times)
+	pastObjective          // misses that as well: it does not matter how late it is, only that all work gets done
 )
 
-// deadline is when a job should be done; the end of time without a deadline.
+// deadline returns the time at which the job should be done, or the maximum time if it has no deadline.
 func (j *job) deadline() clock.Micros {
 	if j.DeadlineS == nil {
 		return math.MaxInt64
@@ -26,21 +26,21 @@
 	return j.acceptedAt + clock.FromSeconds(*j.DeadlineS)
 }
 
-// missesDeadline reports whether a job can't meet its deadline any more.
+// missesDeadline reports whether the job can't meet its deadline any more.
 func (j *job) missesDeadline(now clock.Micros) bool {
 	return j.DeadlineS != nil && j.earliestFinish(now) > j.deadline()
 }
 
-// earliestFinishPart is the part of its estimate that a task takes at best: many end before it.
-const earliestFinishPart = 0.7
+// minRuntimeFraction is the fraction of its estimated run time that a task takes at least: many end before the estimate.
+const minRuntimeFraction = 0.7
 
-// earliestFinish is when a job's last task may be over at best.
+// earliestFinish returns the earliest time at which the job's last task may end, if it starts now.
 func (j *job) earliestFinish(now clock.Micros) clock.Micros {
-	return now + clock.FromSeconds(j.RuntimeEstimateS*earliestFinishPart)
+	return now + clock.FromSeconds(j.RuntimeEstimateS*minRuntimeFraction)
 }
 
-// latestStart is when a job's tasks should start so that it is finished within its
-// class's time: of jobs without a deadline, those with long tasks can wait least.
+// latestStart returns the time by which the job's tasks should start for the job to meet the finish objective of its class,
+// or the maximum time if there is none. It orders jobs without a deadline: those with long tasks can wait least.
 func (t *Timing) latestStart(j *job) clock.Micros {
 	within, ok := t.Finishes[j.Class]
 	if !ok {
@@ -49,7 +49,7 @@
 	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
-// latenessOf returns how late a job is.
+// latenessOf classifies how late a job is.
 func (t *Timing) latenessOf(j *job, now clock.Micros) lateness {
 	if !j.missesDeadline(now) {
 		return onTime
@@ -60,21 +60,21 @@
 	return pastObjective
 }
 
-// cannotAffordRetry reports whether the time for a job is too short to notice that a machine
-// was taken and run its tasks once more.
+// cannotAffordRetry reports whether the job's deadline or finish objective leaves too little time to detect the loss of a
+// machine and run its tasks a second time.
 func (t *Timing) cannotAffordRetry(j *job) bool {
-	twice := clock.FromSeconds(2*j.RuntimeEstimateS) + t.Lease
+	timeWithRetry := clock.FromSeconds(2*j.RuntimeEstimateS) + t.Lease
 	within, ok := t.Finishes[j.Class]
-	return ok && within < twice || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < twice
+	return ok && within < timeWithRetry || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < timeWithRetry
 }
 
-// mayPreempt reports whether a job has waited long enough to take capacity from others.
+// mayPreempt reports whether a job has been without capacity for long enough to preempt tasks.
 func (t *Timing) mayPreempt(j *job, now clock.Micros) bool {
 	return j.stalledSince != 0 && now >= j.stalledSince+t.PreemptAfter
 }
 
-// guaranteeDue reports whether nothing at all of a job has found capacity for most of the time within which guaranteed
-// work should start. Work of higher priority goes first, but a guarantee is not put off for long.
+// guaranteeDue reports whether no task of a job has found capacity for three fifths of the time within which guaranteed work
+// should start. Until then work of higher priority has precedence over the guarantee.
 func (t *Timing) guaranteeDue(j *job, now clock.Micros) bool {
-	return t.Guarantee > 0 && j.noRoomSince != 0 && now >= j.noRoomSince+t.Guarantee*3/5
+	return t.Guarantee > 0 && j.noPlacementSince != 0 && now >= j.noPlacementSince+t.Guarantee*3/5
 }
--- a/internal/scheduler/observed_tasks.go
+++ b/internal/scheduler/observed_tasks.go
@@ -6,24 +6,24 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// observedTask is a task as its machine's partition leader last showed it.
+// observedTask is a task as last reported by its machine's partition leader.
 type observedTask struct {
 	peer.TaskView
-	counted         bool // it has not exited, and counts among the machine's tasks
+	counted         bool // it has not exited and is included in the counts of the machine and of the cache
 	startedAt       clock.Micros
-	preemptingUntil clock.Micros // an assignment names it as a victim: not to be named again until then
+	preemptingUntil clock.Micros // an assignment has named it as a victim: it is not named again before this time
 }
 
-// isFetching reports whether a task still waits for its image.
+// isFetching reports whether the task still waits for its image.
 func (t *observedTask) isFetching() bool { return t.Phase == "" || t.Phase == wire.TaskFetching }
 
 // priorities is the number of priority levels: idle, normal, high and production.
 const priorities = 4
 
-// observedTaskCounts counts the tasks that all cached machines show and that have not exited.
+// observedTaskCounts counts the observed tasks on all cached machines that have not exited.
 type observedTaskCounts struct {
 	byPriority [priorities]int
-	byCPU      map[int64]int // by the CPUs that they take
+	byCPU      map[int64]int // by resource request, in micro-CPUs
 }
 
 func (c *observedTaskCounts) add(t *observedTask) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// hasTaskUpTo reports whether there are tasks of a priority up to the given one.
-func hasTaskUpTo(byPriority *[priorities]int, maxPriority int) bool {
+// hasTaskAtOrBelow reports whether there are tasks of the given priority or a lower one.
+func hasTaskAtOrBelow(byPriority *[priorities]int, maxPriority int) bool {
 	for priority := 0; priority <= maxPriority; priority++ {
 		if byPriority[priority] > 0 {
 			return true
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -7,61 +7,62 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// NextPoll returns the next poll for a partition leader. When a team's term is new to it,
-// everything is asked for, so that the answer is given under that term's fence (argument 7).
+// NextPoll returns the next poll for a partition leader. It asks for all machines if the partition leader has not fenced the
+// present term of some team: only views made after that show all tasks that former leaders of the team may have assigned
+// (docs/design.md, "Why the rules hold", number 7).
 func (s *Scheduler) NextPoll(host string) peer.PollRequest {
 	session := s.sessions[host]
-	in := peer.PollRequest{Incarnation: session.instance, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
-	for team, term := range in.Terms {
+	request := peer.PollRequest{Incarnation: session.instance, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
+	for team, term := range request.Terms {
 		if session.fencedTerms[team] != term {
-			in.Incarnation = ""
+			request.Incarnation = ""
 		}
 	}
 	if session.resync {
-		in.Incarnation = ""
+		request.Incarnation = ""
 	}
-	return in
+	return request
 }
 
-// partitionCheckInterval is how often a partition leader's terms are compared with all machines: a
-// late answer of a former leader may have brought one back that is gone.
+// partitionCheckInterval is how often the partitions of a partition leader are compared with all cached machines, even if they
+// have not changed: a late response of a former leader may have brought back a machine that is gone.
 const partitionCheckInterval = 2 * clock.Second
 
-// MarkUnreachable records that a partition leader is not reachable now.
+// MarkUnreachable records that a partition leader can't be reached at present.
 func (s *Scheduler) MarkUnreachable(host string) { s.setReachable(host, false) }
 
-// HandlePollResponse applies a partition leader's answer to a poll.
-func (s *Scheduler) HandlePollResponse(host string, in peer.PollRequest, ans *peer.PollResponse, now clock.Micros) {
+// HandlePollResponse applies a partition leader's response to a poll.
+func (s *Scheduler) HandlePollResponse(host string, request peer.PollRequest, response *peer.PollResponse, now clock.Micros) {
 	session := s.sessions[host]
 	s.setReachable(host, true)
-	if ans.Incarnation != session.instance {
-		if in.Gen != session.generation || !ans.Full {
-			return // asked before the present process was seen: the answer of a former one
+	if response.Incarnation != session.instance {
+		if request.Gen != session.generation || !response.Full {
+			return // the poll was sent before the present incarnation was seen: a former one has answered
 		}
-		session.start(ans.Incarnation)
+		session.start(response.Incarnation)
 	}
-	if ans.Cursor < session.cursor {
-		return // older than an answer that was applied already
+	if response.Cursor < session.cursor {
+		return // a later response has been applied already
 	}
-	termsChanged := !maps.Equal(session.partitionTerms, ans.Parts)
-	s.applyPollHeader(session, in.Terms, ans, now)
-	for i := range ans.Machines {
-		s.updateMachine(host, session, &ans.Machines[i], now)
+	termsChanged := !maps.Equal(session.partitionTerms, response.Parts)
+	s.applyPollHeader(session, request.Terms, response, now)
+	for i := range response.Machines {
+		s.updateMachine(host, session, &response.Machines[i], now)
 	}
-	if termsChanged || ans.Full || now >= session.partitionsCheckedAt+partitionCheckInterval {
+	if termsChanged || response.Full || now >= session.partitionsCheckedAt+partitionCheckInterval {
 		s.checkPartitions(host, session, now)
 	}
 }
 
-// applyPollHeader applies what an answer says of the partition leader itself. A full answer was given under the fence of
-// the terms that the poll named.
-func (s *Scheduler) applyPollHeader(session *leaderSession, terms map[string]uint64, ans *peer.PollResponse, now clock.Micros) {
-	session.cursor, session.partitionTerms = ans.Cursor, ans.Parts
-	session.polledAt, session.supportsReservations = now, ans.Holds
-	if len(ans.Standings) > 0 {
-		session.shares = leaderShares{ans.Capacity, ans.Standings, now}
+// applyPollHeader applies the part of a response that concerns the partition leader as a whole. The partition leader has made a
+// full response after it fenced the terms that the poll contained.
+func (s *Scheduler) applyPollHeader(session *leaderSession, terms map[string]uint64, response *peer.PollResponse, now clock.Micros) {
+	session.cursor, session.partitionTerms = response.Cursor, response.Parts
+	session.polledAt, session.supportsReservations = now, response.Holds
+	if len(response.Standings) > 0 {
+		session.shares = leaderShares{response.Capacity, response.Standings, now}
 	}
-	if !ans.Full {
+	if !response.Full {
 		return
 	}
 	session.resync = false
@@ -72,16 +73,17 @@
 	}
 }
 
-// checkPartitions compares the partitions that a leader leads with all machines.
+// checkPartitions compares the partitions of a leader with all cached machines: it releases machines that are gone, and makes
+// machines unusable whose partition the leader has lost.
 func (s *Scheduler) checkPartitions(host string, session *leaderSession, now clock.Micros) {
 	session.partitionsCheckedAt = now
 	for _, m := range s.machines {
 		switch term := session.partitionTerms[m.Part]; {
 		case term > m.Term:
-			// This leader took over later than the view was made, has reported all
-			// machines that it found on record, and this one is not among
-			// them: its record was dropped, so it was gone for certain (arguments 5 and 6).
-			s.forgetMachine(m)
+			// The leader acquired the partition after the view was made, and has reported every machine that it found on
+			// record. This machine was not among them, so its record had been removed, which happens only when the machine
+			// is gone for certain (docs/design.md, "Why the rules hold", numbers 5 and 6).
+			s.releaseMachine(m)
 		case m.leader == host && term != m.Term:
 			m.Usable = false
 		}
@@ -89,7 +91,7 @@
 	s.reindexLeader(host)
 }
 
-// updateMachine applies one machine's view, and reconciles its assignments where the machine is accounted for.
+// updateMachine applies the view of one machine, and reconciles its assignments if the view lists all tasks on the machine.
 func (s *Scheduler) updateMachine(host string, session *leaderSession, view *peer.MachineView, now clock.Micros) {
 	m := s.machines[view.ID]
 	if m == nil {
@@ -99,7 +101,7 @@
 		m = newMachineState(view.ID)
 		s.machines[view.ID] = m
 	} else if view.Term < m.Term || view.Term == m.Term && m.instance == session.instance && view.Version < m.Version {
-		return // older than the cached state
+		return // the cached state is newer
 	}
 	images := m.Images
 	m.MachineView, m.leader, m.instance, m.updatedAt = *view, host, session.instance, now
@@ -107,13 +109,13 @@
 		m.Images = images
 	}
 	m.Tasks, m.Left, m.rejected = nil, nil, false
-	left := s.updateObservedTasks(m, view, now)
+	removed := s.updateObservedTasks(m, view, now)
 	if len(m.tasks) != view.Count {
-		session.resync = true // should not be; a whole view puts it right
+		session.resync = true // views and cached tasks should never differ; a full response corrects them
 	}
 	if view.Accounted {
-		s.reconcileMachine(session, m, view, left, now)
+		s.reconcileMachine(session, m, view, removed, now)
 	}
 	s.recomputeAvailable(m)
-	s.forgetSilent(m)
+	s.removeIfSilent(m)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,11 +8,12 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// victimCooldown is how long a task that was named as a victim is not named again: its partition leader stops it meanwhile.
+// victimCooldown is how long a task that was named as a victim is not named again, so that its partition leader has time
+// to stop it.
 const victimCooldown = 2 * clock.Second
 
-// preemptOwn stops tasks of lower priority of the job's own team, where the team's
-// limit leaves no room for it. It is placed once they are gone for certain.
+// preemptOwn stops tasks of lower priority of the job's own team when the team's limit leaves no room for the job. The
+// job's tasks are placed once the stopped ones are known to be gone and no longer count against the limit.
 func (s *Scheduler) preemptOwn(j *job, now clock.Micros) {
 	if j.stalledSince == 0 {
 		j.stalledSince = now
@@ -32,7 +33,7 @@
 			}
 		}
 	}
-	slices.SortFunc(candidates, func(a, b *assignment) int { // the latest first: least work is lost
+	slices.SortFunc(candidates, func(a, b *assignment) int { // the latest assigned first: they lose the least work
 		if a.assignedAt != b.assignedAt {
 			return cmp.Compare(b.assignedAt, a.assignedAt)
 		}
@@ -49,11 +50,11 @@
 	}
 }
 
-// preemptionCostStep is how much lost work makes a difference: below it, small tasks
-// gather where they do otherwise.
+// preemptionCostStep is the smallest difference in lost work that matters. Between smaller differences prefers decides,
+// so that small tasks stay packed on the same machines.
 const preemptionCostStep = 5 * clock.Second
 
-// preemptAnywhere looks for victims on all machines, once a job has waited for long enough.
+// preemptAnywhere selects victims among all machines, once the job has found no capacity for PreemptAfter.
 func (s *selector) preemptAnywhere(j *job, now clock.Micros) selection {
 	if !s.timing.mayPreempt(j, now) {
 		return selection{}
@@ -61,42 +62,41 @@
 	return s.preempt(j, &s.capacity.all, now)
 }
 
-// preempt looks for capacity that tasks of lower priority hold or, for a job within
-// its team's guarantee, tasks that other teams run beyond theirs; the least
-// work is lost. Work that is late already takes no capacity from others: it would
-// be as late, and what it stops would be late too. Like any search, it looks at
-// some of the machines in question, not at the fleet.
-func (s *selector) preempt(j *job, in *machinesByLevel, now clock.Micros) (best selection) {
-	if in == nil || j.missesDeadline(now) {
+// preempt selects a machine and the victims on it that lose the least work. Victims are tasks of lower priority and, for
+// a job within its team's guarantee, tasks that other teams run beyond theirs. A job that can't meet its deadline any
+// more preempts nothing: it would be late all the same, and could make the victims late too. To keep the cost of a cycle
+// independent of the fleet's size, the search considers only some of the machines.
+func (s *selector) preempt(j *job, machines *machinesByLevel, now clock.Micros) (best selection) {
+	if machines == nil || j.missesDeadline(now) {
 		return selection{}
 	}
 	guaranteeDue := s.timing.guaranteeDue(j, now)
 	maxPriority := j.maxVictimPriority(guaranteeDue)
-	if !hasTaskUpTo(&s.observedTasks.byPriority, maxPriority) || s.exhausted.hasNoVictims(j, guaranteeDue) {
+	if !hasTaskAtOrBelow(&s.observedTasks.byPriority, maxPriority) || s.exhausted.hasNoVictims(j, guaranteeDue) {
 		return selection{}
 	}
 	var bestCost clock.Micros
-	looked := 0
-	in.walk(0, s.rng.Uint64(), func(m *machineState) bool {
+	considered := 0
+	machines.walk(0, s.rng.Uint64(), func(m *machineState) bool {
 		s.examined++
-		if !hasTaskUpTo(&m.tasksByPriority, maxPriority) || !s.mayOffer(j, m, now) {
+		if !hasTaskAtOrBelow(&m.tasksByPriority, maxPriority) || !s.mayAssign(j, m, now) {
 			return false
 		}
-		looked++
+		considered++
 		found := victimsOn(j, m, guaranteeDue, now)
 		if len(found.tasks) > 0 && (best.machine == nil || s.prefersPreemption(j, m, found.cost, best.machine, bestCost)) {
-			best, bestCost = selection{m, found.tasks, found.overGuarantee}, found.cost
+			best, bestCost = selection{m, found.tasks, found.overridesPriority}, found.cost
 		}
-		// What has hardly begun is as good a choice as any.
-		return looked >= 8*s.timing.Sample || best.machine != nil && bestCost < preemptionCostStep
+		// Victims that have hardly begun lose so little work that a further search is not worth its cost.
+		return considered >= 8*s.timing.Sample || best.machine != nil && bestCost < preemptionCostStep
 	})
-	if best.machine == nil && in == &s.capacity.all {
+	if best.machine == nil && machines == &s.capacity.all {
 		s.exhausted.markNoVictims(j, guaranteeDue)
 	}
 	return best
 }
 
-// prefersPreemption reports whether to preempt on a machine at a cost is better than on another.
+// prefersPreemption reports whether to preempt on machine m at a cost rather than on another at its cost.
 func (s *selector) prefersPreemption(j *job, m *machineState, cost clock.Micros, other *machineState, otherCost clock.Micros) bool {
 	if a, b := cost/preemptionCostStep, otherCost/preemptionCostStep; a != b {
 		return a < b
@@ -104,7 +104,7 @@
 	return s.prefers(j, m, other)
 }
 
-// maxVictimPriority is the highest priority of tasks that may be stopped for a job.
+// maxVictimPriority returns the highest priority of tasks that may be stopped for the job.
 func (j *job) maxVictimPriority(guaranteeDue bool) int {
 	switch {
 	case j.withinGuarantee && guaranteeDue:
@@ -116,21 +116,21 @@
 	}
 }
 
-// victimSet is the tasks to stop on a machine for one task, and what that costs.
+// victimSet is the tasks to stop on a machine to make capacity for one task, and the cost of that.
 type victimSet struct {
-	tasks         []peer.TaskID // none: they would not make enough capacity
-	cost          clock.Micros  // lost work, and surcharges that order the choices
-	overGuarantee bool          // some have the same or a higher priority
+	tasks             []peer.TaskID // empty if stopping tasks would not make enough capacity
+	cost              clock.Micros  // lost work plus the surcharges below
+	overridesPriority bool          // some have the same or a higher priority than the job
 }
 
-// Surcharges on the cost of victims, beyond any lost work that matters.
+// Surcharges on the cost of victims. Those for guarantees and priorities exceed any lost work that matters.
 const (
-	guaranteedVictimCost = 100 * clock.Second  // what is within a guarantee is stopped last
-	higherPriorityCost   = 1000 * clock.Second // lower priorities first
-	victimCost           = clock.Second        // for each: few victims rather than many
+	guaranteedVictimCost = 100 * clock.Second  // per victim within a guarantee: such tasks are stopped last
+	higherPriorityCost   = 1000 * clock.Second // once if any victim has the same or a higher priority: lower ones go first
+	victimCost           = clock.Second        // per victim: few victims are better than many
 )
 
-// victimsOn picks the tasks to stop on a machine to make capacity for one of a job.
+// victimsOn selects the tasks to stop on a machine to make capacity for one task of a job.
 func victimsOn(j *job, m *machineState, guaranteeDue bool, now clock.Micros) (out victimSet) {
 	var candidates []*observedTask
 	for _, t := range m.tasks {
@@ -147,12 +147,12 @@
 		free = free.Plus(t.Need)
 		out.tasks = append(out.tasks, t.ID)
 		out.cost += now - t.startedAt + victimCost
-		out.overGuarantee = out.overGuarantee || t.Rank >= j.PriorityLevel
+		out.overridesPriority = out.overridesPriority || t.Rank >= j.PriorityLevel
 		if t.Covered {
 			out.cost += guaranteedVictimCost
 		}
 	}
-	if out.overGuarantee {
+	if out.overridesPriority {
 		out.cost += higherPriorityCost
 	}
 	if !j.Need.Fits(free) {
@@ -161,7 +161,7 @@
 	return out
 }
 
-// mayStop reports whether an observed task may be stopped for one of a job.
+// mayStop reports whether an observed task may be stopped for a task of the job.
 func (j *job) mayStop(t *observedTask, guaranteeDue bool, now clock.Micros) bool {
 	if !t.counted || t.Stopping || now < t.preemptingUntil || t.Team == "" || t.Covered && t.Rank >= j.PriorityLevel {
 		return false
@@ -169,7 +169,8 @@
 	return t.Rank < j.PriorityLevel || j.withinGuarantee && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || guaranteeDue)
 }
 
-// compareVictims orders tasks by which is to be stopped first: lower priority, beyond a guarantee, the latest start.
+// compareVictims sorts the tasks to stop first to the front: the lowest priority, within it tasks beyond their team's
+// guarantee, then the latest start.
 func compareVictims(a, b *observedTask) int {
 	if a.Covered != b.Covered && a.Rank == b.Rank {
 		if b.Covered {
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -8,10 +8,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// schedulingOrder is the queue: the jobs that have tasks to place, in order. What can still meet its
-// deadline goes first, by priority, guarantee, deadline and age; then what can still be
-// in time by the longer measure that an objective sets, in the same order; then
-// what is late, the longest tasks first.
+// schedulingOrder returns the queue: the jobs that have tasks to place, in the order in which these are placed. Jobs that
+// can still meet their deadline, or have none, come first, ordered by priority, guarantee, fair share, waiting work,
+// deadline, latest start and age. Jobs follow that can only meet the longer bound of an objective (Timing.Times), in the
+// same order. Jobs that miss both come last, those with the longest tasks first.
 func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
 	for _, tm := range s.teams {
@@ -26,12 +26,12 @@
 	return out
 }
 
-// isPlaceable reports whether a job has tasks that may be placed now.
+// isPlaceable reports whether the job has tasks that may be placed now.
 func (j *job) isPlaceable(now clock.Micros) bool {
 	return !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil
 }
 
-// compareJobs orders two jobs of the queue, see schedulingOrder.
+// compareJobs compares two jobs by their order in the queue, see schedulingOrder.
 func (t *Timing) compareJobs(a, b *job, now clock.Micros) int {
 	lateA, lateB := t.latenessOf(a, now), t.latenessOf(b, now)
 	if lateA != lateB {
@@ -49,8 +49,8 @@
 	if !a.withinGuarantee && a.team.aboveShare != b.team.aboveShare {
 		return firstIf(b.team.aboveShare)
 	}
-	// Of work with deadlines the smallest rests go first, so that most jobs are in
-	// time: what waits longer than by plan waits for machines that can't be had.
+	// The least waiting work goes first, so that as many jobs as possible meet their deadlines: when jobs wait longer than
+	// planned, no more machines can be rented, and some jobs will be late in any order.
 	if workA, workB := a.waitingWork(), b.waitingWork(); a.DeadlineS != nil && b.DeadlineS != nil && workA != workB {
 		return cmp.Compare(workA, workB)
 	}
@@ -63,7 +63,7 @@
 	return cmp.Compare(a.ModRevision, b.ModRevision)
 }
 
-// firstIf is the result of a comparison by a condition that holds for one side only.
+// firstIf returns a comparison result that puts the first job in front if the condition holds, else the second.
 func firstIf(holdsForFirst bool) int {
 	if holdsForFirst {
 		return -1
@@ -71,8 +71,8 @@
 	return 1
 }
 
-// markWithinGuarantee marks the jobs that are within the team's guarantee: each fits there
-// together with the team's earlier unfinished jobs.
+// markWithinGuarantee marks the jobs within the team's guarantee: those whose tasks fit it together with the tasks of all
+// unfinished jobs of the team that were accepted earlier.
 func (tm *team) markWithinGuarantee() {
 	if tm.Guarantee.CPU == 0 && tm.Guarantee.GPU == 0 {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// waitingWork is the work of a job that waits, in CPU seconds.
+// waitingWork returns the work of the job's waiting tasks in CPU seconds.
 func (j *job) waitingWork() float64 {
 	return float64(j.waiting()) * j.Need.CPUs() * max(j.RuntimeEstimateS, 1)
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -7,9 +7,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// reconcileMachine compares what a view shows of an accounted machine's tasks with the assignments.
+// reconcileMachine compares the tasks on a machine, as a view shows them, with the assignments. The view must list all tasks
+// that can be on the machine (Accounted); the machine then counts as accounted for under the terms that its leader has fenced.
 func (s *Scheduler) reconcileMachine(
-	session *leaderSession, m *machineState, view *peer.MachineView, left []peer.TaskID, now clock.Micros,
+	session *leaderSession, m *machineState, view *peer.MachineView, removed []peer.TaskID, now clock.Micros,
 ) {
 	for i := range view.Tasks {
 		s.reconcileTask(session, m, &view.Tasks[i], now)
@@ -19,7 +20,7 @@
 			s.releaseIfGone(a, m)
 		}
 	} else {
-		for _, id := range left {
+		for _, id := range removed {
 			if a := m.assignments[id]; a != nil {
 				s.releaseIfGone(a, m)
 			}
@@ -33,9 +34,10 @@
 	}
 }
 
-// releaseIfGone releases an assignment whose task is not on its accounted machine, if that
-// is certain (argument 8): the view is newer than the acceptance, or comes from a later
-// leader, by whom the assignment can't be accepted any more.
+// releaseIfGone releases an assignment if its task is not on the machine and can't start there any more: the machine's view is
+// at least as new as the acceptance, or a later leader of the partition, which rejects the assignment, has made it. The view
+// must be Accounted, since any other may lack a task that is on the machine or can still start there. Releasing that one would
+// let it run twice and leave it out of the team's limit (docs/design.md, "Why the rules hold", number 8).
 func (s *Scheduler) releaseIfGone(a *assignment, m *machineState) {
 	if m.tasks[a.id] != nil {
 		return
@@ -49,12 +51,12 @@
 	}
 }
 
-// reconcileTask applies what an accounted machine shows of a task.
+// reconcileTask applies the state of a task on a machine, as an Accounted view shows it.
 func (s *Scheduler) reconcileTask(session *leaderSession, m *machineState, view *peer.TaskView, now clock.Micros) {
 	a := m.assignments[view.ID]
 	tm := s.teams[view.Team]
 	if a != nil {
-		tm = a.job.team // the partition leader may not know it: the job is over
+		tm = a.job.team // the partition leader may not know the team because the job is over
 	}
 	if tm == nil {
 		return
@@ -80,8 +82,9 @@
 	}
 }
 
-// adoptTask adds an assignment for a task that is on a machine without one: a former leader assigned it. j is nil where its
-// job is not active. What is not wanted there is stopped, and counts against the limit until it is gone (argument 8).
+// adoptTask adds an assignment for a task on a machine that has none: a former leader of the team assigned it. j is nil if
+// the job is not active. A task that is not wanted is stopped, and counts against the limit until it is gone, so that the team
+// can't exceed its limit in the meantime (docs/design.md, "Why the rules hold", number 8).
 func (s *Scheduler) adoptTask(tm *team, j *job, m *machineState, view *peer.TaskView, now clock.Micros) *assignment {
 	a := &assignment{
 		id:          view.ID,
@@ -94,11 +97,11 @@
 		assignedAt:  now - view.Since,
 	}
 	if j == nil {
-		// The partition leader ends what belongs to no active job, but may not reach it.
+		// The partition leader stops tasks of jobs that are not active, but this may take until it reaches the machine.
 		a.job = &job{Job: &jobs.Job{Need: view.Need}, team: tm, tasksByZone: map[string]int{}}
 		a.orphaned = true
 	} else {
-		// Held: the destination of a former leader's move.
+		// A held lease is the destination of a move by a former leader, which nobody continues.
 		a.orphaned = j.isDone(view.ID.N) || j.assignments[view.ID.N] != nil || j.cancelling || view.Held
 	}
 	m.addAssignment(a)
@@ -108,20 +111,20 @@
 	return a
 }
 
-// updatePhase records the phase that a task is shown in.
+// updatePhase records the phase of an assigned task as a view shows it.
 func (s *Scheduler) updatePhase(a *assignment, view *peer.TaskView, now clock.Micros) {
 	if view.Phase == wire.TaskRunning && a.phase != wire.TaskRunning {
 		if a.runningSince == 0 {
 			s.distributions.recordWait(a.job, now)
 		}
 		a.job.lastStartAt, a.runningSince = now, now
-		// Its job may be over already: cancelled while the start was on its way.
+		// This includes jobs that are over already: they were cancelled while the start command was in flight.
 		s.counters.FetchCPUs += (now - a.assignedAt) * clock.Micros(a.job.Need.CPU/1e6)
 	}
 	a.phase, a.stopping = view.Phase, view.Stopping
 }
 
-// handleExit applies the end of a task. j is nil where its job is not active, a where the task has no assignment.
+// handleExit applies the exit of a task. j is nil if its job is not active, a is nil if the task has no assignment.
 func (s *Scheduler) handleExit(j *job, a *assignment, m *machineState, view *peer.TaskView, now clock.Micros) {
 	switch {
 	case j == nil:
@@ -135,7 +138,8 @@
 	}
 }
 
-// handleCompletion applies that a task is done. Its end is acknowledged once it is durable (see unacknowledged).
+// handleCompletion marks a task as done. Its exit is acknowledged once that is durable, see job.unacknowledged. If another
+// attempt of the task is assigned elsewhere, that one is stopped.
 func (s *Scheduler) handleCompletion(j *job, a *assignment, m *machineState, id peer.TaskID, now clock.Micros) {
 	if !j.isDone(id.N) {
 		s.counters.Done++
@@ -157,7 +161,7 @@
 	}
 }
 
-// handleFailure applies that a task has ended without being done: it was stopped, or failed.
+// handleFailure applies the exit of a task that is not done: it was stopped or has failed.
 func (s *Scheduler) handleFailure(j *job, a *assignment, m *machineState, view *peer.TaskView, now clock.Micros) {
 	switch {
 	case a == nil:
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -7,16 +7,16 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Schedule runs one scheduling cycle: it decides on assignments, which then wait in the partition leaders' next
-// batches. Its stages are
+// Schedule runs one scheduling cycle: it decides on assignments and queues them for the next batches to the partition
+// leaders, which accept or reject them. The stages of a cycle are
 //
 //   - queue: schedulingOrder lists the jobs with tasks to place, in order (queue_order.go);
 //   - filter: findCapacity collects machines with capacity for a task (filter.go, capacity_index.go);
 //   - score: selectMachine picks one of them, by image, fragmentation and the team's order (selection.go, scoring.go),
-//     or by estimated costs (costs.go), or makes capacity (preemption.go);
-//   - reserve: reserve counts the assignment, takes its capacity off the cached machine and queues the message.
+//     or by estimated cost (costs.go), or preempts tasks to make capacity (preemption.go);
+//   - reserve: reserve counts the assignment, subtracts its capacity from the cached machine and queues the message.
 //
-// The partition leader accepts or rejects. The number of assignments in a cycle widens with the waiting tasks.
+// The maximum number of assignments in a cycle grows with the number of waiting tasks.
 func (s *Scheduler) Schedule(now clock.Micros) (placed int) {
 	s.updateAboveShare(now)
 	s.moveTasks(now)
@@ -38,16 +38,16 @@
 	return placed
 }
 
-// firstTaskDeadline is how long a job may wait for its first task before that one goes
-// before all else: however much has precedence, no job waits for ever to begin.
+// firstTaskDeadline is how long a job may wait for its first task. That task is then placed before all other work, so
+// that no job starves, however much work has precedence over it.
 const firstTaskDeadline = 150 * clock.Second
 
-// firstTaskOverdue reports whether a job has waited for its first task for too long.
+// firstTaskOverdue reports whether the job has waited longer than firstTaskDeadline for its first task.
 func (j *job) firstTaskOverdue(now clock.Micros) bool {
 	return !j.hasStarted() && now >= j.acceptedAt+firstTaskDeadline
 }
 
-// waitingTasks is how many tasks of the queue are neither done nor assigned.
+// waitingTasks returns how many tasks of the queued jobs are neither done nor assigned.
 func waitingTasks(queue []*job) (n int) {
 	for _, j := range queue {
 		n += j.waiting()
@@ -55,8 +55,9 @@
 	return n
 }
 
-// updateUnaccountedCapacity recounts what machines that are not accounted for could hold of each team. After a restart
-// no machine was seen yet: the largest is looked for at most once, and not for each machine anew.
+// updateUnaccountedCapacity updates, for each team, the number and capacity of the machines that are not accounted for.
+// After a restart no machine has been seen yet, and each counts as the largest one. That one is searched for at most
+// once per cycle: searching for it per machine is quadratic in the size of the fleet.
 func (s *Scheduler) updateUnaccountedCapacity() {
 	largest := sync.OnceValue(s.largestMachine)
 	for _, tm := range s.teams {
@@ -64,8 +65,8 @@
 	}
 }
 
-// sumUnaccountedCapacity counts a team's machines that are not accounted for, and what they could hold. Those that
-// were not seen yet count as the largest machine seen.
+// sumUnaccountedCapacity returns the number and total capacity of a team's machines that are not accounted for.
+// Machines that have not been seen yet count as the largest machine seen.
 func (s *Scheduler) sumUnaccountedCapacity(tm *team, largest func() resources.Amounts) (machines int, capacity resources.Amounts) {
 	for id := range tm.unaccounted {
 		machines++
@@ -78,7 +79,7 @@
 	return machines, capacity
 }
 
-// scheduleJob places up to so many tasks of a job.
+// scheduleJob places at most limit tasks of a job.
 func (s *Scheduler) scheduleJob(j *job, limit int, now clock.Micros) (placed int) {
 	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.offeredByFormer {
 		j.releaseFormerlyOffered()
@@ -97,7 +98,7 @@
 		}
 		choice := s.selectMachine(j, now)
 		if choice.machine == nil {
-			j.markUnplaced(task, now)
+			j.requeueUnplaced(task, now)
 			return placed
 		}
 		s.reserve(j, task, choice, now)
@@ -106,12 +107,12 @@
 	return placed
 }
 
-// reserve assigns a task to the selected machine: it counts the assignment, takes its capacity off the cached machine and
-// queues the message to the machine's partition leader.
+// reserve assigns a task to the selected machine: it counts the assignment, subtracts its capacity from the cached
+// machine and queues the message to the machine's partition leader.
 func (s *Scheduler) reserve(j *job, task int, choice selection, now clock.Micros) {
-	// A job that is placed bit by bit as others' tasks end stays stalled until all of it
-	// is placed: on a large fleet there is always a bit.
-	j.noRoomSince = 0
+	// stalledSince is not reset here: on a large fleet some task of others ends in almost every cycle, and a job that
+	// is placed task by task into that capacity has to keep its right to preempt until all of it is placed.
+	j.noPlacementSince = 0
 	j.offeredHere = true
 	s.counters.Placed++
 	s.counters.Preempted += len(choice.victims)
@@ -120,10 +121,10 @@
 	m.addAssignment(a)
 	m.available = m.available.Minus(j.Need)
 	if fetch, ok := s.fetchRates.fetchTime(j, m); ok && !m.hasImage(j) {
-		m.imageFetchUntil, m.imageFetched = now+fetch, j.Image
+		m.assignedFetchUntil, m.assignedFetchImage = now+fetch, j.Image
 	}
 	for _, id := range choice.victims {
-		// The capacity that victims free is for this task: the cached machine shows it as taken.
+		// The capacity of the victims is reserved for this task, so it must not show as available.
 		if t := m.tasks[id]; t != nil {
 			t.preemptingUntil = now + victimCooldown
 			m.available = m.available.Plus(t.Need)
@@ -131,7 +132,7 @@
 	}
 	s.reindex(m)
 	message := a.message()
-	message.Victims, message.Over = choice.victims, choice.overGuarantee
+	message.Victims, message.Over = choice.victims, choice.overridesPriority
 	session := s.sessions[m.leader]
 	session.pending.Asks = append(session.pending.Asks, message)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,16 +1,22 @@
-// Package scheduler is what a team leader does: it places all tasks of its teams' jobs, keeps the teams' limits, and
-// alone writes their jobs' records after acceptance.
+// Package scheduler makes the decisions of a team leader: it places all tasks of its teams' jobs, enforces the teams'
+// limits, and is the only writer of their jobs' records once a job has been accepted.
 //
-// Scheduler is the decision: plain code without I/O that takes the time. Its inputs are events (HandlePollResponse,
-// HandleBatchResponse, HandleMachineRecord, HandleProgressRecord, HandleWatermarkRecord, AddJob, DropJob,
-// AcquireTeam, ReleaseTeam, CancelJob, SetZoneState); its outputs are polls (NextPoll), batches of assignments and
-// commands (NextBatch), and writes (PlanWatermarks, CompletedJobs). Schedule is one cycle of decisions. Server does the
-// I/O: it carries the outputs out and feeds the results back, all under one lock.
+// Scheduler holds the decision logic: code without I/O that gets the current time as an argument. Its inputs are
+// events (HandlePollResponse, HandleBatchResponse, HandleMachineRecord, HandleProgressRecord, HandleWatermarkRecord,
+// AddJob, DropJob, AcquireTeam, ReleaseTeam, CancelJob, SetZoneState); its outputs are polls (NextPoll), batches of
+// assignments and commands (NextBatch), and records to write (PlanWatermarks, CompletedJobs). Schedule runs one
+// scheduling cycle. Server does the I/O: it sends and writes the outputs and passes the results back, all under one
+// lock.
 //
-// Invariants, with their arguments in docs/design.md, "Why the rules hold": an assignment counts against its team's
-// limit from the decision until the attempt is gone for certain (8, type team); attempts are unique over all
-// leaders of a team (3); a task that a former leader may have assigned waits until all machines are accounted for (7,
-// type job); a job's end is confirmed only when nothing of it can start any more (11).
+// The package maintains these invariants; docs/design.md, "Why the rules hold", argues for each under the number in
+// parentheses:
+//   - An assignment counts against its team's limit from the decision until its attempt is known to be gone, so that
+//     a team never exceeds its limit (8, type team).
+//   - Attempts are unique over all leaders of a team, so that a late message about one attempt is never applied to
+//     another (3, team.nextAttempt).
+//   - A task that a former leader may have assigned is not placed until all machines are accounted for, so that it
+//     never runs twice (7, type job).
+//   - The end of a job is confirmed only when none of its tasks can start any more (11, CancellationConfirmed).
 package scheduler
 
 import (
@@ -21,38 +27,41 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// Timing and sizes of scheduling.
+// Timing configures the scheduling cycle: its sizes, waiting times, objectives and optional features.
 type Timing struct {
+	// Sample is how many machines are scored for a task. A cycle makes at most Batch assignments plus a quarter of the
+	// number of waiting tasks.
 	Sample, Batch int
-	Lease         clock.Micros // of the workers
-	PreemptAfter  clock.Micros
-	Economy       bool
-	Waits         map[string]clock.Micros // classes whose tasks should start within so long
-	Guarantee     clock.Micros            // guaranteed work should start within so long; 0: no objective
-	Finishes      map[string]clock.Micros // classes whose jobs should be finished within so long
-	Times         map[string]float64      // classes, and the largest multiple of their deadlines that is asked for
-	Costs         *Costs                  // nil: machines are not chosen by costs
+	Lease         clock.Micros            // worker lease: a lost machine is noticed after this time
+	PreemptAfter  clock.Micros            // how long a job finds no capacity before it preempts
+	Economy       bool                    // saves cost at the expense of start times, see waitsForImageByFit and onDemandIfUrgent
+	Waits         map[string]clock.Micros // by job class: tasks should start within this time after acceptance
+	Guarantee     clock.Micros            // work within a guarantee should start within this time; 0: no objective
+	Finishes      map[string]clock.Micros // by job class: jobs should finish within this time after acceptance
+	Times         map[string]float64      // by job class: jobs should finish within this multiple of their deadlines
+	Costs         *Costs                  // nil: machines are not chosen by estimated cost
 	Moves         *Moves                  // nil: running tasks are not moved
-	// Stages returns at which stage of a zone's return a job is admitted; nil: by priority and deadline.
+	// Stages returns the stage of a zone's return that admits a job; nil: it follows from priority and deadline.
 	Stages func(*jobs.Job) recovery.Stage
 }
 
-// Scheduler decides for the teams that this controller leads, on a cached state of all machines. It is not safe for
-// concurrent use: Server's lock guards it.
+// Scheduler makes the decisions for the teams that this controller leads, based on a cached state of all machines. It
+// is not safe for concurrent use: Server's lock guards it.
 //
-// It is built in layers, of which none knows those above it: machineCache is what is known of machines, selector chooses
-// machines for tasks, and Scheduler holds the teams, their jobs and assignments, and what is to be sent and written.
+// It has three layers, none of which uses those above it: machineCache caches the state of the machines, selector
+// chooses machines for tasks, and Scheduler holds the teams, their jobs and assignments, and what is to be sent and
+// written.
 type Scheduler struct {
 	selector
-	instance    string // names this process
-	teamConfigs map[string]Team
-	wallMS      func() int64 // time of day in ms, good to the settings' bound
+	instance    string          // identifies this process
+	teamConfigs map[string]Team // all teams by name, including those led by other controllers
+	wallMS      func() int64    // time of day in ms, within the error bound of the settings
 
-	teams         map[string]*team // led here
-	progress      map[string]map[chunkID]progress
-	chunkTasks    int  // tasks that a record of progress covers
-	legacyRecords bool // an earlier release has recorded machines: it left no watermarks
-	watermarks    map[string]watermarks
+	teams         map[string]*team                // teams led here, by name
+	progress      map[string]map[chunkID]progress // records of completed tasks, by job id
+	chunkTasks    int                             // number of tasks that a new progress record covers
+	legacyRecords bool                            // an earlier release, which wrote no watermarks, has recorded machines
+	watermarks    map[string]watermarks           // by key
 
 	published      demandPublication
 	moves          moves
@@ -62,14 +71,14 @@
 	distributions teamDistributions
 }
 
-// Config of a scheduler.
+// Config configures a scheduler.
 type Config struct {
 	Timing   Timing
-	Instance string       // names this process
-	Teams    []Team       // all teams, led here or not
+	Instance string       // identifies this process
+	Teams    []Team       // all teams, including those led by other controllers
 	Hosts    []string     // all controllers
-	Seed     uint64       // of the draws of machines
-	WallMS   func() int64 // time of day in ms, good to the settings' bound
+	Seed     uint64       // of the random sampling of machines
+	WallMS   func() int64 // time of day in ms, within the error bound of the settings
 }
 
 // NewScheduler returns a scheduler that leads no team yet.
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -4,21 +4,20 @@
 	"hash/fnv"
 )
 
-// prefers reports whether a machine is better than another for a task. Small tasks gather on the same
-// machines, in a fixed order, so that the others empty as a whole and large
-// tasks find them; those take what is left with least capacity, from the other end.
-// Each team has an order of its own: schedulers that decide at the same time would
-// assign the same capacity otherwise.
+// prefers reports whether machine a is better than b for a task of a job. Small tasks are packed onto the same machines
+// in a fixed order, so that other machines become entirely free for large tasks. A large task takes the machine with the
+// least capacity left, and the one with the higher id among equals. The order for small tasks differs between teams:
+// otherwise schedulers that decide at the same time would assign the same capacity.
 func (s *selector) prefers(j *job, a, b *machineState) bool {
 	if a.Spot != b.Spot {
-		// Economy empties the expensive machines. But a job that would be late if a
-		// machine were taken from it keeps to those that are not taken, and
-		// the others leave them to such jobs.
+		// Spot instances are cheaper, so most jobs prefer them, and on-demand machines become idle and can be returned. A
+		// job that can't afford a retry prefers on-demand machines, which the cloud does not reclaim and the other jobs
+		// leave free.
 		return a.Spot != s.timing.cannotAffordRetry(j)
 	}
 	if j.Need.CPU*2 >= a.Cap.CPU || j.Need.CPU*2 >= b.Cap.CPU {
-		if leftA, leftB := a.available.Minus(j.Need).CPU, b.available.Minus(j.Need).CPU; leftA != leftB {
-			return leftA < leftB
+		if remainingA, remainingB := a.available.Minus(j.Need).CPU, b.available.Minus(j.Need).CPU; remainingA != remainingB {
+			return remainingA < remainingB
 		}
 		return a.ID > b.ID
 	}
@@ -28,9 +27,9 @@
 	return j.team.machineOrder(a) < j.team.machineOrder(b)
 }
 
-// machineOrder is a machine's place in the order in which a team's small tasks gather.
+// machineOrder returns a machine's position in the order in which the team packs its small tasks.
 func (tm *team) machineOrder(m *machineState) uint64 {
-	return (m.nameHash ^ tm.orderSalt) * 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio: spreads the bits
+	return (m.nameHash ^ tm.orderSalt) * 0x9E3779B97F4A7C15 // Fibonacci hashing: 2^64 divided by the golden ratio
 }
 
 func nameHash(name string) uint64 {
@@ -39,9 +38,9 @@
 	return h.Sum64()
 }
 
-// onDemandMachines filters the machines that the cloud does not take back.
-func onDemandMachines(list []*machineState) (out []*machineState) {
-	for _, m := range list {
+// onDemandMachines returns the on-demand machines, which the cloud does not reclaim.
+func onDemandMachines(candidates []*machineState) (out []*machineState) {
+	for _, m := range candidates {
 		if !m.Spot {
 			out = append(out, m)
 		}
@@ -49,18 +48,18 @@
 	return out
 }
 
-// isSmall reports whether a job's tasks are small beside the largest that waits or runs.
+// isSmall reports whether a task of the job takes at most half the CPUs of the largest task that waits or runs.
 func (s *selector) isSmall(j *job) bool {
 	return s.largestTaskCPU > 0 && j.Need.CPU*2 <= s.largestTaskCPU
 }
 
-// keepingLargeSlots filters the machines where a small task takes no place from a large
-// one: as many large tasks fit there with it as without. For a large task there are none.
-func (s *selector) keepingLargeSlots(j *job, list []*machineState) (out []*machineState) {
+// keepingLargeSlots returns the machines on which a small task takes no slot from large tasks: as many of the largest
+// tasks fit next to it as without it. For a large task it returns none.
+func (s *selector) keepingLargeSlots(j *job, candidates []*machineState) (out []*machineState) {
 	if !s.isSmall(j) {
 		return nil
 	}
-	for _, m := range list {
+	for _, m := range candidates {
 		if m.available.CPU/s.largestTaskCPU == (m.available.CPU-j.Need.CPU)/s.largestTaskCPU {
 			out = append(out, m)
 		}
@@ -68,8 +67,8 @@
 	return out
 }
 
-// largestTask is the most CPUs, in micro-CPUs, that any task takes that waits or is seen on a machine.
-func (s *selector) largestTask(queue []*job) (cpu int64) {
+// maxTaskCPU returns the CPUs, in micro-CPUs, of the largest task that waits or has been seen on a machine.
+func (s *selector) maxTaskCPU(queue []*job) (cpu int64) {
 	for _, j := range queue {
 		cpu = max(cpu, j.Need.CPU)
 	}
@@ -79,14 +78,14 @@
 	return cpu
 }
 
-// sample draws n of the machines; it reorders the list.
-func (s *selector) sample(from []*machineState, n int) []*machineState {
-	if len(from) <= n {
-		return from
+// sample returns n random machines of the list, or all if there are no more; it reorders the list.
+func (s *selector) sample(machines []*machineState, n int) []*machineState {
+	if len(machines) <= n {
+		return machines
 	}
 	for i := range n {
-		k := i + s.rng.IntN(len(from)-i)
-		from[i], from[k] = from[k], from[i]
+		k := i + s.rng.IntN(len(machines)-i)
+		machines[i], machines[k] = machines[k], machines[i]
 	}
-	return from[:n]
+	return machines[:n]
 }
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -7,15 +7,16 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// selection is the machine chosen for a task, and the tasks to preempt there for it.
+// selection is the machine chosen for a task, and the tasks to preempt on it.
 type selection struct {
-	machine       *machineState // nil: none for now
-	victims       []peer.TaskID
-	overGuarantee bool // victims may have the same or a higher priority: their team is beyond its guarantee
+	machine           *machineState // nil: no machine for now
+	victims           []peer.TaskID
+	overridesPriority bool // some victims have the same or a higher priority, but are beyond their teams' guarantees
 }
 
-// selector chooses machines for tasks: it filters, scores and, where there is no capacity, finds victims. It changes neither
-// jobs, but for how long they have waited for an image, nor machines.
+// selector chooses machines for tasks: it filters and scores machines and, where none has capacity, selects victims to
+// preempt. It changes neither machines nor jobs, except for the time since which a job waits for a machine with its
+// image.
 type selector struct {
 	machineCache
 	timing         Timing
@@ -23,18 +24,18 @@
 	fetchRates     fetchRates
 	prices         cpuPrices
 	zones          zoneGates
-	largestTaskCPU int64           // micro-CPUs, as of this cycle
-	exhausted      exhaustedDemand // what found no capacity in this cycle
+	largestTaskCPU int64           // in micro-CPUs, updated in every cycle; see maxTaskCPU
+	exhausted      exhaustedDemand // demand for which no capacity was found in this cycle
 }
 
 // startCycle prepares a scheduling cycle for the jobs of the queue.
 func (s *selector) startCycle(queue []*job) {
-	s.largestTaskCPU = s.largestTask(queue)
+	s.largestTaskCPU = s.maxTaskCPU(queue)
 	s.exhausted = exhaustedDemand{staged: len(s.zones) > 0}
 }
 
-// selectMachine chooses a machine for a task of a job: by estimated costs where these are configured and known, by
-// the best fit otherwise, by preemption where no machine has capacity.
+// selectMachine chooses a machine for a task of a job: by estimated cost where costs are configured and can be
+// estimated, else by best fit, and by preemption where no machine has capacity.
 func (s *selector) selectMachine(j *job, now clock.Micros) selection {
 	if s.exhausted.isExhausted(j) {
 		return s.preemptAnywhere(j, now)
@@ -47,76 +48,79 @@
 	return s.selectByFit(j, now)
 }
 
-// selectByFit chooses among the machines that have the image, if any has capacity, or among all.
+// selectByFit chooses a machine among those with the job's image if any of them has capacity, else among all machines.
 func (s *selector) selectByFit(j *job, now clock.Micros) selection {
 	withImage := s.capacity.withImage(j.Image)
-	if list := s.findCapacity(j, withImage, now); len(list) > 0 {
-		j.noImageSince = 0
-		return selection{machine: s.bestFit(j, list)}
+	if candidates := s.findCapacity(j, withImage, now); len(candidates) > 0 {
+		j.imageWaitSince = 0
+		return selection{machine: s.bestFit(j, candidates)}
 	}
-	list := s.findCapacity(j, &s.capacity.all, now)
-	if len(list) == 0 {
+	candidates := s.findCapacity(j, &s.capacity.all, now)
+	if len(candidates) == 0 {
 		choice := s.preemptAnywhere(j, now)
 		if choice.machine == nil {
 			s.exhausted.markExhausted(j)
 		}
 		return choice
 	}
-	if s.imageFetchTooSlow(j, list[0], now) {
-		// The fetch alone would make the task late: capacity on a machine that has
-		// the image is worth a task that has hardly begun.
-		if choice := s.preempt(j, withImage, now); choice.machine != nil && !choice.overGuarantee {
+	if s.imageFetchTooSlow(j, candidates[0], now) {
+		// Fetching the image alone would make the task miss its start objective. So the task preempts others on a machine
+		// with the image, without waiting for PreemptAfter: it is worth the work of a task that has hardly begun.
+		if choice := s.preempt(j, withImage, now); choice.machine != nil && !choice.overridesPriority {
 			return choice
 		}
 	}
-	if s.waitsForImage(j, list, now) {
+	if s.waitsForImageByFit(j, candidates, now) {
 		return selection{}
 	}
-	return selection{machine: s.bestFitWithFetch(j, list, now)}
+	return selection{machine: s.bestFitWithFetch(j, candidates, now)}
 }
 
-// bestFit scores machines that have the image: it prefers those where a small task leaves as many large slots.
-func (s *selector) bestFit(j *job, list []*machineState) *machineState {
-	list = s.onDemandIfUrgent(j, list)
-	list = preferred(list, s.keepingLargeSlots(j, list))
-	return s.best(j, list)
+// bestFit chooses among machines that have the image. It prefers those on which a small task takes no slot from large
+// tasks.
+func (s *selector) bestFit(j *job, candidates []*machineState) *machineState {
+	candidates = s.onDemandIfUrgent(j, candidates)
+	candidates = preferred(candidates, s.keepingLargeSlots(j, candidates))
+	return s.bestOfSample(j, candidates)
 }
 
-// bestFitWithFetch scores machines that must fetch the image: beside bestFit it prefers those that fetch no other.
-func (s *selector) bestFitWithFetch(j *job, list []*machineState, now clock.Micros) *machineState {
-	list = s.onDemandIfUrgent(j, list)
+// bestFitWithFetch chooses among machines that have to fetch the image. Besides the preferences of bestFit, it prefers
+// machines that fetch no other image.
+func (s *selector) bestFitWithFetch(j *job, candidates []*machineState, now clock.Micros) *machineState {
+	candidates = s.onDemandIfUrgent(j, candidates)
 	if _, urgent := s.timing.Waits[j.Class]; urgent {
-		// To start soon counts for more than to leave large slots whole.
-		list = preferred(list, withoutOtherFetches(j, list, now))
+		// A start objective has precedence over slots for large tasks.
+		candidates = preferred(candidates, withoutOtherFetches(j, candidates, now))
 	}
-	list = preferred(list, s.keepingLargeSlots(j, list))
-	list = preferred(list, withoutOtherFetches(j, list, now))
-	return s.best(j, list)
+	candidates = preferred(candidates, s.keepingLargeSlots(j, candidates))
+	candidates = preferred(candidates, withoutOtherFetches(j, candidates, now))
+	return s.bestOfSample(j, candidates)
 }
 
-// onDemandIfUrgent prefers machines that the cloud does not take back, for a job that could not afford a retry. With
-// economy prefers decides on that; without it the rented machines are its own, also in pieces.
-func (s *selector) onDemandIfUrgent(j *job, list []*machineState) []*machineState {
+// onDemandIfUrgent prefers on-demand machines, which the cloud does not reclaim, for a job that can't afford a retry.
+// With Economy it leaves that preference to prefers, which applies last; without Economy such a job gets on-demand
+// machines even if it takes slots from large tasks there.
+func (s *selector) onDemandIfUrgent(j *job, candidates []*machineState) []*machineState {
 	if s.timing.Economy || !s.timing.cannotAffordRetry(j) {
-		return list
+		return candidates
 	}
-	return preferred(list, onDemandMachines(list))
+	return preferred(candidates, onDemandMachines(candidates))
 }
 
-// preferred returns the preferred machines if there are any, the whole list otherwise.
-func preferred(list, some []*machineState) []*machineState {
-	if len(some) > 0 {
-		return some
+// preferred returns the subset if it has any machines, otherwise all.
+func preferred(all, subset []*machineState) []*machineState {
+	if len(subset) > 0 {
+		return subset
 	}
-	return list
+	return all
 }
 
-// best draws a sample of machines for a task, all of them for a small one, and returns the best.
-func (s *selector) best(j *job, list []*machineState) (best *machineState) {
+// bestOfSample returns the best machine of a random sample, or the best of all candidates for a small task.
+func (s *selector) bestOfSample(j *job, candidates []*machineState) (best *machineState) {
 	if !s.isSmall(j) {
-		list = s.sample(list, s.timing.Sample)
+		candidates = s.sample(candidates, s.timing.Sample)
 	}
-	for _, m := range list {
+	for _, m := range candidates {
 		if best == nil || s.prefers(j, m, best) {
 			best = m
 		}
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -4,43 +4,42 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// runTime is how long a task ran, and where.
-type runTime struct {
+// taskRun is the time for which a task ran on a machine.
+type taskRun struct {
 	machine  string
 	duration clock.Micros
 }
 
-// A machine is slow when its tasks take so many times as long as others of the
-// same jobs, over so many tasks. Machines differ by a tenth, tasks by more.
+// A machine is slow if its tasks take more than slowPaceThreshold times as long as other tasks of the same jobs, on average
+// over at least minPaceSamples tasks. Healthy machines differ by about a tenth, and the tasks of a job by more.
 const (
 	slowPaceThreshold = 1.6
 	minPaceSamples    = 5
-	maxPaceSamples    = 20 // then half of them is forgotten: old ones fade
-	maxPaceSample     = 4  // one task that hangs must not decide
-	minJobRuns        = 4  // of a job whose run times are compared
-	minOtherRuns      = 2  // on other machines
+	maxPaceSamples    = 20 // at this number, sum and number of the samples are halved, so that old ones lose influence
+	maxPaceRatio      = 4  // upper bound of one sample: a single task that hangs must not make a machine slow
+	minJobRuns        = 4  // number of recorded runs that a job needs for a comparison
+	minOtherRuns      = 2  // number of these that have to be on other machines
 	maxRecordedRuns   = 500
 )
 
-// recordRun records how long a task of a job ran on a machine.
+// recordRun records for how long a task of the job ran on a machine.
 func (j *job) recordRun(machine string, duration clock.Micros) {
 	if len(j.runs) < maxRecordedRuns {
-		j.runs = append(j.runs, runTime{machine, duration})
+		j.runs = append(j.runs, taskRun{machine, duration})
 	}
 }
 
-// detectSlowMachines compares how long a finished job's tasks ran on each machine with how
-// long they ran on the others, and has a machine quarantined on which tasks take much
-// longer. Only a whole job is compared: those of its tasks that are done
-// first are the short ones.
+// detectSlowMachines compares, for a finished job, the run times of its tasks on each machine with those on the other
+// machines, and asks for the quarantine of machines on which tasks take much longer. Jobs that have unfinished tasks are not
+// compared: the tasks that finish first are the short ones.
 func (s *Scheduler) detectSlowMachines(j *job) {
 	if len(j.runs) < minJobRuns || j.doneCount < j.Tasks {
 		return
 	}
-	var all clock.Micros
+	var total clock.Micros
 	sum, count := map[string]clock.Micros{}, map[string]int{}
 	for _, r := range j.runs {
-		all += r.duration
+		total += r.duration
 		sum[r.machine] += r.duration
 		count[r.machine]++
 	}
@@ -50,7 +49,7 @@
 		if m == nil || m.slow || others < minOtherRuns {
 			continue
 		}
-		mean := max(((all - sum[r.machine]) / clock.Micros(others)).Seconds(), 0.1)
+		mean := max(((total - sum[r.machine]) / clock.Micros(others)).Seconds(), 0.1)
 		if m.recordPace(r.duration.Seconds() / mean); m.slow {
 			session := s.sessions[m.leader]
 			session.pending.Slow = append(session.pending.Slow, m.ID)
@@ -58,12 +57,12 @@
 	}
 }
 
-// recordPace records the ratio of a task's run time on a machine to those of its job elsewhere.
+// recordPace records how long a task took on the machine, as a ratio to the run time of its job's tasks elsewhere.
 func (m *machineState) recordPace(ratio float64) {
 	if m.paceSamples == maxPaceSamples {
 		m.paceSum, m.paceSamples = m.paceSum/2, maxPaceSamples/2
 	}
-	m.paceSum += min(ratio, maxPaceSample)
+	m.paceSum += min(ratio, maxPaceRatio)
 	m.paceSamples++
 	m.slow = m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples)
 }
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -9,37 +9,43 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Team is a team's guarantee and limit.
+// Team is the configured guarantee and limit of a team.
 type Team struct {
 	Name      string
 	Guarantee resources.Amounts
-	Limit     resources.Amounts // an amount of 0 means none
+	Limit     resources.Amounts // an amount of 0 means no limit
 }
 
-// team is a team that is led here, under one term.
+// team is a team that this scheduler leads, under one term.
 //
-// Invariant (argument 8, "Limits"): used counts every assignment from the decision until the attempt is gone for
-// certain, and unaccountedCapacity all that the machines not accounted for under this term could hold.
+// A machine is accounted for under the term when its views list every task of the team that can be on it: its partition
+// leader rejects assignments of earlier terms, and commands of former partition leaders can't change the machine.
+//
+// Invariant: used counts every assignment from the decision until the attempt is known to be gone, and
+// unaccountedCapacity is all the capacity of the machines that are not accounted for. Both count against the limit, so
+// that the team stays within it whatever a former leader has started (docs/design.md, "Why the rules hold", number 8,
+// "Limits").
 type team struct {
 	Team
 	term                uint64
-	modRevision         uint64 // of the leadership: condition of the team's writes
-	attemptCounter      uint64
-	orderSalt           uint64 // gives the team an order of machines of its own
+	modRevision         uint64 // of the leadership's key: the condition of the team's writes
+	attemptCounter      uint64 // attempts made under this term
+	orderSalt           uint64 // varies the order of machines between teams, see machineOrder
 	used                resources.Amounts
 	jobs                map[string]*job
-	accounted           map[string]bool   // machines known to hold no task that is unknown here
-	unaccounted         map[string]bool   // recorded machines that are not accounted for
-	unaccountedCount    int               // how many they are, as of this scheduling cycle
-	unaccountedCapacity resources.Amounts // and what they could hold
-	finalWritesInFlight int               // transactions that write final states of its jobs
+	accounted           map[string]bool   // ids of machines that are accounted for
+	unaccounted         map[string]bool   // ids of machines that are on record but not accounted for
+	unaccountedCount    int               // number of unaccounted machines at the start of this cycle
+	unaccountedCapacity resources.Amounts // capacity of these machines
+	finalWritesInFlight int               // transactions in flight that write final states of the team's jobs
 
-	yielding   map[string]yielding // partition leaders that keep capacity for other teams
-	aboveShare bool                // it uses more than its share of the fleet
+	yielding   map[string]yielding // by partition leader: rejections in favour of other teams
+	aboveShare bool                // the team uses more than its share of the fleet
 }
 
-// AcquireTeam starts leading a team under a term, with its active jobs. modRevision is that of the leadership.
-// Every recorded machine is unaccounted for at first (argument 7).
+// AcquireTeam starts leading a team under a term, with its active jobs. modRevision is that of the leadership's key.
+// Every machine on record is unaccounted for at first: a former leader may have started tasks there that no view shows
+// yet, and placing them again would run them twice (docs/design.md, "Why the rules hold", number 7).
 func (s *Scheduler) AcquireTeam(name string, term, modRevision uint64, active []*jobs.Job, now clock.Micros) {
 	s.ReleaseTeam(name)
 	tm := &team{
@@ -61,7 +67,7 @@
 	}
 }
 
-// ReleaseTeam stops leading a team: its assignments and unsent messages are dropped.
+// ReleaseTeam stops leading a team, if it is led here: it drops the team's assignments and unsent messages.
 func (s *Scheduler) ReleaseTeam(name string) {
 	tm := s.teams[name]
 	if tm == nil {
@@ -82,7 +88,7 @@
 	}
 }
 
-// TeamTerms returns the terms of the teams led here.
+// TeamTerms returns the terms of the teams led here, by name.
 func (s *Scheduler) TeamTerms() map[string]uint64 {
 	out := make(map[string]uint64, len(s.teams))
 	for name, tm := range s.teams {
@@ -91,18 +97,20 @@
 	return out
 }
 
-// nextAttempt returns the id of a new attempt of a task; attempts are unique over all terms of the team (argument 3).
+// nextAttempt returns the id of a new attempt of a task. The attempt number contains the term, so it is unique over all
+// leaders of the team: a late message about one attempt is never applied to another (docs/design.md, "Why the rules
+// hold", number 3).
 func (tm *team) nextAttempt(jobID string, task int) peer.TaskID {
 	tm.attemptCounter++
 	return peer.TaskID{Job: jobID, N: task, Attempt: tm.term<<32 | tm.attemptCounter}
 }
 
-// withinLimit reports whether the team's limit leaves room for one more task.
+// withinLimit reports whether the team stays within its limit with one more task of this resource request.
 func (tm *team) withinLimit(need resources.Amounts) bool {
 	return withinQuota(tm.used.Plus(tm.unaccountedCapacity).Plus(need), tm.Limit)
 }
 
-// withinQuota reports whether an amount is within a limit; an amount of 0 there is no limit.
+// withinQuota reports whether an amount is within a limit. A limit of 0 CPUs or GPUs is no limit.
 func withinQuota(used, limit resources.Amounts) bool {
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
