--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// The answer to a batch comes late, after a poll that shows the machine without
-// the task again. The task must not stay assigned for ever.
+// A batch's response arrives after a poll that shows the machine after the assignment's acceptance and with the task gone again.
+// No later view mentions the task, so accepting the assignment then would keep the task assigned for ever.
 func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
@@ -18,18 +18,18 @@
 	sim.schedule()
 	c := sim.controllers[0]
 	batch := sim.scheduler.NextBatch(c.name)
-	ans := c.partitionState.HandleBatch(*batch, c.instance, sim.now)
+	response := c.partitionState.HandleBatch(*batch, c.instance, sim.now)
 	sim.now += 5 * sec
 	c.partitionState.Tick(sim.now) // the resource lease expires unused
 	sim.poll(c, false)
-	sim.scheduler.HandleBatchResponse(c.name, batch, &ans, sim.now)
+	sim.scheduler.HandleBatchResponse(c.name, batch, &response, sim.now)
 	require.Empty(t, sim.scheduler.teams[red].jobs["job-1"].assignments)
 	sim.runSteps(8)
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// An assignment has no answer, and its machine is silent for a worker lease. The machine
-// may come back, and the repeated batch be accepted then.
+// The machine of an unanswered assignment is silent for a worker lease. The assignment must not be released: the machine may
+// return, and the partition leader accept the batch when it is sent again.
 func TestUnansweredAssignmentOnSilentMachineIsNotReleased(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
@@ -45,23 +45,23 @@
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// A task is on a machine whose controller crashes with its start under way:
-// its place is not given to another machine until that one is accounted for.
+// A partition leader accepts an assignment and crashes while the start command is in flight, before it responds to the batch. The
+// task must not be placed elsewhere until the machine is accounted for: it could run twice.
 func TestUnansweredAssignmentIsNotPlacedElsewhere(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, nil)
 	sim.schedule()
-	var at *controller
+	var crashed *controller
 	for _, c := range sim.controllers {
 		if batch := sim.scheduler.NextBatch(c.name); batch != nil {
-			at = c
+			crashed = c
 			c.partitionState.HandleBatch(*batch, c.instance, sim.now)
 		}
 	}
 	p := 0
 	for partition, leader := range sim.leaderOf {
-		if sim.controllers[leader] == at {
+		if sim.controllers[leader] == crashed {
 			p = partition
 		}
 	}
@@ -70,7 +70,7 @@
 			sim.deliverCommands(id, true, false)
 		}
 	}
-	sim.boot(at) // the answer is lost, the process too
+	sim.boot(crashed) // the response is lost with the incarnation
 	sim.acquirePartition(p, sim.leaderOf[p])
 	for range 4 {
 		for _, c := range sim.controllers {
@@ -88,13 +88,13 @@
 		}
 		sim.checkInvariants("waiting")
 	}
-	require.Zero(t, sim.runningTasks(), "it may still arrive at the first machine")
+	require.Zero(t, sim.runningTasks(), "the start command may still arrive at the first machine")
 	sim.runSteps(20)
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// Another process than the one that may have accepted answers a batch: its
-// rejection proves nothing.
+// The response to a batch comes from another incarnation than the one that may have accepted its assignments. That rejection
+// must not release them: a task that was accepted would be started twice.
 func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
@@ -105,20 +105,21 @@
 		if batch == nil {
 			continue
 		}
-		ans := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
-		sim.scheduler.HandleBatchResponse(c.name, batch, &ans, sim.now)
+		response := peer.BatchResponse{Incarnation: "someone else", Refused: []bool{true}}
+		sim.scheduler.HandleBatchResponse(c.name, batch, &response, sim.now)
 	}
 	require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 1)
-	require.NotZero(t, sim.scheduler.teams[red].used.CPU, "it counts against the limit")
+	require.NotZero(t, sim.scheduler.teams[red].used.CPU, "the assignment counts against the limit")
 }
 
-// Spread and one_zone count every task that may be somewhere.
+// The constraints spread and one_zone must count every task that may be on a machine. If unanswered assignments did not count,
+// tasks placed in one cycle could violate the constraints together.
 func TestZoneConstraintsCountUnansweredAssignments(t *testing.T) {
 	sim := newSimulation(t, 4)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, func(j *wire.Job) { j.Spread = true })
 	sim.addJob("job-2", 2, func(j *wire.Job) { j.OneZone = true })
-	sim.schedule() // nothing is sent yet: all are unanswered
+	sim.schedule() // no batch is sent: all assignments are unanswered
 	zones := map[string]int{}
 	for task, a := range sim.scheduler.teams[red].jobs["job-1"].assignments {
 		require.NotNil(t, a, task)
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -11,11 +11,11 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// smallFleetSize is about as many machines as the smaller sites have in all.
+// smallFleetSize is about the number of machines at the smaller sites.
 const smallFleetSize = 1240
 
-// loadedScheduler is a scheduler of a fleet without capacity for more, with many jobs that wait, and the answer
-// from which it knows the fleet.
+// loadedScheduler returns a scheduler of a fleet without free capacity and with a number of waiting jobs, and the poll response
+// that described the fleet.
 func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollResponse) {
 	s := NewScheduler(Config{
 		Timing:   Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec},
@@ -33,22 +33,22 @@
 		active = append(active, jobs.New(jobs.Record{Job: spec, Watermarked: true}, uint64(i+1)))
 	}
 	s.AcquireTeam(red, 1, 1, active, sec)
-	in := s.NextPoll("h0")
-	ans := &peer.PollResponse{Incarnation: "leader", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
+	request := s.NextPoll("h0")
+	response := &peer.PollResponse{Incarnation: "leader", Cursor: 1, Full: true, Parts: map[int]uint64{0: 1}}
 	for i := range machines {
-		v := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a", Cap: resources.Capacity(32, 0, 64),
-			Free: resources.Capacity(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
+		view := peer.MachineView{ID: fmt.Sprintf("m-%06d", i), Term: 1, Version: 1, Type: "big", Zone: "a",
+			Cap: resources.Capacity(32, 0, 64), Free: resources.Capacity(0, 0, 0), Accounted: true, Usable: true, Count: 16, Whole: true}
 		for n := range 16 {
-			v.Tasks = append(v.Tasks, peer.TaskView{ID: peer.TaskID{Job: "job-999999", N: i*16 + n, Attempt: 1}, Team: "other",
+			view.Tasks = append(view.Tasks, peer.TaskView{ID: peer.TaskID{Job: "job-999999", N: i*16 + n, Attempt: 1}, Team: "other",
 				Rank: 1, Need: resources.Request(2, 0, 1), Phase: wire.TaskRunning})
 		}
-		ans.Machines = append(ans.Machines, v)
+		response.Machines = append(response.Machines, view)
 	}
-	s.HandlePollResponse("h0", in, ans, sec)
-	return s, ans
+	s.HandlePollResponse("h0", request, response, sec)
+	return s, response
 }
 
-// benchmarkCycles has a scheduler decide every 50 ms.
+// benchmarkCycles measures scheduling cycles at intervals of 50 ms of simulated time.
 func benchmarkCycles(b *testing.B, s *Scheduler) {
 	b.ReportAllocs()
 	now := 2 * sec
@@ -58,24 +58,24 @@
 	}
 }
 
-// A cycle of decisions while thousands of tasks wait and nothing is free.
+// BenchmarkCycleWithoutCapacity measures a scheduling cycle while thousands of tasks wait and no machine has capacity.
 func BenchmarkCycleWithoutCapacity(b *testing.B) {
 	s, _ := loadedScheduler(smallFleetSize, 60)
 	benchmarkCycles(b, s)
 }
 
-// A cycle of decisions that places a full batch on a fleet that is empty.
+// BenchmarkCycleWithCapacity measures a scheduling cycle that places a full batch on an empty fleet.
 func BenchmarkCycleWithCapacity(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		s, ans := loadedScheduler(smallFleetSize, 60)
-		for i := range ans.Machines {
-			v := &ans.Machines[i]
-			v.Free, v.Count, v.Tasks, v.Version = v.Cap, 0, nil, 2
+		s, response := loadedScheduler(smallFleetSize, 60)
+		for i := range response.Machines {
+			view := &response.Machines[i]
+			view.Free, view.Count, view.Tasks, view.Version = view.Cap, 0, nil, 2
 		}
-		ans.Cursor = 2
-		s.HandlePollResponse("h0", s.NextPoll("h0"), ans, 2*sec)
+		response.Cursor = 2
+		s.HandlePollResponse("h0", s.NextPoll("h0"), response, 2*sec)
 		b.StartTimer()
 		if s.Schedule(3*sec) == 0 {
 			b.Fatal("nothing was placed")
@@ -83,22 +83,22 @@
 	}
 }
 
-// Every machine's view is applied, as after a restart.
+// BenchmarkPollOfWholeFleet measures a poll response that contains every machine, as after a restart.
 func BenchmarkPollOfWholeFleet(b *testing.B) { benchmarkPolls(b, smallFleetSize) }
 
-// benchmarkPolls has a scheduler apply the views of so many machines in one answer.
+// benchmarkPolls measures a poll response that contains a number of machines.
 func benchmarkPolls(b *testing.B, machines int) {
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		s, ans := loadedScheduler(machines, 1)
+		s, response := loadedScheduler(machines, 1)
 		b.StartTimer()
-		ans.Cursor++
-		s.HandlePollResponse("h0", s.NextPoll("h0"), ans, 2*sec)
+		response.Cursor++
+		s.HandlePollResponse("h0", s.NextPoll("h0"), response, 2*sec)
 	}
 }
 
-// What the autoscaler asks for a few times a second.
+// BenchmarkMachineViews measures the request that the autoscaler makes a few times per second.
 func BenchmarkMachineViews(b *testing.B) {
 	s, _ := loadedScheduler(smallFleetSize, 1)
 	var views []peer.MachineView
@@ -108,8 +108,8 @@
 	}
 }
 
-// schedulerAfterRestart is a scheduler that knows so many machines by their records, has seen
-// half of them, and leads a team with tasks that wait.
+// schedulerAfterRestart returns a scheduler that knows a number of machines by their records, has seen half of them, and leads a
+// team with waiting tasks.
 func schedulerAfterRestart(machines int) *Scheduler {
 	s, _ := loadedScheduler(machines/2, 60)
 	for i := range machines / 2 {
@@ -118,7 +118,7 @@
 	return s
 }
 
-// Cycles of decisions just after a restart, when machines on record were not seen yet.
+// BenchmarkCycleAfterRestart measures scheduling cycles just after a restart, when some recorded machines have not been seen yet.
 func BenchmarkCycleAfterRestart(b *testing.B) {
 	benchmarkCycles(b, schedulerAfterRestart(smallFleetSize))
 }
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// simulationWithCosts is a simulation of three machines of which one has the image of job-1.
+// simulationWithCosts returns a simulation of three machines that are chosen by cost. One of them has the image of job-1.
 func simulationWithCosts(t *testing.T) *simulation {
 	t.Helper()
 	sim := newSimulationWithLimit(t, 1, 3, 0)
@@ -21,7 +21,7 @@
 	return sim
 }
 
-// machineRunning is the machine that runs a task.
+// machineRunning returns the machine that runs a task.
 func (s *simulation) machineRunning(task string) (machine string) {
 	s.t.Helper()
 	for _, id := range s.machineIDs {
@@ -33,44 +33,45 @@
 	return machine
 }
 
-// withImage gives a job an image of 4 GB and an estimate.
+// withImage gives a job an image of 4 GB and an estimated run time of 30 s.
 func withImage(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
-// The image decides while a fetch costs more than the speed, and the speed once it doesn't.
+// A machine with the image is chosen while fetching the image costs more than a slow machine would, and another one as soon as
+// the machine with the image is so slow that the fetch costs less.
 func TestCostSelectionWeighsImageAgainstPace(t *testing.T) {
 	sim := simulationWithCosts(t)
-	home := sim.machineRunning("job-1/0")
+	imageMachine := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 1, withImage)
 	sim.runSteps(4)
-	require.True(t, sim.workers[home].Running("job-2/0"), "the image is there")
-	m := sim.scheduler.machines[home]
-	m.paceSum, m.paceSamples = 1.5*minPaceSamples, minPaceSamples // 15 s more, a fetch is 4 s
+	require.True(t, sim.workers[imageMachine].Running("job-2/0"), "the machine has the image")
+	m := sim.scheduler.machines[imageMachine]
+	m.paceSum, m.paceSamples = 1.5*minPaceSamples, minPaceSamples // costs 15 s; a fetch costs 4 s
 	sim.addJob("job-3", 1, withImage)
 	sim.runSteps(4)
-	require.False(t, sim.workers[home].Running("job-3/0"), "the fetch costs less than the slow machine")
+	require.False(t, sim.workers[imageMachine].Running("job-3/0"), "the fetch costs less than the slow machine")
 }
 
-// While the machines with the image are in use, free capacity elsewhere is left for a moment, and
-// used then.
+// While the machines with its image have no capacity, a job leaves free capacity elsewhere to others. It must not wait for longer
+// than ImageWait.
 func TestCostSelectionWaitsForImageForBoundedTime(t *testing.T) {
 	sim := simulationWithCosts(t)
 	home := sim.machineRunning("job-1/0")
-	sim.addJob("job-2", 3, withImage) // fills the machine
+	sim.addJob("job-2", 3, withImage) // takes the rest of the machine's capacity
 	sim.runSteps(4)
 	require.Equal(t, 4, sim.runningTasks())
 	sim.addJob("job-3", 1, withImage)
 	sim.runSteps(4)
-	require.Equal(t, 4, sim.runningTasks(), "it waits")
+	require.Equal(t, 4, sim.runningTasks(), "job-3 waits")
 	sim.runSteps(12)
-	require.Equal(t, 5, sim.runningTasks(), "and no longer than two seconds")
+	require.Equal(t, 5, sim.runningTasks(), "job-3 waits for no longer than two seconds")
 	at := sim.machineRunning("job-3/0")
 	require.NotEqual(t, home, at)
 }
 
-// Without the rate at which images are fetched, or with a job whose image has no size,
-// machines are chosen as without costs.
+// If the fetch rate or the size of an image is unknown, no cost can be estimated. Machines must then be chosen as without costs,
+// instead of jobs waiting for ImageWait.
 func TestCostSelectionFallsBackWhenDataIsMissing(t *testing.T) {
-	place := func(costs, rates bool, size float64) []string {
+	chosenMachines := func(costs, rates bool, size float64) []string {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		if costs {
 			sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 60 * sec}
@@ -79,15 +80,15 @@
 			sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
 		}
 		sim.runSteps(8)
-		var at []string
+		var machines []string
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
 			sim.addJob(id, 2, func(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = id, size, 30 })
 			sim.runSteps(4)
-			home := sim.machineRunning(id + "/1")
-			at = append(at, home)
+			machine := sim.machineRunning(id + "/1")
+			machines = append(machines, machine)
 		}
-		return at
+		return machines
 	}
-	require.Equal(t, place(false, false, 4), place(true, false, 4), "no rate is known")
-	require.Equal(t, place(false, true, 0), place(true, true, 0), "the image has no size")
+	require.Equal(t, chosenMachines(false, false, 4), chosenMachines(true, false, 4), "unknown fetch rate")
+	require.Equal(t, chosenMachines(false, true, 0), chosenMachines(true, true, 0), "unknown image size")
 }
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -8,10 +8,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// What a cycle of decisions and a poll cost does not grow with machines that are
-// not touched: neither those with capacity nor those without.
+// The cost of a scheduling cycle and of a poll must not grow with the number of machines that take no part, with or without
+// capacity: a cycle that examines them all, or a poll that transfers them all, would be too slow on a large fleet.
 func TestCycleCostDoesNotGrowWithFleet(t *testing.T) {
-	work := func(machines int) (examined, polled int) {
+	measure := func(machines int) (examined, polled int) {
 		sim := newSimulationWithLimit(t, 9, machines, 0)
 		sim.runSteps(8)
 		sim.addJob("job-1", 6, nil)
@@ -21,28 +21,28 @@
 		require.Len(t, sim.scheduler.teams[red].jobs["job-1"].assignments, 6)
 		for _, c := range sim.controllers {
 			sim.sendBatch(c, true, true)
-			in := sim.scheduler.NextPoll(c.name)
-			ans := c.partitionState.HandlePoll(in, c.instance, sim.now)
-			polled += len(ans.Machines)
-			sim.scheduler.HandlePollResponse(c.name, in, &ans, sim.now)
+			request := sim.scheduler.NextPoll(c.name)
+			response := c.partitionState.HandlePoll(request, c.instance, sim.now)
+			polled += len(response.Machines)
+			sim.scheduler.HandlePollResponse(c.name, request, &response, sim.now)
 		}
-		// A job for which no machine is large enough searches none of them.
+		// No machine is large enough for this job, so that the search must examine none.
 		sim.addJob("job-2", 1, func(j *wire.Job) { j.CPUs = 64 })
 		before = sim.scheduler.examined
 		sim.schedule()
 		require.Equal(t, before, sim.scheduler.examined)
 		return examined, polled
 	}
-	smallExamined, smallPolled := work(60)
-	largeExamined, largePolled := work(1800)
+	smallExamined, smallPolled := measure(60)
+	largeExamined, largePolled := measure(1800)
 	require.LessOrEqual(t, largeExamined, smallExamined+12, "machines examined")
 	require.LessOrEqual(t, largePolled, 6, "machines in answers")
 	require.LessOrEqual(t, smallPolled, 6)
 }
 
-// The largest machine is looked for once a cycle, however many machines were not seen yet:
-// on a small share of a core a cycle took most of a second otherwise, and the next one
-// waited for three times as long.
+// After a restart many machines on record have not been seen, and each counts as the largest machine seen. Searching for that
+// machine once per unseen machine made a cycle take most of a second on a small share of a core, and delayed the next cycle by
+// three times as long. The search must run at most once per cycle.
 func TestCycleAfterRestartExaminesEachMachineFewTimes(t *testing.T) {
 	s := schedulerAfterRestart(smallFleetSize)
 	before := s.examined
--- a/internal/scheduler/fleet_size_benchmark_test.go
+++ b/internal/scheduler/fleet_size_benchmark_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// fleetSizes are the sizes at which time and memory are measured.
+// fleetSizes are the numbers of machines for which time and memory are measured.
 var fleetSizes = []int{1000, 2000, 4000}
 
-// Cycles of decisions while nothing is free, and the memory that the cached state of a fleet of 16 tasks a
-// machine takes.
+// BenchmarkFleetSizes measures, by fleet size, scheduling cycles without free capacity and after a restart, poll responses with
+// every machine, and the memory of the cached state of a fleet with 16 tasks per machine.
 func BenchmarkFleetSizes(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("cycle/%d", machines), func(b *testing.B) {
--- a/internal/scheduler/preemption_scenario_test.go
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -12,8 +12,9 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// High priority preempts the least work of lower priority; late work preempts nothing.
-func TestPreemptionTakesFromLowerPriorities(t *testing.T) {
+// A job of high priority must preempt tasks of lower priority, and no more of them than it needs. A job that can't meet its
+// deadline any more must not preempt: it would make other work late and be late all the same.
+func TestPreemptionStopsLowerPriorityTasks(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
 	sim.addJob("job-1", 4, nil)
@@ -22,16 +23,15 @@
 	due := 0.5
 	sim.addJob("job-2", 1, func(j *wire.Job) { j.Priority, j.DeadlineS, j.RuntimeEstimateS = "high", &due, 60 })
 	sim.runSteps(12)
-	require.False(t, sim.workers["m-0"].Running("job-2/0"), "it is late already")
+	require.False(t, sim.workers["m-0"].Running("job-2/0"), "the job can't meet its deadline any more")
 	sim.addJob("job-3", 1, func(j *wire.Job) { j.Priority = "high" })
 	sim.runSteps(12)
 	require.True(t, sim.workers["m-0"].Running("job-3/0"))
 	require.Equal(t, 4, sim.runningTasks())
 }
 
-// Guaranteed work of low priority that is placed bit by bit preempts nothing
-// of higher priority; only when nothing of it finds capacity for most of the
-// guarantee's time it does.
+// A guaranteed job of low priority must not preempt tasks of higher priority while some of its tasks find capacity. It does once
+// none of them has found any for most of the time within which guaranteed work should start.
 func TestGuaranteedJobPreemptsHigherPriorityOnlyWhenNothingFits(t *testing.T) {
 	for _, trickle := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
@@ -47,7 +47,7 @@
 			sim.scheduler.exhausted = exhaustedDemand{}
 			if trickle && step%4 == 0 {
 				m := sim.scheduler.machines["m-0"]
-				m.available = j.Need // a task of others has ended
+				m.available = j.Need // as if another job's task had exited
 				sim.scheduler.reindex(m)
 			}
 			sim.scheduler.scheduleJob(j, 1, sim.now)
@@ -62,7 +62,7 @@
 	}
 }
 
-// guaranteedJob is a job of 50 tasks within the guarantee of a team of its own.
+// guaranteedJob returns a job of 50 tasks that is within the guarantee of a team of its own.
 func guaranteedJob(acceptedAt clock.Micros) *job {
 	spec := wire.Job{ID: "job-9", Team: "blue", Priority: "normal", Tasks: 50, CPUs: 2, MemGB: 1, Spot: true}
 	return &job{
@@ -83,9 +83,9 @@
 	}
 }
 
-// Capacity for a large job of high priority becomes free bit by bit. It does not wait for
-// that: it preempts lower priority as soon as it has waited its time.
-func TestPreemptionIsNotDelayedByTrickleOfCapacity(t *testing.T) {
+// Capacity for a large job of high priority becomes free one task at a time. Placing single tasks there must not reset the time
+// after which the job may preempt tasks of lower priority.
+func TestPreemptionIsNotDelayedByCapacityFreedGradually(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.addJob("job-1", 16, nil)
@@ -93,7 +93,7 @@
 	require.Equal(t, 16, sim.runningTasks())
 	sim.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
 	for step := range 8 {
-		for _, task := range sim.workers[sim.machineIDs[step%4]].InOrder() { // a task ends in every cycle
+		for _, task := range sim.workers[sim.machineIDs[step%4]].InOrder() { // one task exits in every cycle
 			if task.Phase != wire.TaskExited {
 				task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 				break
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job that has missed its deadline, but not yet by the longer measure that an
-// objective sets, goes before one that has missed both, and after one in time.
+// Jobs that can still meet their deadline come first, then those that can meet the longer bound of an objective, and last those
+// that can meet neither.
 func TestQueueOrderFollowsLateness(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
@@ -21,8 +21,9 @@
 	require.Equal(t, []string{"job-2", "job-1", "job-0"}, sim.queue())
 }
 
-// The smaller rest goes first, of equal ones the earlier deadline.
-func TestQueueOrderPutsSmallestRestsFirst(t *testing.T) {
+// Among jobs with deadlines the one with the least waiting work comes first, and among equal ones the one with the earlier
+// deadline, so that as many jobs as possible are in time.
+func TestQueueOrderPutsLeastWaitingWorkFirst(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	for i, due := range []float64{900, 1000, 800} {
@@ -31,7 +32,7 @@
 	require.Equal(t, []string{"job-1", "job-2", "job-0"}, sim.queue())
 }
 
-// queue lists the ids of the jobs in the scheduler's queue.
+// queue returns the ids of the queued jobs in scheduling order.
 func (s *simulation) queue() (ids []string) {
 	for _, j := range s.scheduler.schedulingOrder(s.now) {
 		ids = append(ids, j.ID)
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job that fails everywhere backs off as a whole.
+// A job whose tasks fail on every machine must not keep taking the capacity that its failures free: the whole job backs off.
 func TestFailingJobBacksOff(t *testing.T) {
 	sim := newSimulation(t, 4)
 	sim.runSteps(8)
@@ -21,12 +21,13 @@
 		starts += sim.exitAll(wire.CauseError)
 	}
 	require.Positive(t, starts)
-	require.Less(t, starts, 40, "ten seconds of failures")
+	require.Less(t, starts, 40, "starts in ten seconds of failures")
 	require.NotZero(t, sim.scheduler.teams[red].jobs["job-1"].backoffUntil)
 }
 
-// Two jobs with an image each are placed on machines that have neither: each machine
-// fetches one image, and the tasks of a job stay together.
+// Concurrent image fetches share a machine's rate, so two images on one machine delay the tasks of both jobs. When two jobs
+// with different images are placed on machines that have neither, each machine must fetch only one of the images, and the tasks
+// of a job must stay on one machine.
 func TestImagesAreFetchedOnSeparateMachines(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
@@ -37,7 +38,7 @@
 			j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2
 		})
 	}
-	sim.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // a large task waits, so that those are small
+	sim.addJob("job-9", 1, func(j *wire.Job) { j.CPUs, j.Zone = 8, "nowhere" }) // waits for ever; compared to it the others are small
 	sim.schedule()
 	images := map[string]map[string]bool{}
 	for id, m := range sim.scheduler.machines {
@@ -54,30 +55,30 @@
 	}
 }
 
-// With economy a job leaves the last capacity on machines without its
-// image to others for as long as a fetch would take; then it uses it.
+// With Economy, a job must not take the last capacity on machines without its image at once, nor wait for its image for ever: it
+// waits for as long as a fetch would take and then uses that capacity.
 func TestEconomyWaitsForImage(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 10, 0)
 	sim.scheduler.timing.Economy = true
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
 	sim.runSteps(8)
 	image := func(j *wire.Job) { j.Image, j.ImageGB = "img-1", 2 }
-	sim.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // one machine has the image, and no capacity left
+	sim.addJob("job-1", 1, func(j *wire.Job) { image(j); j.CPUs = 8 }) // its machine has the image, but no capacity left
 	sim.runSteps(4)
-	sim.addJob("job-2", 35, nil) // the others have capacity for one task
+	sim.addJob("job-2", 35, nil) // leaves capacity for one task on the other machines
 	sim.runSteps(4)
 	require.Equal(t, 36, sim.runningTasks())
 	sim.addJob("job-3", 1, image)
-	began := sim.now
-	for len(sim.scheduler.teams[red].jobs["job-3"].assignments) == 0 && sim.now < began+20*sec {
+	submittedAt := sim.now
+	for len(sim.scheduler.teams[red].jobs["job-3"].assignments) == 0 && sim.now < submittedAt+20*sec {
 		sim.runSteps(1)
 	}
-	require.InDelta(t, 4, (sim.now - began).Seconds(), 0.6)
+	require.InDelta(t, 4, (sim.now - submittedAt).Seconds(), 0.6)
 }
 
-// Jobs that could not be in time if a machine were taken from them keep to those
-// that are not taken; the others leave those to them.
-func TestUrgentJobsKeepToOnDemandMachines(t *testing.T) {
+// A job that would miss its objective if the cloud reclaimed its machine must be placed on on-demand machines only, and other
+// jobs on spot instances, with and without Economy.
+func TestUrgentJobsArePlacedOnOnDemandMachinesOnly(t *testing.T) {
 	for _, economy := range []bool{false, true} {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		sim.scheduler.timing.Economy, sim.scheduler.timing.Lease = economy, 20*sec
@@ -98,8 +99,8 @@
 	}
 }
 
-// Work of high priority takes all capacity there is, for as long as it runs; a large job of
-// low priority starts all the same.
+// Tasks of high priority take all capacity as soon as it becomes free. A large job of lower priority must not starve: its first
+// task starts within a bounded time.
 func TestLowPriorityJobStartsWithinBoundedTime(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 2, 0)
 	sim.runSteps(8)
@@ -112,7 +113,7 @@
 			break
 		}
 		sim.runSteps(1)
-		for _, id := range sim.machineIDs { // a task ends now and then
+		for _, id := range sim.machineIDs { // tasks exit at random, about 1 in 80 per step
 			for _, task := range sim.workers[id].InOrder() {
 				if task.Phase != wire.TaskExited && sim.rng.IntN(80) == 0 {
 					task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -21,31 +21,31 @@
 	sec      = clock.Second
 	lease    = 10 * sec
 	red      = "red"
-	limitCPU = 12 // of the team, where it has one
+	limitCPU = 12 // CPU limit of the team in tests that set one
 )
 
-// controller is the partition leader part of a controller; a crash replaces its state.
+// controller is a controller in its role as partition leader. A crash replaces its incarnation and state.
 type controller struct {
 	name           string
 	instance       string
 	partitionState *partition.State
 }
 
-// lateCommands are commands that the network holds back.
+// lateCommands are commands that the network has delayed.
 type lateCommands struct {
 	machine  string
 	commands wire.Orders
 }
 
-// lateBatch is a batch that the network holds back.
+// lateBatch is a batch that the network has delayed.
 type lateBatch struct {
 	controller *controller
-	sentTo     *partition.State // the process it was sent to
+	sentTo     *partition.State // state of the incarnation to which the batch was sent
 	batch      peer.Batch
 }
 
-// simulation is a small cluster without I/O: partition leaders, one scheduler, workers, and a
-// network that loses, delays and repeats what the test asks it to.
+// simulation is a small cluster without I/O: partition leaders, one scheduler, workers, and a network that loses, delays and
+// duplicates messages as the test demands.
 type simulation struct {
 	t                          *testing.T
 	now                        clock.Micros
@@ -64,31 +64,31 @@
 	restarts                   int
 	lateCommands               []lateCommands
 	lateBatches                []lateBatch
-	heartbeatCopies            []wire.Heartbeat // that may come once more
+	heartbeatCopies            []wire.Heartbeat // sent heartbeats that may arrive again
 	ended                      map[string]bool
-	limit                      float64                   // CPUs; 0: none
-	watermarks                 map[string]WatermarkWrite // on record, with their mod revisions
+	limit                      float64                   // CPU limit of the team; 0: none
+	watermarks                 map[string]WatermarkWrite // stored watermark records, with their mod revisions
 	legacyRecords              bool                      // an earlier release has recorded machines
-	moves                      *Moves                    // nil: off
-	leadersWithoutReservations bool                      // they hold no leases for tasks that are to move
+	moves                      *Moves                    // nil: running tasks are not moved
+	leadersWithoutReservations bool                      // partition leaders grant no held leases, as those of earlier releases
 }
 
-// Active returns an active job; with Ended it makes the simulation the job cache of the partition leaders.
+// Active returns an active job. With Active and Ended the simulation serves as the partition leaders' job cache.
 func (s *simulation) Active(id string) (*jobs.Job, bool) { j, ok := s.active[id]; return j, ok }
 
-// Ended reports whether a job with that mod revision is over.
-func (s *simulation) Ended(id string, made uint64) bool {
+// Ended reports whether the job whose record has this mod revision is over.
+func (s *simulation) Ended(id string, modRevision uint64) bool {
 	_, final := s.cache.Final(id)
-	return final || s.active[id] == nil && s.revision >= made
+	return final || s.active[id] == nil && s.revision >= modRevision
 }
 
-// newSimulation returns a cluster of so many machines with a team that has a limit.
+// newSimulation returns a cluster with a number of machines and a team that is limited to limitCPU.
 func newSimulation(t *testing.T, machines int) *simulation {
 	t.Helper()
 	return newSimulationWithLimit(t, 1, machines, limitCPU)
 }
 
-// newSimulationWithLimit returns a cluster of so many machines with a team that may use so many CPUs; 0: any number.
+// newSimulationWithLimit returns a cluster with a number of machines and a team with a CPU limit; 0 is no limit.
 func newSimulationWithLimit(t *testing.T, seed uint64, machines int, limit float64) *simulation {
 	t.Helper()
 	sim := &simulation{
@@ -122,7 +122,7 @@
 	return sim
 }
 
-// boot starts a new process of a controller, which leads nothing yet.
+// boot starts a new incarnation of a controller, which leads no partition yet.
 func (s *simulation) boot(c *controller) {
 	s.restarts++
 	c.instance = fmt.Sprintf("%s-%d", c.name, s.restarts)
@@ -130,7 +130,7 @@
 	c.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
-// partitionOf is the partition of a machine.
+// partitionOf returns the partition of a machine.
 func (s *simulation) partitionOf(id string) int { return int(id[2]-'0') % len(s.leaderOf) }
 
 // acquirePartition moves the leadership of a partition to a controller, under a new term.
@@ -148,17 +148,17 @@
 	s.controllers[to].partitionState.AcquirePartition(p, s.termOf[p], found, s.now)
 }
 
-// restart ends a controller's process. The next one acquires its partitions anew.
+// restart replaces a controller's incarnation. The new one acquires the partitions of the old one.
 func (s *simulation) restart(c *controller) {
 	s.boot(c)
-	for p, at := range s.leaderOf {
-		if s.controllers[at] == c {
-			s.acquirePartition(p, at)
+	for p, leader := range s.leaderOf {
+		if s.controllers[leader] == c {
+			s.acquirePartition(p, leader)
 		}
 	}
 }
 
-// newScheduler replaces the scheduler: the former one is gone, and with it its memory.
+// newScheduler replaces the scheduler by one without its memory, which leads the team under the next term.
 func (s *simulation) newScheduler() {
 	s.term++
 	s.revision++
@@ -184,7 +184,7 @@
 	s.scheduler.AcquireTeam(red, s.term, s.revision, list, s.now)
 }
 
-// writeWatermarks writes the scheduler's watermarks; the answer may be lost, or the write.
+// writeWatermarks writes the scheduler's watermarks. The write may be lost, or only its response.
 func (s *simulation) writeWatermarks(written, answered bool) {
 	for _, m := range s.scheduler.PlanWatermarks(s.now, 4000) {
 		if !written || m.ModRevision != s.watermarks[m.Key].ModRevision {
@@ -199,7 +199,7 @@
 	}
 }
 
-// partitionLeaderships are the leaderships of the partitions, as the scheduler's replica shows them.
+// partitionLeaderships returns the leaderships of the partitions as the scheduler's replica shows them.
 func (s *simulation) partitionLeaderships() (out []PartitionLeadership) {
 	for p, c := range s.leaderOf {
 		out = append(out, PartitionLeadership{Partition: p, Term: s.termOf[p], Host: s.controllers[c].name})
@@ -207,13 +207,13 @@
 	return out
 }
 
-// schedule runs a cycle of the scheduler, with watermarks written before it.
+// schedule writes watermarks and then runs a scheduling cycle.
 func (s *simulation) schedule() {
 	s.writeWatermarks(true, true)
 	s.scheduler.Schedule(s.now)
 }
 
-// addJob has a job accepted that change may have changed.
+// addJob submits a job that is accepted immediately. change, if not nil, modifies its specification.
 func (s *simulation) addJob(id string, tasks int, change func(*wire.Job)) {
 	s.revision++
 	spec := wire.Job{ID: id, Team: red, Priority: "normal", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
@@ -224,19 +224,19 @@
 	s.scheduler.AddJob(s.active[id], s.now)
 }
 
-// poll has the scheduler poll a partition leader; the answer may be lost.
+// poll makes the scheduler poll a partition leader. The response may be lost.
 func (s *simulation) poll(c *controller, lost bool) {
-	in := s.scheduler.NextPoll(c.name)
-	ans := c.partitionState.HandlePoll(in, c.instance, s.now)
-	ans.Holds = ans.Holds && !s.leadersWithoutReservations
+	request := s.scheduler.NextPoll(c.name)
+	response := c.partitionState.HandlePoll(request, c.instance, s.now)
+	response.Holds = response.Holds && !s.leadersWithoutReservations
 	if lost {
 		s.scheduler.MarkUnreachable(c.name)
 		return
 	}
-	s.scheduler.HandlePollResponse(c.name, in, &ans, s.now)
+	s.scheduler.HandlePollResponse(c.name, request, &response, s.now)
 }
 
-// sendBatch sends the scheduler's next batch to a partition leader; it may be delayed, or its answer lost.
+// sendBatch sends the scheduler's next batch to a partition leader. The batch may be delayed, or its response lost.
 func (s *simulation) sendBatch(c *controller, reached, answered bool) {
 	batch := s.scheduler.NextBatch(c.name)
 	if batch == nil {
@@ -246,26 +246,26 @@
 		s.lateBatches = append(s.lateBatches, lateBatch{c, c.partitionState, *batch})
 		return
 	}
-	ans := c.partitionState.HandleBatch(*batch, c.instance, s.now)
+	response := c.partitionState.HandleBatch(*batch, c.instance, s.now)
 	if answered {
-		s.scheduler.HandleBatchResponse(c.name, batch, &ans, s.now)
+		s.scheduler.HandleBatchResponse(c.name, batch, &response, s.now)
 	}
 }
 
-// heartbeat has a worker send a heartbeat to its partition leader; the answer may be lost.
+// heartbeat makes a worker send a heartbeat to its partition leader. The response may be lost.
 func (s *simulation) heartbeat(id string, answered bool) {
 	worker, p := s.workers[id], s.partitionOf(id)
 	heartbeat := worker.Heartbeat(s.now)
 	if s.heartbeatCopies = append(s.heartbeatCopies, heartbeat); len(s.heartbeatCopies) > 40 {
 		s.heartbeatCopies = s.heartbeatCopies[1:]
 	}
-	ans, ok := s.stateOf(id).HandleHeartbeat(&heartbeat, p, s.now)
+	response, ok := s.stateOf(id).HandleHeartbeat(&heartbeat, p, s.now)
 	if ok && answered {
-		worker.HandleHeartbeatResponse(ans, s.now)
+		worker.HandleHeartbeatResponse(response, s.now)
 	}
 }
 
-// deliverCommands carries commands to a worker: in time, late, or without the answer.
+// deliverCommands sends pending commands to a worker. They may be delayed, or the worker's response lost.
 func (s *simulation) deliverCommands(id string, late, answered bool) {
 	state := s.stateOf(id)
 	_, commands := state.NextDelivery(id, s.now)
@@ -277,20 +277,20 @@
 		state.HandleDeliveryTimeout(id, commands, s.now)
 		return
 	}
-	answer, _ := s.workers[id].HandleCommands(*commands, s.now)
+	response, _ := s.workers[id].HandleCommands(*commands, s.now)
 	if answered {
-		state.HandleDeliveryResponse(id, commands, &answer, s.now)
+		state.HandleDeliveryResponse(id, commands, &response, s.now)
 	} else {
 		state.HandleDeliveryTimeout(id, commands, s.now)
 	}
 }
 
-// stateOf is the state of a machine's partition leader.
+// stateOf returns the state of a machine's partition leader.
 func (s *simulation) stateOf(id string) *partition.State {
 	return s.controllers[s.leaderOf[s.partitionOf(id)]].partitionState
 }
 
-// advance does what is due: expired leases, records of machines, final states of jobs.
+// advance processes expired leases, changes of machine records, and the final states of jobs.
 func (s *simulation) advance() {
 	for _, c := range s.controllers {
 		for _, id := range c.partitionState.Tick(s.now) {
@@ -321,7 +321,7 @@
 	s.scheduler.DropJob(id)
 }
 
-// handleMachineRecord shows a change of a machine's record to all.
+// handleMachineRecord notifies the scheduler and all partition leaders of a change of a machine's record.
 func (s *simulation) handleMachineRecord(id string, exists bool) {
 	s.scheduler.HandleMachineRecord(id, exists)
 	for _, c := range s.controllers {
@@ -329,7 +329,7 @@
 	}
 }
 
-// runSteps runs the cluster without losses for a while.
+// runSteps simulates a number of steps of 250 ms in which no message is lost or delayed.
 func (s *simulation) runSteps(steps int) {
 	s.t.Helper()
 	for range steps {
@@ -351,11 +351,12 @@
 	}
 }
 
-// checkInvariants compares the rules with what the workers really run: no task on two machines, no team over its limit.
+// checkInvariants checks, against the tasks that the workers really run, that no task runs on two machines and that the team
+// is within its limit. It also checks that no view was inconsistent with the scheduler's cached state.
 func (s *simulation) checkInvariants(when string) {
 	s.t.Helper()
 	for _, c := range s.controllers {
-		require.False(s.t, s.scheduler.sessions[c.name].resync, "%s: a view did not fit the cached state", when)
+		require.False(s.t, s.scheduler.sessions[c.name].resync, "%s: a view is inconsistent with the cached state", when)
 	}
 	on := map[string]string{}
 	cpus := 0.0
@@ -379,10 +380,10 @@
 	if s.limit == 0 {
 		return
 	}
-	require.LessOrEqual(s.t, cpus, s.limit, "%s: the team is over its limit", when)
+	require.LessOrEqual(s.t, cpus, s.limit, "%s: the team exceeds its limit", when)
 }
 
-// exitAll ends all tasks that run, and returns how many they were.
+// exitAll makes all running tasks exit and returns their number.
 func (s *simulation) exitAll(cause string) (n int) {
 	for _, worker := range s.workers {
 		for _, t := range worker.Tasks {
@@ -395,7 +396,7 @@
 	return n
 }
 
-// runningTasks is how many tasks the workers run.
+// runningTasks returns the number of tasks that have not exited on the workers.
 func (s *simulation) runningTasks() (n int) {
 	for _, worker := range s.workers {
 		for _, t := range worker.Tasks {
--- a/internal/scheduler/slow_machines_scenario_test.go
+++ b/internal/scheduler/slow_machines_scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Tasks take twice as long on one machine as on others: it is quarantined. Where
-// run times only vary, none is.
+// A machine on which tasks take twice as long as elsewhere must be quarantined; ordinary variation of run times must not cause a
+// quarantine.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
@@ -18,7 +18,7 @@
 		for i := range 6 {
 			sim.addJob(fmt.Sprintf("job-%d", i), 12, nil)
 		}
-		startedIn := map[string]int{} // step, by task
+		startedIn := map[string]int{} // step in which each task was first seen
 		for step := range 200 {
 			sim.runSteps(1)
 			for _, id := range sim.machineIDs {
