--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -44,10 +44,10 @@
 // machinesByLevel holds machines by the level of their available CPUs.
 type machinesByLevel [capacityLevels]machineSet
 
-// walk visits machines until visit returns true, beginning with those of the given level and going on to levels with more
+// walk visits machines until visit returns true, beginning with those of minLevel and going on to levels with more
 // capacity. start determines the machine of each level that is visited first.
-func (l *machinesByLevel) walk(from int, start uint64, visit func(*machineState) (stop bool)) {
-	for level := from; level < capacityLevels; level++ {
+func (l *machinesByLevel) walk(minLevel int, start uint64, visit func(*machineState) (stop bool)) {
+	for level := minLevel; level < capacityLevels; level++ {
 		machines := l[level].machines
 		if len(machines) == 0 {
 			continue
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -26,7 +26,7 @@
 func (tm *team) recordYielding(host string, priority int, now clock.Micros) {
 	y := tm.yielding[host]
 	if now < y.until {
-		y.maxPriority = max(y.maxPriority, priority) // a further rejection of the same batch
+		y.maxPriority = max(y.maxPriority, priority) // usually a further rejection of the same batch
 		tm.yielding[host] = y
 		return
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -23,12 +23,12 @@
 	stage           recovery.Stage // stage of a zone's return that admits the job
 	withinGuarantee bool           // fits its team's guarantee together with the team's earlier jobs
 
-	watermark        int  // by the key-value store: tasks from this number on were never assigned
-	offeredByFormer  int  // tasks below this number may have been assigned by a former leader of the team
-	offeredHere      bool // this scheduler has assigned a task of the job
-	awaitsAccounting bool // tasks below offeredByFormer wait until all machines are accounted for
-	nextTask         int  // tasks from this number on were never queued
-	queue            []int
+	watermark        int      // by the key-value store: tasks from this number on were never assigned
+	offeredByFormer  int      // tasks below this number may have been assigned by a former leader of the team
+	offeredHere      bool     // this scheduler has assigned a task of the job
+	awaitsAccounting bool     // tasks below offeredByFormer wait until all machines are accounted for
+	nextTask         int      // tasks from this number on were never queued
+	queue            []int    // numbers of tasks to place, in order
 	done             []uint64 // bitmap, one bit per task
 	doneCount        int
 	assignments      map[int]*assignment // current assignment by task number
@@ -173,9 +173,9 @@
 	}
 }
 
-// chunk returns the bits of a progress record, one per task.
-func (j *job) chunk(chunk int) []byte {
-	lo, hi := chunk*j.chunkTasks, min((chunk+1)*j.chunkTasks, j.Tasks)
+// chunk returns the bits of the progress record with this number, one per task.
+func (j *job) chunk(number int) []byte {
+	lo, hi := number*j.chunkTasks, min((number+1)*j.chunkTasks, j.Tasks)
 	out := make([]byte, (hi-lo+7)/8)
 	for n := lo; n < hi; n++ {
 		if j.isDone(n) {
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -20,7 +20,7 @@
 	assignments        map[peer.TaskID]*assignment
 	updatedAt          clock.Micros
 	tasks              map[peer.TaskID]*observedTask
-	tasksByPriority    [priorities]int // number of observed tasks that have not exited
+	tasksByPriority    [priorityLevels]int // number of observed tasks that have not exited
 	fetchingJobs       map[string]int  // number of tasks that wait for their image, by job id
 	assignedFetchUntil clock.Micros    // estimated end of the image fetch for an assignment of this scheduler
 	assignedFetchImage string          // image of that fetch
--- a/internal/scheduler/observed_tasks.go
+++ b/internal/scheduler/observed_tasks.go
@@ -17,12 +17,12 @@
 // isFetching reports whether the task still waits for its image.
 func (t *observedTask) isFetching() bool { return t.Phase == "" || t.Phase == wire.TaskFetching }
 
-// priorities is the number of priority levels: idle, normal, high and production.
-const priorities = 4
+// priorityLevels is the number of priority levels: idle, normal, high and production.
+const priorityLevels = 4
 
 // observedTaskCounts counts the observed tasks on all cached machines that have not exited.
 type observedTaskCounts struct {
-	byPriority [priorities]int
+	byPriority [priorityLevels]int
 	byCPU      map[int64]int // by resource request, in micro-CPUs
 }
 
@@ -39,7 +39,7 @@
 }
 
 // hasTaskAtOrBelow reports whether there are tasks of the given priority or a lower one.
-func hasTaskAtOrBelow(byPriority *[priorities]int, maxPriority int) bool {
+func hasTaskAtOrBelow(byPriority *[priorityLevels]int, maxPriority int) bool {
 	for priority := 0; priority <= maxPriority; priority++ {
 		if byPriority[priority] > 0 {
 			return true
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -108,7 +108,7 @@
 func (j *job) maxVictimPriority(guaranteeDue bool) int {
 	switch {
 	case j.withinGuarantee && guaranteeDue:
-		return priorities - 1
+		return priorityLevels - 1
 	case j.withinGuarantee:
 		return j.PriorityLevel
 	default:
