--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -21,11 +21,11 @@
 	updatedAt          clock.Micros
 	tasks              map[peer.TaskID]*observedTask
 	tasksByPriority    [priorityLevels]int // number of observed tasks that have not exited
-	fetchingJobs       map[string]int  // number of tasks that wait for their image, by job id
-	assignedFetchUntil clock.Micros    // estimated end of the image fetch for an assignment of this scheduler
-	assignedFetchImage string          // image of that fetch
-	paceSum            float64         // sum of the ratios of run times here to those of the same jobs elsewhere
-	paceSamples        int             // number of these ratios
+	fetchingJobs       map[string]int      // number of tasks that wait for their image, by job id
+	assignedFetchUntil clock.Micros        // estimated end of the image fetch for an assignment of this scheduler
+	assignedFetchImage string              // image of that fetch
+	paceSum            float64             // sum of the ratios of run times here to those of the same jobs elsewhere
+	paceSamples        int                 // number of these ratios
 	slow               bool
 
 	rejected   bool // an assignment was rejected, and no newer view has arrived since
