--- a/internal/peer/batches.go
+++ b/internal/peer/batches.go
@@ -7,85 +7,104 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// TaskID names one attempt of one task.
+// TaskID identifies one attempt to run one task.
 type TaskID struct {
-	Job     string
-	N       int    // number of the task within its job, from 0
-	Attempt uint64 // unique over all terms of the team: docs/design.md, "Why the rules hold", number 3
+	Job string // id of the job
+	N   int    // number of the task within its job, from 0
+	// Attempt is never used twice for a task: its upper 32 bits are the term of the team leadership that
+	// created it, so a new leader's attempts can't be confused with those of a former one
+	// (docs/design.md, "Why the rules hold", number 3).
+	Attempt uint64
 }
 
-// String names the attempt in logs.
+// String returns the attempt's name in logs, with the attempt number in hexadecimal.
 func (t TaskID) String() string { return fmt.Sprintf("%s/%d#%x", t.Job, t.N, t.Attempt) }
 
-// Assignment asks a partition leader for a resource lease on a machine for one attempt, and hands the
-// attempt over to it: once it accepts, it sends the run command.
+// Assignment asks a partition leader for a resource lease on a machine for one attempt. A partition leader
+// that accepts it takes the attempt over from the scheduler and sends the run command to the worker.
 type Assignment struct {
 	ID      TaskID
 	Made    uint64            // mod revision of the job's record, as the scheduler knows it
-	Team    string            // the job's
+	Team    string            // team of the job
 	Rank    int               // priority level of the job
-	Need    resources.Amounts // resource request of one task
-	Image   string            // to be fetched before the task runs
-	ImageGB float64           // size of the image
-	Machine string
-	Term    uint64   // of the machine's partition, as the scheduler knows it: rejected under another
-	Victims []TaskID // attempts to preempt for it, in this order, as many as it takes
-	Over    bool     // victims may have the same or a higher priority: their team is beyond its guarantee
-	Covered bool     // the job is within its team's guarantee
-	// Hold asks for a held lease of at most this span, for a task that runs elsewhere and is to move here:
-	// it starts by a StartTask only. 0: the task starts immediately.
+	Need    resources.Amounts // resource request of the task
+	Image   string            // container image that the machine fetches before the task runs
+	ImageGB float64           // size of the image in GB
+	Machine string            // id of the machine
+	// Term is the term of the leadership of the machine's partition, as the scheduler knows it. A partition
+	// leader of another term rejects the assignment, since the scheduler decided on an outdated view.
+	Term uint64
+	// Victims lists attempts on the machine that may be preempted. The partition leader stops them in this
+	// order, and no more than the assignment needs.
+	Victims []TaskID
+	// Over permits victims with the same or a higher priority, because their team uses more than its
+	// guarantee. Without it only tasks of a lower priority are preempted.
+	Over    bool
+	Covered bool // the job is within its team's guarantee
+	// Hold asks for a held lease: the resources are kept for at most this span, for a task that still runs
+	// on another machine and is moving to this one. Such a task starts only by a StartTask. With 0 the task
+	// starts immediately.
 	Hold clock.Micros
-	// Stage is one more than the stage of a zone's return that admits the task; 0: none is named.
+	// Stage is the recovery.Stage that admits the task when its zone returns, plus one. 0 means that the
+	// scheduler names no stage (earlier releases don't), and the partition leader derives it from Rank.
 	Stage int
 }
 
-// StartTask starts a task on its held lease, once it is gone for certain from where it ran.
+// StartTask starts a task on its held lease. The scheduler sends it once the task is certainly no longer on
+// the machine that it moves from; before that, two copies of the task could run.
 type StartTask struct {
 	ID      TaskID
-	Machine string
-	Team    string // its present leader alone may start it
+	Machine string // id of the machine with the held lease
+	Team    string // team of the job; only the team's present leader may start the task
 }
 
 // StopTask stops an attempt.
 type StopTask struct {
 	ID      TaskID
-	Machine string
-	GraceS  float64 // seconds that it has to checkpoint
+	Machine string  // id of the machine
+	GraceS  float64 // time in seconds that the task has to checkpoint
 }
 
-// Acknowledgement says that the end of an attempt is recorded: the worker may forget it.
+// Acknowledgement tells a partition leader that the scheduler has recorded the end of an attempt, so that the
+// worker may forget the attempt and stop reporting it.
 type Acknowledgement struct {
 	ID      TaskID
-	Machine string
+	Machine string // id of the machine
 }
 
-// CancelJob names a job of which nothing may run any more. It counts under the term that its batch names
-// for the team.
+// CancelJob stops all tasks of a job and has further assignments of the job rejected. It takes effect under
+// the term that its batch names for the team; the partition leader ignores one of a former team leader.
 type CancelJob struct{ Job, Team string }
 
-// Batch is what a scheduler has for one partition leader. Batches of one incarnation are numbered; a copy
-// of the last one gets the same response, an older one is rejected as a whole.
+// Batch carries everything that a scheduler has for one partition leader at a time. The batches of one
+// incarnation are numbered. The partition leader answers a copy of the last batch with the same response and
+// applies it only once. Of an older batch it applies nothing and rejects all assignments.
 type Batch struct {
-	From    string            // incarnation of the scheduler's controller
-	Seq     uint64            // number of the batch, from 1
-	Terms   map[string]uint64 // terms of the scheduler's teams: lower ones are rejected from now on
+	From string // incarnation of the scheduler's controller
+	Seq  uint64 // number of the batch, from 1
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. From then on
+	// the partition leader rejects assignments, starts and cancellations under a lower term of these teams.
+	Terms   map[string]uint64
 	Asks    []Assignment
 	Stops   []StopTask
 	Settles []Acknowledgement
 	Cancels []CancelJob
-	Starts  []StartTask // of tasks with a held lease
-	Slow    []string    // machines to quarantine: tasks take much longer there than elsewhere
+	Starts  []StartTask // starts of tasks that have a held lease
+	Slow    []string    // ids of machines to quarantine, since tasks take much longer there than elsewhere
 }
 
-// Empty reports that a batch carries nothing.
+// Empty reports whether the batch has nothing to carry out.
 func (b *Batch) Empty() bool {
 	return len(b.Asks)+len(b.Stops)+len(b.Settles)+len(b.Cancels)+len(b.Starts)+len(b.Slow) == 0
 }
 
-// BatchResponse answers a batch. Its lists are in the order of the batch's assignments.
+// BatchResponse is a partition leader's answer to a batch. Its lists have one element for each assignment, in
+// the order of Batch.Asks.
 type BatchResponse struct {
-	Incarnation string   // of the partition leader's controller
-	Refused     []bool   // for each assignment whether it is rejected
-	Versions    []uint64 // for each assignment the version of the machine's view that first shows the lease
-	Yielded     []bool   // for each whether it is rejected in favour of other teams; empty where none is
+	Incarnation string // incarnation of the partition leader's controller
+	Refused     []bool // whether the assignment was rejected
+	// Versions has, for an accepted assignment, the version of the partition leader's state that first
+	// contains the lease. A MachineView with a lower Version does not show the lease yet.
+	Versions []uint64
+	Yielded  []bool // whether the assignment was rejected in favour of other teams; empty if none was
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,35 +11,36 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// ErrUnavailable means that a peer can't be reached, or has not answered in time.
+// ErrUnavailable means that a peer can't be reached or has not answered in time.
 var ErrUnavailable = errors.New("peer can't be reached")
 
 const (
-	// dialTimeout bounds how long a call waits for its connection: controllers are in one network, and a
-	// call to one that is down must not use up the time of its caller.
+	// dialTimeout bounds how long a call waits for its connection. All controllers are in one network, so a
+	// dial that takes longer means that the peer is down, and the call must not use up its caller's time.
 	dialTimeout = 500 * time.Millisecond
-	// redialInterval is the time after a failed dial in which calls fail immediately: many callers share a
-	// client, and each would wait for a dial of its own.
+	// redialInterval is how long after a failed dial calls fail without dialling again. Many callers share a
+	// client, and each of them would otherwise wait for a dial of its own.
 	redialInterval = 200 * time.Millisecond
 )
 
-// Client calls one peer over one connection, dialled anew after it broke. It may be used concurrently; the
-// connection is closed when a call over it fails.
+// Client calls one peer over one connection, which all callers share. When a call fails without an answer
+// from the peer, the client closes the connection, and the next call dials a new one. A Client may be used
+// concurrently.
 type Client struct {
 	addr    string
 	traffic *telemetry.Traffic
 
-	mu              sync.Mutex // guards what follows; held while dialling, so that there is one dial at a time
+	mu              sync.Mutex // guards the fields below; held while dialling, so that only one dial runs at a time
 	conn            *rpc.Client
 	lastDialFailure time.Time // zero unless the last dial failed
 }
 
-// NewClient makes a client for a peer's address that counts its traffic.
+// NewClient returns a client that calls the peer at addr and counts the bytes in traffic.
 func NewClient(addr string, traffic *telemetry.Traffic) *Client {
 	return &Client{addr: addr, traffic: traffic}
 }
 
-// connection returns the present connection, or dials one. Its errors wrap ErrUnavailable.
+// connection returns the open connection, or dials a new one. Its errors wrap ErrUnavailable.
 func (c *Client) connection() (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +61,9 @@
 }
 
 // Call calls a method of Service and waits at most timeout for the response, which it decodes into out.
-// An error of the peer's own is an rpc.ServerError. After any other error the call may have been carried
-// out, or may yet be: its connection is closed, but what was sent can still arrive.
+// When the peer answers with an error, Call returns an error that wraps rpc.ServerError. After any other
+// error the peer may have carried out the call, or may yet do so: the connection is closed, but a request
+// that was sent can still arrive.
 func (c *Client) Call(method string, in, out any, timeout time.Duration) error {
 	conn, err := c.connection()
 	if err != nil {
@@ -85,13 +87,13 @@
 	}
 }
 
-// isServerError reports that a call was answered, with an error of the peer's own.
+// isServerError reports whether the peer answered a call with an error, so that the connection still works.
 func isServerError(err error) bool {
 	var answered rpc.ServerError
 	return errors.As(err, &answered)
 }
 
-// drop closes a connection that is of no more use; the next call dials.
+// drop closes a connection on which a call failed. The next call dials a new one.
 func (c *Client) drop(conn *rpc.Client) {
 	c.mu.Lock()
 	if c.conn == conn {
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heartbeatStub answers heartbeats, some with an error, some not in time.
+// heartbeatStub is a peer that answers heartbeats: those from "rejected" with an error, and those from
+// "unanswered" only after release is closed.
 type heartbeatStub struct{ release chan struct{} }
 
 func (s *heartbeatStub) Hello(in Heartbeat, out *Heartbeat) error {
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// dialHeartbeatStub serves the stub on a port of the loopback and gives a client for it.
+// dialHeartbeatStub serves a heartbeatStub on a loopback port and returns a client for it.
 func dialHeartbeatStub(t *testing.T) *Client {
 	t.Helper()
 	stub := &heartbeatStub{release: make(chan struct{})}
@@ -40,17 +41,19 @@
 	return NewClient(listener.Addr().String(), nil)
 }
 
+// A call to a peer that is down must fail with ErrUnavailable, by which callers tell it from a peer's rejection.
 func TestCallOfPeerThatIsDownIsUnavailable(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := NewClient(listener.Addr().String(), nil)
 	require.NoError(t, listener.Close())
-	for range 2 { // the second time without a dial
+	for range 2 { // the second call fails within redialInterval, without a dial
 		require.ErrorIs(t, c.Call("Hello", Heartbeat{}, &Heartbeat{}, time.Second), ErrUnavailable)
 	}
 }
 
-// An error of the peer's own says nothing against the connection.
+// A peer that answers with an error has a working connection. If the client closed it, every rejected call
+// would fail the other calls on the shared connection.
 func TestCallWithServerErrorKeepsConnection(t *testing.T) {
 	c := dialHeartbeatStub(t)
 	err := c.Call("Hello", Heartbeat{From: "rejected"}, &Heartbeat{}, 10*time.Second)
@@ -60,7 +63,8 @@
 	require.NotNil(t, c.conn)
 }
 
-// A call without an answer may yet be carried out; the next one goes over another connection.
+// A peer that stopped answering keeps its connection open. If the client kept that connection after a timeout,
+// all later calls would time out too; instead the next call dials a new one.
 func TestCallWithoutAnswerInTimeDropsConnection(t *testing.T) {
 	c := dialHeartbeatStub(t)
 	require.ErrorIs(t, c.Call("Hello", Heartbeat{From: "unanswered"}, &Heartbeat{}, 20*time.Millisecond), ErrUnavailable)
--- a/internal/peer/encoded_names_test.go
+++ b/internal/peer/encoded_names_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Controllers of the version before and of this one work together while they are
-// restarted one by one: net/rpc carries fields and methods by these names.
+// Controllers of two releases work together during a rolling restart. gob and net/rpc transmit the names of
+// fields and methods, so a renamed one would be dropped or rejected by controllers of the other release.
 func TestEncodedNamesOfMessagesAndMethodsStay(t *testing.T) {
 	for _, c := range []struct {
 		message any
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -2,12 +2,19 @@
 
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
-// Heartbeat is what controllers exchange once a second. The last three fields are set in responses only.
+// Heartbeat is both the request and the response that two controllers exchange once a second. Strays,
+// Machines and Unheard are set in responses only.
 type Heartbeat struct {
-	Contact  clock.Micros // time since the key-value store confirmed the sender's controller lease
-	Resigned string       // the sender's last incarnation that has resigned, for its registration to be removed
-	From     string       // host of the sender
-	Strays   int          // misdirected machines: of the caller's partitions, with recent heartbeats to the responder
-	Machines int          // machines of the responder's partitions
-	Unheard  int          // how many of those have missed heartbeats
+	// Contact is the time since the key-value store last confirmed the sender's controller lease. A
+	// controller that can't reach the store learns from it which peers can.
+	Contact clock.Micros
+	// Resigned is the sender's last incarnation that gave up its leaderships, "" if there is none. The
+	// receiver removes its registration, so that others can lead before its lease has expired.
+	Resigned string
+	From     string // host of the sender
+	// Strays counts the misdirected machines: those in the caller's partitions whose workers recently sent
+	// their heartbeats to the responder.
+	Strays   int
+	Machines int // number of machines in the responder's partitions
+	Unheard  int // number of those that have missed heartbeats
 }
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -2,23 +2,25 @@
 
 import "github.com/merlinlatch/merlinlatch/wire"
 
-// JobRequest asks the team's scheduler for a job's state (method Status), or to cancel it (Withdraw).
+// JobRequest asks a scheduler for the state of a job (method Status) or to cancel the job (method Withdraw).
+// Team is the job's team, and ID the job's id.
 type JobRequest struct{ Team, ID string }
 
-// JobResponse is the scheduler's answer.
+// JobResponse is a scheduler's answer to a JobRequest.
 type JobResponse struct {
-	Known bool          // this controller leads the team, and may answer for it
-	Found bool          // the job is among the team's
-	Retry bool          // there is no answer yet: the final state or the cancellation is being written
-	State wire.JobState // valid when Known and Found, and not Retry
+	Known bool          // the responder leads the team, so Found is reliable
+	Found bool          // the team has an active job with the id
+	Retry bool          // no answer yet: the job's final state or its cancellation is being written
+	State wire.JobState // valid when Known and Found are set and Retry is not
 }
 
-// SubmitRequest forwards a user's submission to a controller with contact to the key-value store.
+// SubmitRequest forwards a user's submission to a controller that can reach the key-value store. Body is the
+// body of the user's HTTP request.
 type SubmitRequest struct{ Body []byte }
 
-// SubmitResponse is the answer for the user.
+// SubmitResponse is the HTTP response that the user gets to a forwarded submission.
 type SubmitResponse struct {
-	Status     int // of HTTP
-	Body       []byte
-	RetryAfter int // seconds; 0: no such header
+	Status     int    // HTTP status code
+	Body       []byte // body of the response
+	RetryAfter int    // value of the Retry-After header in seconds; 0: the response has no such header
 }
--- a/internal/peer/operators.go
+++ b/internal/peer/operators.go
@@ -7,31 +7,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// TeamStatus is the state of a team, as its scheduler knows it.
+// TeamStatus describes a team as its scheduler knows it.
 type TeamStatus struct {
 	Team      string
-	Term      uint64              // of the team's leadership
-	Guarantee resources.Amounts   // from the settings
-	Limit     resources.Amounts   // from the settings; an amount of 0 means none
-	Used      resources.Amounts   // by all that is or may be on a machine
-	Jobs      int                 // that are not final
-	Waiting   int                 // tasks
-	Running   int                 // tasks that are on a machine, or on their way to one
-	Waits     telemetry.Quantiles // from acceptance until a task runs, since the scheduler acquired the team
-	Lateness  telemetry.Quantiles // of jobs with a deadline, by how much they ended after it
-	Moves     []MoveRecord        // the latest, the last one first
-	Unmoved   []DeclinedMoves     // why tasks on machines that are to be drained were not moved
+	Term      uint64              // term of the team's leadership
+	Guarantee resources.Amounts   // guaranteed resources, from the settings
+	Limit     resources.Amounts   // largest use, from the settings; an amount of 0 means no limit
+	Used      resources.Amounts   // resources of all tasks that are, or may be, on a machine
+	Jobs      int                 // number of active jobs
+	Waiting   int                 // number of tasks that wait
+	Running   int                 // number of tasks that are assigned to a machine, also those that don't run yet
+	Waits     telemetry.Quantiles // times from the acceptance of a job until a task of it runs, observed by this process
+	Lateness  telemetry.Quantiles // how long after their deadlines jobs with a deadline ended; 0 for jobs in time
+	Moves     []MoveRecord        // recent moves, the latest first
+	Unmoved   []DeclinedMoves     // why tasks were not moved off machines that they should leave
 }
 
-// MoveRecord is a move of a running task from one machine to another.
+// MoveRecord describes a move of a running task from one machine to another.
 type MoveRecord struct {
-	// Task is the task's name, From and To are machines; Reason and Outcome are those of package rebalance.
+	// Task is the task's name as wire.TaskName forms it, From and To are ids of machines, Reason is a
+	// rebalance.Reason and Outcome a rebalance.Outcome.
 	Task, From, To, Reason, Outcome string
-	// Gain and Cost are what the move was expected to save and to take; Ago is the time since it began.
+	// Gain is the run time that the move was expected to save, Cost the time that it was expected to take,
+	// and Ago the time since it began.
 	Gain, Cost, Ago clock.Micros
 }
 
-// DeclinedMoves counts tasks that were not moved for a reason.
+// DeclinedMoves counts how often tasks were not moved for one reason.
 type DeclinedMoves struct {
 	Why   string // a rebalance.DeclineReason
 	Count int
@@ -40,54 +42,58 @@
 // TeamsRequest asks a controller for the state of the teams.
 type TeamsRequest struct{}
 
-// TeamsResponse is what one controller knows of the teams: the state of those that it schedules, and all
-// teams' shares of the machines of its partitions.
+// TeamsResponse has what one controller knows of the teams: the state of those that it leads, and the shares
+// of all teams in the machines of its partitions.
 type TeamsResponse struct {
-	Host      string
-	Teams     []TeamStatus         // that the controller leads
-	Capacity  resources.Amounts    // of the machines of its partitions
-	Standings []fairshare.Standing // none where fair shares are off
-	Yielded   uint64               // assignments that it rejected in favour of other teams
+	Host      string               // host of the controller
+	Teams     []TeamStatus         // the teams that the controller leads
+	Capacity  resources.Amounts    // total capacity of the machines in its partitions
+	Standings []fairshare.Standing // each team's share of that capacity; empty if fair shares are disabled
+	Yielded   uint64               // number of assignments that it rejected in favour of other teams
 }
 
 // ZonesRequest asks a controller for the state of the zones.
 type ZonesRequest struct{}
 
-// ZoneStatus is the state of a zone, as one controller knows it.
+// ZoneStatus describes a zone as one controller knows it.
 type ZoneStatus struct {
-	Zone, State, Stage           string // Stage is empty unless the zone returns
-	Admits                       string // stage that the controller's own machines there admit; empty: everything
-	Held                         bool   // an operator has stopped the return at its stage
-	Flaps                        int    // how often the zone was lost again during its return
-	AtMS                         int64  // time of day of the last change, in milliseconds
-	Why                          string // evidence of the last change
-	Machines, Unheard, Unsettled int    // machines there; those with missed heartbeats; those unaccounted
-	Waiting                      int    // tasks of the controller's teams that wait for a later stage
+	Zone, State, Stage string // State is a zone.State; Stage names the recovery.Stage of a return and is "" otherwise
+	// Admits names the latest recovery.Stage whose work this controller, as a partition leader, admits on its
+	// machines in the zone. It is "" if the controller admits all work.
+	Admits string
+	Held   bool   // an operator has stopped the zone's return at its present stage
+	Flaps  int    // how often the zone was lost again during its return
+	AtMS   int64  // time of day of the last change, in milliseconds since 1970 UTC
+	Why    string // evidence that led to the last change
+	// Machines counts the machines in the zone, Unheard those of them with missed heartbeats, and Unsettled
+	// those that are not accounted for.
+	Machines, Unheard, Unsettled int
+	Waiting                      int // tasks of the controller's teams that a later stage of the return admits
 }
 
-// ZonesResponse is what a controller knows of the zones.
+// ZonesResponse has what one controller knows of the zones.
 type ZonesResponse struct {
-	Host  string
+	Host  string // host of the controller
 	Zones []ZoneStatus
-	On    bool // work returns in stages
-	Fleet bool // this controller decides on zones: it leads the fleet
+	On    bool // work returns to a zone in stages (policy parameter zone_return)
+	Fleet bool // the controller leads the fleet, and so decides on the states of the zones
 }
 
-// ZoneHoldRequest asks the leader of the fleet to stop a zone's return at its stage, or to resume it.
+// ZoneHoldRequest asks the leader of the fleet to stop a zone's return at its present stage, or to resume it.
 type ZoneHoldRequest struct {
 	Zone string
-	Held bool // stop
+	Held bool // true: stop the return; false: resume it
 }
 
-// ZoneHoldResponse answers whether that was done.
+// ZoneHoldResponse reports whether the return was stopped or resumed.
 type ZoneHoldResponse struct {
 	Done    bool
-	Holder  string // leader of the fleet, as far as the controller knows; empty: nobody
-	Refusal string // why the leader did not do it; empty where the controller is not the leader
+	Holder  string // host of the fleet's leader, as far as the controller knows; "": unknown
+	Refusal string // why the leader refused; "" if the controller is not the leader
 }
 
-// HistoryRequest asks for a part of a controller's history.
+// HistoryRequest asks for a part of a controller's history of events.
 type HistoryRequest struct {
 	From uint64 // number of the first event
-	Most int    // maximum of events in the response
+	Most int    // maximum number of events in the response
 }
--- a/internal/peer/pages.go
+++ b/internal/peer/pages.go
@@ -5,22 +5,22 @@
 	"maps"
 )
 
-// PageMachines is how many machines a page of a poll's response lists. A controller
-// with a small share of a core must be able to write, send and read one well within the
-// time that a call has: the first response after a restart lists all machines with all tasks.
+// PageMachines is the maximum number of machines in one page of the response to a poll. The first response
+// after a restart lists all machines with all tasks, and a controller with a small share of a core must be
+// able to write, send and read a page well within the timeout of a call.
 const PageMachines = 250
 
-// ErrPagesDiffer means that the partition leader's incarnation or its partitions changed between two
-// pages of a response, or that a page does not follow the one before.
+// ErrPagesDiffer means that the pages of a response can't be joined: the partition leader's incarnation or its
+// partitions changed between two pages, or a page does not continue the one before.
 var ErrPagesDiffer = errors.New("the pages of an answer do not belong together")
 
-// CollectPages polls a partition leader page by page and joins the pages into one response. Errors of
-// call are given as they are.
+// CollectPages polls a partition leader page by page with call and joins the pages into one response. It
+// returns errors of call unchanged.
 //
-// The cursor is that of the first page: what changes while the others are read is listed
-// again by the next poll. A response must list every machine of the partitions that it
-// names, since a machine that is missing from it counts as gone. So pages of another
-// incarnation, or given while other partitions were led, are not joined.
+// The response has the cursor of the first page, so the next poll lists again whatever changes while the
+// later pages are read. A full response must list every machine of the partitions that it names, since the
+// scheduler takes a missing machine for gone and starts its tasks elsewhere. Therefore a page of another
+// incarnation, or one sent while the leader held other partitions, ends the poll with ErrPagesDiffer.
 func CollectPages(in PollRequest, call func(PollRequest) (PollResponse, error)) (PollResponse, error) {
 	in.Most = PageMachines
 	all, err := call(in)
@@ -44,8 +44,9 @@
 	return all, nil
 }
 
-// continues reports that a page is of the same incarnation and partitions as those before, and lists
-// machines after the last of them. One that lists none, or the same ones, would be asked for without end.
+// continues reports whether a page comes from the same incarnation and partitions as the pages before it and
+// lists machines after lastID. Without the second condition CollectPages would request pages forever from a
+// leader that answers with an empty page or the same page again.
 func continues(all, page *PollResponse, lastID string) bool {
 	sameState := page.Incarnation == all.Incarnation && page.Full == all.Full && maps.Equal(page.Parts, all.Parts)
 	return sameState && len(page.Machines) > 0 && page.Machines[0].ID > lastID
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pagedLeader answers polls as a partition leader, page by page.
+// pagedLeader is a partition leader that answers polls page by page.
 type pagedLeader struct {
 	incarnation string
 	parts       map[int]uint64
 	version     uint64
 	machines    int
 	calls       []PollRequest
-	onCall      func(call int)
-	repeats     bool // it answers with the first page always
+	onCall      func(call int) // called before the answer to each call, counted from 1
+	repeats     bool           // every call is answered with the first page
 }
 
 func (l *pagedLeader) poll(in PollRequest) (PollResponse, error) {
@@ -38,8 +38,9 @@
 	return out, nil
 }
 
-// The response of a leader of thousands of machines is read in pages, none of which waits
-// for a change, and what changes meanwhile is listed by the next poll.
+// The first response of a leader with thousands of machines takes several pages. Only the first page may wait
+// for a change, and the joined response must have the first page's cursor: with a later one, the next poll
+// would miss changes to machines on pages that were read before the change.
 func TestPagesOfOneLeaderAreJoined(t *testing.T) {
 	l := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
 	l.onCall = func(call int) { l.version = uint64(10 * call) }
@@ -47,7 +48,7 @@
 	require.NoError(t, err)
 	require.Len(t, all.Machines, l.machines)
 	require.False(t, all.More)
-	require.EqualValues(t, 10, all.Cursor, "the first page's: later changes are asked for again")
+	require.EqualValues(t, 10, all.Cursor, "the first page's cursor, so that the next poll lists later changes again")
 	require.Len(t, l.calls, 5)
 	require.EqualValues(t, 1000, l.calls[0].Wait)
 	require.Zero(t, l.calls[1].Wait)
@@ -56,9 +57,9 @@
 	}
 }
 
-// A response that names a partition must list all of its machines: those that are missing
-// count as gone, and their tasks would start once more elsewhere. So nothing is joined across
-// a change of the leader's incarnation or of the partitions that it leads.
+// A scheduler takes a machine that a full response omits for gone and starts its tasks elsewhere. Pages from
+// before and after a change of the leader's incarnation or partitions may together omit machines that still
+// run tasks, so joining them would start tasks twice.
 func TestPagesAcrossLeaderChangeAreNotJoined(t *testing.T) {
 	for name, change := range map[string]func(*pagedLeader){
 		"another incarnation":            func(l *pagedLeader) { l.incarnation = "two" },
--- a/internal/peer/poll_benchmark_test.go
+++ b/internal/peer/poll_benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// pollStub answers every poll alike.
+// pollStub is a partition leader that answers every poll with the same response.
 type pollStub struct{ response PollResponse }
 
 func (s *pollStub) Poll(_ PollRequest, out *PollResponse) error {
@@ -17,7 +17,8 @@
 	return nil
 }
 
-// responseWithMachines is a poll's response with so many machines, a few tasks changed on each.
+// responseWithMachines returns a response to a poll that lists the given number of machines, with three changed
+// tasks on each.
 func responseWithMachines(machines int) PollResponse {
 	out := PollResponse{Incarnation: "incarnation", Cursor: 7, Parts: map[int]uint64{0: 1, 1: 1}}
 	for i := range machines {
@@ -36,7 +37,8 @@
 	return out
 }
 
-// BenchmarkPoll measures a poll between two controllers, with net/rpc's encoding on both sides.
+// BenchmarkPoll measures a poll between two controllers, including net/rpc's encoding and decoding on both
+// sides, with 0, 5 and 410 changed machines.
 func BenchmarkPoll(b *testing.B) {
 	for _, machines := range []int{0, 5, 410} {
 		b.Run(fmt.Sprintf("%d machines changed", machines), func(b *testing.B) {
--- a/internal/peer/polls.go
+++ b/internal/peer/polls.go
@@ -6,74 +6,86 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// TaskView is an attempt as its machine's partition leader knows it.
+// TaskView describes an attempt as the partition leader of its machine knows it.
 type TaskView struct {
 	ID       TaskID
-	Team     string
-	Rank     int               // priority level of its job
-	Need     resources.Amounts // its resource request
-	Phase    string            // one of wire's phases of a task; "" while no heartbeat has shown the start
-	Cause    string            // one of wire's causes of an exit; "" before it
-	Stopping bool              // it is to stop
-	Covered  bool              // its job is within its team's guarantee
-	Since    clock.Micros      // age of its resource lease when the view was made
-	Held     bool              // it has a held lease, and starts by a StartTask only
+	Team     string            // team of the job
+	Rank     int               // priority level of the job
+	Need     resources.Amounts // resource request of the task
+	Phase    string            // a phase of package wire, such as wire.TaskRunning; "" until a heartbeat reports the attempt
+	Cause    string            // a cause of package wire, such as wire.CauseDone; "" until the attempt has exited
+	Stopping bool              // the partition leader has decided to stop the attempt
+	Covered  bool              // the job is within its team's guarantee
+	Since    clock.Micros      // age of the resource lease when the view was made
+	Held     bool              // the attempt has a held lease and starts only by a StartTask
 }
 
-// MachineView is a machine as its partition leader knows it. It lists those tasks that changed since the
-// poll's cursor, or all of them.
+// MachineView describes a machine as its partition leader knows it. Tasks has either the tasks that changed
+// after the poll's cursor or, with Whole, all tasks.
 type MachineView struct {
-	ID        string
-	Part      int    // its partition
-	Term      uint64 // of the partition's leadership
-	Version   uint64 // of the leader's state at the last change of the machine, within one incarnation
-	Type      string // of the catalog
-	Zone      string
-	Spot      bool
-	Cap       resources.Amounts // capacity
-	Free      resources.Amounts // capacity less all attempts and leases
-	Accounted bool              // no command of a former leader can change the machine; also true once it is silent
-	Usable    bool              // it may get tasks
-	Draining  bool
-	Silent    bool // no heartbeat for a worker lease: all its tasks are gone for certain
-	Overdue   bool // several heartbeats are missed
-	Noticed   bool // it is under an eviction notice
-	// NoticeLeft is how long the machine had, by its eviction notice, when the view was made.
+	ID   string
+	Part int    // number of the machine's partition
+	Term uint64 // term of the partition's leadership
+	// Version is the version of the partition leader's state at the machine's last change. Versions of
+	// different incarnations can't be compared.
+	Version uint64
+	Type    string // machine type, a name of the catalog
+	Zone    string
+	Spot    bool              // spot instance
+	Cap     resources.Amounts // capacity
+	Free    resources.Amounts // capacity less the resources of all attempts and leases
+	// Accounted means that no command of a former partition leader can change the machine any more, so the
+	// view names every task that may be on it. It is also set once the machine is Silent.
+	Accounted bool
+	Usable    bool // the machine may get tasks
+	Draining  bool // the machine gets no more tasks, since it is to be scaled in
+	// Silent means that the worker's lease has expired without a heartbeat, or that the machine is gone. No
+	// task runs on it any more, so its tasks may start elsewhere.
+	Silent  bool
+	Overdue bool // several heartbeats were missed, but the worker's lease has not expired
+	Noticed bool // the machine is under an eviction notice
+	// NoticeLeft is the time that the machine had left by its eviction notice when the view was made.
 	NoticeLeft clock.Micros
-	Sick       bool         // quarantined
-	Images     []string     // in its cache, the latest used first; none when unchanged since the poll's cursor
-	Idle       clock.Micros // how long it has been without tasks
-	Count      int          // number of its tasks
-	Whole      bool         // Tasks lists all of them
-	Tasks      []TaskView   // the oldest lease first
-	Left       []TaskID     // attempts that have been removed since the poll's cursor
+	Sick       bool         // the machine is quarantined
+	Images     []string     // cached images, the most recently used first; empty if unchanged since the poll's cursor
+	Idle       clock.Micros // how long the machine has had no tasks
+	Count      int          // number of tasks on the machine
+	Whole      bool         // Tasks has all tasks, and Left is empty
+	Tasks      []TaskView   // in the order of their leases, the oldest first
+	Left       []TaskID     // attempts that were removed since the poll's cursor
 }
 
-// PollRequest asks a partition leader for the machines that changed after a cursor, and waits for a change.
+// PollRequest asks a partition leader for the machines that changed after a cursor. When none has, the
+// partition leader waits for a change before it answers.
 type PollRequest struct {
-	Incarnation string            // of the leader, as the scheduler knows it; any other gets a full response
-	Cursor      uint64            // of the last response; of no meaning to another incarnation
-	Terms       map[string]uint64 // terms of the scheduler's teams: lower ones are rejected from now on
-	Wait        clock.Micros      // at most so long
-	Gen         uint64            // for the scheduler's own use: the leader does not read it
-	Most        int               // maximum of machines in the response; 0: any number
-	AfterID     string            // lists only machines with later ids, as the next page of a response
-	// Demands is what waits of the scheduler's teams, where fair shares are on; none where the leader got it
-	// a moment ago.
+	// Incarnation is the partition leader's incarnation, as the scheduler knows it. When it is not the
+	// present one, or empty, the response lists all machines.
+	Incarnation string
+	Cursor      uint64 // Cursor of the last response; ignored if Incarnation is not the present one
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. From then on
+	// the partition leader rejects assignments, starts and cancellations under a lower term of these teams.
+	Terms   map[string]uint64
+	Wait    clock.Micros // longest time that the partition leader waits for a change
+	Gen     uint64       // for the scheduler's own bookkeeping; the partition leader does not read it
+	Most    int          // maximum number of machines in the response; 0: no maximum
+	AfterID string       // only machines with greater ids are listed, for the next page of a response; "": all
+	// Demands has the waiting work of the scheduler's teams where fair shares are enabled. It is empty while
+	// the partition leader still has recent demands of the scheduler.
 	Demands []fairshare.Demand
 }
 
-// PollResponse answers a poll. A machine of the partitions in Parts that a full response does not list is
-// gone for certain.
+// PollResponse is a partition leader's answer to a poll. When a full response does not list a machine of the
+// partitions in Parts, that machine no longer exists.
 type PollResponse struct {
-	Incarnation string         // of the partition leader's controller
-	Cursor      uint64         // version of the leader's state that the response shows
-	Full        bool           // lists all machines: the request named another incarnation
-	Parts       map[int]uint64 // partitions that are led, with terms
+	Incarnation string         // incarnation of the partition leader's controller
+	Cursor      uint64         // version of the partition leader's state that the response shows
+	Full        bool           // all machines are listed, not only changed ones
+	Parts       map[int]uint64 // partitions that the responder leads, with the terms of these leaderships
 	Machines    []MachineView  // in the order of their ids
-	More        bool           // machines have been left out, as Most demands
-	// Capacity and Standings are the teams' shares of the leader's machines, where fair shares are on.
+	More        bool           // more machines follow: the response was cut off at PollRequest.Most
+	// Capacity and Standings are the total capacity of the responder's machines and each team's share of it,
+	// where fair shares are enabled. They answer a request with Demands and are empty otherwise.
 	Capacity  resources.Amounts
 	Standings []fairshare.Standing
-	Holds     bool // the leader grants held leases; earlier releases don't
+	Holds     bool // the responder grants held leases; earlier releases don't
 }
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -6,21 +6,21 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// Demand is tasks of one shape that wait or run, as the autoscaler needs to know them.
+// Demand describes waiting tasks of one job, for the autoscaler.
 type Demand struct {
-	Need    resources.Amounts // of one task
-	Types   []string          // machine types that are allowed; none: any
-	Zone    string            // the only one allowed; "": any
+	Need    resources.Amounts // resource request of one task
+	Types   []string          // allowed machine types; empty: any
+	Zone    string            // the only allowed zone; "": any
 	Spot    bool              // spot instances are allowed
-	Rank    int               // priority level
-	Waiting int               // tasks
-	RunFor  clock.Micros      // the user's runtime estimate of one task
-	Stage   int               // one more than the stage of a zone's return that admits it; 0: none is named
-	Slack   clock.Micros      // how much later it may start; 0 when it is late or has no deadline
+	Rank    int               // priority level of the job
+	Waiting int               // number of tasks that wait
+	RunFor  clock.Micros      // the user's estimate of one task's run time
+	Stage   int               // the recovery.Stage that admits the tasks when a zone returns, plus one; 0: not named
+	Slack   clock.Micros      // how long the tasks may still wait; 0: the job is late, or no time is set for it
 }
 
-// WaitingByStage sums the waiting tasks by the stage of a zone's return that admits them. Demand that
-// names none is left out.
+// WaitingByStage returns how many tasks wait for each stage of a zone's return, the stage being the one that
+// admits them. Demands that name no stage are left out.
 func WaitingByStage(demands []Demand) map[recovery.Stage]int {
 	waiting := map[recovery.Stage]int{}
 	for i := range demands {
@@ -31,17 +31,20 @@
 	return waiting
 }
 
-// DemandResponse gives the autoscaler the demand of the teams that a scheduler leads.
+// DemandResponse lists the waiting tasks of the teams that a scheduler leads.
 type DemandResponse struct{ Demands []Demand }
 
-// MachineRef names a machine with its zone, which decides on its partition together with the id.
+// MachineRef identifies a machine. The zone is included because the partition of a machine is computed from
+// its id and its zone.
 type MachineRef struct{ ID, Zone string }
 
-// DrainRequest asks a partition leader to give machines no tasks, for their scale-in.
+// DrainRequest asks a partition leader to assign no more tasks to machines that are to be scaled in.
 type DrainRequest struct{ Machines []MachineRef }
 
-// DrainResponse names the machines that hold neither task nor lease and get none any more.
+// DrainResponse lists the ids of the drained machines that have no task and no lease, so that they can be
+// returned to the cloud.
 type DrainResponse struct{ Ready []string }
 
-// MachinesGone names machines to a partition leader that are gone for certain.
+// MachinesGone tells a partition leader which machines certainly no longer exist, so that it need not wait for
+// their worker leases to expire.
 type MachinesGone struct{ Machines []MachineRef }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,15 +10,16 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// acceptBackoff is how long the server waits after it could not accept a connection, for instance because
-// the process is at its limit of sockets: trying again immediately would only use the processor.
+// acceptBackoff is how long the server pauses after it failed to accept a connection, for instance because
+// the process has reached its limit of file descriptors. Without the pause the loop would use a whole CPU
+// until a descriptor becomes free.
 const acceptBackoff = 50 * time.Millisecond
 
-// Serve answers peers on addr with the methods of svc until ctx ends, and counts the traffic. It fails when
-// it can't listen.
+// Serve answers peers on addr with the methods of svc until ctx ends, and counts their traffic. It returns an
+// error when it can't register svc or can't listen on addr.
 //
-// A connection is served by a goroutine of its own that ends when the peer closes the connection. Serve does
-// not wait for these: a poll may take its whole waiting time, and by then the process is to have ended.
+// Each connection has a goroutine of its own, which ends when the peer closes the connection. Serve does not
+// wait for these goroutines: a poll may take its whole waiting time, and the process has to end before that.
 func Serve(ctx context.Context, addr string, svc any, traffic *telemetry.Traffic) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, svc); err != nil {
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -2,38 +2,39 @@
 
 import "github.com/merlinlatch/merlinlatch/internal/history"
 
-// serviceName is the name that net/rpc carries in each call, before the method's. It is part of the
-// encoded form.
+// serviceName is the service's name in net/rpc. Every call transmits it in front of the method's name, so it
+// is part of the encoded form and never changes.
 const serviceName = "Merlinlatch"
 
-// Service is what every controller offers to its peers and to the operators' commands. The methods' names
-// are part of the encoded form. All may be called concurrently; a call may be repeated, or arrive late,
-// unless its message says how copies are told apart.
+// Service lists the methods that every controller offers to its peers and to the operators' commands. The
+// methods' names are part of the encoded form. All methods may be called concurrently. A call may arrive
+// late or more than once, and its handler must tolerate that; only Batch carries a number by which its
+// receiver recognizes copies.
 type Service interface {
-	// Round gives a batch to a partition leader.
+	// Round sends a scheduler's batch of assignments and commands to a partition leader.
 	Round(in Batch, out *BatchResponse) error
-	// Poll waits for changed machines of a partition leader.
+	// Poll returns the machines of a partition leader that changed after a cursor, and waits for a change.
 	Poll(in PollRequest, out *PollResponse) error
-	// Hello exchanges heartbeats.
+	// Hello sends a heartbeat to a peer and returns the peer's own.
 	Hello(in Heartbeat, out *Heartbeat) error
-	// Demand asks a scheduler what waits.
+	// Demand returns the waiting tasks of the teams that a scheduler leads, for the autoscaler.
 	Demand(in Heartbeat, out *DemandResponse) error
-	// Status asks a scheduler for the state of a job.
+	// Status returns the state of a job, as the scheduler of its team knows it.
 	Status(in JobRequest, out *JobResponse) error
-	// Withdraw asks a scheduler to cancel a job.
+	// Withdraw asks the scheduler of a job's team to cancel the job.
 	Withdraw(in JobRequest, out *JobResponse) error
-	// Submit forwards a submission to a controller with contact to the key-value store.
+	// Submit forwards a user's submission to a controller that can reach the key-value store.
 	Submit(in SubmitRequest, out *SubmitResponse) error
-	// Drain asks a partition leader to drain machines.
+	// Drain asks a partition leader to assign nothing more to machines, and returns those that are empty.
 	Drain(in DrainRequest, out *DrainResponse) error
-	// Gone names machines to a partition leader that are gone for certain; its response is empty.
+	// Gone tells a partition leader which machines certainly no longer exist. Its response is empty.
 	Gone(in MachinesGone, out *DrainResponse) error
-	// Teams asks for the state of the teams.
+	// Teams returns the state of the teams, as one controller knows it.
 	Teams(in TeamsRequest, out *TeamsResponse) error
-	// Zones asks for the state of the zones.
+	// Zones returns the state of the zones, as one controller knows it.
 	Zones(in ZonesRequest, out *ZonesResponse) error
-	// HoldZone stops or resumes the return of a zone.
+	// HoldZone stops the return of a zone at its present stage, or resumes it.
 	HoldZone(in ZoneHoldRequest, out *ZoneHoldResponse) error
-	// History reads a part of the controller's history.
+	// History returns a part of the controller's history of events.
 	History(in HistoryRequest, out *history.Page) error
 }
