--- a/internal/peer/batches.go
+++ b/internal/peer/batches.go
@@ -82,8 +82,9 @@
 type Batch struct {
 	From string // incarnation of the scheduler's controller
 	Seq  uint64 // number of the batch, from 1
-	// Terms has the terms of the team leaderships that the scheduler holds, by team. From then on
-	// the partition leader rejects assignments, starts and cancellations under a lower term of these teams.
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. After
+	// this batch the partition leader rejects assignments, starts and cancellations under lower terms of
+	// these teams, so a former leader of a team can no longer start its tasks.
 	Terms   map[string]uint64
 	Asks    []Assignment
 	Stops   []StopTask
--- a/internal/peer/polls.go
+++ b/internal/peer/polls.go
@@ -62,8 +62,9 @@
 	// present one, or empty, the response lists all machines.
 	Incarnation string
 	Cursor      uint64 // Cursor of the last response; ignored if Incarnation is not the present one
-	// Terms has the terms of the team leaderships that the scheduler holds, by team. From then on
-	// the partition leader rejects assignments, starts and cancellations under a lower term of these teams.
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. After
+	// this poll the partition leader rejects assignments, starts and cancellations under lower terms of these
+	// teams, so a former leader of a team can no longer start its tasks.
 	Terms   map[string]uint64
 	Wait    clock.Micros // longest time that the partition leader waits for a change
 	Gen     uint64       // for the scheduler's own bookkeeping; the partition leader does not read it
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -38,11 +38,11 @@
 // its id and its zone.
 type MachineRef struct{ ID, Zone string }
 
-// DrainRequest asks a partition leader to assign no more tasks to machines that are to be scaled in.
+// DrainRequest asks a partition leader to drain machines that are to be scaled in. It drains a machine that has
+// no task and no lease: the machine gets no tasks any more. A machine in use stays as it is.
 type DrainRequest struct{ Machines []MachineRef }
 
-// DrainResponse lists the ids of the drained machines that have no task and no lease, so that they can be
-// returned to the cloud.
+// DrainResponse lists the ids of the drained machines, which can be returned to the cloud.
 type DrainResponse struct{ Ready []string }
 
 // MachinesGone tells a partition leader which machines certainly no longer exist, so that it need not wait for
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -25,7 +25,7 @@
 	Withdraw(in JobRequest, out *JobResponse) error
 	// Submit forwards a user's submission to a controller that can reach the key-value store.
 	Submit(in SubmitRequest, out *SubmitResponse) error
-	// Drain asks a partition leader to assign nothing more to machines, and returns those that are empty.
+	// Drain asks a partition leader to drain machines for a scale-in, and returns those that are drained.
 	Drain(in DrainRequest, out *DrainResponse) error
 	// Gone tells a partition leader which machines certainly no longer exist. Its response is empty.
 	Gone(in MachinesGone, out *DrainResponse) error
