--- a/wire/parse.go
+++ b/wire/parse.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Bounds of what a submission may name, far above all that has a meaning.
+// Upper bounds of the values in a submission. They are far above any useful value and only keep absurd ones out.
 const (
-	maxAmount    = 1e9 // CPUs, GPUs, GB or seconds
-	maxNameBytes = 200 // of a team or class
-	maxImageName = 500 // bytes
+	maxAmount    = 1e9 // of CPUs, GPUs, GB or seconds
+	maxNameBytes = 200 // of a team's or job class's name
+	maxImageName = 500 // bytes of an image's name
 )
 
-// shapeArray is the one shape of jobs that is offered.
+// shapeArray is the only shape that a job can have.
 const shapeArray = "array"
 
-// requiredFields shows which fields a submission has; those that may be omitted are not among them. It is
-// an alias of a type without a name, since users are shown the name where a field has a wrong type, and
-// that text is kept by the golden tests.
+// requiredFields has the fields that a submission must contain, as pointers that stay nil for missing fields. It
+// is an alias of an unnamed type because encoding/json puts the name of a named type into its error text for a
+// field of the wrong type. Users see that text, and the golden tests fix it.
 type requiredFields = struct {
 	ID       *string  `json:"id"`
 	Class    *string  `json:"jobclass"`
@@ -35,7 +35,7 @@
 	Estimate *float64 `json:"guess_s"`
 }
 
-// checkRequired returns an error that names the first field that is missing or null.
+// checkRequired returns an error that names the first missing or null field, in the order of requiredFields.
 func checkRequired(f *requiredFields) error {
 	for _, field := range []struct {
 		name    string
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// ParseJob reads and checks a submission. Any error means that it does not keep to the protocol, and that a
-// retry won't either: status 400, with the error's text as the answer.
+// ParseJob decodes and checks a submission. An error means that the submission violates the protocol, so that a
+// retry fails as well. The user gets status 400 with the text of the error.
 func ParseJob(body []byte) (Job, error) {
 	var job Job
 	if !strings.HasPrefix(strings.TrimLeft(string(body), " \t\r\n"), "{") {
@@ -80,7 +80,7 @@
 	return job, job.check()
 }
 
-// check returns an error when a value is out of the protocol's bounds.
+// check returns an error if a field has a value that the protocol does not allow.
 func (j *Job) check() error {
 	switch {
 	case !ValidJobID(j.ID):
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// checkAmounts returns an error when an amount or a duration is out of range, or a task takes nothing.
+// checkAmounts returns an error if an amount or a duration is out of range, or the tasks request no resources.
 func (j *Job) checkAmounts() error {
 	for _, field := range []struct {
 		name  string
--- a/wire/parse_test.go
+++ b/wire/parse_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever is sent, a job that is accepted keeps to the protocol's bounds and
-// survives being stored.
+// FuzzParseJob checks that a job that ParseJob accepts is within the protocol's bounds and can be encoded and
+// decoded again, whatever the body is. A job that can't would be accepted and then fail in the schedulers.
 func FuzzParseJob(f *testing.F) {
 	f.Add([]byte(`{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle",` +
 		`"shards":1,"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`))
@@ -30,7 +30,8 @@
 	})
 }
 
-// Of several missing fields the first is named, so that the answer is the same each time.
+// When several fields are missing, the error must name the first one. With any other choice the answer to the
+// same submission could differ from one request to the next.
 func TestSubmissionWithoutSeveralFieldsNamesTheFirst(t *testing.T) {
 	for range 20 {
 		_, err := ParseJob([]byte(`{"id":"job-1","jobclass":"c","rank":"idle"}`))
--- a/wire/users.go
+++ b/wire/users.go
@@ -2,28 +2,28 @@
 
 import "strings"
 
-// Paths that users and the load balancer use. Below PathJobs, "/ID" is a job and "/ID/withdraw" its
-// cancellation.
+// Paths for users and the load balancer. Users submit jobs to PathJobs, read a job's state at PathJobs +
+// "/ID" and cancel the job at PathJobs + "/ID/withdraw". The load balancer probes PathReady.
 const (
 	PathJobs  = "/api/jobs"
 	PathReady = "/ready"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
 // Phases of a job.
 const (
-	Pending   = "pending" // no task runs
-	Running   = "running"
+	Pending   = "pending"   // no task runs, and none is done yet
+	Running   = "running"   // some tasks run or are done
 	Done      = "done"      // final: all tasks are done
-	Cancelled = "cancelled" // final
+	Cancelled = "cancelled" // final: no task runs any more
 )
 
-// Priorities are the priorities, lowest first.
+// Priorities lists the priorities of jobs, the lowest first.
 var Priorities = []string{"idle", "normal", "high", "production"}
 
-// PriorityLevel returns the place of a priority in Priorities, -1 when it is unknown.
+// PriorityLevel returns the index of a priority in Priorities, or -1 if it is unknown.
 func PriorityLevel(priority string) int {
 	for level, p := range Priorities {
 		if p == priority {
@@ -33,36 +33,36 @@
 	return -1
 }
 
-// Job is a submission: a job array of equal tasks that are independent of each other.
+// Job is a user's submission: an array of identical tasks that run independently of each other.
 type Job struct {
-	ID       string   `json:"id"`           // "job-" and digits, chosen by the user; a retry uses the same one
-	Class    string   `json:"jobclass"`     // the settings say what is expected of each class
-	Team     string   `json:"owner"`        // whose guarantee and limit apply
-	Shape    string   `json:"shape"`        // "array"
+	ID       string   `json:"id"`           // "job-" and digits, chosen by the user; a retry of the submission uses the same id
+	Class    string   `json:"jobclass"`     // job class, for which the settings name service objectives
+	Team     string   `json:"owner"`        // team whose guarantee and limit apply
+	Shape    string   `json:"shape"`        // always "array"
 	Priority string   `json:"rank"`         // one of Priorities
-	Tasks    int      `json:"shards"`       // 1 to MaxTasks; they are numbered from 0
-	CPUs     float64  `json:"cpus"`         // for each task
-	GPUs     float64  `json:"accelerators"` // for each task
-	MemGB    float64  `json:"mem_gb"`       // for each task
-	Image    string   `json:"bundle"`       // that a machine needs before a task runs
+	Tasks    int      `json:"shards"`       // number of tasks, 1 to MaxTasks; the tasks are numbered from 0
+	CPUs     float64  `json:"cpus"`         // resource request of each task
+	GPUs     float64  `json:"accelerators"` // resource request of each task
+	MemGB    float64  `json:"mem_gb"`       // resource request of each task
+	Image    string   `json:"bundle"`       // container image that a machine fetches before a task runs
 	ImageGB  float64  `json:"size_gb"`      // size of the image
-	Types    []string `json:"hulls"`        // machine types that are allowed; none: any
-	Zone     string   `json:"yard"`         // the only zone that is allowed; "": any
-	OneZone  bool     `json:"one_zone"`     // all tasks must be in one zone
-	Spread   bool     `json:"spread"`       // at most half of the tasks, rounded up, may be in one zone
-	Spot     bool     `json:"loaners"`      // spot instances are allowed
-	// RuntimeEstimateS is the user's estimate of a task's run time, without the fetch of the image.
+	Types    []string `json:"hulls"`        // allowed machine types; empty: any
+	Zone     string   `json:"yard"`         // the only allowed zone; "": any
+	OneZone  bool     `json:"one_zone"`     // all tasks must run in the same zone
+	Spread   bool     `json:"spread"`       // at most half of the tasks, rounded up, may run in one zone
+	Spot     bool     `json:"loaners"`      // tasks may run on spot instances
+	// RuntimeEstimateS is the user's estimate of a task's run time in seconds, not counting the image fetch.
 	RuntimeEstimateS float64 `json:"guess_s"`
-	// CheckpointIntervalS is the run time between checkpoints; 0: the tasks take none, also when they are
-	// stopped.
+	// CheckpointIntervalS is the run time between two checkpoints of a task, in seconds. With 0 the tasks take
+	// no checkpoints, not even when they are stopped.
 	CheckpointIntervalS float64 `json:"snap_every_s"`
-	// CheckpointDurationS is how long a stopped task takes to checkpoint.
+	// CheckpointDurationS is how long a task takes to checkpoint when it is stopped, in seconds.
 	CheckpointDurationS float64 `json:"snap_s"`
-	// DeadlineS is when the job should be done, counted from its submission; nil: there is no deadline.
+	// DeadlineS is the time in seconds from the job's submission until it should be done; nil: no deadline.
 	DeadlineS *float64 `json:"due_s"`
 }
 
-// maxJobIDDigits bounds the digits of a job id.
+// maxJobIDDigits is the maximum number of digits in a job id.
 const maxJobIDDigits = 40
 
 // ValidJobID reports whether id has the form of a job id: "job-" and digits.
@@ -71,7 +71,7 @@
 	return ok && digits != "" && len(digits) <= maxJobIDDigits && isDecimal(digits)
 }
 
-// isDecimal reports that s has no characters but decimal digits.
+// isDecimal reports whether s consists of decimal digits only.
 func isDecimal(s string) bool {
 	for _, c := range s {
 		if c < '0' || c > '9' {
@@ -81,17 +81,18 @@
 	return true
 }
 
-// JobState is the answer to users about a job.
+// JobState is the answer to a user's query about a job.
 type JobState struct {
 	ID      string `json:"id"`
-	Phase   string `json:"phase"`
-	Done    int    `json:"done"`    // tasks that are done
-	Running int    `json:"running"` // tasks that run
+	Phase   string `json:"phase"`   // Pending, Running, Done or Cancelled
+	Done    int    `json:"done"`    // number of tasks that are done
+	Running int    `json:"running"` // number of tasks that run
 }
 
-// Error is the body of every rejection.
+// Error is the body of every response that rejects a request.
 type Error struct {
 	Error string `json:"error"`
-	// Leader is the controller that a worker is to send its heartbeats to, in answers with status 421.
+	// Leader is the controller to which the worker must send its heartbeats. It is set in responses with
+	// status 421 (Misdirected Request).
 	Leader string `json:"steward,omitempty"`
 }
--- a/wire/workers_test.go
+++ b/wire/workers_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Workers report tasks by name. A name that is not one, or whose number would overflow, must not be taken for a
+// task.
 func TestTaskNameIsSplitAndOtherNamesAreNot(t *testing.T) {
 	job, n, ok := SplitTask(TaskName("job-7", 99999))
 	require.True(t, ok)
