--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -8,9 +8,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// cancelJob has the team's scheduler cancel a job. A job that is final already stays as it is, and its phase
-// is the answer. Until the cancellation is durable the answer is 503; the scheduler goes on with it
-// whether the user asks again or not.
+// cancelJob asks the team's scheduler to cancel a job. A job that is already final stays as it is, and the
+// response has its phase. Until the cancellation is durable the response is 503; the scheduler completes the
+// cancellation even if the user does not ask again.
 func (h *Handler) cancelJob(ctx context.Context, id string) httpx.Response {
 	if final, ok := h.jobs.Final(id); ok {
 		return httpx.JSON(200, jobPhase{ID: id, Phase: final.Phase})
@@ -29,8 +29,8 @@
 	return httpx.JSON(200, jobPhase{ID: id, Phase: cancelled.State.Phase})
 }
 
-// cancellationTarget returns the team of an active job, or the final state of one that is final in the
-// key-value store. The error is a rejection.
+// cancellationTarget returns the team of an active job, or the final state of a job that is final in the
+// key-value store. The error is, or wraps, a rejection.
 func (h *Handler) cancellationTarget(ctx context.Context, id string) (final *jobs.Final, team string, err error) {
 	if j, ok := h.jobs.Active(id); ok {
 		return nil, j.Team, nil
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -24,13 +24,13 @@
 const (
 	jobID = "job-000412"
 
-	// validJob is a submission that is accepted.
+	// validJob is a submission that the handler accepts, with an unknown field that it must ignore.
 	validJob = `{"id":"job-000412","jobclass":"train","owner":"red","shape":"array","rank":"high","shards":16,
  "cpus":8.0,"accelerators":0,"mem_gb":16.0,"bundle":"img-07","size_gb":6.2,"hulls":null,"yard":null,"one_zone":false,
  "spread":false,"loaners":true,"guess_s":240.0,"snap_every_s":30.0,"snap_s":4.0,"due_s":900.0,"later":"ignored"}`
 )
 
-// validJobWith is the valid submission with a part of it replaced.
+// validJobWith returns validJob with one part replaced. It panics if validJob does not contain the part.
 func validJobWith(part, replacement string) string {
 	if !strings.Contains(validJob, part) {
 		panic("not found: " + part)
@@ -38,7 +38,7 @@
 	return strings.Replace(validJob, part, replacement, 1)
 }
 
-// schedulerStub answers as the leader of the team would.
+// schedulerStub is the scheduler of the team; it answers queries and cancellations with a fixed response or error.
 type schedulerStub struct {
 	response peer.JobResponse
 	err      error
@@ -52,11 +52,12 @@
 	return s.response, s.err
 }
 
-// peersStub stands for the other controllers, none of which can be asked while the response has no status.
+// peersStub is the other controllers. They answer forwarded submissions with response; while it has no status,
+// none of them can be reached.
 type peersStub struct {
-	storeUnreachable bool // for this controller alone
+	storeUnreachable bool // this controller has lost contact with the key-value store
 	response         httpx.Response
-	calls            int
+	calls            int // number of forwarded submissions
 }
 
 func (p *peersStub) StoreUnreachable() bool { return p.storeUnreachable }
@@ -66,7 +67,7 @@
 	return p.response, p.response.Status != 0
 }
 
-// apiFixture is a handler on an in-memory key-value store, with a wall clock that the test moves.
+// apiFixture is a Handler with an in-memory key-value store and a wall clock that the test advances.
 type apiFixture struct {
 	*Handler
 	t          *testing.T
@@ -111,19 +112,19 @@
 	return f.do("POST", "", body)
 }
 
-// status asks for the state of the valid job.
+// status queries the state of validJob.
 func (f *apiFixture) status() httpx.Response {
 	f.t.Helper()
 	return f.do("GET", "/"+jobID, "")
 }
 
-// cancel cancels the valid job.
+// cancel requests the cancellation of validJob.
 func (f *apiFixture) cancel() httpx.Response {
 	f.t.Helper()
 	return f.do("POST", "/"+jobID+"/withdraw", "")
 }
 
-// activeRecord reads a job's active record from the store.
+// activeRecord returns the active record of a job from the key-value store.
 func (f *apiFixture) activeRecord(id string) wire.Item {
 	f.t.Helper()
 	item, _, err := f.store.Get(f.t.Context(), kvstore.ActiveJobPrefix+id)
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -1,12 +1,15 @@
-// Package api answers users: it accepts jobs, tells their states and takes cancellations.
+// Package api serves the HTTP interface for users: it accepts jobs, answers queries about their states and
+// cancels them.
 //
-// Handler routes the requests below /api/jobs. Any controller accepts a job, by a create-if-absent
-// transaction: a job is accepted only once its record is durable (submission.go). The state of a job that
-// is final is answered from the cache or the key-value store; everything else is asked of the team's
-// scheduler (queries.go), which also carries a cancellation out (cancellation.go). Why an answer is never
-// older than one given before is argued in docs/design.md, "Why the rules hold", numbers 10, 11 and 14.
+// Handler routes the requests below /api/jobs. Any controller can accept a job. It writes the job's record in a
+// transaction that fails if the job exists, and answers only once the record is durable (submission.go). The
+// state of a final job comes from the cache or the key-value store, and that of any other job from the team's
+// scheduler (queries.go), which also carries out cancellations (cancellation.go). A user never gets a state that
+// is older than one that a user got before, so a final job never appears active again (docs/design.md, "Why the
+// rules hold", numbers 10, 11 and 14).
 //
-// The package decides on statuses and bodies; Store, Schedulers and Peers are its I/O.
+// The package determines the statuses and bodies of responses. It does I/O only through Store, Schedulers and
+// Peers.
 package api
 
 import (
@@ -24,27 +27,27 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Store is the part of the key-value store's client that the handler needs.
+// Store reads keys of the key-value store and commits transactions to it.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
 	Commit(ctx context.Context, m wire.Txn) (uint64, error)
 }
 
-// Schedulers passes a request about a job to the controller that leads the job's team.
+// Schedulers forwards requests about a job to the controller that leads the job's team.
 type Schedulers interface {
 	Status(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
 	Cancel(ctx context.Context, q peer.JobRequest) (peer.JobResponse, error)
 }
 
-// Peers are the other controllers, for submissions that this one can't store.
+// Peers forwards submissions to other controllers when this one can't reach the key-value store.
 type Peers interface {
-	// StoreUnreachable reports that this controller has no contact with the key-value store now.
+	// StoreUnreachable reports whether this controller has no contact with the key-value store now.
 	StoreUnreachable() bool
-	// Submit forwards a submission to a controller with contact; ok is false when none is known.
+	// Submit forwards a submission to a controller that can reach the store; ok is false if none is known.
 	Submit(body []byte) (r httpx.Response, ok bool)
 }
 
-// Handler answers users' requests. Its methods may be called concurrently.
+// Handler serves users' requests. Its methods may be called concurrently.
 type Handler struct {
 	store          Store
 	schedulers     Schedulers
@@ -56,25 +59,26 @@
 	wallClock      func() time.Time
 	log            *slog.Logger
 
-	mu           sync.Mutex         // guards what follows
-	machineTypes []wire.MachineType // none until the catalog is known
-	storeRetryAt time.Time          // until then the key-value store is taken to refuse submissions
+	mu           sync.Mutex         // guards the fields below
+	machineTypes []wire.MachineType // empty until the catalog is known
+	storeRetryAt time.Time          // end of the backoff after the key-value store refused a submission
 }
 
-// Options of a handler.
+// Options has the dependencies and settings of a Handler.
 type Options struct {
 	Store          Store
 	Schedulers     Schedulers
 	Peers          Peers
 	Jobs           *jobs.Cache
-	Limits         map[string]resources.Amounts // by team, an amount of 0 meaning none
-	StartWithin    map[string]clock.Micros      // job classes whose tasks should start within a time
-	MaxRecordBytes int                          // largest value that the key-value store takes
+	Limits         map[string]resources.Amounts // each team's limit; an amount of 0 means no limit
+	StartWithin    map[string]clock.Micros      // time within which tasks should start, for the job classes that have one
+	MaxRecordBytes int                          // maximum size of a value in the key-value store
 	WallClock      func() time.Time
 	Log            *slog.Logger
 }
 
-// New makes a handler, which accepts no job before it knows the machine types.
+// New returns a Handler. It accepts no jobs until SetTypes is called, since it could not check whether their tasks
+// fit any machine.
 func New(o Options) *Handler {
 	return &Handler{
 		store:          o.Store,
@@ -96,15 +100,15 @@
 	h.machineTypes = types
 }
 
-// KnowsMachineTypes reports whether the machine types are known.
+// KnowsMachineTypes reports whether SetTypes was called with a machine type.
 func (h *Handler) KnowsMachineTypes() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.machineTypes) > 0
 }
 
-// Handle answers a request below /api/jobs; rest is the path after that: "" for a submission, "/ID"
-// for a job's state, "/ID/withdraw" for its cancellation.
+// Handle serves a request below /api/jobs. rest is the path after /api/jobs: "" submits a job, "/ID" queries a
+// job's state and "/ID/withdraw" cancels a job.
 func (h *Handler) Handle(ctx context.Context, r *httpx.Request, rest string) httpx.Response {
 	if rest == "" {
 		if r.Method != "POST" {
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -12,8 +12,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// jobState answers with a job's state: the final one if it is known, else what the team's scheduler says,
-// else what is in the key-value store.
+// jobState returns a job's state: the final state if the cache has it, otherwise the state that the team's
+// scheduler gives, and the one in the key-value store if the scheduler gives none.
 func (h *Handler) jobState(ctx context.Context, id string) httpx.Response {
 	if final, ok := h.jobs.Final(id); ok {
 		return httpx.JSON(200, final.State(id))
@@ -30,8 +30,9 @@
 	return h.storedState(ctx, id)
 }
 
-// storedState answers from the key-value store: a job whose active record existed at the time of the read
-// was not final then, so nobody had been answered with a final state.
+// storedState returns a job's state from the key-value store. If the job's active record exists, the job was not
+// final at the time of the read. No user has been told a final state by then, so the answer "pending" does not
+// contradict an earlier one.
 func (h *Handler) storedState(ctx context.Context, id string) httpx.Response {
 	final, active, err := h.lookUpStored(ctx, id)
 	switch {
@@ -45,9 +46,10 @@
 	return reject(errUnknownJob)
 }
 
-// lookUpStored reads a job from the key-value store: its final state, or its active record, or neither when
-// there is no such job. The active record is read first: when it is gone because the job became final, the
-// final state exists. An error wraps errStateUnreadable.
+// lookUpStored reads a job from the key-value store. It returns the job's final state or its active record, or
+// neither if the job does not exist. It reads the active record first: if that was removed because the job
+// became final, the final state exists already, so a job is never missed between the two reads. Errors wrap
+// errStateUnreadable.
 func (h *Handler) lookUpStored(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
 	var record jobs.Record
 	found, err := h.readKey(ctx, kvstore.ActiveJobPrefix+id, &record)
@@ -70,7 +72,7 @@
 	return &end, nil, nil
 }
 
-// readKey reads and decodes the value of a key; found is false when the key is absent.
+// readKey reads a key and decodes its value into value; found is false if the key is absent.
 func (h *Handler) readKey(ctx context.Context, key string, value any) (found bool, err error) {
 	item, found, err := h.store.Get(ctx, key)
 	if err != nil {
--- a/internal/api/queries_test.go
+++ b/internal/api/queries_test.go
@@ -11,16 +11,18 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// During an outage nothing is forgotten and nothing invented.
+// While the key-value store is down, a controller can't know whether a job exists. An answer other than 503, such
+// as 404, would tell the user something that nobody has read.
 func TestRequestsDuringStoreOutageAreUnavailable(t *testing.T) {
 	f := newAPIFixture(t)
 	f.store.SetDown(true)
 	require.Equal(t, 503, f.submit(validJob).Status)
-	require.Equal(t, 503, f.status().Status, "not 404: nobody has read")
+	require.Equal(t, 503, f.status().Status, "not 404: the store was not read")
 	require.Equal(t, 503, f.cancel().Status)
 }
 
-// A final job stays final, whoever is asked, and a late copy of its submission does not bring it back.
+// A late or repeated copy of a submission must not create a final job anew, and neither that nor a cancellation
+// may change its final state.
 func TestFinalJobSubmittedOrCancelledAgainStaysFinal(t *testing.T) {
 	f := newAPIFixture(t)
 	f.submit(validJob)
@@ -41,8 +43,9 @@
 	require.Contains(t, string(f.cancel().Body), `"cancelled"`)
 }
 
-// Of two schedulers that write a job's final state the one whose leadership has changed since fails, also
-// when its write arrives late.
+// A scheduler that has lost its team's leadership must not finish a job, even if its write was sent before the
+// loss and reaches the store after it. The write carries the revision of the leadership as a condition, which
+// fails once the leadership has changed.
 func TestLateFinalStateAfterLeadershipChangeIsNotWritten(t *testing.T) {
 	f := newAPIFixture(t)
 	f.submit(validJob)
@@ -65,7 +68,8 @@
 	require.Equal(t, 200, f.status().Status)
 }
 
-// While the final state is being written, the scheduler answers nothing that could be older.
+// While a job's final state is being written, another user may already have read it. The scheduler then gives no
+// state (Retry), and queries and cancellations must be answered with 503 instead of an older state.
 func TestJobStateDuringFinalWriteIsUnavailable(t *testing.T) {
 	f := newAPIFixture(t)
 	f.submit(validJob)
--- a/internal/api/rejections.go
+++ b/internal/api/rejections.go
@@ -7,23 +7,23 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// statusUnavailable means that the request may succeed when it is repeated.
+// statusUnavailable is the status of requests that may succeed when they are repeated.
 const statusUnavailable = 503
 
-// retryAfterS is the Retry-After of unavailable answers, in seconds: the shortest that the header can name.
+// retryAfterS is the Retry-After header of 503 responses in seconds, the shortest time that the header can give.
 const retryAfterS = 1
 
-// rejection is an error with the status and the text that the user gets. The texts are part of the
-// interface to users and are kept by the golden tests.
+// rejection is an error that carries the HTTP status and the error text for the user. The texts are part of the
+// interface for users, and the golden tests compare them.
 type rejection struct {
 	status int
 	text   string
 }
 
-// Error returns the text that the user gets.
+// Error returns the error text for the user.
 func (r *rejection) Error() string { return r.text }
 
-// Requests that can't succeed, whenever they are repeated.
+// Rejections of requests that fail again when they are repeated.
 var (
 	errMethodNotAllowed = &rejection{405, "method not allowed"}
 	errUnknownPath      = &rejection{404, "no such path"}
@@ -34,7 +34,7 @@
 	errFitsNoMachine    = &rejection{422, "a task fits no allowed machine type"}
 )
 
-// Requests that may succeed later.
+// Rejections of requests that may succeed later.
 var (
 	errMachineTypesUnknown = &rejection{statusUnavailable, "the machine types are not known yet"}
 	errNotStored           = &rejection{statusUnavailable, "the job can't be stored now"}
@@ -43,13 +43,13 @@
 	errNotCancelledYet     = &rejection{statusUnavailable, "the job is not cancelled yet, ask again"}
 )
 
-// errInternal answers for errors that name no rejection; none is known.
+// errInternal is the answer for an error that wraps no rejection. No code path is known to return one.
 var errInternal = &rejection{statusUnavailable, "no answer"}
 
-// badRequest rejects a submission that does not keep to the protocol.
+// badRequest returns the rejection of a submission that violates the protocol, with the text of err.
 func badRequest(err error) error { return &rejection{400, err.Error()} }
 
-// reject answers with the rejection that err is or wraps.
+// reject returns the response for the rejection that err is or wraps. 503 responses get a Retry-After header.
 func reject(err error) httpx.Response {
 	reason := errInternal
 	errors.As(err, &reason)
--- a/internal/api/rejections_test.go
+++ b/internal/api/rejections_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Users tell by the status whether a submission is malformed (400) or can't run with this team and these machine
+// types (422). A submission that is accepted by mistake would wait forever.
 func TestInvalidSubmissionIsRejectedWithStatus(t *testing.T) {
 	f := newAPIFixture(t)
 	for _, c := range []struct {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -14,23 +14,24 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// maxWatermarkedTasks is up to how many tasks a job is watermarked as a whole with its acceptance: of many
-// small jobs each separate watermark would cost as much as that of a large one.
+// maxWatermarkedTasks is the maximum number of tasks of a job whose record is written as watermarked. A watermark
+// in the key-value store covers the tasks of a job that may have been assigned, and it is written before they
+// are assigned. A separate watermark for a small job would cost as much as one for a large job.
 const maxWatermarkedTasks = 4
 
-// storeRefusalBackoff is for how long no submission is tried after the key-value store has refused one: in
-// an outage users repeat their submissions, and each try costs a part of the request budget that those who
-// come after the outage need.
+// storeRefusalBackoff is how long no submission is written after the key-value store has refused one. Users repeat
+// their submissions during an outage, and every attempt to write one would use up a part of the request budget
+// that is needed right after the outage.
 const storeRefusalBackoff = 250 * time.Millisecond
 
-// jobPhase is the body of the answer to an accepted submission and to a cancellation.
+// jobPhase is the body of the response to an accepted submission and to a cancellation.
 type jobPhase struct {
 	ID    string `json:"id"`
 	Phase string `json:"phase"`
 }
 
-// submit accepts a job, or has another controller do so when this one alone can't reach the key-value
-// store: its users need not go elsewhere.
+// submit accepts a job, or forwards it to another controller if this one can't reach the key-value store, so that
+// users need not find such a controller themselves.
 func (h *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := h.wallClock()
 	defer func() {
@@ -50,8 +51,8 @@
 	return r
 }
 
-// AcceptJob accepts a job at this controller, or answers with the state of one that is known already. A job
-// is accepted only once its record is durable.
+// AcceptJob accepts a job at this controller, or returns the state of the job if it exists already. A job is
+// accepted only once its record is durable.
 func (h *Handler) AcceptJob(ctx context.Context, body []byte) httpx.Response {
 	job, err := wire.ParseJob(body)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return h.storeJob(ctx, record)
 }
 
-// newRecord makes the record of a job that is accepted now. Where its tasks should start within a time a
-// separate watermark would only be one more write to wait for.
+// newRecord returns the record of a job that is accepted now. A job whose tasks should start within a time is
+// written as watermarked whatever its size, since waiting for a separate watermark would delay their start.
 func (h *Handler) newRecord(job wire.Job) jobs.Record {
 	_, startsWithin := h.startWithin[job.Class]
 	return jobs.Record{
@@ -81,7 +82,7 @@
 	}
 }
 
-// checkAcceptable returns the rejection of a job that can't be accepted, or not now.
+// checkAcceptable returns the rejection of a job that can't be accepted now or at all, and nil for any other job.
 func (h *Handler) checkAcceptable(record jobs.Record) error {
 	if !h.KnowsMachineTypes() {
 		return errMachineTypesUnknown
@@ -92,13 +93,13 @@
 	if err := h.checkRunnable(jobs.New(record, 0)); err != nil {
 		return err
 	}
-	if h.storeRefusing() {
+	if h.inStoreBackoff() {
 		return errNotStored
 	}
 	return nil
 }
 
-// checkRecordSize rejects a job whose record the key-value store would not take.
+// checkRecordSize rejects a job whose record is too large for a value in the key-value store.
 func (h *Handler) checkRecordSize(record jobs.Record) error {
 	if encoded, err := json.Marshal(record); err != nil || len(encoded) > h.maxRecordBytes {
 		return errRecordTooLarge
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// checkRunnable rejects a job of which no task can ever run, by its team's limit or by the machine types.
+// checkRunnable rejects a job whose tasks can never run, because they exceed the team's limit or fit no machine type.
 func (h *Handler) checkRunnable(j *jobs.Job) error {
 	limit, ok := h.limits[j.Team]
 	if !ok {
@@ -123,18 +124,19 @@
 	return nil
 }
 
-// exceeds reports that an amount is over a limit, where 0 means that there is none.
+// exceeds reports whether an amount is above a limit. A limit of 0 means that there is none.
 func exceeds(amount, limit int64) bool { return limit > 0 && amount > limit }
 
-// canRunOn reports whether a task of the job fits an empty machine of a type that the job allows, in a
-// zone that it allows.
+// canRunOn reports whether a task of the job fits on an empty machine of type t, and the job allows this type and
+// a zone that offers it.
 func canRunOn(j *jobs.Job, t *wire.MachineType) bool {
 	allowsType := len(j.Types) == 0 || slices.Contains(j.Types, t.Name)
 	allowsZone := j.Zone == "" || slices.Contains(t.Zones, j.Zone)
 	return allowsType && allowsZone && j.Need.Fits(resources.Capacity(t.CPUs, t.GPUs, t.MemGB))
 }
 
-// storeJob creates the job's record, unless the job is known in the key-value store already, active or final.
+// storeJob writes the job's record, unless the key-value store already has the job as active or final; in that
+// case it returns the job's state.
 func (h *Handler) storeJob(ctx context.Context, record jobs.Record) httpx.Response {
 	activeKey, finalKey := kvstore.ActiveJobPrefix+record.ID, kvstore.FinalJobPrefix+record.ID
 	_, err := h.store.Commit(ctx, wire.Txn{
@@ -147,21 +149,21 @@
 	case errors.Is(err, kvstore.ErrConflict):
 		return h.jobState(ctx, record.ID)
 	case errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrBudgetExhausted):
-		h.noteStoreRefusal()
+		h.startStoreBackoff()
 	}
 	h.log.Debug("submission store failed", "job", record.ID, "error", err)
 	return reject(errNotStored)
 }
 
-// storeRefusing reports that the key-value store has refused a submission a moment ago.
-func (h *Handler) storeRefusing() bool {
+// inStoreBackoff reports whether the key-value store refused a submission less than storeRefusalBackoff ago.
+func (h *Handler) inStoreBackoff() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.wallClock().Before(h.storeRetryAt)
 }
 
-// noteStoreRefusal starts the backoff after a refusal by the key-value store.
-func (h *Handler) noteStoreRefusal() {
+// startStoreBackoff stops writes of submissions for storeRefusalBackoff, after the key-value store refused one.
+func (h *Handler) startStoreBackoff() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.storeRetryAt = h.wallClock().Add(storeRefusalBackoff)
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -9,6 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/httpx"
 )
 
+// Users repeat a submission when they get no answer. The repeat must be answered with the job's state and not
+// accept the job a second time.
 func TestSubmissionIsAcceptedOnce(t *testing.T) {
 	f := newAPIFixture(t)
 	require.Equal(t, 404, f.status().Status)
@@ -19,7 +21,8 @@
 	require.Equal(t, 200, f.status().Status)
 }
 
-// The user is asked to come back, and finds the job accepted.
+// When the store carries out the write but its response is lost, the user gets 503 with a Retry-After header. The
+// retry must find the job accepted.
 func TestSubmissionWithLostStoreResponseIsFoundOnRetry(t *testing.T) {
 	f := newAPIFixture(t)
 	f.store.SetMute(true)
@@ -30,8 +33,8 @@
 	require.Equal(t, 200, f.submit(validJob).Status)
 }
 
-// Cut off from the key-value store alone, a controller has another one store the
-// job; when none can, its user is asked immediately to come back.
+// A controller that can't reach the key-value store forwards submissions to one that can, whether or not it has
+// noticed the loss of contact yet. If no other controller can take the submission, the user gets 503.
 func TestSubmissionWithoutStoreContactIsForwardedToPeer(t *testing.T) {
 	f := newAPIFixture(t)
 	f.store.SetCut(true)
@@ -46,11 +49,11 @@
 	f.store.SetCut(false)
 	f.peers.storeUnreachable, f.nowMS = false, 1000
 	require.Equal(t, 201, f.submit(validJob).Status)
-	require.Equal(t, 3, f.peers.calls, "no peer is needed now")
+	require.Equal(t, 3, f.peers.calls, "the store can be reached again, so nothing is forwarded")
 }
 
-// In an outage not every submission is tried: the request budget is for those that come
-// after it.
+// During an outage of the store users repeat their submissions. If each of them were tried, they would use up the
+// request budget that is needed after the outage, so none is tried for 250 ms after a refusal.
 func TestSubmissionAfterStoreRefusalWaitsForBackoff(t *testing.T) {
 	f := newAPIFixture(t)
 	f.store.SetCut(true)
@@ -64,8 +67,8 @@
 	require.Equal(t, 201, f.submit(validJob).Status)
 }
 
-// Of many jobs of a task or two each the watermarks come with the acceptance, in the
-// same change. Larger ones are watermarked as their turn comes near.
+// Small jobs are written as watermarked with their acceptance, since a separate write for each of many small jobs
+// would be too expensive. Larger jobs are not; their watermarks are written shortly before they are scheduled.
 func TestSmallJobIsWatermarkedOnAcceptance(t *testing.T) {
 	f := newAPIFixture(t)
 	for tasks, watermarked := range map[string]bool{"1": true, "16": false} {
