--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// minReadBuffer is how many bytes a client's connection can read at a time, at least.
+	// minReadBuffer is the minimum size in bytes by which a client connection's read buffer grows.
 	minReadBuffer = 4 << 10
-	// maxKeptBuffer is the largest buffer that an idle connection keeps.
+	// maxKeptBuffer is the maximum size in bytes of the read buffer that an idle client connection keeps.
 	maxKeptBuffer = 64 << 10
 )
 
-// Client calls one address and keeps a few connections open. It is safe for concurrent use once Count was
-// called, if at all.
+// Client sends requests to one address and keeps idle connections open for later requests. It is safe for concurrent
+// use, except for Count.
 type Client struct {
 	addr        string
-	maxIdle     int // connections kept open
-	maxResponse int // bytes of a body
-	// traffic counts the requests, their responses and their bytes; it may be nil.
+	maxIdle     int // maximum number of idle connections
+	maxResponse int // maximum size of a response's body in bytes
+	// traffic counts requests, responses and their bytes. It may be nil.
 	traffic *telemetry.Traffic
 
 	mu   sync.Mutex // guards idle
 	idle []*clientConnection
 }
 
-// NewClient makes a client for addr that keeps so many idle connections; responses with a body over limit
-// bytes are an error.
+// NewClient returns a client for addr that keeps at most keep idle connections. A response whose body is larger than
+// limit bytes is an error.
 func NewClient(addr string, keep, limit int) *Client {
 	return &Client{addr: addr, maxIdle: keep, maxResponse: limit}
 }
 
-// Count has the client count its traffic. It is called before the first request.
+// Count makes the client count its traffic in t. It must be called before the first request.
 func (c *Client) Count(t *telemetry.Traffic) { c.traffic = t }
 
-// Addr is the address that the client calls.
+// Addr returns the address that the client calls.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends one request and waits for its response until ctx ends. After an
-// error the request may have been executed, or may yet be executed later.
+// Do sends one request and waits for the response until ctx ends. After an error the server may have executed the
+// request, or may still execute it later.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Response, error) {
 	conn, err := c.acquire(ctx)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if response != nil {
 		c.traffic.Message(len(response.Body), len(request))
 	}
-	// A connection whose deadline was set, or that failed, can't be used again.
+	// A connection that failed, or whose deadline was set because ctx ended, can't be used again.
 	if !stop() || err != nil {
 		conn.raw.Close()
 		if err == nil {
@@ -84,7 +84,7 @@
 	c.idle = nil
 }
 
-// acquire returns an idle connection, or a new one.
+// acquire returns an idle connection, or dials a new one if there is none.
 func (c *Client) acquire(ctx context.Context) (*clientConnection, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
@@ -97,7 +97,7 @@
 	return &clientConnection{raw: raw}, nil
 }
 
-// takeIdle takes the connection used last off the idle ones, nil when there is none.
+// takeIdle removes the most recently used idle connection and returns it, or returns nil if there is none.
 func (c *Client) takeIdle() *clientConnection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	return conn
 }
 
-// release keeps a connection for later requests, or closes it when there are enough.
+// release keeps a connection for later requests, or closes it if there are already maxIdle idle connections.
 func (c *Client) release(conn *clientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,23 +121,23 @@
 	c.idle = append(c.idle, conn)
 }
 
-// clientConnection is an open connection with its read buffer; one request at a time uses it.
+// clientConnection is an open connection with its read buffer. It carries one request at a time.
 type clientConnection struct {
 	raw    net.Conn
 	buffer []byte
 }
 
-// roundTrip writes a request and reads its response.
+// roundTrip sends a request and reads its response, whose body may have at most maxBody bytes.
 func (c *clientConnection) roundTrip(request []byte, maxBody int) (*Response, error) {
 	if _, err := c.raw.Write(request); err != nil {
 		return nil, err
 	}
 	c.buffer = c.buffer[:0]
-	responseBytes := 0 // of the whole response; 0 while its head doesn't say
+	responseBytes := 0 // size of the whole response; 0 while it is unknown
 	for {
 		readErr := c.read(responseBytes, maxBody)
 		if len(c.buffer) < responseBytes && readErr == nil {
-			continue // a long list comes in many pieces: it is parsed once
+			continue // a long response arrives in many pieces and is parsed only once, when it is complete
 		}
 		if responseBytes == 0 {
 			responseBytes = responseSize(c.buffer)
@@ -161,7 +161,8 @@
 	}
 }
 
-// read appends what has arrived to the buffer, which grows at least to the expected size, within the limit.
+// read reads from the connection into the buffer once. A full buffer grows first, up to the expected size of the
+// response if that is within limit.
 func (c *clientConnection) read(expected, limit int) error {
 	length := len(c.buffer)
 	if length == cap(c.buffer) {
--- a/internal/httpx/connection.go
+++ b/internal/httpx/connection.go
@@ -8,24 +8,25 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// connection is the inbox between the event loop and the connection's goroutine.
+// connection is an inbound connection. Its buffer passes received bytes from the event loop to the connection's
+// goroutine.
 type connection struct {
 	raw  gnet.Conn
-	wake chan struct{} // holds at most one notification
+	wake chan struct{} // wakes the goroutine; holds at most one notification
 
 	mu             sync.Mutex // guards the fields below
-	buffer         []byte     // bytes of requests that are not being answered
+	buffer         []byte     // received bytes after the request that is being answered
 	closed         bool
 	answering      bool // a request is being answered
-	answeringBytes int  // bytes of that request
+	answeringBytes int  // size of that request, which counts against the server's budget
 
-	// Only the event loop uses these.
+	// Only the event loop uses the fields below.
 	hasGoroutine bool
-	lastUsed     time.Time     // when its last request began
-	element      *list.Element // its place in connectionsByUse, nil once it is closed
+	lastUsed     time.Time     // when the first bytes of the last request arrived
+	element      *list.Element // element in Server.connectionsByUse; nil once the connection is closed
 }
 
-// notify wakes the connection's goroutine; notifications that it has not taken yet are one.
+// notify wakes the connection's goroutine. Several notifications that the goroutine has not received yet count as one.
 func (c *connection) notify() {
 	select {
 	case c.wake <- struct{}{}:
@@ -33,8 +34,8 @@
 	}
 }
 
-// takeRequest takes a request off the buffer, nil while there is no complete one. The request before it is no
-// longer being answered.
+// takeRequest removes the next request from the buffer and returns it, or returns nil while no complete request has
+// arrived. The goroutine calls it only after it has answered the previous request.
 func (c *connection) takeRequest() (r *Request, closed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpx/enginelog.go
+++ b/internal/httpx/enginelog.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// engineLog logs the event loop's own messages, most of them one level lower. It is gnet's logging.Logger.
+// engineLog implements gnet's logging.Logger. It logs the event loop's info messages at debug level and its warnings at
+// info level.
 type engineLog struct{ log *slog.Logger }
 
 // Debugf logs at debug level.
@@ -20,5 +21,5 @@
 // Errorf logs at error level.
 func (l engineLog) Errorf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
 
-// Fatalf logs at error level; the process goes on.
+// Fatalf logs at error level. Unlike other implementations it does not end the process.
 func (l engineLog) Fatalf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -1,9 +1,10 @@
-// Package httpx is the project's own HTTP/1.1: a parser (ParseRequest, ParseResponse), a server on gnet with
-// a goroutine for each connection (Server), and a client that keeps connections open (Client). The parser is
-// without I/O: it is given bytes, and says how many of them it took.
+// Package httpx implements the parts of HTTP/1.1 that merlinlatch needs: a parser (ParseRequest,
+// ParseResponse), a server on gnet with a goroutine for each connection (Server), and a client that keeps
+// connections open (Client). The parser does no I/O: it gets bytes and returns how many of them the message took.
 //
-// Invariants: a server holds no more than its budget of bytes of requests that are not answered, and no more
-// connections than its limit; after an error of the parser the framing is lost and the connection ends.
+// Invariants:
+//   - A server holds at most its limit of connections, and at most its budget of bytes of unanswered requests.
+//   - After an error of the parser nobody knows where the next message begins, so the connection is closed.
 package httpx
 
 import (
@@ -17,9 +18,9 @@
 )
 
 const (
-	// maxHead is the limit of a message's head, and of a chunked body's trailers, in bytes.
+	// maxHead is the maximum size of a message's head, and of each trailer of a chunked body, in bytes.
 	maxHead = 16 << 10
-	// maxChunkLine is the limit of the line that begins a chunk, in bytes.
+	// maxChunkLine is the maximum size of the line that gives a chunk's size, in bytes.
 	maxChunkLine = 256
 )
 
@@ -28,29 +29,30 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// Errors of the parser. After any of them the framing is lost.
+// Errors of the parser. After ErrMalformed or ErrTooLarge the connection can't be used any more. errIncomplete means
+// that the message has not arrived completely; it never leaves the package.
 var (
 	ErrMalformed  = errors.New("malformed HTTP message")
 	ErrTooLarge   = errors.New("HTTP message too large")
-	errIncomplete = errors.New("more bytes needed")
+	errIncomplete = errors.New("HTTP message is incomplete")
 )
 
-// Request is one parsed request.
+// Request is a parsed request.
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
-	Close               bool
+	Close               bool // the connection is to be closed after the response
 }
 
-// Response is one response, to be written or parsed.
+// Response is a response, either parsed or to be written.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter int // seconds, 0: none
-	Close      bool
+	RetryAfter int  // value of the Retry-After header in seconds; 0: no such header
+	Close      bool // the connection is closed after the response
 }
 
-// JSON makes a response with v as its body, 503 if v can't be encoded.
+// JSON returns a response with v, encoded as JSON, as its body. If v can't be encoded, the response is a 503.
 func JSON(status int, v any) Response {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -59,17 +61,18 @@
 	return Response{Status: status, Body: b}
 }
 
-// messageHead is what counts of a start line and headers.
+// messageHead has the start line of a message and those headers that the package evaluates.
 type messageHead struct {
 	startLine     string
-	contentLength int
-	chunked       bool
-	close         bool
-	retryAfter    int
-	bytes         int
+	contentLength int  // -1 if the message has no Content-Length header
+	chunked       bool // the body has chunked transfer encoding
+	close         bool // the sender asks for the connection to be closed
+	retryAfter    int  // seconds; 0 if there is no valid header
+	bytes         int  // size of the head, including the empty line at its end
 }
 
-// parseHead reads the start line and the headers of the message in b.
+// parseHead parses the start line and the headers of the message at the beginning of b. It returns errIncomplete if b
+// does not contain the whole head.
 func parseHead(b []byte) (messageHead, error) {
 	h := messageHead{contentLength: -1}
 	end := bytes.Index(b, headEnd)
@@ -93,28 +96,29 @@
 		}
 	}
 	if h.chunked && h.contentLength >= 0 {
-		return h, fmt.Errorf("%w: two framings", ErrMalformed)
+		return h, fmt.Errorf("%w: both content-length and transfer-encoding", ErrMalformed)
 	}
 	return h, nil
 }
 
-// parseHeader reads one header line; only those that matter for framing and retries are kept.
+// parseHeader parses one header line. It keeps only the headers that determine the message's length, the closing of
+// the connection and the time of a retry.
 func (h *messageHead) parseHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
-		return fmt.Errorf("%w: header line", ErrMalformed)
+		return fmt.Errorf("%w: invalid header line", ErrMalformed)
 	}
 	value = strings.Trim(value, " \t")
 	switch {
 	case strings.EqualFold(name, "content-length"):
 		n, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) || value[0] == '+' {
-			return fmt.Errorf("%w: content-length", ErrMalformed)
+			return fmt.Errorf("%w: invalid content-length", ErrMalformed)
 		}
 		h.contentLength = int(n)
 	case strings.EqualFold(name, "transfer-encoding"):
 		if !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("%w: transfer-encoding", ErrMalformed)
+			return fmt.Errorf("%w: unsupported transfer-encoding", ErrMalformed)
 		}
 		h.chunked = true
 	case strings.EqualFold(name, "connection"):
@@ -127,7 +131,7 @@
 	return nil
 }
 
-// parseChunks reads a chunked body from b; used is how many bytes it took.
+// parseChunks parses a chunked body at the beginning of b; used is the number of bytes that it took, with trailers.
 func parseChunks(b []byte, maxBody int) (body []byte, used int, err error) {
 	for {
 		size, lineBytes, err := parseChunkSize(b[used:])
@@ -151,13 +155,13 @@
 		body = append(body, b[used:used+size]...)
 		used += size
 		if b[used] != '\r' || b[used+1] != '\n' {
-			return nil, 0, fmt.Errorf("%w: chunk end", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: chunk not followed by CRLF", ErrMalformed)
 		}
 		used += len(lineEnd)
 	}
 }
 
-// parseChunkSize reads the line that begins a chunk; used is how many bytes it took.
+// parseChunkSize parses the line that gives a chunk's size; used is the number of bytes in that line.
 func parseChunkSize(b []byte) (size, used int, err error) {
 	end := bytes.Index(b, lineEnd)
 	if end < 0 {
@@ -169,12 +173,13 @@
 	text, _, _ := strings.Cut(string(b[:end]), ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 	if err != nil {
-		return 0, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+		return 0, 0, fmt.Errorf("%w: invalid chunk size", ErrMalformed)
 	}
 	return int(n), end + len(lineEnd), nil
 }
 
-// skipTrailers reads the trailers after the last chunk, to the empty line that ends them.
+// skipTrailers returns the number of bytes in the trailers after the last chunk, including the empty line that ends
+// them.
 func skipTrailers(b []byte) (used int, err error) {
 	for {
 		end := bytes.Index(b[used:], lineEnd)
@@ -191,7 +196,7 @@
 	}
 }
 
-// parseBody reads the body that follows a head; used is how many bytes the whole message took.
+// parseBody parses the body of the message in b after its head h; used is the number of bytes in the whole message.
 func parseBody(h messageHead, b []byte, maxBody int) (body []byte, used int, err error) {
 	if h.chunked {
 		body, used, err = parseChunks(b[h.bytes:], maxBody)
@@ -207,8 +212,8 @@
 	return bytes.Clone(b[h.bytes : h.bytes+n]), h.bytes + n, nil
 }
 
-// ParseRequest reads one request from b. It returns errMore as (nil, 0, nil)
-// while the request is not complete.
+// ParseRequest parses the request at the beginning of b, with a body of at most limit bytes, and returns the number of
+// bytes that it took. It returns (nil, 0, nil) while the request is incomplete.
 func ParseRequest(b []byte, limit int) (*Request, int, error) {
 	h, err := parseHead(b)
 	if errors.Is(err, errIncomplete) {
@@ -221,11 +226,11 @@
 	target, proto, hasProto := strings.Cut(rest, " ")
 	if !ok || !hasProto || method == "" || !strings.HasPrefix(target, "/") ||
 		(proto != "HTTP/1.1" && proto != "HTTP/1.0") {
-		return nil, 0, fmt.Errorf("%w: request line", ErrMalformed)
+		return nil, 0, fmt.Errorf("%w: invalid request line", ErrMalformed)
 	}
 	for _, c := range method {
 		if c < 'A' || c > 'Z' {
-			return nil, 0, fmt.Errorf("%w: method", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: invalid method", ErrMalformed)
 		}
 	}
 	body, used, err := parseBody(h, b, limit)
@@ -240,8 +245,8 @@
 	return request, used, nil
 }
 
-// responseSize is how many bytes the response takes that begins with b; 0 while, or when, its head doesn't
-// say.
+// responseSize returns the total size in bytes of the response that begins with b. It returns 0 if the head is
+// incomplete or invalid, or has no Content-Length header.
 func responseSize(b []byte) int {
 	h, err := parseHead(b)
 	if err != nil || h.contentLength < 0 || h.chunked {
@@ -250,8 +255,8 @@
 	return h.bytes + h.contentLength
 }
 
-// ParseResponse reads one response, with a body of limit bytes at most, from b, and returns how many bytes it
-// took; (nil, 0, nil) while it is not complete.
+// ParseResponse parses the response at the beginning of b, with a body of at most limit bytes, and returns the number
+// of bytes that it took. It returns (nil, 0, nil) while the response is incomplete.
 func ParseResponse(b []byte, limit int) (*Response, int, error) {
 	h, err := parseHead(b)
 	if errors.Is(err, errIncomplete) {
@@ -264,10 +269,10 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 599 {
-		return nil, 0, fmt.Errorf("%w: status line", ErrMalformed)
+		return nil, 0, fmt.Errorf("%w: invalid status line", ErrMalformed)
 	}
 	if h.contentLength < 0 && !h.chunked && status != 204 && status != 304 {
-		return nil, 0, fmt.Errorf("%w: no length", ErrMalformed)
+		return nil, 0, fmt.Errorf("%w: response without content-length or chunked encoding", ErrMalformed)
 	}
 	body, used, err := parseBody(h, b, limit)
 	if errors.Is(err, errIncomplete) {
@@ -279,7 +284,7 @@
 	return &Response{Status: status, Body: body, RetryAfter: h.retryAfter, Close: h.close}, used, nil
 }
 
-// reasonPhrases are those of the statuses that the service answers.
+// reasonPhrases has the reason phrases of the statuses that merlinlatch sends.
 var reasonPhrases = map[int]string{
 	200: "OK",
 	201: "Created",
@@ -295,7 +300,7 @@
 	503: "Service Unavailable",
 }
 
-// AppendResponse appends r to b as it goes over the connection.
+// AppendResponse appends the encoded response r to b.
 func AppendResponse(b []byte, r Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
@@ -314,7 +319,7 @@
 	return append(b, r.Body...)
 }
 
-// AppendRequest appends a request to b as it goes over the connection.
+// AppendRequest appends an encoded request to b. A nil body is sent as no body.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -11,7 +11,8 @@
 
 const postRequest = "POST /api/jobs?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nconnection: Close\r\n\r\nhello"
 
-// A request is parsed once it is complete, wherever it is cut.
+// A request can arrive in pieces of any size. The parser must report it as incomplete at every possible cut, and must
+// not take bytes of the request that follows it.
 func TestRequestInPiecesIsParsedOnceComplete(t *testing.T) {
 	for i := range len(postRequest) {
 		r, used, err := ParseRequest([]byte(postRequest[:i]), 100)
@@ -25,7 +26,8 @@
 	require.Equal(t, &Request{Method: "POST", Path: "/api/jobs", Query: "x=1", Body: []byte("hello"), Close: true}, r)
 }
 
-// What one side writes the other parses, chunked or not.
+// Responses that AppendResponse writes, and chunked requests with random chunk sizes, must be parsed to the values that
+// were written.
 func TestWrittenMessageIsParsedBack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -48,6 +50,8 @@
 	}
 }
 
+// The parser must reject invalid and ambiguous requests, such as one with two lengths. If it guessed a length, it could
+// take a part of a body for the next request.
 func TestMalformedRequestIsRejected(t *testing.T) {
 	for _, bad := range []string{
 		"\r\n\r\n", "GET\r\n\r\n", "GET / HTTP/2\r\n\r\n", "get / HTTP/1.1\r\n\r\n", "GET x HTTP/1.1\r\n\r\n",
@@ -66,6 +70,8 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
+// FuzzParseRequest checks that the parser takes no more bytes than it gets, keeps to the limit of the body, and parses a
+// request to the same value again from exactly the bytes that it took.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(postRequest))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"))
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -12,68 +12,71 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Handler answers one request.
+// Handler returns the response to a request.
 type Handler func(ctx context.Context, r *Request) Response
 
 const (
-	// maxBody is the limit of a request's body, in bytes.
+	// maxBody is the maximum size of a request's body in bytes.
 	maxBody = 64 << 10
-	// maxUnreadBytes is how many bytes of responses a peer may leave unread before it is cut off.
+	// maxUnreadBytes is the maximum size in bytes of the responses that a client leaves unread. The server closes the
+	// connection of a client that leaves more.
 	maxUnreadBytes = 256 << 10
-	// maxBuffered is how many bytes a connection may buffer: one request, with some of the next.
+	// maxBuffered is the maximum size in bytes of a connection's buffer. It has room for one request of the maximum
+	// size and the beginning of the next.
 	maxBuffered = maxBody + maxHead + 1<<10
-	// maxKeptServerBuffer is the largest buffer that a connection without a request keeps.
+	// maxKeptServerBuffer is the maximum size in bytes of the empty buffer that a connection keeps between requests.
 	maxKeptServerBuffer = 16 << 10
-	// socketBuffer is the size of the event loop's buffers for reading and writing, in bytes.
+	// socketBuffer is the size in bytes of the event loop's read buffer and of its write buffer.
 	socketBuffer = 8 << 10
-	// stopTimeout is how long the event loop may take to stop.
+	// stopTimeout bounds the time that the event loop takes to stop.
 	stopTimeout = time.Second
 )
 
-// Responses of the server itself.
+// Responses that the server sends without calling its handler.
 var (
 	tooManyConnectionsResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many connections"}`)}
-	// overloadedResponse answers a request for which there is no memory.
+	// overloadedResponse answers a request that exceeds the budget of pending bytes.
 	overloadedResponse = Response{Status: 503, RetryAfter: 1, Close: true, Body: []byte(`{"error":"too many requests at a time"}`)}
 	tooLargeResponse   = Response{Status: 413, Body: []byte(`{"error":"request too large"}`), Close: true}
 	malformedResponse  = Response{Status: 400, Body: []byte(`{"error":"malformed request"}`), Close: true}
 )
 
-// Server takes inbound connections on gnet and serves each with a goroutine. Requests that need no waiting are
-// answered by the event loop itself: handing them to the goroutine and back takes three times as many system
-// calls.
+// Server accepts connections on gnet and serves each with a goroutine. Its event loop answers non-blocking requests
+// itself, because passing a request to the goroutine and the response back takes three times as many system calls.
 //
-// Goroutines: the event loop, which calls the methods On...; one for each connection, from its first request
-// that is not answered by the event loop until the connection or Run's context ends, waited for by Run. Fields
-// without another note are set before the event loop starts.
+// Goroutines: The event loop calls the methods whose names begin with On. Each connection gets a goroutine with its
+// first request that the event loop does not answer. That goroutine ends with the connection or with the context of
+// Run, and Run waits for it. Fields whose comment does not say otherwise are set before the event loop starts and
+// only read afterwards.
 type Server struct {
 	gnet.BuiltinEventEngine
 	handler Handler
-	// isPrompt tells which requests the handler answers without waiting for anything.
-	isPrompt        func(*Request) bool
+	// isNonBlocking reports whether the handler answers a request without waiting for anything, so that it can run in
+	// the event loop without delaying other connections. It may be nil.
+	isNonBlocking   func(*Request) bool
 	maxConnections  int64
 	maxPendingBytes int64
 	idleTimeout     time.Duration
 	log             *slog.Logger
 
-	handle func(r *Request) Response // handler with the context of Run
+	handle func(r *Request) Response // calls handler with the context of Run
 	done   <-chan struct{}           // closed when the context of Run ends
-	ready  chan struct{}             // closed when the event loop has started; engine is set then
+	ready  chan struct{}             // closed when the event loop has started and engine is set
 	engine gnet.Engine
 	wg     sync.WaitGroup // the connections' goroutines
 
 	connectionCount  atomic.Int64
-	pendingBytes     atomic.Int64 // bytes of requests that are not answered yet
-	connectionsByUse *list.List   // of *connection, the latest used last; only the event loop uses it
+	pendingBytes     atomic.Int64 // size of all received and unanswered requests in bytes
+	connectionsByUse *list.List   // *connection elements, the most recently used last; only the event loop uses it
 }
 
-// NewServer makes a server that holds at most limit connections and budget bytes of requests that are not
-// answered yet, and closes connections that are idle: after a while, or when others come and there is no room
-// for more. Requests for which prompt returns true are answered by the event loop.
-func NewServer(handler Handler, prompt func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
+// NewServer returns a server that holds at most limit connections and at most budget bytes of unanswered requests. It
+// closes a connection that has been idle for the time idle, or earlier if a new connection arrives at the limit. The
+// event loop itself answers the requests for which nonBlocking returns true.
+func NewServer(handler Handler, nonBlocking func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
 	return &Server{
 		handler:          handler,
-		isPrompt:         prompt,
+		isNonBlocking:    nonBlocking,
 		maxConnections:   int64(limit),
 		maxPendingBytes:  budget,
 		idleTimeout:      idle,
@@ -83,11 +86,12 @@
 	}
 }
 
-// Run serves on addr until ctx ends.
+// Run serves connections on addr until ctx ends, and waits for their goroutines.
 func (s *Server) Run(ctx context.Context, addr string) error {
 	s.handle = func(r *Request) Response { return s.handler(ctx, r) }
 	s.done = ctx.Done()
-	// It ends at most stopTimeout after ctx. Run doesn't wait for it: gnet.Run returns once the engine stops.
+	// This goroutine ends at most stopTimeout after ctx. Run does not wait for it, because gnet.Run returns as soon as
+	// the engine stops.
 	go s.stopWithContext(ctx)
 	err := gnet.Run(s, "tcp4://"+addr, gnet.WithNumEventLoop(1), gnet.WithLogger(engineLog{s.log}),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReuseAddr(true),
@@ -96,7 +100,7 @@
 	return err
 }
 
-// stopWithContext stops the event loop, if it has started, when ctx ends.
+// stopWithContext waits for ctx to end and then stops the event loop, if it has started.
 func (s *Server) stopWithContext(ctx context.Context) {
 	select {
 	case <-s.ready:
@@ -111,15 +115,16 @@
 	}
 }
 
-// OnBoot keeps the engine, which stops the event loop.
+// OnBoot stores the engine, with which stopWithContext stops the event loop.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
 	s.engine = eng
 	close(s.ready)
 	return gnet.None
 }
 
-// OnOpen takes a connection. When there are too many, the one that was idle for longest is closed: a
-// controller that is left alone with a fleet also holds the connections of workers that have given up on it.
+// OnOpen accepts a connection. At the limit of connections it closes the one that has been idle for the longest time,
+// or rejects the new one if none is idle. The limit is reached when one controller is left alone with a large fleet,
+// because it still holds connections that the workers have abandoned.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if s.connectionCount.Add(1) > s.maxConnections && !s.closeIdle() {
 		return AppendResponse(nil, tooManyConnectionsResponse), gnet.Close
@@ -132,8 +137,9 @@
 	return nil, gnet.None
 }
 
-// closeExpired closes the connections whose last request began too long ago and is not being answered: it was
-// answered since, or is still incomplete, however often a piece of it arrives.
+// closeExpired closes connections whose last request began at least idleTimeout ago and was answered, or is still
+// incomplete. A client that keeps a request incomplete by sending it in small pieces is closed as well. The function
+// goes through the connections by last use and stops at the first that is not expired or has a request being answered.
 func (s *Server) closeExpired(now time.Time) {
 	for e := s.connectionsByUse.Front(); e != nil; e = s.connectionsByUse.Front() {
 		conn := e.Value.(*connection)
@@ -147,7 +153,7 @@
 	}
 }
 
-// closeConnection closes a connection that is in connectionsByUse.
+// closeConnection closes a connection and removes it from connectionsByUse, which must contain it.
 func (s *Server) closeConnection(conn *connection) {
 	s.connectionsByUse.Remove(conn.element)
 	conn.element = nil
@@ -156,8 +162,8 @@
 	}
 }
 
-// closeIdle closes the connection that was used longest ago of those without a request; false when there is
-// none.
+// closeIdle closes the least recently used connection that has no request, not even an incomplete one. It returns
+// false if there is none.
 func (s *Server) closeIdle() bool {
 	for e := s.connectionsByUse.Front(); e != nil; e = e.Next() {
 		conn := e.Value.(*connection)
@@ -173,7 +179,7 @@
 	return false
 }
 
-// OnClose tells the connection's goroutine that it is closed.
+// OnClose returns the bytes in a closed connection's buffer to the budget and wakes its goroutine, which then ends.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	s.connectionCount.Add(-1)
 	if conn, ok := c.Context().(*connection); ok {
@@ -191,8 +197,9 @@
 	return gnet.None
 }
 
-// OnTraffic answers a request that needs no waiting, and hands the bytes of others to the connection's
-// goroutine. A peer that sends far more than one request may hold is cut off here: it can't fill the memory.
+// OnTraffic answers a non-blocking request, and passes the bytes of all other requests to the connection's goroutine.
+// It closes the connection of a client that sends far more than one request, so that such a client can't exhaust the
+// memory.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	conn, ok := c.Context().(*connection)
 	if !ok {
@@ -210,19 +217,19 @@
 		s.connectionsByUse.MoveToBack(conn.element)
 		s.closeExpired(conn.lastUsed)
 	}
-	if begins && s.answerPromptly(c, b) {
+	if begins && s.answerNonBlocking(c, b) {
 		return gnet.None
 	}
 	return s.enqueue(conn, b)
 }
 
-// answerPromptly answers a whole request of a kind that needs no waiting.
-func (s *Server) answerPromptly(c gnet.Conn, b []byte) bool {
-	if s.isPrompt == nil || c.OutboundBuffered() > maxUnreadBytes {
-		return false // a peer that reads no answers is cut off
+// answerNonBlocking answers b in the event loop if b is exactly one non-blocking request, and returns whether it did.
+func (s *Server) answerNonBlocking(c gnet.Conn, b []byte) bool {
+	if s.isNonBlocking == nil || c.OutboundBuffered() > maxUnreadBytes {
+		return false // enqueue closes the connection of a client that reads no responses
 	}
 	r, used, err := ParseRequest(b, maxBody)
-	if r == nil || err != nil || used < len(b) || r.Close || !s.isPrompt(r) {
+	if r == nil || err != nil || used < len(b) || r.Close || !s.isNonBlocking(r) {
 		return false
 	}
 	if _, err := c.Write(AppendResponse(nil, s.handle(r))); err != nil {
@@ -231,7 +238,7 @@
 	return true
 }
 
-// enqueue hands bytes to the connection's goroutine, and starts that with the first request that needs it.
+// enqueue passes received bytes to the connection's goroutine, which it starts on the first call.
 func (s *Server) enqueue(conn *connection, b []byte) gnet.Action {
 	if !conn.hasGoroutine {
 		conn.hasGoroutine = true
@@ -241,12 +248,12 @@
 	defer conn.mu.Unlock()
 	conn.buffer = append(conn.buffer, b...)
 	pending := s.pendingBytes.Add(int64(len(b)))
-	// One request at a time: a peer that sends much more, or reads no responses, is cut off.
+	// Clients send one request at a time. One that sends much more, or reads no responses, loses its connection.
 	if len(conn.buffer) > maxBuffered || conn.raw.OutboundBuffered() > maxUnreadBytes {
 		return gnet.Close
 	}
 	if pending > s.maxPendingBytes {
-		// The request that exceeds the budget is rejected immediately, with a time to retry.
+		// The request that exceeds the budget is rejected immediately, with a Retry-After header.
 		if _, err := conn.raw.Write(AppendResponse(nil, overloadedResponse)); err != nil {
 			s.log.Debug("response write failed", "error", err)
 		}
@@ -256,8 +263,8 @@
 	return gnet.None
 }
 
-// nextRequest waits for a complete request; nil when the connection or the server is over. The bytes that the
-// request took are pending until releaseBytes.
+// nextRequest waits for a complete request. It returns nil when the connection is closed or the server stops. The
+// request's bytes count against the budget until releaseBytes is called.
 func (s *Server) nextRequest(conn *connection) (*Request, error) {
 	for {
 		r, closed, err := conn.takeRequest()
@@ -272,7 +279,7 @@
 	}
 }
 
-// serveConnection answers a connection's requests, one after the other, until it is over.
+// serveConnection answers a connection's requests one after the other until the connection or the server ends.
 func (s *Server) serveConnection(conn *connection) {
 	for {
 		r, err := s.nextRequest(conn)
@@ -296,7 +303,7 @@
 	}
 }
 
-// releaseBytes takes the bytes of the answered request off the budget.
+// releaseBytes returns the bytes of the answered request to the budget.
 func (s *Server) releaseBytes(conn *connection) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -304,7 +311,7 @@
 	conn.answeringBytes = 0
 }
 
-// errorResponse answers what can't be parsed.
+// errorResponse returns the response to a request that the parser rejected with err.
 func errorResponse(err error) Response {
 	if errors.Is(err, ErrTooLarge) {
 		return tooLargeResponse
@@ -312,7 +319,7 @@
 	return malformedResponse
 }
 
-// writeResponse hands a response to the event loop, which writes it and closes the connection if it says so.
+// writeResponse passes a response to the event loop, which writes it and, with r.Close, closes the connection.
 func (s *Server) writeResponse(conn *connection, r Response) {
 	var written gnet.AsyncCallback
 	if r.Close {
--- a/internal/httpx/server_test.go
+++ b/internal/httpx/server_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startServer starts a server on loopback that answers with what it was sent.
+// startServer starts a server on loopback that answers a request with its path and body, and returns its address.
 func startServer(t *testing.T, budget int64) string {
 	t.Helper()
 	return startServerWith(t, budget, func(_ context.Context, r *Request) Response {
@@ -21,8 +21,8 @@
 	})
 }
 
-// isPromptRequest picks the requests that the tests' servers answer in their event loop.
-func isPromptRequest(r *Request) bool { return r.Path == "/prompt" }
+// isNonBlockingRequest selects the requests that the servers of the tests answer in the event loop.
+func isNonBlockingRequest(r *Request) bool { return r.Path == "/prompt" }
 
 func startServerWith(t *testing.T, budget int64, handler Handler) string {
 	t.Helper()
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	srv := NewServer(handler, isPromptRequest, 8, budget, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	srv := NewServer(handler, isNonBlockingRequest, 8, budget, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Run(ctx, addr) }()
@@ -51,12 +51,13 @@
 		return err == nil
 	}, time.Minute, 10*time.Millisecond)
 	t.Cleanup(func() { c.Close() })
-	// Only a test that fails waits for so long.
+	// Only a failing test reaches the deadline.
 	require.NoError(t, c.SetDeadline(time.Now().Add(time.Minute)))
 	return c
 }
 
-// A connection serves requests one after the other, also when they come in pieces.
+// A connection must serve several requests, also when a request arrives in pieces. Otherwise every request would need a
+// connection of its own, and large requests would never be answered.
 func TestServerAnswersClientOneRequestAfterTheOther(t *testing.T) {
 	addr := startServer(t, 1<<20)
 	dial(t, addr)
@@ -78,7 +79,8 @@
 	require.True(t, strings.HasSuffix(string(b), "\r\n\r\n/y abc"), string(b))
 }
 
-// A malformed or too large request gets its answer, and the connection is closed.
+// After a malformed or too large request the server can't tell where the next one begins. It must answer with the
+// right status and close the connection, or it would take parts of a body for requests.
 func TestServerAnswersMalformedOrLargeRequestAndCloses(t *testing.T) {
 	addr := startServer(t, 1<<20)
 	for text, want := range map[string]string{
@@ -94,7 +96,8 @@
 	}
 }
 
-// Requests that never end can't hold more memory than there is for them.
+// Clients that send incomplete requests must not make the server hold more bytes than its budget. Together the two
+// requests exceed it, so the server must close one of the connections.
 func TestServerOverBudgetClosesAConnection(t *testing.T) {
 	addr := startServer(t, 10_000)
 	a, b := dial(t, addr), dial(t, addr)
@@ -106,15 +109,15 @@
 	one := make(chan struct{}, 2)
 	for _, c := range []net.Conn{a, b} {
 		go func() {
-			io.Copy(io.Discard, c) //nolint:errcheck // its end is what counts
+			io.Copy(io.Discard, c) //nolint:errcheck // only the end of the connection counts
 			one <- struct{}{}
 		}()
 	}
-	<-one // one of the two was cut off
+	<-one // the server closed one of the two
 }
 
-// A server with all its connections in use takes a new one: one of the others is closed, and all the rest are
-// served as before.
+// A server at its limit of connections must accept a new one and close one idle connection for it. Otherwise
+// connections that clients have abandoned would lock out everyone else. All other connections stay usable.
 func TestServerAtConnectionLimitClosesAnIdleOne(t *testing.T) {
 	addr := startServer(t, 1<<20)
 	ask := func(c net.Conn) bool {
@@ -141,7 +144,7 @@
 	require.Equal(t, 7, served)
 }
 
-// fakeConn is a connection that only remembers whether it was closed.
+// fakeConn is a gnet.Conn that only records whether it was closed.
 type fakeConn struct {
 	gnet.Conn
 	closed bool
@@ -152,8 +155,8 @@
 	return nil
 }
 
-// The connection closed is the one used longest ago of those without a request
-// under way; when all have one, none is closed.
+// At the limit of connections the server closes the least recently used one. It must skip connections with an
+// incomplete request or one that is being answered, since their clients would lose it.
 func TestConnectionIdleForLongestIsClosedFirst(t *testing.T) {
 	s := NewServer(nil, nil, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var conns []*fakeConn
@@ -172,12 +175,13 @@
 			require.Equal(t, i >= 2 && i <= next, c.closed, "%d", i)
 		}
 	}
-	require.False(t, s.closeIdle(), "the others are being served")
+	require.False(t, s.closeIdle(), "the remaining connections have requests")
 }
 
-// Workers' leases don't wait behind users: a prompt request is answered while other connections' requests
-// take long, also in pieces and alternating with others.
-func TestPromptRequestIsAnsweredWhileOthersWait(t *testing.T) {
+// Workers' heartbeats are non-blocking requests. They must be answered while slow requests of users occupy other
+// connections, or worker leases would expire. This also holds for a non-blocking request that arrives in pieces, and
+// for a connection that alternates between both kinds of requests.
+func TestNonBlockingRequestIsAnsweredWhileOthersWait(t *testing.T) {
 	slow := make(chan struct{})
 	addr := startServerWith(t, 1<<20, func(_ context.Context, r *Request) Response {
 		if r.Path == "/slow" {
@@ -212,10 +216,11 @@
 	require.Equal(t, "/slow", answer(waiting))
 }
 
-// A connection is closed when its last request began too long ago, also when pieces of
-// that request keep coming, but not while it is being answered.
+// A connection must be closed when its last request began longer ago than the idle timeout, also if the request is
+// incomplete: a client could otherwise occupy connections forever by sending a request in small pieces. A connection
+// whose request is being answered must stay open.
 func TestConnectionWithoutRequestForIdleTimeoutIsClosed(t *testing.T) {
-	s := NewServer(nil, isPromptRequest, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := NewServer(nil, isNonBlockingRequest, 4, 1<<20, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	begun := time.Unix(1000, 0)
 	add := func(conn *connection) *fakeConn {
 		c := &fakeConn{}
@@ -236,8 +241,8 @@
 	require.False(t, recent.closed)
 }
 
-// What is being answered takes memory too: beyond the budget others are rejected immediately, and
-// are served again when it is answered.
+// Requests that are being answered count against the budget as well. While they use it up, further requests must be
+// rejected immediately with 503; once they are answered, new requests must be served again.
 func TestServerOverBudgetRejectsUntilRequestsAreAnswered(t *testing.T) {
 	begun, end := make(chan struct{}, 8), make(chan struct{})
 	addr := startServerWith(t, 10_000, func(context.Context, *Request) Response {
