--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -1,51 +1,51 @@
-# The operators' parameters, with their defaults. A script given with --policy is run
-# with the same names at hand and may set any of them. `economy` is true when no
-# objective asks for work without deadlines to be finished within a short fixed
-# time: then it need be no earlier than its deadline, and machines are rented with thrift.
+# The policy parameters and their defaults. The script that --policy names runs after this one
+# and may assign any of these parameters. Names that end in _s are in seconds. `economy` is True
+# if no objective asks for work without deadlines to finish within a short fixed time. Then work need
+# not finish before its deadline, and as few machines as possible are rented.
 
-hold_ttl_s = 24        # how long a controller acts without an answer of the key-value store
-hold_renew_s = 1.5     # how often it renews its lease
-resign_after_s = 5     # cut off for so long while a peer is not: it resigns
-hold_grace_s = 3       # free leaderships wait so long for their preferred leader
-hand_over_s = 15       # leaderships are transferred to their preferred leader when it has been back so long
-sample = 12            # machines drawn for each placement
-batch = 40             # tasks placed in one batch when little waits
-lease_ttl_s = 12       # an unused resource lease expires
-progress_every_s = 2   # completed tasks are recorded so often
-preempt_after_s = 0.25  # work waits so long before it preempts lower priorities
-idle_return_s = 8 if economy else 240
-catchup_s = 60         # with economy: spot machines are rented so that what waits is done in so long
-catchup_ordinary_s = 90 # the same for ordinary machines, once spot ones are refused
-spare_share = 0.0 if economy else 0.5   # room rented ahead, as a share of what is in use
-boot_patience = 3.0    # a machine not up after so many times its boot time is given back
-rental_backoff_s = 5   # a kind of machine that was refused is not requested for so long
-sick_errors = 2        # jobs that fail in a row on a machine before it is quarantined
+hold_ttl_s = 24        # a controller that gets no answer from the key-value store loses its leaderships after this time
+hold_renew_s = 1.5     # interval between renewals of the controller lease
+resign_after_s = 5     # a controller that has lost contact with the store for this long resigns if a peer has contact
+hold_grace_s = 3       # a free leadership is left to its preferred leader for this long
+hand_over_s = 15       # a leadership goes back to its preferred leader once that has been registered for this long
+sample = 12            # machines drawn as candidates for each task
+batch = 40             # tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
+lease_ttl_s = 12       # a resource lease that is not used for this long expires
+progress_every_s = 2   # interval between writes of completed tasks to the key-value store
+preempt_after_s = 0.25  # work that found no resources for this long may preempt lower priorities
+idle_return_s = 8 if economy else 240  # a machine that has been idle for this long is returned to the cloud
+catchup_s = 60         # with economy: spot instances are rented so that waiting work is done within this time
+catchup_ordinary_s = 90 # the same for on-demand instances, which are rented once spot instances are refused
+spare_share = 0.0 if economy else 0.5   # capacity rented in advance, as a share of the capacity in use
+boot_patience = 3.0    # a machine that is not up after this multiple of its boot time is returned
+rental_backoff_s = 5   # an instance type that the cloud refused in a zone is not requested there for this long
+sick_errors = 2        # a machine is quarantined when tasks of this many jobs have failed on it in a row
 
-# Hot teams: contended resources are divided among teams by weighted max-min fairness.
+# Fair shares: contended resources are divided among teams by weighted max-min fairness.
 fair_shares = False
-team_weights = {}      # by team; 1 where none is given
-share_fresh_s = 3      # a team's demand counts for so long
-share_withhold_s = 1   # free resources are withheld so long from a team above its share
+team_weights = {}      # weight by team name; 1 for teams that are not listed
+share_fresh_s = 3      # a team's reported demand counts for this long
+share_withhold_s = 1   # free resources are withheld for this long from a team above its share
 
-# Placement by costs: where a task starts and ends soonest, in estimated seconds.
+# Placement by costs: a task is placed where it is estimated to start and end soonest, in seconds.
 placement_costs = False
-data_weight = 1        # of seconds spent on images against all else
-even_weight_s = 0      # seconds that a full machine costs more than an empty one
-price_weight_s = 0     # seconds that the dearest machine costs more than one for nothing
-image_wait_s = 8 if economy else 0   # room is left so long for a machine that has the image
+data_weight = 1        # weight of the seconds spent on fetching images, relative to all other seconds
+even_weight_s = 0      # a fully used machine costs this many seconds more than an empty one
+price_weight_s = 0     # a machine of the most expensive type costs this many seconds more than a free one
+image_wait_s = 8 if economy else 0   # a task leaves capacity to others for at most this long to get a machine with its image
 
-# Moves of running tasks off machines that are taken back or quarantined as slow.
+# Moves of running tasks off machines that the cloud takes back or that are quarantined as slow.
 moves = False
-move_margin = 1.5      # the gain must be so many times the cost
-move_cool_down_s = 120 # a task is not moved again so soon
-moves_per_team = 6     # in a minute
-moves_per_machine = 8  # in a minute, from it and to it
+move_margin = 1.5      # a move is made if its gain exceeds this multiple of its cost
+move_cool_down_s = 120 # a task is not moved again for this long
+moves_per_team = 6     # maximum number of moves per minute
+moves_per_machine = 8  # maximum number of moves per minute, from and to the machine together
 
-# Zone return: what a zone's state is, and work that comes back to it in stages.
+# Zone return: the controllers determine the states of zones, and work returns to a zone in stages.
 zone_return = False
-zone_suspect_s = 4     # most of a zone's machines send no heartbeats for so long: it is suspect
-zone_lost_s = 12       # and lost: no machines are rented there
-zone_back_s = 3        # half send heartbeats again for so long: work returns; doubled each time it is lost again
+zone_suspect_s = 4     # a zone is suspect once most of its machines have sent no heartbeats for this long
+zone_lost_s = 12       # a zone is lost once they have sent none for this long; no machines are rented there
+zone_back_s = 3        # work returns once half of the machines have sent heartbeats for this long; doubled at each new loss
 
-# What happens is kept in memory, for `merlinlatch history`.
+# History: events are kept in memory for the command `merlinlatch history`.
 history = False
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -13,34 +13,35 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// Names of hooks: functions that a script may define.
+// Names of the hooks, which are functions that a policy script may define.
 const (
-	// vetoHookName takes a move and returns whether it must not be made.
+	// vetoHookName is the hook that gets a planned move and returns True if it must not be made.
 	vetoHookName = "veto_move"
-	// stageHookName takes a job and returns the stage of a zone's return at which it is admitted:
-	// urgent, services or cold.
+	// stageHookName is the hook that gets a job and returns the name of the stage of a zone's return that
+	// admits it: "urgent", "services" or "cold".
 	stageHookName = "recovery_stage"
 )
 
-// hookParameters is how many parameters a hook takes.
+// hookParameters is the number of parameters that a hook must take.
 const hookParameters = 1
 
-// maxHookSteps bounds what a hook may compute, in Starlark's execution steps: it is called while the
-// scheduler decides.
+// maxHookSteps is the maximum number of Starlark execution steps in one call of a hook. The scheduler waits for
+// the hook, so a long computation would delay all scheduling.
 const maxHookSteps = 20_000
 
-// readHooks finds the hooks that a script defines.
-func (p *Parameters) readHooks(own starlark.StringDict) (err error) {
-	if p.vetoHook, err = findHook(own, vetoHookName); err != nil {
+// readHooks stores the hooks that the script with these globals defines.
+func (p *Parameters) readHooks(globals starlark.StringDict) (err error) {
+	if p.vetoHook, err = findHook(globals, vetoHookName); err != nil {
 		return err
 	}
-	p.stageHook, err = findHook(own, stageHookName)
+	p.stageHook, err = findHook(globals, stageHookName)
 	return err
 }
 
-// findHook returns a function of a script, nil where there is none.
-func findHook(own starlark.StringDict, name string) (*starlark.Function, error) {
-	v, ok := own[name]
+// findHook returns the hook with the given name from a script's globals, or nil if the script does not define it. It
+// rejects a global that is no function or takes the wrong number of arguments.
+func findHook(globals starlark.StringDict, name string) (*starlark.Function, error) {
+	v, ok := globals[name]
 	if !ok {
 		return nil, nil
 	}
@@ -51,11 +52,11 @@
 	if f.NumParams() != hookParameters {
 		return nil, fmt.Errorf("policy: %s: %s must take %d argument", f.Position(), name, hookParameters)
 	}
-	own.Freeze() // it is called by other goroutines than the one that read the script
+	globals.Freeze() // other goroutines call the hook, and only frozen values may be shared
 	return f, nil
 }
 
-// callHook calls a hook, within its bound of steps.
+// callHook calls a hook with at most maxHookSteps execution steps.
 func callHook(f *starlark.Function, argument starlark.Value) (starlark.Value, error) {
 	thread := &starlark.Thread{Name: f.Name()}
 	thread.SetMaxExecutionSteps(maxHookSteps)
@@ -66,14 +67,15 @@
 	return v, nil
 }
 
-// Errors of hooks.
+// Errors for hooks that return an invalid value.
 var (
 	errNotBool      = errors.New("the answer must be True or False")
 	errUnknownStage = errors.New("the answer must be urgent, services or cold")
 )
 
-// Veto returns the script's hook on moves, nil where the script defines none. A hook that fails or
-// computes for too long vetoes the move and is logged: it never stops the service.
+// Veto returns a function that asks the script's veto hook whether a move must not be made, or nil if the script
+// defines no such hook. When the hook fails or takes too many steps, the function logs the error and vetoes the
+// move, since a mistake in the script must not stop the service.
 func (p *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
 	if p.vetoHook == nil {
 		return nil
@@ -88,7 +90,7 @@
 	}
 }
 
-// callVetoHook calls the hook with the fields of a move.
+// callVetoHook calls the veto hook with the fields of a move.
 func (p *Parameters) callVetoHook(r rebalance.Record) (vetoed bool, err error) {
 	move := starlarkstruct.FromStringDict(starlark.String("move"), starlark.StringDict{
 		"team": starlark.String(r.Team), "job": starlark.String(r.Key.Job), "task": starlark.MakeInt(r.Key.N),
@@ -106,8 +108,9 @@
 	return bool(answer), nil
 }
 
-// Stages returns the script's hook on stages, nil where the script defines none. A hook that fails is
-// logged, and the job is admitted by its priority and deadline.
+// Stages returns a function that asks the script's stage hook for the stage that admits a job, or nil if the script
+// defines no such hook. When the hook fails, the function logs the error and returns the default stage for the
+// job's priority and deadline.
 func (p *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
 	if p.stageHook == nil {
 		return nil
@@ -122,7 +125,7 @@
 	}
 }
 
-// callStageHook calls the hook with the fields of a job.
+// callStageHook calls the stage hook with the fields of a job.
 func (p *Parameters) callStageHook(j *jobs.Job) (recovery.Stage, error) {
 	job := starlarkstruct.FromStringDict(starlark.String("job"), starlark.StringDict{
 		"team": starlark.String(j.Team), "jobclass": starlark.String(j.Class), "rank": starlark.String(j.Priority),
--- a/internal/policy/hooks_test.go
+++ b/internal/policy/hooks_test.go
@@ -19,8 +19,8 @@
 	Gain: 20 * clock.Second, Cost: 8 * clock.Second,
 }
 
-// A script may veto moves. A hook that fails, runs too long or gives no proper answer counts as a
-// veto and is logged with its line.
+// The veto hook decides whether a move is made. A hook that fails, takes too many steps or returns no bool must not
+// stop the service: the move is vetoed and the error is logged with the script's line.
 func TestVetoHookDecidesMovesAndItsFailureIsAVeto(t *testing.T) {
 	for name, test := range map[string]struct {
 		script string
@@ -52,11 +52,11 @@
 	}
 	p, err := Parse("", settings())
 	require.NoError(t, err)
-	require.Nil(t, p.Veto(nil), "without a hook nobody is asked")
+	require.Nil(t, p.Veto(nil), "without a hook there is no function to call")
 }
 
-// A script may name the stage of a zone's return that admits a job; one that fails or names none is
-// logged, and the job is admitted by its priority and deadline.
+// The stage hook chooses the stage of a zone's return that admits a job. A hook that fails or returns no valid stage must
+// not keep the job out of the zone: the error is logged, and the stage follows from priority and deadline.
 func TestStageHookNamesStageAndItsFailureGivesTheDefault(t *testing.T) {
 	urgent := jobs.New(jobs.Record{Job: wire.Job{ID: "job-1", Team: "red", Priority: "high"}}, 1)
 	for _, test := range []struct {
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// String lists the parameters as the check command prints them. The names are part of that
-// command's output and stay as they are, whatever the fields are called here.
+// String returns the parameters in the form that the check command prints. The names belong to the output of that
+// command and do not change, even where the fields of Parameters have other names.
 func (p *Parameters) String() string {
 	fields := []struct {
 		name  string
@@ -63,7 +63,7 @@
 	return "{" + out.String() + "}"
 }
 
-// address returns the address of a hook's function, "<nil>" where there is none.
+// address returns the address of a hook's function, or "<nil>" if there is no hook.
 func address[T any](hook *T) string {
 	if hook == nil {
 		return "<nil>"
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -1,9 +1,9 @@
-// Package policy reads the operators' own settings, a Starlark script.
+// Package policy reads the operators' policy, which is a Starlark script.
 //
 // Load runs the embedded default.star and then the operators' script, checks every value against its
-// specification (numberSpecs, flagSpecs) and returns Parameters. Functions of the script named veto_move
-// and recovery_stage become hooks: they run within a bound of steps, and a hook that fails is logged and
-// replaced by a safe answer. Nothing here does I/O but Load, which reads the file.
+// specification (numberSpecs, flagSpecs) and returns Parameters. Functions of the script that are named
+// veto_move and recovery_stage become hooks. A hook may use a limited number of execution steps. When it fails,
+// the error is logged and a safe answer is used instead. Only Load does I/O: it reads the script's file.
 package policy
 
 import (
@@ -23,8 +23,8 @@
 //go:embed default.star
 var defaultScript string
 
-// Parameters is what the policy script sets. numberSpecs and flagSpecs hold the names in the script and
-// the bounds; default.star holds the defaults.
+// Parameters has the values that the policy script sets. default.star explains each parameter and has the defaults;
+// numberSpecs and flagSpecs map the names in the script to the fields here and have the allowed ranges.
 type Parameters struct {
 	LeadershipParameters
 	SchedulingParameters
@@ -34,43 +34,43 @@
 	MoveParameters
 	ZoneParameters
 
-	// History has events kept for the history command.
+	// History makes the controller keep events for the history command.
 	History bool
-	// Renamed are the parameters that the script set by a former name.
+	// Renamed lists the parameters that the script sets under a former name.
 	Renamed []RenamedParameter
 }
 
-// LeadershipParameters are the times of controllers' leases in the key-value store, and of hand-over between controllers.
+// LeadershipParameters has the times of controller leases in the key-value store and of leadership transfers.
 type LeadershipParameters struct {
-	LeaderLeaseTTL      clock.Micros
-	LeaderRenewInterval clock.Micros
-	ResignAfter         clock.Micros
-	TakeoverGrace       clock.Micros
-	TransferDelay       clock.Micros
+	LeaderLeaseTTL      clock.Micros // hold_ttl_s
+	LeaderRenewInterval clock.Micros // hold_renew_s
+	ResignAfter         clock.Micros // resign_after_s
+	TakeoverGrace       clock.Micros // hold_grace_s
+	TransferDelay       clock.Micros // hand_over_s
 }
 
-// SchedulingParameters are sizes and times of schedulers and partition leaders.
+// SchedulingParameters has the sizes and times that schedulers and partition leaders use.
 type SchedulingParameters struct {
-	Sample           int // machines drawn for each placement
-	Batch            int // tasks placed in one batch when little waits
-	RoomLeaseTTL     clock.Micros
+	Sample           int          // machines drawn as candidates for each task
+	Batch            int          // tasks placed in one scheduling cycle, not counting a share of the waiting tasks
+	RoomLeaseTTL     clock.Micros // lease_ttl_s: time after which an unused resource lease expires
 	ProgressEvery    clock.Micros
 	PreemptAfter     clock.Micros
-	QuarantineErrors int
+	QuarantineErrors int // sick_errors: number of jobs that fail on a machine in a row before it is quarantined
 }
 
-// ScalingParameters are those of scaling out and in.
+// ScalingParameters controls scale-out and scale-in.
 type ScalingParameters struct {
-	Economy          bool // no more is scaled out than what waits has time for
-	IdleScaleInDelay clock.Micros
-	ScaleOutBackoff  clock.Micros
+	Economy          bool         // rent no more machines than needed to finish waiting work in time; set by the function Economy
+	IdleScaleInDelay clock.Micros // idle_return_s
+	ScaleOutBackoff  clock.Micros // rental_backoff_s
 	Catchup          clock.Micros
 	CatchupOrdinary  clock.Micros
 	SpareShare       float64
-	BootPatience     float64 // multiples of a machine's boot time
+	BootPatience     float64 // multiple of a machine's boot time
 }
 
-// ShareParameters are those of fair shares.
+// ShareParameters controls fair shares.
 type ShareParameters struct {
 	FairShares    bool // partition leaders divide contended resources among teams
 	ShareFresh    clock.Micros
@@ -78,49 +78,49 @@
 	TeamWeights   map[string]float64
 }
 
-// CostParameters are those of placement by costs.
+// CostParameters controls placement by costs.
 type CostParameters struct {
-	PlacementCosts bool // machines are weighed for a task by estimated seconds
+	PlacementCosts bool // machines are compared for a task by estimated seconds
 	DataWeight     float64
-	EvenWeight     float64
-	PriceWeight    float64
+	EvenWeight     float64 // seconds
+	PriceWeight    float64 // seconds
 	ImageWait      clock.Micros
 }
 
-// MoveParameters are those of moves.
+// MoveParameters controls moves of running tasks.
 type MoveParameters struct {
-	Moves        bool // running tasks are moved off machines that are to be drained
-	MoveMargin   float64
+	Moves        bool    // move running tasks off machines that are taken back or quarantined as slow
+	MoveMargin   float64 // multiple of the cost that the gain must exceed
 	MoveCoolDown clock.Micros
-	TeamMoves    int // in a minute
-	MachineMoves int // in a minute, from it and to it
+	TeamMoves    int // maximum per minute
+	MachineMoves int // maximum per minute, from and to the machine together
 	vetoHook     *starlark.Function
 }
 
-// ZoneParameters are those of zones that are lost and return.
+// ZoneParameters controls how zones are declared lost and how work returns to them.
 type ZoneParameters struct {
-	ZoneReturn       bool // work returns to zones in stages
-	ZoneSuspectAfter clock.Micros
-	ZoneLostAfter    clock.Micros
-	ZoneReturnAfter  clock.Micros
+	ZoneReturn       bool         // work returns to zones in stages
+	ZoneSuspectAfter clock.Micros // zone_suspect_s
+	ZoneLostAfter    clock.Micros // zone_lost_s
+	ZoneReturnAfter  clock.Micros // zone_back_s
 	stageHook        *starlark.Function
 }
 
-// RenamedParameter is a parameter's former name and its present one.
+// RenamedParameter has a parameter's former name and its present name.
 type RenamedParameter struct{ Old, New string }
 
-// formerNames are the former names that scripts may still use.
+// formerNames lists the former names of parameters that scripts may still use.
 var formerNames = []RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
 
-// minLongFinishLeases is how many worker leases an objective's finishing time must be at least to count
-// as one more deadline, also for work that has none: it leaves time to wait for resources, and to detect
-// that a machine is gone and start again.
+// minLongFinishLeases is the number of worker leases that an objective's finishing time must last to be treated like a
+// deadline, even for work without deadlines. Such a time is long enough to wait for resources, to detect that a
+// machine is gone, and to start the work again.
 const minLongFinishLeases = 8
 
-// Economy reports whether scaling out may be economical: work need not finish earlier than its deadline.
-// It may not where an objective asks for work without deadlines to be finished within a short fixed
-// time. A long fixed time, such as guests have, does not prevent economy for everybody, and for classes
-// with deadlines it is one more of them.
+// Economy reports whether scale-out may be economical, which means that work need not finish before its deadline. It
+// returns false if the settings have no objectives, or an objective asks for work without deadlines to finish within
+// a short fixed time. A long fixed time, such as that of guests, does not prevent economy for everybody else. In a
+// class with deadlines, a fixed time is treated as one more deadline.
 func Economy(s *config.Settings) bool {
 	hasDeadline := map[string]bool{}
 	for _, o := range s.Params.Objectives {
@@ -134,7 +134,7 @@
 	return len(s.Params.Objectives) > 0
 }
 
-// Load runs the embedded default and then the script at path, if any.
+// Load runs the embedded default.star and then the script at path, unless path is empty.
 func Load(path string, s *config.Settings) (*Parameters, error) {
 	text := ""
 	if path != "" {
@@ -147,7 +147,7 @@
 	return Parse(text, s)
 }
 
-// Parse runs the embedded default and then the given script.
+// Parse runs the embedded default.star and then the script text, unless it is empty.
 func Parse(text string, s *config.Settings) (*Parameters, error) {
 	p := &Parameters{ScalingParameters: ScalingParameters{Economy: Economy(s)}}
 	predeclared := starlark.StringDict{"economy": starlark.Bool(p.Economy), "controllers": starlark.MakeInt(s.Params.Count)}
@@ -156,15 +156,15 @@
 		return nil, err
 	}
 	if text != "" {
-		own, err := runScript("policy", text, predeclared)
+		globals, err := runScript("policy", text, predeclared)
 		if err != nil {
 			return nil, err
 		}
-		p.acceptFormerNames(own)
-		if err := p.readHooks(own); err != nil {
+		p.acceptFormerNames(globals)
+		if err := p.readHooks(globals); err != nil {
 			return nil, err
 		}
-		if err := override(values, own); err != nil {
+		if err := override(values, globals); err != nil {
 			return nil, err
 		}
 	}
@@ -177,22 +177,22 @@
 	return p, nil
 }
 
-// override replaces the defaults by what the operators' script sets. Functions and names that begin with
-// _ are the script's own; any other name that has no default is a mistake.
-func override(values, own starlark.StringDict) error {
-	for _, name := range slices.Sorted(maps.Keys(own)) {
+// override replaces default values with those of the operators' script. Functions and names that begin with _ are
+// for the script's own use. Any other name without a default is rejected, since it is probably misspelled.
+func override(values, globals starlark.StringDict) error {
+	for _, name := range slices.Sorted(maps.Keys(globals)) {
 		if _, known := values[name]; known {
-			values[name] = own[name]
+			values[name] = globals[name]
 			continue
 		}
-		if _, isFunction := own[name].(starlark.Callable); !isFunction && name[0] != '_' {
+		if _, isFunction := globals[name].(starlark.Callable); !isFunction && name[0] != '_' {
 			return fmt.Errorf("policy: knob %s is not known", name)
 		}
 	}
 	return nil
 }
 
-// Bounds of a team's weight, in multiples of the default 1.
+// Bounds of a team's weight. The default is 1.
 const (
 	minWeight = 0.01
 	maxWeight = 1000
@@ -200,7 +200,7 @@
 
 var errTeamWeightsType = errors.New("policy: knob team_weights must be a dict from teams to numbers")
 
-// readTeamWeights reads the teams' weights: only teams of the settings may have one.
+// readTeamWeights returns the weights of teams by name. It rejects teams that the settings don't have.
 func readTeamWeights(v starlark.Value, s *config.Settings) (map[string]float64, error) {
 	dict, ok := v.(*starlark.Dict)
 	if !ok {
@@ -226,18 +226,18 @@
 	return out, nil
 }
 
-// acceptFormerNames renames the parameters that a script sets by a former name, unless
-// it sets the present one too, and records them in Renamed.
-func (p *Parameters) acceptFormerNames(own starlark.StringDict) {
+// acceptFormerNames renames the parameters that a script sets under a former name and records them in Renamed. If the
+// script sets the present name as well, that value is used.
+func (p *Parameters) acceptFormerNames(globals starlark.StringDict) {
 	for _, r := range formerNames {
-		v, ok := own[r.Old]
+		v, ok := globals[r.Old]
 		if !ok {
 			continue
 		}
-		if _, setsBoth := own[r.New]; !setsBoth {
-			own[r.New] = v
+		if _, setsBoth := globals[r.New]; !setsBoth {
+			globals[r.New] = v
 		}
-		delete(own, r.Old)
+		delete(globals, r.Old)
 		p.Renamed = append(p.Renamed, r)
 	}
 }
--- a/internal/policy/parameters_test.go
+++ b/internal/policy/parameters_test.go
@@ -9,6 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/config"
 )
 
+// settings returns settings with one objective of each kind.
 func settings(kinds ...string) *config.Settings {
 	s := &config.Settings{}
 	for _, kind := range kinds {
@@ -17,8 +18,8 @@
 	return s
 }
 
-// Economy follows from the objectives: none asks for work without deadlines to be
-// finished within a fixed time.
+// With a wrong value of economy either work finishes too late or too many machines are rented. It must be False if an
+// objective asks for work without deadlines to finish within a short fixed time, and True otherwise.
 func TestEconomyFollowsFromObjectives(t *testing.T) {
 	economical, err := Parse("", settings("deadline", "guarantee"))
 	require.NoError(t, err)
@@ -32,15 +33,17 @@
 	require.NoError(t, err)
 	require.False(t, quick.Economy)
 	require.Less(t, economical.IdleScaleInDelay, quick.IdleScaleInDelay)
-	// Guests that have minutes must not put off economy for everybody.
+	// A long fixed time, such as that of guests, must not disable economy for everybody else.
 	early.Params.Objectives[1].WithinS = 400
 	require.True(t, Economy(early))
 	early.Params.Objectives[1].WithinS = 70
-	// For work that has deadlines it is one more deadline.
+	// In a class with deadlines, a fixed time is one more deadline.
 	early.Params.Objectives[1].Class = "nightly"
 	require.True(t, Economy(early))
 }
 
+// A script's values replace the defaults. A misspelled name, an invalid value, a syntax error or an endless computation
+// must be rejected, or the service would start with other values than the operators meant, or hang.
 func TestScriptOverridesDefaultsAndMistakesAreRejected(t *testing.T) {
 	p, err := Parse("_x = 4\nsample = _x * 2\nif economy:\n    batch = 7\n", settings("deadline"))
 	require.NoError(t, err)
@@ -61,7 +64,8 @@
 	}
 }
 
-// A script of an earlier release goes on to work: a parameter's former name is accepted and recorded.
+// A script of an earlier release must keep working after an upgrade: a parameter's former name is accepted, and recorded
+// so that a warning can be logged.
 func TestFormerParameterNameIsAcceptedAndRecorded(t *testing.T) {
 	for script, want := range map[string]clock.Micros{
 		"hire_backoff_s = 9":                         9 * clock.Second,
@@ -75,6 +79,8 @@
 	}
 }
 
+// Mistakes in hooks, flags and team weights must be rejected at the start with an error that names the parameter or the
+// line. Otherwise they would show only when the hook is called or the weight is used.
 func TestMistakesInHooksFlagsAndWeightsAreRejected(t *testing.T) {
 	for script, want := range map[string]string{
 		"veto_move = 1":                       "veto_move must be a function",
--- a/internal/policy/script.go
+++ b/internal/policy/script.go
@@ -8,11 +8,11 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds what a script or a hook may compute, in Starlark's execution steps, so that it can't hang
-// the service.
+// maxSteps is the maximum number of Starlark execution steps in a script, so that an endless loop can't keep the
+// service from starting. Calls of hooks have a lower maximum, maxHookSteps.
 const maxSteps = 1_000_000
 
-// runScript executes a script with predeclared values and returns its globals.
+// runScript executes a script with predeclared values and returns its globals. Errors name the script and the line.
 func runScript(name, text string, predeclared starlark.StringDict) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: name}
 	thread.SetMaxExecutionSteps(maxSteps)
@@ -24,11 +24,11 @@
 	return globals, nil
 }
 
-// located adds the line at which a script failed to its error.
+// located prefixes an error with the position at which the script failed.
 func located(err error) error {
 	var failed *starlark.EvalError
 	if !errors.As(err, &failed) {
-		return err // syntax errors name it themselves
+		return err // syntax errors already have the position
 	}
 	for i := range len(failed.CallStack) {
 		if at := failed.CallStack.At(i).Pos; at.Line > 0 {
--- a/internal/policy/specification.go
+++ b/internal/policy/specification.go
@@ -9,15 +9,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// numberSpec specifies a parameter that is a number: its name in the script, its bounds, and where
-// it is kept.
+// numberSpec specifies a parameter that is a number.
 type numberSpec struct {
-	name     string
-	min, max float64
+	name     string  // name in the script
+	min, max float64 // allowed range, including both bounds
 	set      func(p *Parameters, v float64)
 }
 
-// numberSpecs lists all numbers that a script may set. Names that end in _s are in seconds. To add a
+// numberSpecs lists all numeric parameters that a script may set. Names that end in _s are in seconds. To add a
 // parameter, add its field to Parameters, its default to default.star and its line here.
 var numberSpecs = []numberSpec{
 	// Leadership.
@@ -65,7 +64,7 @@
 	flag func(p *Parameters) *bool
 }
 
-// flagSpecs lists all flags that a script may set.
+// flagSpecs lists all parameters with the values True and False that a script may set.
 var flagSpecs = []flagSpec{
 	{"fair_shares", func(p *Parameters) *bool { return &p.FairShares }},
 	{"placement_costs", func(p *Parameters) *bool { return &p.PlacementCosts }},
@@ -76,7 +75,8 @@
 
 var errRenewInterval = errors.New("policy: knob hold_renew_s must be at most a third of hold_ttl_s")
 
-// readNumbersAndFlags sets the parameters from a script's values; each must be within its specification.
+// readNumbersAndFlags sets the parameters from a script's values. It rejects a value that does not meet its
+// specification.
 func (p *Parameters) readNumbersAndFlags(values starlark.StringDict) error {
 	for _, spec := range numberSpecs {
 		v, ok := starlark.AsFloat(values[spec.name])
@@ -98,6 +98,6 @@
 	return nil
 }
 
-// minRenewalsPerLease is how many renewals a controller lease leaves time for at least, so that one that
-// fails does not end it.
+// minRenewalsPerLease is the minimum number of renewals within the lifetime of a controller lease, so that the lease
+// survives a failed renewal.
 const minRenewalsPerLease = 3
