--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads and checks the settings file that the platform provides.
 //
-// Parse turns its JSON into Settings, assumes limits that are not given, and rejects a file that can't be
-// used with one line that names the field. Degradations and Insufficient tell what the service does without
-// under limits that are small. The names in the tags are the platform's and never change.
+// Parse decodes the JSON file into Settings and fills in limits that are missing. It rejects an unusable file with
+// a one-line error that names the field. Degradations and Insufficient report what the service can't do, or does
+// more slowly, because a limit is small. The JSON names in the tags are defined by the platform and never change.
 package config
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Peer is another controller, as the settings name it.
+// Peer is another controller in the settings.
 type Peer struct {
 	Host string `json:"host_name"`
 	Zone string `json:"location"`
-	Addr string `json:"addr"`
+	Addr string `json:"addr"` // address for calls from other controllers
 }
 
-// Team is a team's guarantee and quota (the fields that end in Max); a quota of 0 means none.
+// Team has a team's guarantee and its quota, which is in the fields that end in Max. A quota of 0 means no quota.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -31,91 +31,94 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is an SLO that the settings restate.
+// Objective is a service objective from the settings, for one kind of target and, unless Class is empty, one job class.
 type Objective struct {
-	Kind    string  `json:"kind"`
-	Class   string  `json:"class"`
+	Kind    string  `json:"kind"`  // "wait", "finished", "deadline" or "guarantee"; others are ignored
+	Class   string  `json:"class"` // job class; "": no class in particular
 	WithinS float64 `json:"within_s"`
 	Share   float64 `json:"share"`
 	Most    float64 `json:"most"`
-	Times   float64 `json:"times"` // a multiple of the deadline
+	Times   float64 `json:"times"` // multiple of a job's deadline by which it should be done
 }
 
-// Settings is the settings file. Unknown fields are ignored.
+// Settings has the contents of the settings file. Unknown fields of the file are ignored.
 type Settings struct {
-	// Assumed says, for the log, which limits are not given and what is assumed instead.
+	// Assumed has a message for the log for each limit that the file does not give, with the value used instead.
 	Assumed []string `json:"-"`
 
 	Host       string `json:"host_name"`
 	Zone       string `json:"location"`
-	Listen     string `json:"listen"`
-	PeerListen string `json:"cluster_listen"`
+	Listen     string `json:"listen"`         // address for users and workers
+	PeerListen string `json:"cluster_listen"` // address for other controllers and the operators' commands
 	Peers      []Peer `json:"others"`
 	Services   struct {
-		Cloud string `json:"cloud"`
-		State string `json:"state"`
+		Cloud string `json:"cloud"` // address of the cloud's API
+		State string `json:"state"` // address of the key-value store
 	} `json:"services"`
 	Params struct {
-		Count      int         `json:"count"`
+		Count      int         `json:"count"` // number of controllers; 0: this one and Peers
 		Zones      []string    `json:"zones"`
 		Teams      []Team      `json:"teams"`
 		Objectives []Objective `json:"objectives"`
 		Workers    struct {
-			ReportS float64 `json:"report_s"`
-			LeaseS  float64 `json:"lease_s"`
+			ReportS float64 `json:"report_s"` // interval between a worker's heartbeats, in seconds
+			LeaseS  float64 `json:"lease_s"`  // worker lease in seconds; see Lease
 			CancelS float64 `json:"cancel_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64 `json:"rps"`
-			WriteRPS float64 `json:"write_rps"`
-			ValueKB  float64 `json:"value_kb"`
-			TxnOps   int     `json:"txn_ops"`
-		} `json:"state"`
+			RPS      float64 `json:"rps"`       // requests per second of all controllers together
+			WriteRPS float64 `json:"write_rps"` // writes per second of all controllers together
+			ValueKB  float64 `json:"value_kb"`  // maximum size of a value
+			TxnOps   int     `json:"txn_ops"`   // maximum number of operations in a transaction
+		} `json:"state"` // limits of the key-value store
 		Cloud struct {
-			RPS      float64 `json:"rps"`
-			ListLagS float64 `json:"list_lag_s"`
+			RPS      float64 `json:"rps"`        // requests per second
+			ListLagS float64 `json:"list_lag_s"` // how many seconds the list of instances may lag behind
 		} `json:"cloud"`
 		Limits struct {
-			CoreShare float64 `json:"core_share"`
+			CoreShare float64 `json:"core_share"` // share of one core
 			MemoryMB  float64 `json:"memory_mb"`
-			Sockets   int     `json:"fd_limit"`
-		} `json:"machine_limits"`
-		SkewMS float64 `json:"skew_ms"`
+			Sockets   int     `json:"fd_limit"` // file descriptors
+		} `json:"machine_limits"` // limits of the controller's process; 0: not given
+		SkewMS float64 `json:"skew_ms"` // maximum difference between two hosts' times of day, in milliseconds
 	} `json:"params"`
 }
 
-// Lease is the worker lease: a worker without an answer for so long ends all its tasks.
+// Lease returns the duration of the worker lease. A worker that gets no response to its heartbeats for this long ends
+// all its tasks.
 func (s *Settings) Lease() clock.Micros { return clock.FromSeconds(s.Params.Workers.LeaseS) }
 
 const (
-	// ownSockets are for the services and listening.
-	ownSockets = 24
-	// peerSockets are for each controller of the cluster.
+	// serviceSockets is the number of sockets reserved for listening, the cloud and the key-value store.
+	serviceSockets = 24
+	// peerSockets is the number of sockets reserved for each controller of the cluster.
 	peerSockets = 6
-	// minInboundSockets and minDeliverySockets are used under any limit: the controller starts all the same.
+	// minInboundSockets and minDeliverySockets are used even if the limit is too small for them, so that the controller
+	// starts in any case.
 	minInboundSockets  = 8
 	minDeliverySockets = 2
-	// deliveryPart: one in so many of the rest is for deliveries, the others are for inbound connections.
-	deliveryPart = 7
+	// deliveryDivisor determines how the other sockets are divided: one in deliveryDivisor is for deliveries of commands to
+	// workers, and the rest is for inbound connections.
+	deliveryDivisor = 7
 )
 
-// Sockets divides the limit of file descriptors: so many for connections of users and workers, so many
-// for deliveries to workers' own addresses; the rest is for the peers, the services and listening.
+// Sockets divides the limit of file descriptors and returns the number for inbound connections of users and workers
+// and the number for connections to workers, over which commands are delivered. The other sockets are reserved.
 func (s *Settings) Sockets() (inbound, deliveries int) {
-	rest := s.Params.Limits.Sockets - s.reservedSockets()
-	return max(minInboundSockets, rest*(deliveryPart-1)/deliveryPart), max(minDeliverySockets, rest/deliveryPart)
+	available := s.Params.Limits.Sockets - s.reservedSockets()
+	return max(minInboundSockets, available*(deliveryDivisor-1)/deliveryDivisor), max(minDeliverySockets, available/deliveryDivisor)
 }
 
-// reservedSockets are those that are neither for users and workers nor for deliveries.
-func (s *Settings) reservedSockets() int { return ownSockets + peerSockets*s.Params.Count }
+// reservedSockets returns the number of sockets for peers, the cloud, the key-value store and listening.
+func (s *Settings) reservedSockets() int { return serviceSockets + peerSockets*s.Params.Count }
 
-// Limits that are assumed where the settings give none.
+// Limits that are assumed if the settings give none.
 const (
 	assumedSockets  = 1000 // file descriptors
 	assumedMemoryMB = 256
 )
 
-// assumeLimits fills in the limits that are not given, and records so in Assumed.
+// assumeLimits fills in the limits that are not given and adds a message for each to Assumed.
 func (s *Settings) assumeLimits() {
 	limits := &s.Params.Limits
 	if limits.Sockets == 0 {
@@ -131,7 +134,7 @@
 	}
 }
 
-// Load reads a settings file.
+// Load reads and checks the settings file at path.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -140,7 +143,7 @@
 	return Parse(b)
 }
 
-// Parse reads and checks settings.
+// Parse decodes and checks the contents of a settings file.
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -156,8 +159,8 @@
 	return &s, nil
 }
 
-// check rejects settings that can't be used. It fills in the count of controllers and the limits that are
-// not given, since later fields are checked against them.
+// check rejects unusable settings. It also fills in the number of controllers and the limits if they are not given,
+// because later checks need them.
 func (s *Settings) check() error {
 	if s.Host == "" {
 		return errNoHost
@@ -183,7 +186,7 @@
 
 var errNoHost = errors.New("field host_name is missing")
 
-// checkPeers checks that the controllers have names of their own.
+// checkPeers rejects settings in which a controller has no host name or the name of another.
 func (s *Settings) checkPeers() error {
 	hosts := map[string]bool{s.Host: true}
 	for i, p := range s.Peers {
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// checkAddresses checks the controller's own addresses, those of the services and those of the peers.
+// checkAddresses rejects an address of this controller, a service or a peer that is no IP address with a port.
 func (s *Settings) checkAddresses() error {
 	addresses := map[string]string{
 		"listen":         s.Listen,
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// checkLimits checks the limits of the machine that the controller runs on; 0 means not given.
+// checkLimits rejects negative limits of the controller's process. 0 means that a limit is not given.
 func (s *Settings) checkLimits() error {
 	limits := &s.Params.Limits
 	for field, v := range map[string]float64{
@@ -229,7 +232,7 @@
 	return nil
 }
 
-// checkPositive checks the numbers without which the service can't run.
+// checkPositive rejects settings in which a number that the service needs is missing or not positive.
 func (s *Settings) checkPositive() error {
 	p := &s.Params
 	for field, v := range map[string]float64{
@@ -250,7 +253,7 @@
 	return nil
 }
 
-// checkTeams checks the teams' names, guarantees and quotas.
+// checkTeams rejects missing or repeated names of teams, negative amounts, and quotas below the guarantee.
 func (s *Settings) checkTeams() error {
 	names := map[string]bool{}
 	for i, t := range s.Params.Teams {
@@ -268,5 +271,5 @@
 	return nil
 }
 
-// exceeds reports whether a guarantee is above a quota; a quota of 0 means none.
+// exceeds reports whether a guarantee is above a quota. A quota of 0 means no quota.
 func exceeds(guarantee, quota float64) bool { return quota > 0 && quota < guarantee }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settingsText is the settings file of the tests.
+// settingsText returns the contents of the settings file that the tests use.
 func settingsText(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/settings.json")
@@ -16,6 +16,7 @@
 	return string(b)
 }
 
+// A platform may add fields to the settings file. A controller that rejected unknown fields could then not start.
 func TestSettingsWithUnknownFieldAreRead(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(settingsText(t), "{", `{"new_field": {"x": 1},`, 1)))
 	require.NoError(t, err)
@@ -24,7 +25,8 @@
 	require.EqualValues(t, 16_000_000, s.Lease())
 }
 
-// A bad settings file gives one clear line that names the field.
+// An unusable settings file must be rejected with a one-line error that names the field, so that the operator finds the
+// mistake.
 func TestBadSettingsAreRejectedWithFieldName(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"host_name": "alpha"`, `"host_name": ""`, "host_name"},
@@ -49,7 +51,8 @@
 	}
 }
 
-// A limit that is very small doesn't prevent the start: what the service does without is reported.
+// A very small limit must not prevent the start. The service must report exactly the limit that is too small, with the
+// consequence.
 func TestVerySmallLimitsAreReportedAsDegradations(t *testing.T) {
 	s, err := Parse([]byte(settingsText(t)))
 	require.NoError(t, err)
@@ -68,8 +71,9 @@
 	}
 }
 
-// Connections of workers and users, deliveries to workers and what the services take stay within the
-// limit; one controller alone can serve the heartbeats of 1,800 machines.
+// Sockets for inbound connections, deliveries and services must together stay within the limit of file descriptors, or
+// the controller could not accept connections or reach the key-value store at full load. One controller alone must be
+// able to serve the heartbeats of 1,800 machines.
 func TestSocketsAreDividedWithinLimit(t *testing.T) {
 	for limit, minInbound := range map[int]int{2993: 1800 + 600, 4190: 1800, 1200: 800} {
 		s := Settings{}
--- a/internal/config/degradation.go
+++ b/internal/config/degradation.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Limits below which the service does without something; each message says what.
+// Limits below which Degradations reports what the service can't do.
 const (
-	minTxnOps            = 2    // operations in a transaction
-	minValueKB           = 2    // kB of a value in the key-value store
-	minRequestsPerSecond = 3    // to the key-value store, for each controller
-	minWritesPerSecond   = 1    // to the key-value store, for each controller
-	minMemoryMB          = 48   // for a controller
-	minCoreShare         = 0.02 // of a core
+	minTxnOps            = 2    // operations in a transaction of the key-value store
+	minValueKB           = 2    // size of a value in the key-value store, in kB
+	minRequestsPerSecond = 3    // requests to the key-value store per second and controller
+	minWritesPerSecond   = 1    // writes to the key-value store per second and controller
+	minMemoryMB          = 48   // memory of a controller
+	minCoreShare         = 0.02 // share of one core for a controller
 )
 
-// Degradations tells what the service does without under limits that are very small: it starts and
-// serves all the same.
+// Degradations returns a message for each limit that is very small, which says what the service can't do or does
+// worse because of it. The service starts and serves in spite of such limits.
 func (s *Settings) Degradations() []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings that are too small for a large fleet are reported one by one.
+// Each setting that is too small for a large fleet must be reported with its value, and settings that suffice must not.
 func TestInsufficientSettingsForLargeFleetAreReportedOneByOne(t *testing.T) {
 	s := &Settings{}
 	s.Params.Count = 5
