--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -234,17 +234,17 @@
 
 // checkPositive rejects settings in which a number that the service needs is missing or not positive.
 func (s *Settings) checkPositive() error {
-	p := &s.Params
+	params := &s.Params
 	for field, v := range map[string]float64{
-		"params.count":            float64(p.Count),
-		"params.workers.report_s": p.Workers.ReportS,
-		"params.workers.lease_s":  p.Workers.LeaseS,
-		"params.workers.cancel_s": p.Workers.CancelS,
-		"params.state.rps":        p.State.RPS,
-		"params.state.write_rps":  p.State.WriteRPS,
-		"params.state.value_kb":   p.State.ValueKB,
-		"params.state.txn_ops":    float64(p.State.TxnOps),
-		"params.cloud.rps":        p.Cloud.RPS,
+		"params.count":            float64(params.Count),
+		"params.workers.report_s": params.Workers.ReportS,
+		"params.workers.lease_s":  params.Workers.LeaseS,
+		"params.workers.cancel_s": params.Workers.CancelS,
+		"params.state.rps":        params.State.RPS,
+		"params.state.write_rps":  params.State.WriteRPS,
+		"params.state.value_kb":   params.State.ValueKB,
+		"params.state.txn_ops":    float64(params.State.TxnOps),
+		"params.cloud.rps":        params.Cloud.RPS,
 	} {
 		if !(v > 0) {
 			return fmt.Errorf("field %s must be more than 0", field)
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -74,31 +74,31 @@
 // parseHead parses the start line and the headers of the message at the beginning of b. It returns errIncomplete if b
 // does not contain the whole head.
 func parseHead(b []byte) (messageHead, error) {
-	h := messageHead{contentLength: -1}
+	head := messageHead{contentLength: -1}
 	end := bytes.Index(b, headEnd)
 	if end < 0 {
 		if len(b) > maxHead {
-			return h, ErrTooLarge
+			return head, ErrTooLarge
 		}
-		return h, errIncomplete
+		return head, errIncomplete
 	}
 	if end > maxHead {
-		return h, ErrTooLarge
+		return head, ErrTooLarge
 	}
-	h.bytes = end + len(headEnd)
+	head.bytes = end + len(headEnd)
 	text := string(b[:end])
 	line, rest, _ := strings.Cut(text, "\r\n")
-	h.startLine = line
+	head.startLine = line
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
-		if err := h.parseHeader(line); err != nil {
-			return h, err
+		if err := head.parseHeader(line); err != nil {
+			return head, err
 		}
 	}
-	if h.chunked && h.contentLength >= 0 {
-		return h, fmt.Errorf("%w: both content-length and transfer-encoding", ErrMalformed)
+	if head.chunked && head.contentLength >= 0 {
+		return head, fmt.Errorf("%w: both content-length and transfer-encoding", ErrMalformed)
 	}
-	return h, nil
+	return head, nil
 }
 
 // parseHeader parses one header line. It keeps only the headers that determine the message's length, the closing of
@@ -196,33 +196,33 @@
 	}
 }
 
-// parseBody parses the body of the message in b after its head h; used is the number of bytes in the whole message.
-func parseBody(h messageHead, b []byte, maxBody int) (body []byte, used int, err error) {
-	if h.chunked {
-		body, used, err = parseChunks(b[h.bytes:], maxBody)
-		return body, used + h.bytes, err
+// parseBody parses the body of the message in b after its head; used is the number of bytes in the whole message.
+func parseBody(head messageHead, b []byte, maxBody int) (body []byte, used int, err error) {
+	if head.chunked {
+		body, used, err = parseChunks(b[head.bytes:], maxBody)
+		return body, used + head.bytes, err
 	}
-	if h.contentLength > maxBody {
+	if head.contentLength > maxBody {
 		return nil, 0, ErrTooLarge
 	}
-	n := max(h.contentLength, 0)
-	if len(b) < h.bytes+n {
+	n := max(head.contentLength, 0)
+	if len(b) < head.bytes+n {
 		return nil, 0, errIncomplete
 	}
-	return bytes.Clone(b[h.bytes : h.bytes+n]), h.bytes + n, nil
+	return bytes.Clone(b[head.bytes : head.bytes+n]), head.bytes + n, nil
 }
 
 // ParseRequest parses the request at the beginning of b, with a body of at most limit bytes, and returns the number of
 // bytes that it took. It returns (nil, 0, nil) while the request is incomplete.
 func ParseRequest(b []byte, limit int) (*Request, int, error) {
-	h, err := parseHead(b)
+	head, err := parseHead(b)
 	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	method, rest, ok := strings.Cut(h.startLine, " ")
+	method, rest, ok := strings.Cut(head.startLine, " ")
 	target, proto, hasProto := strings.Cut(rest, " ")
 	if !ok || !hasProto || method == "" || !strings.HasPrefix(target, "/") ||
 		(proto != "HTTP/1.1" && proto != "HTTP/1.0") {
@@ -233,7 +233,7 @@
 			return nil, 0, fmt.Errorf("%w: invalid method", ErrMalformed)
 		}
 	}
-	body, used, err := parseBody(h, b, limit)
+	body, used, err := parseBody(head, b, limit)
 	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
@@ -241,47 +241,47 @@
 		return nil, 0, err
 	}
 	path, query, _ := strings.Cut(target, "?")
-	request := &Request{Method: method, Path: path, Query: query, Body: body, Close: h.close || proto == "HTTP/1.0"}
+	request := &Request{Method: method, Path: path, Query: query, Body: body, Close: head.close || proto == "HTTP/1.0"}
 	return request, used, nil
 }
 
 // responseSize returns the total size in bytes of the response that begins with b. It returns 0 if the head is
 // incomplete or invalid, or has no Content-Length header.
 func responseSize(b []byte) int {
-	h, err := parseHead(b)
-	if err != nil || h.contentLength < 0 || h.chunked {
+	head, err := parseHead(b)
+	if err != nil || head.contentLength < 0 || head.chunked {
 		return 0
 	}
-	return h.bytes + h.contentLength
+	return head.bytes + head.contentLength
 }
 
 // ParseResponse parses the response at the beginning of b, with a body of at most limit bytes, and returns the number
 // of bytes that it took. It returns (nil, 0, nil) while the response is incomplete.
 func ParseResponse(b []byte, limit int) (*Response, int, error) {
-	h, err := parseHead(b)
+	head, err := parseHead(b)
 	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	proto, rest, _ := strings.Cut(h.startLine, " ")
+	proto, rest, _ := strings.Cut(head.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 599 {
 		return nil, 0, fmt.Errorf("%w: invalid status line", ErrMalformed)
 	}
-	if h.contentLength < 0 && !h.chunked && status != 204 && status != 304 {
+	if head.contentLength < 0 && !head.chunked && status != 204 && status != 304 {
 		return nil, 0, fmt.Errorf("%w: response without content-length or chunked encoding", ErrMalformed)
 	}
-	body, used, err := parseBody(h, b, limit)
+	body, used, err := parseBody(head, b, limit)
 	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	return &Response{Status: status, Body: body, RetryAfter: h.retryAfter, Close: h.close}, used, nil
+	return &Response{Status: status, Body: body, RetryAfter: head.retryAfter, Close: head.close}, used, nil
 }
 
 // reasonPhrases has the reason phrases of the statuses that merlinlatch sends.
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -44,9 +44,9 @@
 			rest = rest[n:]
 		}
 		chunked.WriteString("0\r\nTrailer: 1\r\n\r\n")
-		q, _, err := ParseRequest([]byte(chunked.String()), 1<<20)
+		request, _, err := ParseRequest([]byte(chunked.String()), 1<<20)
 		require.NoError(t, err)
-		require.Equal(t, body, string(q.Body))
+		require.Equal(t, body, string(request.Body))
 	}
 }
 
--- a/internal/httpx/server_test.go
+++ b/internal/httpx/server_test.go
@@ -106,14 +106,14 @@
 	require.NoError(t, err)
 	_, err = b.Write([]byte(head + strings.Repeat("x", 9000)))
 	require.NoError(t, err)
-	one := make(chan struct{}, 2)
+	closed := make(chan struct{}, 2)
 	for _, c := range []net.Conn{a, b} {
 		go func() {
 			io.Copy(io.Discard, c) //nolint:errcheck // only the end of the connection counts
-			one <- struct{}{}
+			closed <- struct{}{}
 		}()
 	}
-	<-one // the server closed one of the two
+	<-closed // the server closed one of the two
 }
 
 // A server at its limit of connections must accept a new one and close one idle connection for it. Otherwise
@@ -229,14 +229,14 @@
 		return c
 	}
 	idle := add(&connection{lastUsed: begun})
-	half := add(&connection{lastUsed: begun.Add(time.Second), buffer: []byte("GET /x")})
+	incomplete := add(&connection{lastUsed: begun.Add(time.Second), buffer: []byte("GET /x")})
 	busy := add(&connection{lastUsed: begun.Add(2 * time.Second), answering: true})
 	recent := add(&connection{lastUsed: begun.Add(time.Minute)})
 	s.closeExpired(begun.Add(59 * time.Second))
 	require.False(t, idle.closed)
 	s.closeExpired(begun.Add(90 * time.Second))
 	require.True(t, idle.closed)
-	require.True(t, half.closed)
+	require.True(t, incomplete.closed)
 	require.False(t, busy.closed)
 	require.False(t, recent.closed)
 }
@@ -266,9 +266,9 @@
 	first, second := send(), send()
 	<-begun
 	<-begun
-	shed := head(send())
-	require.Contains(t, shed, "HTTP/1.1 503 ")
-	require.Contains(t, shed, "Retry-After: 1")
+	rejected := head(send())
+	require.Contains(t, rejected, "HTTP/1.1 503 ")
+	require.Contains(t, rejected, "Retry-After: 1")
 	close(end)
 	require.Contains(t, head(first), "200 OK")
 	require.Contains(t, head(second), "200 OK")
--- a/internal/peer/batches.go
+++ b/internal/peer/batches.go
@@ -72,8 +72,9 @@
 	Machine string // id of the machine
 }
 
-// CancelJob stops all tasks of a job and has further assignments of the job rejected. It takes effect under
-// the term that its batch names for the team; the partition leader ignores one of a former team leader.
+// CancelJob stops all tasks of a job, without time to checkpoint, and has further assignments of the job
+// rejected. It takes effect under the term that its batch names for the team; the partition leader ignores one
+// of a former team leader.
 type CancelJob struct{ Job, Team string }
 
 // Batch carries everything that a scheduler has for one partition leader at a time. The batches of one
@@ -82,9 +83,9 @@
 type Batch struct {
 	From string // incarnation of the scheduler's controller
 	Seq  uint64 // number of the batch, from 1
-	// Terms has the terms of the team leaderships that the scheduler holds, by team. After
-	// this batch the partition leader rejects assignments, starts and cancellations under lower terms of
-	// these teams, so a former leader of a team can no longer start its tasks.
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. After this
+	// batch the partition leader rejects assignments, starts and cancellations under lower terms of these
+	// teams, so a former leader of a team can no longer start its tasks.
 	Terms   map[string]uint64
 	Asks    []Assignment
 	Stops   []StopTask
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -7,7 +7,7 @@
 // peers, and CollectPages reads the response to a poll page by page. The package carries decisions about
 // tasks and makes none.
 //
-// Every controller has two roles. As a scheduler it assigns the tasks of the teams that it leads; as a
+// Controllers act in two main roles. As a scheduler it assigns the tasks of the teams that it leads; as a
 // partition leader it leases the resources of the machines in the partitions that it leads and commands
 // their workers. Most messages go from a scheduler to a partition leader.
 //
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -42,16 +42,16 @@
 // for a change, and the joined response must have the first page's cursor: with a later one, the next poll
 // would miss changes to machines on pages that were read before the change.
 func TestPagesOfOneLeaderAreJoined(t *testing.T) {
-	l := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
-	l.onCall = func(call int) { l.version = uint64(10 * call) }
-	all, err := CollectPages(PollRequest{Wait: 1000}, l.poll)
+	leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
+	leader.onCall = func(call int) { leader.version = uint64(10 * call) }
+	all, err := CollectPages(PollRequest{Wait: 1000}, leader.poll)
 	require.NoError(t, err)
-	require.Len(t, all.Machines, l.machines)
+	require.Len(t, all.Machines, leader.machines)
 	require.False(t, all.More)
 	require.EqualValues(t, 10, all.Cursor, "the first page's cursor, so that the next poll lists later changes again")
-	require.Len(t, l.calls, 5)
-	require.EqualValues(t, 1000, l.calls[0].Wait)
-	require.Zero(t, l.calls[1].Wait)
+	require.Len(t, leader.calls, 5)
+	require.EqualValues(t, 1000, leader.calls[0].Wait)
+	require.Zero(t, leader.calls[1].Wait)
 	for i := range all.Machines {
 		require.Equal(t, fmt.Sprintf("m-%06d", i), all.Machines[i].ID)
 	}
@@ -68,13 +68,13 @@
 		"a partition has another term":   func(l *pagedLeader) { l.parts = map[int]uint64{0: 8} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
-			l.onCall = func(call int) {
+			leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
+			leader.onCall = func(call int) {
 				if call == 2 {
-					change(l)
+					change(leader)
 				}
 			}
-			_, err := CollectPages(PollRequest{}, l.poll)
+			_, err := CollectPages(PollRequest{}, leader.poll)
 			require.ErrorIs(t, err, ErrPagesDiffer)
 		})
 	}
--- a/internal/peer/polls.go
+++ b/internal/peer/polls.go
@@ -42,7 +42,7 @@
 	// Silent means that the worker's lease has expired without a heartbeat, or that the machine is gone. No
 	// task runs on it any more, so its tasks may start elsewhere.
 	Silent  bool
-	Overdue bool // several heartbeats were missed, but the worker's lease has not expired
+	Overdue bool // several heartbeats are missing; it stays set when the machine becomes Silent
 	Noticed bool // the machine is under an eviction notice
 	// NoticeLeft is the time that the machine had left by its eviction notice when the view was made.
 	NoticeLeft clock.Micros
@@ -62,8 +62,8 @@
 	// present one, or empty, the response lists all machines.
 	Incarnation string
 	Cursor      uint64 // Cursor of the last response; ignored if Incarnation is not the present one
-	// Terms has the terms of the team leaderships that the scheduler holds, by team. After
-	// this poll the partition leader rejects assignments, starts and cancellations under lower terms of these
+	// Terms has the terms of the team leaderships that the scheduler holds, by team. After this
+	// poll the partition leader rejects assignments, starts and cancellations under lower terms of these
 	// teams, so a former leader of a team can no longer start its tasks.
 	Terms   map[string]uint64
 	Wait    clock.Micros // longest time that the partition leader waits for a change
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -62,7 +62,7 @@
 	thread.SetMaxExecutionSteps(maxHookSteps)
 	v, err := starlark.Call(thread, f, starlark.Tuple{argument}, nil)
 	if err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
 	return v, nil
 }
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -44,13 +44,13 @@
 		{"MoveCoolDown", p.MoveCoolDown},
 		{"TeamMoves", p.TeamMoves},
 		{"MachineMoves", p.MachineMoves},
-		{"veto", address(p.vetoHook)},
+		{"veto", hookAddress(p.vetoHook)},
 		{"ZoneReturn", p.ZoneReturn},
 		{"History", p.History},
 		{"ZoneSuspect", p.ZoneSuspectAfter},
 		{"ZoneLost", p.ZoneLostAfter},
 		{"ZoneBack", p.ZoneReturnAfter},
-		{"stage", address(p.stageHook)},
+		{"stage", hookAddress(p.stageHook)},
 		{"Renamed", p.Renamed},
 	}
 	var out strings.Builder
@@ -63,8 +63,8 @@
 	return "{" + out.String() + "}"
 }
 
-// address returns the address of a hook's function, or "<nil>" if there is no hook.
-func address[T any](hook *T) string {
+// hookAddress returns the hookAddress of a hook's function, or "<nil>" if there is no hook.
+func hookAddress[T any](hook *T) string {
 	if hook == nil {
 		return "<nil>"
 	}
--- a/internal/policy/script.go
+++ b/internal/policy/script.go
@@ -19,13 +19,13 @@
 	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	globals, err := starlark.ExecFileOptions(options, thread, name, text, predeclared)
 	if err != nil {
-		return nil, fmt.Errorf("policy: %w", located(err))
+		return nil, fmt.Errorf("policy: %w", withPosition(err))
 	}
 	return globals, nil
 }
 
-// located prefixes an error with the position at which the script failed.
-func located(err error) error {
+// withPosition prefixes an error with the position at which the script failed.
+func withPosition(err error) error {
 	var failed *starlark.EvalError
 	if !errors.As(err, &failed) {
 		return err // syntax errors already have the position
