--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -28,20 +28,20 @@
 // Insufficient returns a message for each setting that does not suffice for a fleet with the given number of machines,
 // with the consequence. With such settings the service works, but more slowly.
 func (s *Settings) Insufficient(machines int) (out []string) {
-	params := &s.Params
-	workersPerController := int(math.Ceil(float64(machines) / float64(max(params.Count, 1))))
+	p := &s.Params
+	workersPerController := int(math.Ceil(float64(machines) / float64(max(p.Count, 1))))
 	if inbound, _ := s.Sockets(); inbound < workersPerController {
 		out = append(out, fmt.Sprintf("params.machine_limits.fd_limit is %d: "+
 			"of the %d workers that report to each controller %d keep their connections",
-			params.Limits.Sockets, workersPerController, inbound))
+			p.Limits.Sockets, workersPerController, inbound))
 	}
-	if neededMB := float64(machines) * machineBytes / (1 << 20); neededMB > maxLiveShare*params.Limits.MemoryMB {
+	if neededMB := float64(machines) * machineBytes / (1 << 20); neededMB > maxLiveShare*p.Limits.MemoryMB {
 		out = append(out, fmt.Sprintf("params.machine_limits.memory_mb is %g: %d machines take %.0f of it, the collector runs often",
-			params.Limits.MemoryMB, machines, neededMB))
+			p.Limits.MemoryMB, machines, neededMB))
 	}
 	pages := math.Ceil(float64(machines) / instancesPerPage)
-	if seconds := pages / (params.Cloud.RPS * cloudRequestShare); seconds > maxListSeconds {
-		out = append(out, fmt.Sprintf("params.cloud.rps is %g: the list of %d machines is read in %.0f s", params.Cloud.RPS, machines, seconds))
+	if seconds := pages / (p.Cloud.RPS * cloudRequestShare); seconds > maxListSeconds {
+		out = append(out, fmt.Sprintf("params.cloud.rps is %g: the list of %d machines is read in %.0f s", p.Cloud.RPS, machines, seconds))
 	}
 	return out
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -7,9 +7,9 @@
 // peers, and CollectPages reads the response to a poll page by page. The package carries decisions about
 // tasks and makes none.
 //
-// Controllers act in two main roles. As a scheduler it assigns the tasks of the teams that it leads; as a
-// partition leader it leases the resources of the machines in the partitions that it leads and commands
-// their workers. Most messages go from a scheduler to a partition leader.
+// A controller has two main roles. As a scheduler it assigns the tasks of the teams that it leads. As a
+// partition leader it leases the resources of the machines in its partitions and sends commands to their
+// workers. Most messages go from a scheduler to a partition leader.
 //
 // The clocks of two controllers are not compared, so messages carry ages and spans (clock.Micros, in
 // microseconds) and no points in time. The exception is ZoneStatus.AtMS, which is only displayed.
