--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -127,8 +127,8 @@
 // exceeds reports whether an amount is above a limit. A limit of 0 means that there is none.
 func exceeds(amount, limit int64) bool { return limit > 0 && amount > limit }
 
-// canRunOn reports whether a task of the job fits on an empty machine of type t, and the job allows this type and
-// a zone that offers it.
+// canRunOn reports whether a task of the job fits on an empty machine of type t, and the job allows the type and
+// at least one zone in which it is offered.
 func canRunOn(j *jobs.Job, t *wire.MachineType) bool {
 	allowsType := len(j.Types) == 0 || slices.Contains(j.Types, t.Name)
 	allowsZone := j.Zone == "" || slices.Contains(t.Zones, j.Zone)
--- a/internal/httpx/connection.go
+++ b/internal/httpx/connection.go
@@ -35,7 +35,8 @@
 }
 
 // takeRequest removes the next request from the buffer and returns it, or returns nil while no complete request has
-// arrived. The goroutine calls it only after it has answered the previous request.
+// arrived; closed means that the connection is closed. The goroutine calls it only after it has answered the previous
+// request.
 func (c *connection) takeRequest() (r *Request, closed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
