--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pagedLeader answers polls as a partition leader, page by page.
+// pagedLeader is a partition leader that answers polls page by page.
 type pagedLeader struct {
 	incarnation string
 	parts       map[int]uint64
 	version     uint64
 	machines    int
 	calls       []PollRequest
-	onCall      func(call int)
-	repeats     bool // it answers with the first page always
+	onCall      func(call int) // called before the answer to each call, counted from 1
+	repeats     bool           // every call is answered with the first page
 }
 
 func (l *pagedLeader) poll(in PollRequest) (PollResponse, error) {
@@ -38,27 +38,28 @@
 	return out, nil
 }
 
-// The response of a leader of thousands of machines is read in pages, none of which waits
-// for a change, and what changes meanwhile is listed by the next poll.
+// The first response of a leader with thousands of machines takes several pages. Only the first page may wait
+// for a change, and the joined response must have the first page's cursor: with a later one, the next poll
+// would miss changes to machines on pages that were read before the change.
 func TestPagesOfOneLeaderAreJoined(t *testing.T) {
-	l := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
-	l.onCall = func(call int) { l.version = uint64(10 * call) }
-	all, err := CollectPages(PollRequest{Wait: 1000}, l.poll)
+	leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
+	leader.onCall = func(call int) { leader.version = uint64(10 * call) }
+	all, err := CollectPages(PollRequest{Wait: 1000}, leader.poll)
 	require.NoError(t, err)
-	require.Len(t, all.Machines, l.machines)
+	require.Len(t, all.Machines, leader.machines)
 	require.False(t, all.More)
-	require.EqualValues(t, 10, all.Cursor, "the first page's: later changes are asked for again")
-	require.Len(t, l.calls, 5)
-	require.EqualValues(t, 1000, l.calls[0].Wait)
-	require.Zero(t, l.calls[1].Wait)
+	require.EqualValues(t, 10, all.Cursor, "the first page's cursor, so that the next poll lists later changes again")
+	require.Len(t, leader.calls, 5)
+	require.EqualValues(t, 1000, leader.calls[0].Wait)
+	require.Zero(t, leader.calls[1].Wait)
 	for i := range all.Machines {
 		require.Equal(t, fmt.Sprintf("m-%06d", i), all.Machines[i].ID)
 	}
 }
 
-// A response that names a partition must list all of its machines: those that are missing
-// count as gone, and their tasks would start once more elsewhere. So nothing is joined across
-// a change of the leader's incarnation or of the partitions that it leads.
+// A scheduler takes a machine that a full response omits for gone and starts its tasks elsewhere. Pages from
+// before and after a change of the leader's incarnation or partitions may together omit machines that still
+// run tasks, so joining them would start tasks twice.
 func TestPagesAcrossLeaderChangeAreNotJoined(t *testing.T) {
 	for name, change := range map[string]func(*pagedLeader){
 		"another incarnation":            func(l *pagedLeader) { l.incarnation = "two" },
@@ -67,13 +68,13 @@
 		"a partition has another term":   func(l *pagedLeader) { l.parts = map[int]uint64{0: 8} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
-			l.onCall = func(call int) {
+			leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
+			leader.onCall = func(call int) {
 				if call == 2 {
-					change(l)
+					change(leader)
 				}
 			}
-			_, err := CollectPages(PollRequest{}, l.poll)
+			_, err := CollectPages(PollRequest{}, leader.poll)
 			require.ErrorIs(t, err, ErrPagesDiffer)
 		})
 	}
