--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -8,7 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// catalogCache is the catalog of machine types as the key-value store has it; empty until the replica shows one.
+// catalogCache holds the replica's catalog of machine types, which is empty until the replica has read one. It is safe for
+// concurrent use.
 type catalogCache struct {
 	mu      sync.Mutex
 	catalog wire.Catalog
@@ -26,8 +27,8 @@
 	return s.catalog
 }
 
-// applyCatalog takes the stored catalog and hands the machine types to the parts. One that can't be read, or is
-// empty, is logged and changes nothing.
+// applyCatalog decodes the stored catalog and passes the machine types to the components. A catalog that can't be decoded or
+// is empty is logged and otherwise ignored.
 func (c *Controller) applyCatalog(raw json.RawMessage) {
 	var catalog wire.Catalog
 	if err := json.Unmarshal(raw, &catalog); err != nil || len(catalog.Types) == 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,19 +1,22 @@
-// Package controller assembles one controller from its parts and connects them with the key-value store, the
+// Package controller assembles a controller from its components and connects them to the key-value store, the
 // peers, the workers and the users.
 //
-// The main types are Controller, which owns the parts and their goroutines; rpcService, the methods that peers
-// call; reachability, the decision whether the workers reach this controller; peerStates and zoneStates, what
-// peers and the replica report. What is decided about jobs, machines and the fleet is decided in the packages
-// scheduler, partition and autoscaler, and who leads what in leaderelection. This package decides only whether the
-// workers reach the controller, whether users should come to it (handleReady) and where to forward a submission;
-// the rest of it is I/O and wiring.
+// The main types are Controller, which owns the components and their goroutines; rpcService, which implements the
+// methods that peers and operators' commands call; reachability, which decides whether the workers reach this controller;
+// peerStates, which caches what peers report; and zoneStates, which caches the zone records of the replica. The
+// packages scheduler, partition and autoscaler decide about jobs, machines and the fleet, and leaderelection decides
+// which controller leads what. This package decides only whether the workers reach the controller, whether the load
+// balancer should send users to it (handleReady) and which peer a submission is forwarded to. The rest of it is I/O
+// and wiring.
 //
 // Invariants kept here:
-//   - Events of the replica reach the parts in a fixed order, leaderships last (see Controller.apply), so that a
-//     part that acts on an acquired leadership has everything that was written before it was acquired. Arguments 5, 7
-//     and 11 of "Why the rules hold" in docs/design.md rest on it.
-//   - A controller that its workers don't reach says so in its registration and its partitions are transferred
-//     (see reachability); it never decides by that that machines are gone.
+//   - Controller.apply passes the replica's events to the components in a fixed order, leaderships last, so that a
+//     component that acts on an acquired leadership has already seen everything that was written before the
+//     acquisition. Otherwise a new leader could miss a machine that has tasks, tasks that former leaders assigned, or the
+//     end of a job, and run a task twice or after its job has ended (docs/design.md, "Why the rules hold", numbers 5, 7
+//     and 11).
+//   - A controller that its workers don't reach publishes that in its registration, and its partitions are transferred
+//     (see reachability). It never concludes from being unreachable that machines are gone.
 package controller
 
 import (
@@ -42,21 +45,21 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// Store is the key-value store as all parts of a controller together need it.
+// Store is the client of the key-value store. It combines the operations that the components of a controller need.
 type Store interface {
 	leaderelection.Store
 	scheduler.Store
 	kvstore.Source
 }
 
-// Controller is one controller. Its fields are set by assemble and don't change afterwards; what changes is in the
-// parts, in catalog, zones and peerStates, each of which has its own lock.
+// Controller is one controller process. The function assemble sets its fields, which don't change afterwards. State that
+// changes is in the components and in catalog, zones and peerStates, each of which has its own lock.
 type Controller struct {
 	settings  *config.Settings
 	log       *slog.Logger
 	store     Store
-	peers     map[string]PeerClient // by host, without this one
-	telemetry *telemetry.Reporter   // nil: nothing is counted
+	peers     map[string]PeerClient // by host; this controller is not in it
+	telemetry *telemetry.Reporter   // nil if telemetry is disabled
 
 	elector    *leaderelection.Elector
 	jobs       *jobs.Cache
@@ -64,16 +67,16 @@
 	scheduler  *scheduler.Server
 	api        *api.Handler
 	autoscaler *autoscaler.Autoscaler
-	history    *history.Ring // nil: no history is kept
+	history    *history.Ring // nil if no history is kept
 
 	// replicaLoaded is closed once the replica has read the whole store.
 	replicaLoaded chan struct{}
-	// replicaApply counts the batches of events taken from the replica.
+	// replicaApply measures the time that apply takes for each batch of the replica's events.
 	replicaApply *telemetry.Duty
-	// storeContactMaxAge is how long ago its lease may have been confirmed for a controller, this one or a peer,
-	// to count as reaching the key-value store.
+	// storeContactMaxAge is the maximum time since the last confirmation of a controller lease for which the
+	// controller that holds it, this one or a peer, counts as reaching the key-value store.
 	storeContactMaxAge clock.Micros
-	// followsZoneStates is set where work returns to a zone in stages.
+	// followsZoneStates is set if work returns to a zone in stages after the zone was lost.
 	followsZoneStates bool
 
 	catalog    catalogCache
@@ -81,8 +84,7 @@
 	peerStates peerStates
 }
 
-// New makes a controller from its settings, with clients for the services and
-// peers that they name.
+// New creates a controller from its settings, with clients for the services and peers that the settings name.
 func New(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *Controller {
 	p := &settings.Params
 	reporter := telemetry.NewReporter(log)
@@ -106,7 +108,7 @@
 	})
 }
 
-// Run serves users, workers and peers until ctx ends or a part fails, and waits for everything that it started.
+// Run serves users, workers and peers until ctx ends or a component fails, then waits for all goroutines that it started.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	c.logLimits()
@@ -122,7 +124,8 @@
 	return g.Wait()
 }
 
-// logLimits logs which limits are too small, not sufficient for a large fleet, or assumed.
+// logLimits logs the resource limits that are too small, the settings that don't suffice for a large fleet, and the limits that
+// the settings don't give and for which defaults are assumed.
 func (c *Controller) logLimits() {
 	for _, reason := range c.settings.Degradations() {
 		c.log.Error("resource limit insufficient", "reason", reason)
@@ -136,10 +139,10 @@
 }
 
 const (
-	// idleConnectionTimeout is after how long without a request a connection of a user or worker is closed. Workers
-	// send a heartbeat every few seconds and so keep theirs.
+	// idleConnectionTimeout is how long a connection of a user or worker may go without a request before the server
+	// closes it. Workers send a heartbeat every few seconds, so their connections stay open.
 	idleConnectionTimeout = 90 * time.Second
-	// pendingRequestShare is the part of its memory that requests which are not answered yet may take.
+	// pendingRequestShare is the share of the controller's memory that unanswered requests may take.
 	pendingRequestShare = 1.0 / 8
 )
 
@@ -149,7 +152,8 @@
 	return httpx.NewServer(c.handleRequest, answeredFromMemory, connections, pendingBytes, idleConnectionTimeout, c.log)
 }
 
-// runDuties runs everything that needs the key-value store and the peers only, until ctx ends, and waits for it.
+// runDuties runs all goroutines that need only the key-value store and the peers, until ctx ends or one of them fails, and
+// waits for them. Scenario tests call it instead of Run, which also opens sockets.
 func (c *Controller) runDuties(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	replica := kvstore.NewReplica(c.store, c.apply, c.log)
@@ -165,20 +169,24 @@
 	return g.Wait()
 }
 
-// apply hands a batch of events of the replica, up to revision rev, to the parts. Only the replica's goroutine calls it.
+// apply passes a batch of the replica's events, up to revision rev, to the components. Only the replica's goroutine calls it.
 //
-// The order is part of the rules. Whoever acts on a leadership must have all that was written before it was
-// acquired, so leaderships come last:
+// The order matters for correctness. A component that acts on a leadership must have seen everything that was written
+// before the leadership was acquired, so leaderships come last. The numbers below refer to docs/design.md, "Why the rules hold".
 //
-//  1. the job cache and the catalog: a job's end is known before any part is asked about it (argument 11);
-//  2. the job cache's revision, since assignments are checked against it (argument 11);
-//  3. the partition server and the scheduler: machine records, progress, watermarks (arguments 5 to 7);
-//  4. zone states;
-//  5. the elector: leaderships and registrations;
-//  6. where one of those is in the batch, both servers reconcile what they lead with it. They do so once a batch.
+//  1. The job cache and the catalog. The end of a job must be known before any component asks about the job; otherwise a
+//     task of a job that has ended could be started (number 11).
+//  2. The revision of the job cache. Assignments are checked against it: a job that is missing from a cache that lags
+//     behind the job's record must not be taken for ended (number 11).
+//  3. The partition server and the scheduler, which take machine records, progress and watermarks. A new leader needs
+//     them to know which machines and tasks former leaders may have used (numbers 5 to 7).
+//  4. Zone states.
+//  5. The elector, which takes leaderships and registrations.
+//  6. If the batch has a leadership or a registration, the partition server and the scheduler reconcile what they lead with
+//     it, once for the whole batch.
 func (c *Controller) apply(events []kvstore.Event, rev uint64) {
-	began := time.Now()
-	defer func() { c.replicaApply.Round(time.Since(began)) }()
+	start := time.Now()
+	defer func() { c.replicaApply.Round(time.Since(start)) }()
 	for _, e := range events {
 		c.jobs.Apply(e)
 		if e.Key == kvstore.CatalogKey && e.Value != nil {
@@ -198,7 +206,7 @@
 	}
 }
 
-// changesLeadership is whether an event concerns a leadership or a controller's registration.
+// changesLeadership reports whether an event concerns a leadership or a controller's registration.
 func changesLeadership(e kvstore.Event) bool {
 	return strings.HasPrefix(e.Key, kvstore.LeaderPrefix) || strings.HasPrefix(e.Key, kvstore.ControllerPrefix)
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// submitForwardTimeout bounds how long another controller may take for a submission; its user waits meanwhile,
-	// and may still be told to come back.
+	// submitForwardTimeout bounds the call that forwards a submission to a peer. The user waits for it, and may still
+	// be told to retry afterwards.
 	submitForwardTimeout = 800 * time.Millisecond
-	// statusTimeout bounds a team leader's answer to a user's query.
+	// statusTimeout bounds the call that asks a team's leader for the state of a job.
 	statusTimeout = 1500 * time.Millisecond
-	// cancelTimeout bounds a team leader's answer to a cancellation, for which it asks all partition leaders.
+	// cancelTimeout bounds the call that asks a team's leader to cancel a job. The leader calls all partition leaders
+	// meanwhile.
 	cancelTimeout = 2 * statusTimeout
-	// broadcastTimeout bounds what is asked of all peers: who is slower is left out this time.
+	// broadcastTimeout bounds each call of callPeers. The answer of a slower peer is left out.
 	broadcastTimeout = 600 * time.Millisecond
 )
 
-// errNoTeamLeader means that no registered controller leads a team at the moment.
+// errNoTeamLeader means that no registered controller leads the team at the moment.
 var errNoTeamLeader = errors.New("team has no leader")
 
-// StoreUnreachable is whether this controller has not reached the key-value store for storeContactMaxAge.
+// StoreUnreachable reports whether the key-value store has not confirmed this controller's lease for storeContactMaxAge.
 func (c *Controller) StoreUnreachable() bool {
 	contactAge, _ := c.elector.StoreContact()
 	return contactAge > c.storeContactMaxAge
 }
 
-// Submit forwards a submission to a peer that has said lately that it reaches the key-value store. ok is false where
-// there is none or it has not answered; whether it has accepted the job is not known then.
+// Submit forwards a submission to a peer that has recently reported that it reaches the key-value store. It returns false if
+// there is no such peer or the peer has not answered; in the latter case the peer may or may not have accepted the job.
 func (c *Controller) Submit(body []byte) (r httpx.Response, ok bool) {
-	host := c.peerStates.storeReacher(time.Now(), c.storeContactMaxAge.Duration())
+	host := c.peerStates.peerWithStoreContact(time.Now(), c.storeContactMaxAge.Duration())
 	if host == "" {
 		return r, false
 	}
@@ -58,13 +59,14 @@
 	return c.askTeamLeader(jobCall{methodCancel, c.scheduler.CancelJob, cancelTimeout}, q)
 }
 
-// jobCall is a call about a job: the method of a peer, or of this controller's own scheduler.
+// jobCall describes a request about a job that the leader of the job's team answers.
 type jobCall struct {
-	method  string
-	local   func(peer.JobRequest) peer.JobResponse
-	timeout time.Duration // of the peer's answer
+	method  string                                 // RPC method if a peer leads the team
+	local   func(peer.JobRequest) peer.JobResponse // called if this controller leads the team
+	timeout time.Duration                          // of the RPC
 }
 
+// askTeamLeader passes a request about a job to the leader of the job's team, which may be this controller.
 func (c *Controller) askTeamLeader(call jobCall, q peer.JobRequest) (peer.JobResponse, error) {
 	host, ok := c.elector.Leader(scheduler.Duty(q.Team))
 	if !ok {
@@ -75,14 +77,14 @@
 	}
 	var out peer.JobResponse
 	if err := c.peers[host].Call(call.method, q, &out, call.timeout); err != nil {
-		return out, fmt.Errorf("call %s of %s: %w", call.method, host, err)
+		return out, fmt.Errorf("call %s on peer %s: %w", call.method, host, err)
 	}
 	return out, nil
 }
 
-// callPeers calls a method of all peers concurrently, hands each answer to take, one at a time, and waits for all
-// of them. Peers that don't answer within broadcastTimeout are left out.
-func callPeers[Out any](c *Controller, method string, in any, take func(Out)) {
+// callPeers calls an RPC method of all peers concurrently and waits until all calls have returned. It passes the answers to
+// handle, one at a time. Peers that don't answer within broadcastTimeout are left out.
+func callPeers[Out any](c *Controller, method string, in any, handle func(Out)) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for _, client := range c.peers {
@@ -91,38 +93,40 @@
 			if err := client.Call(method, in, &out, broadcastTimeout); err == nil {
 				mu.Lock()
 				defer mu.Unlock()
-				take(out)
+				handle(out)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Demands gathers the demands of all teams from all controllers that can be reached.
+// Demands collects the demands of all teams from all controllers that can be reached.
 func (c *Controller) Demands(context.Context) []peer.Demand {
 	out := c.scheduler.Demands()
 	callPeers(c, methodDemand, c.heartbeat(), func(a peer.DemandResponse) { out = append(out, a.Demands...) })
 	return out
 }
 
-// MachineViews appends the scheduler's views of all machines.
+// MachineViews appends the scheduler's views of all machines to a slice and returns it.
 func (c *Controller) MachineViews(to []peer.MachineView) []peer.MachineView {
 	return c.scheduler.MachineViews(to)
 }
 
-// RecordedBefore lists the machines that were on record by a time of day, in milliseconds since the epoch.
+// RecordedBefore lists the machines that were recorded in the key-value store before a wall-clock time in milliseconds since
+// the Unix epoch, and still are.
 func (c *Controller) RecordedBefore(atMS int64) []peer.MachineRef {
 	return c.partitions.RecordedBefore(atMS)
 }
 
-// Drain asks all partition leaders to drain machines, and lists those that are ready to be returned.
+// Drain asks all partition leaders to drain machines and returns those that are ready to be returned to the cloud.
 func (c *Controller) Drain(_ context.Context, list []peer.MachineRef) []string {
 	out := c.partitions.Drain(list)
 	callPeers(c, methodDrain, peer.DrainRequest{Machines: list}, func(a peer.DrainResponse) { out = append(out, a.Ready...) })
 	return out
 }
 
-// MarkMachinesGone notifies all partition leaders of machines that are gone for certain (argument 4).
+// MarkMachinesGone notifies all partition leaders of machines that are gone for certain. No attempt can run on such a machine
+// any more, so its tasks may be started elsewhere without running twice (docs/design.md, "Why the rules hold", number 4).
 func (c *Controller) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	c.partitions.HandleMachinesGone(list)
 	callPeers(c, methodGone, peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// handleRequest answers a request of a user, a worker or the load balancer, and counts it.
+// handleRequest answers a request of a user, a worker or the load balancer, and counts its traffic.
 func (c *Controller) handleRequest(ctx context.Context, r *httpx.Request) httpx.Response {
 	kind := telemetry.Users
 	if r.Path == wire.PathHeartbeat {
@@ -21,13 +21,13 @@
 	return response
 }
 
-// answeredFromMemory is whether a request is answered from memory alone. The event loop answers these
-// itself, so that workers' leases and health checks don't wait behind users.
+// answeredFromMemory reports whether a request is answered from memory alone, without I/O. The event loop answers such
+// requests itself, so that heartbeats, which extend worker leases, and health checks don't wait behind users' requests.
 func answeredFromMemory(r *httpx.Request) bool {
 	return r.Path == wire.PathHeartbeat || r.Path == wire.PathReady
 }
 
-// routeRequest answers a request by its path: heartbeats, readiness, jobs.
+// routeRequest passes a request to the handler of its path: heartbeats, readiness or jobs.
 func (c *Controller) routeRequest(ctx context.Context, r *httpx.Request) httpx.Response {
 	switch {
 	case r.Path == wire.PathHeartbeat:
@@ -50,9 +50,9 @@
 	return httpx.JSON(status, wire.Error{Error: msg})
 }
 
-// handleReady answers the load balancer whether users should come here. In an outage of the key-value store
-// that all controllers share they should: they get an answer with Retry-After immediately, and need not wait
-// for the load balancer to take the controllers back in.
+// handleReady tells the load balancer whether to send users to this controller. During an outage of the key-value store
+// that all controllers share, the answer is yes: users then get a response with Retry-After immediately, and after the
+// outage they need not wait until the load balancer sends requests to the controllers again.
 func (c *Controller) handleReady() httpx.Response {
 	if reason := c.notReadyReason(); reason != "" {
 		return errorResponse(http.StatusServiceUnavailable, reason)
@@ -60,8 +60,8 @@
 	return httpx.Response{Status: http.StatusOK, Body: []byte(`{"ready":true}`)}
 }
 
-// notReadyReason is why users should not come to this controller now; empty where they should. The texts are the
-// answer's, and part of the interface.
+// notReadyReason returns the reason why the load balancer should not send users to this controller now, or "" if it should.
+// The texts are part of the HTTP response and must not change.
 func (c *Controller) notReadyReason() string {
 	select {
 	case <-c.replicaLoaded:
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -13,17 +13,19 @@
 	"github.com/merlinlatch/merlinlatch/internal/scheduler"
 )
 
-// partitionsPerController is how many partitions there are for each controller: several, so that those of one that
-// fails can be spread over the others. One transaction must be able to name all of them (argument 11), which may leave fewer.
+// partitionsPerController is the number of partitions for each controller. There are several, so that the partitions of a
+// controller that fails can be spread over the others. The transaction that makes a cancellation final has a condition on the
+// leadership of every partition, so that no leader can miss the cancellation and let the job run on (docs/design.md, "Why the
+// rules hold", number 11). If the store's transactions are too small for that, there are fewer partitions.
 const partitionsPerController = 4
 
-// layout is what the settings say of the controllers, the duties and the teams. All controllers derive the same one from
-// their settings, but for instanceID.
+// layout has the controllers, duties and teams that the settings define. All controllers derive the same layout from their
+// settings, except for instanceID.
 type layout struct {
-	instanceID      string   // names this process
-	hosts           []string // all controllers, in order
-	partitionDuties []string // duties of the partitions
-	partitionZones  []string // zone of each partition's preferred leader
+	instanceID      string   // identifies this process
+	hosts           []string // all controllers, sorted
+	partitionDuties []string // by partition
+	partitionZones  []string // by partition; the zone of its preferred leader
 	teams           []scheduler.Team
 	limits          map[string]resources.Amounts // by team
 }
@@ -53,7 +55,7 @@
 	return l
 }
 
-// duties lists the duties of all kinds, the partitions first.
+// duties lists all duties: first those of the partitions, then those of the teams, last that of the fleet.
 func (l *layout) duties() []string {
 	out := slices.Clone(l.partitionDuties)
 	for _, t := range l.teams {
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -18,30 +18,33 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// How the settings and the policy parameters become the options of each part.
+// This file converts the settings and the policy parameters into the options of each component.
 
 const (
-	// recordShare is how much of the largest value a record may take: what it is wrapped in comes on top.
+	// recordShare is the share of the largest value that a record may take. The rest is for the data that the record is
+	// wrapped in.
 	recordShare = 0.9
-	// historyShare is the part of its memory that a controller's history may take.
+	// historyShare is the share of a controller's memory that its history may take.
 	historyShare = 0.02
-	// overdueHeartbeats is after how many missed heartbeats a machine gets no tasks for now.
+	// overdueHeartbeats is the number of heartbeat intervals, plus one second of tolerance, after which a machine without
+	// an answered heartbeat is overdue and gets no new tasks.
 	overdueHeartbeats = 2.5
-	// shareOpenMultiple is for how many times as long as free room is withheld a machine goes to whichever team asks
-	// first, where it was withheld in vain.
+	// shareOpenMultiple sets how long a machine is open to every team after its free resources were withheld for a team that
+	// did not take them: this many times as long as they were withheld.
 	shareOpenMultiple = 5
-	// maxZoneReturnAfter is the longest that heartbeats from a zone that fails again and again must last before it returns.
+	// maxZoneReturnAfter bounds how long a zone must be reachable before work returns to it. That time doubles each time
+	// the zone is lost again during its return.
 	maxZoneReturnAfter = 60 * clock.Second
 )
 
-// bytesPerKB is the unit in which the settings give the size of values.
+// bytesPerKB is the unit of value sizes in the settings.
 const bytesPerKB = 1024
 
-// maxResponseBytes is the longest response of a service that is taken, by the memory there is: a sixteenth of it,
-// between 1 and 32 MB.
+// maxResponseBytes returns the size limit for responses of the key-value store and the cloud: a sixteenth of the memory,
+// but at least 1 MB and at most 32 MB.
 func maxResponseBytes(memoryMB float64) int { return int(min(max(memoryMB/16, 1), 32) * (1 << 20)) }
 
-// maxRecordBytes is how large a record may be for what is wrapped around it to find room too.
+// maxRecordBytes returns the size limit for a record, which leaves room in a value for the data that the record is wrapped in.
 func maxRecordBytes(settings *config.Settings) int {
 	return int(settings.Params.State.ValueKB * bytesPerKB * recordShare)
 }
@@ -81,6 +84,8 @@
 	return o
 }
 
+// partitionTiming returns the time limits of the partition server. A machine counts as overdue after two thirds of the worker
+// lease at the latest, however long its heartbeat interval is.
 func partitionTiming(settings *config.Settings, parameters *policy.Parameters) partition.Timing {
 	overdue := min(clock.FromSeconds(overdueHeartbeats*settings.Params.Workers.ReportS+1), settings.Lease()*2/3)
 	return partition.Timing{
@@ -148,7 +153,7 @@
 	}
 }
 
-// placementCosts returns what placement weighs; nil where that is off.
+// placementCosts returns the weights with which the scheduler chooses machines by cost, or nil if the policy disables that.
 func placementCosts(parameters *policy.Parameters) *scheduler.Costs {
 	if !parameters.PlacementCosts {
 		return nil
@@ -157,7 +162,7 @@
 	return &scheduler.Costs{ImageWait: parameters.ImageWait, Weights: weights}
 }
 
-// moveSettings returns the limits of moves; nil where they are off.
+// moveSettings returns the limits for moving running tasks, or nil if the policy disables moves.
 func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.Moves {
 	if !parameters.Moves {
 		return nil
@@ -217,7 +222,8 @@
 	}
 }
 
-// zoneWatch has the fleet's leader decide the states of zones, where states are followed.
+// zoneWatch returns the settings with which the fleet's leader decides the states of zones. They are empty if
+// followsZoneStates is false, and no zone states are decided then.
 func (c *Controller) zoneWatch(parameters *policy.Parameters) autoscaler.ZoneWatch {
 	if !c.followsZoneStates {
 		return autoscaler.ZoneWatch{}
@@ -230,7 +236,7 @@
 	}}
 }
 
-// Kinds of objectives, as in the settings.
+// Kinds of objectives in the settings.
 const (
 	objectiveWait      = "wait"
 	objectiveFinished  = "finished"
@@ -238,10 +244,10 @@
 	objectiveGuarantee = "guarantee"
 )
 
-// anyClass is the class of objectives that are for no class in particular.
+// anyClass is the class of objectives that apply to no particular class.
 const anyClass = ""
 
-// shortestByClass returns the shortest time that objectives of a kind set for each class.
+// shortestByClass returns, for each class, the shortest time that the objectives of a kind set.
 func shortestByClass(objectives []config.Objective, kind string) map[string]clock.Micros {
 	out := map[string]clock.Micros{}
 	for _, o := range objectives {
@@ -253,7 +259,7 @@
 	return out
 }
 
-// deadlineMultiples returns the largest multiple of its deadlines that objectives set for each class.
+// deadlineMultiples returns, for each class, the largest multiple of the jobs' deadlines that the objectives set.
 func deadlineMultiples(objectives []config.Objective) map[string]float64 {
 	out := map[string]float64{}
 	for _, o := range objectives {
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -11,30 +11,30 @@
 const (
 	// peerHeartbeatInterval is how often controllers exchange heartbeats.
 	peerHeartbeatInterval = time.Second
-	// peerHeartbeatTimeout is how long an answer may take; it is shorter than the interval, so that a slow peer
-	// delays no heartbeat after it.
+	// peerHeartbeatTimeout bounds the call that sends a heartbeat. It is shorter than peerHeartbeatInterval, so that a
+	// slow peer does not delay the next heartbeat.
 	peerHeartbeatTimeout = 800 * time.Millisecond
-	// peerStatusMaxAge is how old a peer's status may be to count: two heartbeats may be lost.
+	// peerStatusMaxAge is how old a peer's status may be before it is ignored. It tolerates two lost heartbeats.
 	peerStatusMaxAge = 3 * time.Second
 )
 
-// PeerClient calls a method of another controller.
+// PeerClient calls the RPC methods of another controller.
 type PeerClient interface {
 	Call(method string, in, out any, timeout time.Duration) error
 }
 
-// peerStatus is what a peer's last heartbeat said of machines.
+// peerStatus has the machine counts of a peer's latest answer to a heartbeat.
 type peerStatus struct {
-	misdirected      int // of this controller's machines, how many have sent the peer a heartbeat lately
-	machines         int // how many machines should be reporting to the peer
-	missedHeartbeats int // and how many of those have missed heartbeats
+	misdirected      int // machines of this controller that have recently sent their heartbeats to the peer
+	machines         int // machines that should be reporting to the peer
+	missedHeartbeats int // machines that should be reporting to the peer and have missed heartbeats
 	reportedAt       time.Time
 }
 
-// peerStates holds what the peers' heartbeats said. It is safe for concurrent use.
+// peerStates holds what the peers reported in their answers to heartbeats. It is safe for concurrent use.
 type peerStates struct {
 	mu             sync.Mutex
-	storeReachedAt map[string]time.Time  // when a peer last said that it reaches the key-value store
+	storeReachedAt map[string]time.Time  // by host; when the peer last reported that it reaches the key-value store
 	statuses       map[string]peerStatus // by host
 }
 
@@ -42,7 +42,7 @@
 	return peerStates{storeReachedAt: map[string]time.Time{}, statuses: map[string]peerStatus{}}
 }
 
-// record takes a peer's answer to a heartbeat; reachesStore is whether the peer reaches the key-value store.
+// record stores a peer's answer to a heartbeat. The caller decides whether the peer counts as reaching the key-value store.
 func (p *peerStates) record(host string, in peer.Heartbeat, reachesStore bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,9 +52,9 @@
 	}
 }
 
-// storeReacher is the first host, by name, that has said within maxAge that it reaches the key-value store; empty
-// where there is none.
-func (p *peerStates) storeReacher(now time.Time, maxAge time.Duration) string {
+// peerWithStoreContact returns the first host, by name, that has reported within maxAge that it reaches the key-value store, or ""
+// if there is none.
+func (p *peerStates) peerWithStoreContact(now time.Time, maxAge time.Duration) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := ""
@@ -66,7 +66,7 @@
 	return first
 }
 
-// recentStatuses lists the statuses that are not older than peerStatusMaxAge.
+// recentStatuses lists the statuses that are younger than peerStatusMaxAge.
 func (p *peerStates) recentStatuses(now time.Time) (out []peerStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,9 +78,10 @@
 	return out
 }
 
-// exchangeHeartbeats sends a peer a heartbeat every peerHeartbeatInterval until ctx ends. From the answer this
-// controller learns whether the peer reaches the key-value store while it does not itself, which incarnation of the
-// peer has resigned, and how the peer's machines are doing. Each peer has a goroutine of runDuties for this.
+// exchangeHeartbeats sends a heartbeat to a peer every peerHeartbeatInterval until ctx ends. The answer says when the peer last
+// reached the key-value store, which incarnation of the peer has resigned, and how many of the peer's machines have missed
+// heartbeats. If the peer reaches the store and this controller does not, the elector resigns this controller's leaderships.
+// The method runDuties starts one goroutine for each peer, which calls exchangeHeartbeats.
 func (c *Controller) exchangeHeartbeats(ctx context.Context, host string, client PeerClient) error {
 	tick := time.NewTicker(peerHeartbeatInterval)
 	defer tick.Stop()
@@ -103,7 +104,7 @@
 	}
 }
 
-// heartbeat is what this controller sends to its peers.
+// heartbeat returns the heartbeat that this controller sends to its peers.
 func (c *Controller) heartbeat() peer.Heartbeat {
 	contactAge, resigned := c.elector.StoreContact()
 	return peer.Heartbeat{Contact: contactAge, Resigned: resigned, From: c.settings.Host}
--- a/internal/controller/peer_heartbeats_test.go
+++ b/internal/controller/peer_heartbeats_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-func TestPeerStatusIsLeftOutWhenOld(t *testing.T) {
+func TestPeerStatusIsOmittedAtMaxAge(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := newPeerStates()
 	p.record("b", peer.Heartbeat{Strays: 1, Machines: 5, Unheard: 2}, false, start)
@@ -18,16 +18,16 @@
 	require.Empty(t, p.recentStatuses(start.Add(peerStatusMaxAge)))
 }
 
-func TestStoreReacherIsTheFirstRecentPeerWithStore(t *testing.T) {
+func TestPeerWithStoreContactIsFirstRecentPeerByName(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := newPeerStates()
-	require.Empty(t, p.storeReacher(start, time.Second))
+	require.Empty(t, p.peerWithStoreContact(start, time.Second))
 	p.record("c", peer.Heartbeat{}, true, start.Add(500*time.Millisecond))
 	p.record("b", peer.Heartbeat{}, true, start)
 	p.record("a", peer.Heartbeat{}, false, start)
-	require.Equal(t, "b", p.storeReacher(start.Add(999*time.Millisecond), time.Second))
-	require.Equal(t, "c", p.storeReacher(start.Add(time.Second), time.Second))
+	require.Equal(t, "b", p.peerWithStoreContact(start.Add(999*time.Millisecond), time.Second))
+	require.Equal(t, "c", p.peerWithStoreContact(start.Add(time.Second), time.Second))
 	p.record("b", peer.Heartbeat{}, false, start.Add(time.Second))
-	require.Equal(t, "c", p.storeReacher(start.Add(time.Second), time.Second))
-	require.Empty(t, p.storeReacher(start.Add(1500*time.Millisecond), time.Second))
+	require.Equal(t, "c", p.peerWithStoreContact(start.Add(time.Second), time.Second))
+	require.Empty(t, p.peerWithStoreContact(start.Add(1500*time.Millisecond), time.Second))
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// reachabilityInterval is how often it is observed whether the workers reach this controller.
+	// reachabilityInterval is the time between two observations of whether the workers reach this controller.
 	reachabilityInterval = time.Second
-	// reachabilityObservations is how many observations in a row must contradict what is assumed for it to change.
-	// Observations are counted, not time: a process that was paused finds its peers' heartbeats waiting, which say that
-	// its machines are with them, before it has taken a single heartbeat of a worker itself.
+	// reachabilityObservations is the number of consecutive observations that must contradict the current state before it
+	// changes. Observations are counted instead of elapsed time because of pauses: when a paused process resumes, it first
+	// handles its peers' queued heartbeats, which say that its machines report to them, before it has handled a single
+	// heartbeat of a worker.
 	reachabilityObservations = 3
-	// minUnreachedMachines is how few machines are too few to conclude anything from: they may fail by themselves.
+	// minUnreachedMachines is the number of machines below which a controller does not conclude that its workers don't reach
+	// it: so few machines may fail independently.
 	minUnreachedMachines = 3
 )
 
-// reachability decides whether the workers reach this controller. It does no I/O; one goroutine uses it.
+// reachability decides whether the workers reach this controller. It does no I/O, and only one goroutine uses it.
 type reachability struct {
-	unreachable   bool // what is assumed now; at first that the workers reach it
-	contradicting int  // observations in a row that contradict it
+	unreachable    bool // current state; at first the workers are assumed to reach the controller
+	contradictions int  // consecutive observations that contradict the current state
 }
 
-// observe takes an observation and tells whether the assumption has changed by it.
+// observe counts an observation, which may contradict the current state, and reports whether the state has changed.
 func (r *reachability) observe(contradicts bool) (changed bool) {
-	r.contradicting++
+	r.contradictions++
 	if !contradicts {
-		r.contradicting = 0
+		r.contradictions = 0
 	}
-	if r.contradicting < reachabilityObservations {
+	if r.contradictions < reachabilityObservations {
 		return false
 	}
-	r.unreachable, r.contradicting = !r.unreachable, 0
+	r.unreachable, r.contradictions = !r.unreachable, 0
 	return true
 }
 
-// heartbeatObservation is what is known at a moment of the heartbeats that this controller should get.
+// heartbeatObservation has the counts from which a reachable controller concludes whether its workers still reach it.
 type heartbeatObservation struct {
-	machines         int          // how many machines should be reporting here
-	missedHeartbeats int          // how many of them have missed heartbeats
-	peers            []peerStatus // recent ones
+	machines         int          // machines that should be reporting to this controller
+	missedHeartbeats int          // machines that should be reporting to this controller and have missed heartbeats
+	peers            []peerStatus // recent statuses only
 }
 
-// workersReachPeersOnly is whether two thirds of the machines have missed heartbeats, a third of them report to
-// peers instead, and some peer is reached by its own: at most a quarter of its machines have missed heartbeats.
-// Machines that get no answers send their heartbeats elsewhere too, but then all controllers miss
-// heartbeats alike, and none of them is better placed than this one.
+// workersReachPeersOnly reports whether the workers reach some peer but not this controller. This is so if at least two
+// thirds of this controller's machines have missed heartbeats, at least a third of its machines have recently reported to
+// peers instead, and at most a quarter of some peer's own machines have missed heartbeats. The last condition excludes a
+// failure that all controllers share: machines that get no answers from any controller also send their heartbeats to other
+// controllers than their own, but then all controllers miss heartbeats alike, and a transfer of partitions would not help.
 func (o *heartbeatObservation) workersReachPeersOnly() bool {
 	misdirected, peerReached := 0, false
 	for _, p := range o.peers {
@@ -55,10 +58,11 @@
 	return o.machines >= minUnreachedMachines && 3*o.missedHeartbeats >= 2*o.machines && 3*misdirected >= o.machines && peerReached
 }
 
-// watchReachability observes until ctx ends whether the workers reach this controller. When they don't, the elector
-// publishes it, and the partitions are transferred to controllers that are reached; once workers answer this
-// controller again it takes its share back. While it is reachable it goes by heartbeats; once its partitions are
-// transferred none are due here any more, so it calls workers itself.
+// watchReachability observes every reachabilityInterval whether the workers reach this controller, until ctx ends. When they
+// don't, the elector publishes that, and the partitions are transferred to controllers that the workers reach. Once workers
+// answer this controller's calls again, it gets its share of the partitions back. While the controller counts as reachable,
+// the observations are based on heartbeats. After its partitions were transferred no heartbeats are due here any more, so it
+// calls workers itself.
 func (c *Controller) watchReachability(ctx context.Context) error {
 	tick := time.NewTicker(reachabilityInterval)
 	defer tick.Stop()
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -17,24 +17,26 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// wiring is what a controller is assembled from.
+// wiring has the settings, clients and other dependencies from which assemble makes a controller.
 type wiring struct {
 	settings   *config.Settings
 	parameters *policy.Parameters
 	store      Store
-	// priorityStore takes what users or other controllers wait for: accepted jobs, leaderships.
+	// priorityStore is the client for writes that users or other controllers wait for, such as accepted jobs and leaderships.
 	priorityStore Store
-	userStore     api.Store // for reads on users' behalf
-	peers         map[string]PeerClient
-	seed          uint64              // decides which machines are sampled
-	telemetry     *telemetry.Reporter // nil: nothing is counted
+	userStore     api.Store             // for requests that the API handler makes for users
+	peers         map[string]PeerClient // by host; this controller is not in it
+	seed          uint64                // of the random sampling of machines by the scheduler
+	telemetry     *telemetry.Reporter   // nil if telemetry is disabled
 	log           *slog.Logger
 }
 
-// assemble connects the parts of a controller with each other, with the store and with the peers. It starts nothing.
+// assemble creates the components of a controller and connects them to each other, to the store and to the peers. It starts
+// no goroutine.
 //
-// The order is that of the dependencies: the job cache and the elector, which all others ask; the partition server;
-// the scheduler, which calls it; the API handler and the autoscaler, which call the controller itself.
+// It creates the components in the order of their dependencies: first the job cache and the elector, which all others
+// query; then the partition server; then the scheduler, which calls the partition server; last the API handler and the
+// autoscaler, which call the controller itself.
 func assemble(w *wiring) *Controller {
 	steady, l := clock.NewSteady(), newLayout(w.settings)
 	c := &Controller{
@@ -62,12 +64,13 @@
 	return c
 }
 
-// storeContactMaxAge is 1.6 renewal intervals of the controller lease: a renewal may be late, but none may be missing.
+// storeContactMaxAge returns 1.6 renewal intervals of the controller lease, which tolerates a late renewal but not a missed one.
 func storeContactMaxAge(parameters *policy.Parameters) clock.Micros {
 	return parameters.LeaderRenewInterval * 8 / 5
 }
 
-// followsZoneStates is whether work returns to zones in stages: where that is on and there are several zones.
+// followsZoneStates reports whether work returns to zones in stages, which needs the policy parameter zone_return and at least
+// two zones.
 func followsZoneStates(w *wiring) bool {
 	if !w.parameters.ZoneReturn {
 		return false
@@ -79,7 +82,7 @@
 	return true
 }
 
-// newHistory makes the ring of events that a controller keeps; nil where that is off.
+// newHistory creates the ring buffer of a controller's history events. It returns nil if the history is disabled.
 func newHistory(w *wiring) *history.Ring {
 	if !w.parameters.History {
 		return nil
@@ -88,7 +91,7 @@
 	return history.NewRing(w.settings.Host, entries, wallMS)
 }
 
-// newJobCache makes the cache of jobs, which records the end of each in a history, if one is kept.
+// newJobCache creates the cache of jobs. If a history is kept, the cache adds an event to it when a job ends.
 func newJobCache(ring *history.Ring) *jobs.Cache {
 	if ring == nil {
 		return jobs.NewCache()
@@ -98,5 +101,5 @@
 	}))
 }
 
-// wallMS is the time of day in milliseconds since the epoch.
+// wallMS returns the wall-clock time in milliseconds since the Unix epoch.
 func wallMS() int64 { return time.Now().UnixMilli() }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -16,7 +16,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// zoneStates holds the states of zones as the replica shows them. It is safe for concurrent use.
+// zoneStates holds the replica's zone records. It is safe for concurrent use.
 type zoneStates struct {
 	mu      sync.Mutex
 	records map[string]autoscaler.ZoneRecord // by zone
@@ -26,8 +26,8 @@
 	return zoneStates{records: map[string]autoscaler.ZoneRecord{}}
 }
 
-// apply takes an event. changed is whether it is about a zone; name and r are the zone then and its state, healthy
-// where the record is gone or can't be read.
+// apply applies an event if it concerns a zone, which changed reports. Then name is the zone and r its state, which is
+// healthy if the record was deleted or can't be decoded.
 func (s *zoneStates) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
 	name, ok := strings.CutPrefix(e.Key, kvstore.ZonePrefix)
 	if !ok {
@@ -43,24 +43,25 @@
 	return name, r, true
 }
 
-// snapshot copies the records.
+// snapshot returns a copy of the records, by zone.
 func (s *zoneStates) snapshot() map[string]autoscaler.ZoneRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.records)
 }
 
-// ZoneRecords returns the states on record, by zone.
+// ZoneRecords returns the replica's zone records, by zone. Healthy zones may have none.
 func (c *Controller) ZoneRecords() map[string]autoscaler.ZoneRecord {
 	return c.zones.snapshot()
 }
 
-// ZoneEvidence returns what is known of each zone's machines.
+// ZoneEvidence returns the counts of each zone's machines from which the zone's state is decided, by zone.
 func (c *Controller) ZoneEvidence() map[string]zone.Evidence {
 	return c.scheduler.ZoneEvidence(c.partitions.MisdirectedMachines())
 }
 
-// applyZoneState takes a zone's state from the replica and hands it to the parts where states are followed.
+// applyZoneState applies an event to the zone records. If it changes a zone's state and followsZoneStates is set, it passes
+// the state to the partition server and the scheduler and adds the change to the history.
 func (c *Controller) applyZoneState(e kvstore.Event) {
 	name, r, changed := c.zones.apply(e)
 	if !changed || !c.followsZoneStates {
@@ -75,7 +76,7 @@
 	c.history.Add(history.Event{Kind: history.ZoneChanged, Zone: name, Note: note})
 }
 
-// zoneStatuses returns the status of each zone of the settings, as the console shows it.
+// zoneStatuses returns the status of each zone in the settings, which operators' commands show.
 func (c *Controller) zoneStatuses() []peer.ZoneStatus {
 	evidence, records, admitted := c.ZoneEvidence(), c.ZoneRecords(), c.partitions.AdmittedStages()
 	waiting := peer.WaitingByStage(c.scheduler.Demands())
@@ -90,7 +91,7 @@
 	return out
 }
 
-// zoneStatus is a zone's status; waiting is the number of waiting tasks by the stage that admits them.
+// zoneStatus returns a zone's status; waiting is the number of waiting tasks by the stage that admits them.
 func zoneStatus(name string, r zone.Record, evidence zone.Evidence, waiting map[recovery.Stage]int) peer.ZoneStatus {
 	if r.State == "" {
 		r.State = zone.Healthy
@@ -109,8 +110,8 @@
 	return status
 }
 
-// holdZone holds a zone's return, or lets it go on, where this controller leads the fleet. Where it does not the
-// answer has neither Done nor a refusal, only who leads it.
+// holdZone holds or resumes the return of work to a zone if this controller leads the fleet. Otherwise the response has
+// neither Done nor a refusal; it only names the fleet's leader, if there is one.
 func (c *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
 	if leader, ok := c.elector.Leader(autoscaler.Duty); ok {
 		out.Holder = leader
