--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -11,14 +11,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cancelResponse is the answer to a cancellation.
+// cancelResponse is the response to the cancellation of a job at a host.
 type cancelResponse struct {
 	host, id string
 	httpx.Response
 }
 
-// burstUsers submit one-task jobs four a second and cancel a quarter of them: half of those concurrently with
-// everything else, until it is confirmed, the others before their first task has started.
+// burstUsers submit four one-task jobs a second and cancel a quarter of the jobs. Of the cancellations, half are sent
+// concurrently with all other requests and repeated until they are confirmed; the other half are sent before the job's first
+// task has started.
 type burstUsers struct {
 	*cluster
 	began     time.Time
@@ -26,19 +27,21 @@
 	responses chan cancelResponse
 }
 
-// cancelConcurrently cancels a job without waiting for the answer, which comes to responses.
+// cancelConcurrently cancels a job without waiting for the response, which is sent to the channel responses.
 func (u *burstUsers) cancelConcurrently(host, id string) {
 	go func() {
 		u.responses <- cancelResponse{host, id, u.post(host, withdrawPath(id), "")}
 	}()
 }
 
-// cancelledConcurrently is whether the i-th job is cancelled right after its submission.
+// cancelledConcurrently reports whether the i-th job is cancelled right after its submission.
 func cancelledConcurrently(i int) bool { return i%8 == 3 }
 
+// occurrenceCancelledUnstarted is counted when a job is cancelled before any of its tasks has started.
 const occurrenceCancelledUnstarted = "cancelled before its start"
 
-// act repeats the cancellations that are not confirmed yet, and submits as many jobs as are due.
+// act repeats the cancellations that are not confirmed yet, submits the jobs that are due, and sends the cancellations that
+// are due.
 func (u *burstUsers) act() {
 	for len(u.responses) > 0 {
 		if a := <-u.responses; u.recordCancelResponse(a.host, a.id, a.Response) == "" {
@@ -53,7 +56,7 @@
 		case cancelledConcurrently(i):
 			u.cancelConcurrently(hosts[(i+1)%3], id)
 		case i%8 == 7:
-			// Placed by now, and not started: its machine has sent no heartbeat since.
+			// The last job of the previous step has been placed, but not started: its machine has sent no heartbeat since.
 			if id = jobName(first - 1); u.taskStarts(id) == 0 && u.cancelJob(hosts[(i+2)%3], id) == wire.Cancelled {
 				u.addOccurrence(occurrenceCancelledUnstarted)
 			}
@@ -61,15 +64,16 @@
 	}
 }
 
-// One-task jobs come four a second for minutes, a quarter of them cancelled immediately
-// or a moment later. All of them end, as they should, and soon.
+// Guards against short jobs that never end, or end wrongly, when they are cancelled while they are placed or started. For two
+// minutes users submit four one-task jobs a second and cancel a quarter of them immediately or shortly afterwards. All jobs
+// must end soon, and those that are cancelled immediately must end as cancelled.
 func TestSingleTaskJobsCancelledInBurstsAllEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &burstUsers{cluster: newSettledCluster(t, 6), responses: make(chan cancelResponse, 100)}
 		u.began = time.Now()
 		u.runForEach(120*time.Second, time.Second, u.act)
 		u.runFor(15*time.Second, time.Second)
-		require.GreaterOrEqual(t, u.submitted, 470, "four a second")
+		require.GreaterOrEqual(t, u.submitted, 470, "fewer than four jobs a second")
 		require.Greater(t, u.occurrenceCount(occurrenceCancelledUnstarted), 40)
 		cancelled := 0
 		for i := range u.submitted {
@@ -87,8 +91,9 @@
 	})
 }
 
-// Jobs are cancelled all the while that one controller's leaderships move to the others
-// and come back to it.
+// Guards against cancellations that are lost in leadership transfers. Users submit and cancel jobs continuously, while the
+// key-value store refuses first the team's leader and then a partition leader for 9 s each. The leaderships of the refused
+// controller move to the others and later back to it.
 func TestCancellationsDuringLeadershipTransfersAreConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 6)
@@ -119,7 +124,7 @@
 				returned++
 			}
 		}
-		require.GreaterOrEqual(t, returned, partitionsPerController, "leaderships have moved and come back")
+		require.GreaterOrEqual(t, returned, partitionsPerController, "too few leaderships have moved and returned")
 		for i := range submitted {
 			c.cancelJob("a", jobName(i))
 			for _, h := range hosts {
@@ -132,12 +137,13 @@
 	})
 }
 
-// A job of which no task has been assigned yet is cancelled while a partition leader
-// can't be reached: no partition leader was asked for resources, so none need be notified.
+// Guards against a cancellation that waits unnecessarily for a partition leader that can't be reached. If no task of the job
+// has been assigned yet, no partition leader was asked for resources for it, so none need be notified and the cancellation
+// can be confirmed immediately.
 func TestWaitingJobIsCancelledWithPartitionLeaderUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
-		require.Equal(t, 6, c.runningTasks(), "all machines are in use")
+		require.Equal(t, 6, c.runningTasks(), "job-1 must use all machines")
 		require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-2", 2), "job-2"))
 		c.runFor(4*time.Second, 0)
 		leader := c.unlimitedTeamLeader()
@@ -148,7 +154,7 @@
 			}
 		}
 		require.Equal(t, wire.Cancelled, c.cancelJob(leader, "job-2"))
-		require.Empty(t, c.cancelJob(leader, "job-1"), "all partition leaders have to be notified of that one")
+		require.Empty(t, c.cancelJob(leader, "job-1"), "confirmed although a partition leader can't be notified")
 		for _, h := range hosts {
 			c.setDisconnected(h, false)
 		}
@@ -159,8 +165,9 @@
 	})
 }
 
-// A cancellation is confirmed only when every partition leader has acknowledged it; until then the
-// user is told immediately to come back. Afterwards nothing of the job runs.
+// Guards against a cancellation that is confirmed before every partition leader has acknowledged it, after which tasks of the
+// job could still start. Until all have acknowledged it, the user immediately gets a response that asks for a retry. After the
+// confirmation no task of the job runs.
 func TestCancellationWaitsForEveryPartitionLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// setDisconnected cuts a controller off from its peers, or connects it again.
+// setDisconnected disconnects a controller from its peers, or reconnects it.
 func (c *cluster) setDisconnected(host string, disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected[host] = disconnected
 }
 
-// setStoreCut cuts a controller off from the key-value store, or connects it again.
+// setStoreCut disconnects a controller from the key-value store, or reconnects it.
 func (c *cluster) setStoreCut(host string, cut bool) { c.process(host).storeClient.SetCut(cut) }
 
-// setIsolated has a controller lose the key-value store and its peers, or reach them again;
-// the workers that report to it reach nobody else meanwhile.
+// setIsolated disconnects a controller from the key-value store and its peers, or reconnects it. While it is isolated, the
+// workers that report to it reach no other controller.
 func (c *cluster) setIsolated(host string, isolated bool) {
 	c.setStoreCut(host, isolated)
 	c.setDisconnected(host, isolated)
@@ -27,46 +27,45 @@
 	}
 }
 
-// setPeerLatency lets every call between controllers take a while, each way.
+// setPeerLatency sets the latency of every call between controllers, each way.
 func (c *cluster) setPeerLatency(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peerLatency = d
 }
 
-// setReplicaDelay lets a controller's replica be late.
+// setReplicaDelay sets the delay of the changes that a controller's replica receives.
 func (c *cluster) setReplicaDelay(host string, by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replicaDelay[host] = by
 }
 
-// setDelayedWriteShare has a share of all transactions carried out late, without an answer.
+// setDelayedWriteShare sets the share of all transactions that are carried out late and without an answer.
 func (c *cluster) setDelayedWriteShare(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.delayedWriteShare = share
 }
 
-// pause pauses a controller for a while: what it sends and what it is
-// sent waits, and goes on as though no time had passed.
+// pause pauses a controller for a duration. What the controller sends and what is sent to it waits until it resumes.
 func (c *cluster) pause(host string, d time.Duration) {
-	gate := make(chan struct{})
+	resumed := make(chan struct{})
 	c.mu.Lock()
-	c.paused[host] = gate
+	c.paused[host] = resumed
 	c.mu.Unlock()
 	time.AfterFunc(d, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		close(gate)
-		if c.paused[host] == gate {
+		close(resumed)
+		if c.paused[host] == resumed {
 			delete(c.paused, host)
 		}
 	})
 }
 
-// pauseGate returns what to wait for while a controller is paused; nil when it is not.
-func (c *cluster) pauseGate(host string) chan struct{} {
+// resumeSignal returns the channel that is closed when a paused controller resumes, or nil if the controller is not paused.
+func (c *cluster) resumeSignal(host string) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paused[host]
@@ -74,12 +73,12 @@
 
 // awaitResume waits while a controller is paused.
 func (c *cluster) awaitResume(host string) {
-	if gate := c.pauseGate(host); gate != nil {
-		<-gate
+	if resumed := c.resumeSignal(host); resumed != nil {
+		<-resumed
 	}
 }
 
-// addOccurrence counts something that has occurred, and gives how often it has.
+// addOccurrence counts an event and returns how often it has occurred.
 func (c *cluster) addOccurrence(event string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +86,7 @@
 	return c.occurrences[event]
 }
 
-// occurrenceCount is how often something has occurred.
+// occurrenceCount returns how often an event has occurred.
 func (c *cluster) occurrenceCount(event string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_faulty_store_test.go
+++ b/internal/controller/cluster_faulty_store_test.go
@@ -10,27 +10,27 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// txnOutcome is what becomes of a transaction that arrives at the key-value store.
+// txnOutcome is the outcome of a controller's transaction.
 type txnOutcome int
 
 const (
 	txnServed    txnOutcome = iota // carried out and answered
-	responseLost                   // carried out, without an answer
-	responseSlow                   // carried out, with a slow answer
-	txnHeldBack                    // not carried out until the test does, without an answer
+	responseLost                   // carried out, but the controller gets no answer
+	responseSlow                   // carried out, but the answer is delayed by slowResponse
+	txnHeldBack                    // carried out only when the test does so; the controller gets no answer
 )
 
-// slowResponse is by how much the answer of responseSlow is late.
+// slowResponse is the delay of the answer to a transaction with the outcome responseSlow.
 const slowResponse = 700 * time.Millisecond
 
-// setOnCommit has f decide on every transaction that arrives, before it is carried out; nil: all are served.
+// setOnCommit makes f decide the outcome of every transaction before it is carried out. If f is nil, all are served.
 func (c *cluster) setOnCommit(f func(host string, m wire.Txn) txnOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onCommit = f
 }
 
-// holdBackWrites has every transaction held back that writes a key with a prefix, and counts them as
+// holdBackWrites holds back every transaction that writes a key with a prefix, and counts these transactions as
 // occurrenceHeldBack.
 func (c *cluster) holdBackWrites(prefix string) {
 	c.setOnCommit(func(_ string, m wire.Txn) txnOutcome {
@@ -42,10 +42,10 @@
 	})
 }
 
-// occurrenceHeldBack names that holdBackWrites has held a transaction back.
+// occurrenceHeldBack is counted when holdBackWrites holds back a transaction.
 const occurrenceHeldBack = "a write was held back"
 
-// commitOutcome decides on a transaction of a controller.
+// commitOutcome returns the outcome of a controller's transaction, by onCommit.
 func (c *cluster) commitOutcome(host string, m wire.Txn) txnOutcome {
 	c.mu.Lock()
 	decide := c.onCommit
@@ -56,7 +56,7 @@
 	return decide(host, m)
 }
 
-// drawDelay draws whether a transaction is carried out late, and by how much.
+// drawDelay decides at random whether a transaction is carried out late, and by how much.
 func (c *cluster) drawDelay() (delay time.Duration, delayed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,14 +66,14 @@
 	return time.Duration(2000+c.rng.IntN(10000)) * time.Millisecond, true
 }
 
-// holdBack keeps a transaction for takeHeldTransactions.
+// holdBack adds a transaction to those that takeHeldTransactions returns.
 func (c *cluster) holdBack(commit func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.heldTransactions = append(c.heldTransactions, commit)
 }
 
-// takeHeldTransactions takes the transactions that were held back so far, to carry them out later.
+// takeHeldTransactions removes and returns the transactions that were held back so far. The test may carry them out later.
 func (c *cluster) takeHeldTransactions() []func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,12 +85,12 @@
 // releaseHeldTransactions carries out the transactions that were held back.
 func (c *cluster) releaseHeldTransactions() {
 	for _, commit := range c.takeHeldTransactions() {
-		commit() //nolint:errcheck // it may come too late to change anything
+		commit() //nolint:errcheck // its conditions may not hold any more
 	}
 }
 
-// faultyStore is a controller's client of the key-value store: it waits while the controller
-// is paused, its replica may be late, and transactions may be carried out late or without an answer.
+// faultyStore is a controller's client of the key-value store. Its calls wait while the controller is paused, changes may
+// reach the controller's replica late, and transactions may be carried out late or without an answer.
 type faultyStore struct {
 	*fakes.KVClient
 	cluster *cluster
@@ -103,7 +103,7 @@
 	return s.KVClient.Get(ctx, key)
 }
 
-// GrantLease waits while the controller is paused, with the answer too.
+// GrantLease waits while the controller is paused, both before the call and before it returns the answer.
 func (s faultyStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	s.cluster.awaitResume(s.host)
 	id, err := s.KVClient.GrantLease(ctx, ttl)
@@ -111,7 +111,7 @@
 	return id, err
 }
 
-// KeepAlive waits while the controller is paused, with the answer too.
+// KeepAlive waits while the controller is paused, both before the call and before it returns the answer.
 func (s faultyStore) KeepAlive(ctx context.Context, id uint64, timeout time.Duration) error {
 	s.cluster.awaitResume(s.host)
 	err := s.KVClient.KeepAlive(ctx, id, timeout)
@@ -119,7 +119,7 @@
 	return err
 }
 
-// Watch delivers the changes late where the controller's replica is to be late.
+// Watch delays the changes by the controller's replicaDelay.
 func (s faultyStore) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	changes, err := s.KVClient.Watch(ctx, prefix, rev, block)
 	s.cluster.mu.Lock()
@@ -130,7 +130,8 @@
 	return changes, err
 }
 
-// Commit carries a transaction out as onCommit decides, and of those that it lets pass some late, by the random draw.
+// Commit gives a transaction the outcome that onCommit decides. Of the transactions that onCommit lets pass, it carries out
+// those that drawDelay chooses late and without an answer.
 func (s faultyStore) Commit(ctx context.Context, m wire.Txn) (uint64, error) {
 	s.cluster.awaitResume(s.host)
 	switch s.cluster.commitOutcome(s.host, m) {
@@ -156,7 +157,7 @@
 	return rev, err
 }
 
-// CommitWithCheck is Commit, unless sending fails.
+// CommitWithCheck refuses the transaction if sending fails, and otherwise does what Commit does.
 func (s faultyStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
 	if err := sending(); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
--- a/internal/controller/cluster_peers_test.go
+++ b/internal/controller/cluster_peers_test.go
@@ -18,29 +18,29 @@
 
 var errDisconnected = errors.New("disconnected")
 
-// Call calls a peer's method. While the caller is paused the call waits; while the peer is, it times out and reaches
-// the peer later.
+// Call calls a peer's method. While the caller is paused, the call waits. While the peer is paused, the call times out, and
+// reaches the peer when it resumes.
 func (p peerConnection) Call(method string, in, out any, timeout time.Duration) error {
 	p.cluster.awaitResume(p.from)
-	if gate := p.cluster.pauseGate(p.to); gate != nil {
-		return p.deliverLate(gate, method, in, out, timeout)
+	if resumed := p.cluster.resumeSignal(p.to); resumed != nil {
+		return p.deliverAfterResume(resumed, method, in, out, timeout)
 	}
 	err := p.deliver(method, in, out)
 	p.cluster.awaitResume(p.from)
 	return err
 }
 
-// deliverLate delivers a call to a controller that is paused, once it goes on.
-func (p peerConnection) deliverLate(gate chan struct{}, method string, in, out any, timeout time.Duration) error {
+// deliverAfterResume times out a call to a paused controller, and delivers it when the controller resumes.
+func (p peerConnection) deliverAfterResume(resumed chan struct{}, method string, in, out any, timeout time.Duration) error {
 	go func() {
-		<-gate
-		p.deliver(method, in, reflect.New(reflect.TypeOf(out).Elem()).Interface()) //nolint:errcheck // nobody waits any more
+		<-resumed
+		p.deliver(method, in, reflect.New(reflect.TypeOf(out).Elem()).Interface()) //nolint:errcheck // the caller has given up
 	}()
 	time.Sleep(timeout)
 	return errDisconnected
 }
 
-// deliver calls a method, by its name on the wire, of the process that the connection reaches now.
+// deliver calls a method, given by its name on the wire, of the process that the connection reaches now.
 func (p peerConnection) deliver(method string, in, out any) error {
 	p.cluster.mu.Lock()
 	latency := p.cluster.peerLatency
@@ -72,7 +72,7 @@
 	return fmt.Errorf("no such method: %s", method)
 }
 
-// processReachedBy returns the process that a peer reaches at a host, nil for none.
+// processReachedBy returns the process that a controller reaches on another host, or nil if it reaches none.
 func (c *cluster) processReachedBy(from, to string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_run_test.go
+++ b/internal/controller/cluster_run_test.go
@@ -15,15 +15,15 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// stepInterval is how often workers act while a test lets time pass.
+// stepInterval is the time between two steps of the workers. In each step they run their tasks and send heartbeats.
 const stepInterval = 500 * time.Millisecond
 
-// runFor lets time pass while workers send a heartbeat every stepInterval, and tasks are done once they have run for
-// runTime; zero: none is. It holds the rules against what runs: no task on two machines, no team over its
-// quota, nothing of a cancelled job.
+// runFor lets time pass while workers send a heartbeat every stepInterval. Tasks end as done once they have run for
+// runTime; if it is zero, none ends. In every step runFor checks the rules: no task runs on two machines, limitedTeam stays
+// within its limit, and the tasks of cancelled jobs end.
 func (c *cluster) runFor(d, runTime time.Duration) { c.runForEach(d, runTime, func() {}) }
 
-// runForEach is runFor with then called after every step.
+// runForEach does what runFor does and calls then after every step.
 func (c *cluster) runForEach(d, runTime time.Duration, then func()) {
 	seenAt := c.attemptSeenAt
 	if seenAt == nil {
@@ -37,41 +37,43 @@
 	}
 }
 
-// stepWorkers has every worker run its tasks and send a heartbeat, one after the other.
+// stepWorkers makes each worker in turn run its tasks and send a heartbeat. Hung workers send none, and their tasks don't end
+// unless the worker lease has expired.
 func (c *cluster) stepWorkers(seenAt map[string]clock.Micros, runTime time.Duration) {
 	now := c.clock.Now()
-	on := placements{}
+	placed := placements{}
 	limitedCPUs := 0.0
 	for _, w := range c.workers {
 		if c.hungWorkers[w.ID] {
-			w.Check(now) // its lease runs out, and it notices that once it goes on
+			w.Check(now) // ends its tasks once its lease has expired
 			advanceTasks(w, seenAt, now, 0)
 		} else {
 			advanceTasks(w, seenAt, now, runTime)
 			c.sendHeartbeat(w)
 		}
-		on.add(c.t, w)
+		placed.add(c.t, w)
 		limitedCPUs += c.limitedCPUs(w)
 	}
-	require.LessOrEqual(c.t, limitedCPUs, float64(limitedTeamCPUs), "the team's limit")
+	require.LessOrEqual(c.t, limitedCPUs, float64(limitedTeamCPUs), "the limited team exceeds its limit")
 }
 
-// advanceTasks notes when attempts are first seen, and ends those that have run for runTime; zero: none.
+// advanceTasks records when each attempt on a worker is first seen, and ends the attempts that have run for runTime. If
+// runTime is zero, none ends.
 func advanceTasks(w *fakes.Worker, seenAt map[string]clock.Micros, now clock.Micros, runTime time.Duration) {
-	for _, k := range w.InOrder() {
-		attempt := attemptKey(w, k)
+	for _, task := range w.InOrder() {
+		attempt := attemptKey(w, task)
 		if seenAt[attempt] == 0 {
 			seenAt[attempt] = now
 		}
-		if runTime > 0 && k.Phase != wire.TaskExited && now > seenAt[attempt]+clock.FromDuration(runTime) {
-			k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
+		if runTime > 0 && task.Phase != wire.TaskExited && now > seenAt[attempt]+clock.FromDuration(runTime) {
+			task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 		}
 	}
 }
 
-// attemptKey names an attempt on a machine.
-func attemptKey(w *fakes.Worker, k *wire.TaskStatus) string {
-	return fmt.Sprint(w.ID, k.Task, k.Attempt)
+// attemptKey returns a key for an attempt on a machine.
+func attemptKey(w *fakes.Worker, task *wire.TaskStatus) string {
+	return fmt.Sprint(w.ID, task.Task, task.Attempt)
 }
 
 // placements maps running tasks to their machines.
@@ -80,25 +82,25 @@
 // add adds the tasks that run on a worker, and requires that none of them runs anywhere else.
 func (p placements) add(t *testing.T, w *fakes.Worker) {
 	t.Helper()
-	for _, k := range w.Tasks {
-		if k.Phase != wire.TaskExited {
-			require.Empty(t, p[k.Task], "%s runs on two machines", k.Task)
-			p[k.Task] = w.ID
+	for _, task := range w.Tasks {
+		if task.Phase != wire.TaskExited {
+			require.Empty(t, p[task.Task], "%s runs on two machines", task.Task)
+			p[task.Task] = w.ID
 		}
 	}
 }
 
-// limitedCPUs is what the team with a limit uses on a worker.
+// limitedCPUs returns the CPUs that limitedTeam's tasks take on a worker.
 func (c *cluster) limitedCPUs(w *fakes.Worker) (cpus float64) {
-	for _, k := range w.Tasks {
-		if job, _, _ := wire.SplitTask(k.Task); k.Phase != wire.TaskExited && !c.unlimitedJobs[job] {
+	for _, task := range w.Tasks {
+		if job, _, _ := wire.SplitTask(task.Task); task.Phase != wire.TaskExited && !c.unlimitedJobs[job] {
 			cpus += taskCPUs
 		}
 	}
 	return cpus
 }
 
-// sleepStep lets a step's time pass, and calls everyFiveMS meanwhile where it is set.
+// sleepStep sleeps for stepInterval, and calls everyFiveMS meanwhile if it is set.
 func (c *cluster) sleepStep() {
 	const fineStep = 5 * time.Millisecond
 	if c.everyFiveMS == nil {
@@ -111,44 +113,45 @@
 	}
 }
 
-// runFleetFor lets time pass for a large fleet: workers send a heartbeat every ten steps
-// and when something has changed. It holds the rules against what runs: no task on two machines.
+// runFleetFor lets time pass in a large fleet, like runFor, but workers send a heartbeat only every ten steps and when a
+// task has started or ended. In every step it checks that no task runs on two machines.
 func (c *cluster) runFleetFor(d, runTime time.Duration) {
 	const stepsPerHeartbeat = 10
-	resend := map[string]bool{} // workers whose heartbeat had no answer: to the next controller a moment later
+	resend := map[string]bool{} // workers whose last heartbeat was not answered; they send one again in the next step
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
 		now := c.clock.Now()
-		on := placements{}
+		placed := placements{}
 		for i, w := range c.workers {
 			due := n%stepsPerHeartbeat == i%stepsPerHeartbeat || resend[w.ID]
 			if c.advanceFleetTasks(w, now, runTime) || due {
 				resend[w.ID] = !c.sendHeartbeat(w)
 			}
-			on.add(c.t, w)
+			placed.add(c.t, w)
 		}
 		time.Sleep(stepInterval)
 	}
 }
 
-// advanceFleetTasks is advanceTasks for a large fleet; changed is whether an attempt was first seen or has ended.
+// advanceFleetTasks does what advanceTasks does, for runFleetFor. It reports whether a task was first seen or has ended.
 func (c *cluster) advanceFleetTasks(w *fakes.Worker, now clock.Micros, runTime time.Duration) (changed bool) {
-	for key, k := range w.Tasks {
+	for key, task := range w.Tasks {
 		if c.taskSeenAt[key] == 0 {
 			c.taskSeenAt[key], changed = now, true
 		}
-		if runTime > 0 && k.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(runTime) {
-			k.Phase, k.Cause, changed = wire.TaskExited, wire.CauseDone, true
+		if runTime > 0 && task.Phase != wire.TaskExited && now > c.taskSeenAt[key]+clock.FromDuration(runTime) {
+			task.Phase, task.Cause, changed = wire.TaskExited, wire.CauseDone, true
 		}
 	}
 	return changed
 }
 
-// sendHeartbeat sends a worker's heartbeat to the controller that it reports to, and has it take the answer. Where there
-// is none the worker turns to the controller that the answer names, or to the next one.
+// sendHeartbeat sends a worker's heartbeat to the controller that the worker reports to, and passes the answer to the worker.
+// If the heartbeat is rejected or not answered, the worker reports to the leader that the rejection names, or to the next
+// host if it names none.
 func (c *cluster) sendHeartbeat(w *fakes.Worker) (answered bool) {
 	sent := c.clock.Now()
 	r := w.Heartbeat(sent)
-	r.Addr = "" // commands come in answers to heartbeats only
+	r.Addr = "" // without an address, the worker gets commands only in answers to heartbeats
 	body, err := json.Marshal(r)
 	require.NoError(c.t, err)
 	if c.recordsHeartbeats {
@@ -159,10 +162,10 @@
 	}
 	host := c.reportsTo[w.ID]
 	var response httpx.Response
-	if !c.unreachable[host] {
+	if !c.unreachableHosts[host] {
 		response = c.post(host, wire.PathHeartbeat, string(body))
 	}
-	if c.unanswered[w.ID] {
+	if c.workersWithoutAnswers[w.ID] {
 		response = httpx.Response{}
 	}
 	var answer wire.HeartbeatResponse
@@ -180,7 +183,7 @@
 	return false
 }
 
-// nextHost is the host after another, in a ring.
+// nextHost returns the host that follows another one in a cycle through all hosts.
 func nextHost(host string) string {
 	return map[string]string{"a": "b", "b": "c", "c": "a"}[host]
 }
@@ -188,8 +191,8 @@
 // runningTasks counts the tasks that run on all workers.
 func (c *cluster) runningTasks() (n int) {
 	for _, w := range c.workers {
-		for _, k := range w.Tasks {
-			if k.Phase != wire.TaskExited {
+		for _, task := range w.Tasks {
+			if task.Phase != wire.TaskExited {
 				n++
 			}
 		}
@@ -197,7 +200,7 @@
 	return n
 }
 
-// taskStarts counts how often tasks of a job have started.
+// taskStarts counts how often workers have started tasks of a job.
 func (c *cluster) taskStarts(id string) (n int) {
 	for _, w := range c.workers {
 		for task, starts := range w.Starts {
@@ -212,8 +215,8 @@
 // tasksOn counts the tasks of a job that run on workers which report to a controller.
 func (c *cluster) tasksOn(host, id string) (n int) {
 	for _, w := range c.workers {
-		for _, k := range w.Tasks {
-			if c.reportsTo[w.ID] == host && k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/") {
+		for _, task := range w.Tasks {
+			if c.reportsTo[w.ID] == host && task.Phase != wire.TaskExited && strings.HasPrefix(task.Task, id+"/") {
 				n++
 			}
 		}
@@ -221,14 +224,14 @@
 	return n
 }
 
-// finishTask has a task done wherever it runs.
+// finishTask ends a task as done on every worker that runs it.
 func (c *cluster) finishTask(task string) {
 	for _, w := range c.workers {
 		w.Finish(task, wire.CauseDone)
 	}
 }
 
-// requireStartedOnce holds that no task was ever started a second time.
+// requireStartedOnce requires that no task was started more than once.
 func (c *cluster) requireStartedOnce() {
 	c.t.Helper()
 	starts := map[string]int{}
@@ -242,18 +245,17 @@
 	}
 }
 
-// cancellationLimit is how long after the confirmation of its cancellation a job's tasks may still run.
+// cancellationLimit is how long tasks of a job may still run after its cancellation was confirmed.
 const cancellationLimit = 36 * time.Second
 
-// confirmedCancellation is when a job's cancellation was confirmed, and how often tasks of
-// it had started by then.
+// confirmedCancellation says when a job's cancellation was confirmed, and how often tasks of the job had started by then.
 type confirmedCancellation struct {
 	confirmedAt time.Time
 	starts      int
 }
 
-// requireCancelledStopped holds the workers' tasks against the cancellations confirmed so far: nothing has started
-// since, and after cancellationLimit nothing runs.
+// requireCancelledStopped requires that no task of a cancelled job has started since the cancellation was confirmed, and
+// that none runs after cancellationLimit.
 func (c *cluster) requireCancelledStopped() {
 	for id, confirmed := range c.cancelled {
 		require.Equal(c.t, confirmed.starts, c.taskStarts(id), "%s has started after its cancellation was confirmed", id)
@@ -262,9 +264,9 @@
 			continue
 		}
 		for _, w := range c.workers {
-			for _, k := range w.InOrder() {
-				require.False(c.t, k.Phase != wire.TaskExited && strings.HasPrefix(k.Task, id+"/"),
-					"%s is on %s %v after its cancellation was confirmed", k.Task, w.ID, age)
+			for _, task := range w.InOrder() {
+				require.False(c.t, task.Phase != wire.TaskExited && strings.HasPrefix(task.Task, id+"/"),
+					"%s runs on %s %v after its cancellation was confirmed", task.Task, w.ID, age)
 			}
 		}
 	}
--- a/internal/controller/cluster_store_test.go
+++ b/internal/controller/cluster_store_test.go
@@ -14,10 +14,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// directClient is a client of the key-value store that no controller's fault concerns.
+// directClient returns a client of the key-value store that is not affected by faults of controllers.
 func (c *cluster) directClient() *fakes.KVClient { return &fakes.KVClient{KVStore: c.store} }
 
-// leaderships lists all leaderships as the key-value store has them, by duty; none in an outage.
+// leaderships returns the leaderships in the key-value store, by duty. It returns none during an outage of the store.
 func (c *cluster) leaderships() map[string]leaderelection.Record {
 	out := map[string]leaderelection.Record{}
 	items, _, err := c.directClient().List(c.t.Context(), kvstore.LeaderPrefix)
@@ -32,7 +32,7 @@
 	return out
 }
 
-// leadershipsMoved counts the leaderships that have had a new leader since.
+// leadershipsMoved counts the leaderships that now have a higher term than before.
 func (c *cluster) leadershipsMoved(before map[string]leaderelection.Record) (n int) {
 	for duty, r := range c.leaderships() {
 		if r.Term > before[duty].Term {
@@ -42,22 +42,22 @@
 	return n
 }
 
-// unlimitedTeamLeader is the controller that leads the team without a limit.
+// unlimitedTeamLeader returns the host of the controller that leads unlimitedTeam.
 func (c *cluster) unlimitedTeamLeader() string { return c.teamLeader(unlimitedTeam) }
 
-// teamLeader is the controller that leads a team, as the key-value store says.
+// teamLeader returns the host of the controller that leads a team according to the key-value store.
 func (c *cluster) teamLeader(team string) string {
 	r, ok := c.leaderships()[scheduler.Duty(team)]
 	require.True(c.t, ok)
 	return r.Leader
 }
 
-// unlimitedTeamTerm is the term of the team without a limit.
+// unlimitedTeamTerm returns the term of the leadership of unlimitedTeam.
 func (c *cluster) unlimitedTeamTerm() uint64 {
 	return c.leaderships()[scheduler.Duty(unlimitedTeam)].Term
 }
 
-// recordedMachines lists the machines on record in the key-value store.
+// recordedMachines returns the machines that have a record in the key-value store.
 func (c *cluster) recordedMachines() map[string]bool {
 	out := map[string]bool{}
 	items, _, err := c.directClient().List(c.t.Context(), kvstore.MachinePrefix)
@@ -72,7 +72,7 @@
 	return out
 }
 
-// writtenKeys lists the keys that a transaction writes, separated by spaces.
+// writtenKeys returns the keys that a transaction writes, separated by spaces.
 func writtenKeys(m wire.Txn) string {
 	var keys []string
 	for _, op := range m.Operations {
@@ -81,10 +81,10 @@
 	return strings.Join(keys, " ")
 }
 
-// writesTo is whether a transaction writes a key with a prefix.
+// writesTo reports whether a transaction writes a key with a prefix.
 func writesTo(m wire.Txn, prefix string) bool { return strings.Contains(writtenKeys(m), prefix) }
 
-// writtenText is what a transaction writes, as text.
+// writtenText returns the operations of a transaction as JSON text.
 func writtenText(m wire.Txn) string {
 	b, err := json.Marshal(m.Operations)
 	if err != nil {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -26,43 +26,48 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Scenario tests run whole controllers, a key-value store and workers in a synctest bubble, where time is virtual. This
-// file has the cluster and its processes; cluster_run_test.go lets time pass and holds the rules against what runs,
-// cluster_users_test.go plays the users, cluster_faults_test.go the faults, cluster_faulty_store_test.go and
-// cluster_peers_test.go stand between the controllers and the store and their peers, cluster_store_test.go reads the store.
+// Scenario tests run complete controllers, a fake key-value store and fake workers in a synctest bubble, where time is
+// virtual. The test cluster is spread over these files:
+//   - cluster_test.go: the cluster and the processes of its controllers
+//   - cluster_run_test.go: lets time pass and checks the rules for the running tasks
+//   - cluster_users_test.go: users' requests, and checks of the answers
+//   - cluster_faults_test.go: causes faults
+//   - cluster_faulty_store_test.go: the controllers' clients of the key-value store, with faults
+//   - cluster_peers_test.go: the connections between controllers, with faults
+//   - cluster_store_test.go: reads the key-value store
 
-// hosts are the controllers of every cluster.
+// hosts are the hosts of the three controllers that every cluster has.
 var hosts = []string{"a", "b", "c"}
 
 const (
-	// limitedTeam and unlimitedTeam are the teams of a cluster that is given none.
+	// limitedTeam and unlimitedTeam are the teams of a cluster whose options name none.
 	limitedTeam   = "red"
 	unlimitedTeam = "blue"
-	// limitedTeamCPUs is the quota of limitedTeam: six tasks of submission.
+	// limitedTeamCPUs is the CPU limit of limitedTeam. It suffices for six tasks of a submission.
 	limitedTeamCPUs = 12
-	// taskCPUs is what a task of submission takes, of the 8 CPUs of a machine.
+	// taskCPUs is the CPU request of a task of a submission. A machine has 8 CPUs.
 	taskCPUs = 2
-	// workerLease is the workers' lease in all clusters.
+	// workerLease is the worker lease in all clusters.
 	workerLease = 16 * clock.Second
 )
 
-// process is one life of a controller.
+// process is a controller's process, from its start until its crash or the end of the test.
 type process struct {
 	*Controller
-	storeClient *fakes.KVClient    // can be cut off from the store
-	kill        context.CancelFunc // ends the process at once
+	storeClient *fakes.KVClient    // can be disconnected from the store
+	kill        context.CancelFunc // ends the process immediately
 }
 
-// clusterOptions are the settings of a cluster; zero values stand for the usual ones.
+// clusterOptions are the options of a cluster. A zero value means the default.
 type clusterOptions struct {
-	heartbeatS   float64           // heartbeat interval of the workers; 0.5
-	txnOps       int               // largest transaction of the store; 12
-	valueKB      float64           // largest value of the store; 8
-	teams        []config.Team     // limitedTeam and unlimitedTeam
-	policyScript string            // the operators' policy script, of all hosts but those in hostScripts
-	hostScripts  map[string]string // by host
-	hostZones    map[string]string // zone by host; none: no zones
-	peerLatency  time.Duration     // each way, of every call between controllers
+	heartbeatS   float64           // workers' heartbeat interval in seconds; default 0.5
+	txnOps       int               // maximum number of operations in a transaction of the store; default 12
+	valueKB      float64           // maximum size of a value in the store, in KB; default 8
+	teams        []config.Team     // default limitedTeam and unlimitedTeam
+	policyScript string            // policy script of all hosts that are not in hostScripts
+	hostScripts  map[string]string // policy script by host
+	hostZones    map[string]string // zone by host; default no zones
+	peerLatency  time.Duration     // of every call between controllers, each way
 }
 
 func (o clusterOptions) withDefaults() clusterOptions {
@@ -75,9 +80,9 @@
 	return o
 }
 
-// cluster is three controllers, a key-value store and workers. Connections are function calls; faults make them fail.
-// The test's goroutine uses it, and callbacks of onCommit while it waits; the fields after mu are read by the
-// controllers' goroutines too.
+// cluster has three controllers, a key-value store and workers. Their connections are function calls, which fail or wait
+// under faults. Only the test's goroutine uses a cluster, and onCommit while the test's goroutine waits. The fields after
+// mu are also used by the controllers' goroutines.
 type cluster struct {
 	t       *testing.T
 	options clusterOptions
@@ -85,49 +90,49 @@
 	clock   clock.Clock
 	workers []*fakes.Worker
 
-	reportsTo          map[string]string // by worker: the controller that it sends its next heartbeat to
-	pinnedTo           map[string]string // by worker: the only controller that it reaches
-	hungWorkers        map[string]bool   // workers that send no heartbeats and get none answered
-	unanswered         map[string]bool   // workers whose heartbeats arrive, and whose answers are lost
-	unreachable        map[string]bool   // hosts that no worker reaches
-	recordsHeartbeats  bool
-	recordedHeartbeats [][]byte                // as sent while recordsHeartbeats was set
-	taskSeenAt         map[string]clock.Micros // by task and attempt, of runFleetFor
-	attemptSeenAt      map[string]clock.Micros // by machine, task and attempt; nil: each runFor starts with none
-	everyFiveMS        func()                  // called every five milliseconds while runFor lets time pass; may be nil
+	reportsTo             map[string]string       // by worker; controller that it sends its next heartbeat to
+	pinnedTo              map[string]string       // by worker; the only controller that it reaches
+	hungWorkers           map[string]bool         // workers that send no heartbeats
+	workersWithoutAnswers map[string]bool         // workers whose heartbeats arrive, but the answers to them are lost
+	unreachableHosts      map[string]bool         // hosts that no worker reaches
+	recordsHeartbeats     bool                    // heartbeats are added to recordedHeartbeats
+	recordedHeartbeats    [][]byte                // bodies of heartbeats, in the order in which they were sent
+	taskSeenAt            map[string]clock.Micros // by task, used by runFleetFor; when the task was first seen on a worker
+	attemptSeenAt         map[string]clock.Micros // by attemptKey; when it was first seen; if nil, each runFor has its own map
+	everyFiveMS           func()                  // if not nil, called every five milliseconds of runFor
 
 	unlimitedJobs map[string]bool                  // jobs of unlimitedTeam
 	accepted      map[string]bool                  // jobs that some user was told are accepted
-	finalAnswers  map[string]string                // by job: the final phase that some user was told
+	finalAnswers  map[string]string                // by job; the final phase that some user was told
 	cancelled     map[string]confirmedCancellation // by job
 
 	mu                sync.Mutex
-	processes         map[string]*process      // by host; nil: it is down
-	disconnected      map[string]bool          // hosts that no peer reaches
-	paused            map[string]chan struct{} // hosts that are paused until these are closed
-	peerLatency       time.Duration            // each way, of every call between controllers
-	replicaDelay      map[string]time.Duration // by host: by how much its replica is late
-	rng               *rand.Rand               // draws which transactions are delayed; nil: none
-	delayedWriteShare float64                  // share of transactions that are carried out late
+	processes         map[string]*process      // by host; nil while the host is down
+	disconnected      map[string]bool          // hosts that reach no peer and that no peer reaches
+	paused            map[string]chan struct{} // by host; closed when the paused controller resumes
+	peerLatency       time.Duration            // of every call between controllers, each way
+	replicaDelay      map[string]time.Duration // by host; delay of the changes that its replica receives
+	rng               *rand.Rand               // chooses the transactions that are delayed; if nil, none is
+	delayedWriteShare float64                  // share of transactions that are delayed
 	heldTransactions  []func() error           // transactions that were held back
-	occurrences       map[string]int           // how often something has occurred
-	// onCommit decides on a transaction that arrives, before it is carried out; nil: all are served.
+	occurrences       map[string]int           // by event; how often it has occurred
+	// onCommit decides the outcome of a transaction before it is carried out; if nil, all are served.
 	onCommit func(host string, m wire.Txn) txnOutcome
 }
 
-// newCluster makes a cluster with the usual settings.
+// newCluster makes a cluster with default options.
 func newCluster(t *testing.T, workers int) *cluster {
 	return newClusterWithOptions(t, workers, clusterOptions{})
 }
 
-// newSettledCluster makes a cluster with the usual settings, and lets time pass until all machines are on record.
+// newSettledCluster makes a cluster with default options, and lets 8 s pass, after which the store has records of all machines.
 func newSettledCluster(t *testing.T, workers int) *cluster {
 	c := newCluster(t, workers)
 	c.runFor(8*time.Second, 0)
 	return c
 }
 
-// newBusyCluster makes a cluster of six machines, each taken by a task of job-1.
+// newBusyCluster makes a cluster with six machines. On each runs one task of job-1, which takes the whole machine.
 func newBusyCluster(t *testing.T) *cluster {
 	c := newSettledCluster(t, 6)
 	require.Equal(t, 201, c.submitJob("a", wholeMachineSubmission("job-1", 6), "job-1"))
@@ -136,29 +141,29 @@
 	return c
 }
 
-// newClusterWithOptions makes a cluster and starts its controllers. At the end of the test they end.
+// newClusterWithOptions makes a cluster and starts its controllers, which end with the test.
 func newClusterWithOptions(t *testing.T, workers int, options clusterOptions) *cluster {
 	c := &cluster{
-		t:             t,
-		options:       options.withDefaults(),
-		store:         fakes.NewKVStore(),
-		clock:         clock.NewSteady(),
-		reportsTo:     map[string]string{},
-		pinnedTo:      map[string]string{},
-		hungWorkers:   map[string]bool{},
-		unanswered:    map[string]bool{},
-		unreachable:   map[string]bool{},
-		taskSeenAt:    map[string]clock.Micros{},
-		unlimitedJobs: map[string]bool{},
-		accepted:      map[string]bool{},
-		finalAnswers:  map[string]string{},
-		cancelled:     map[string]confirmedCancellation{},
-		processes:     map[string]*process{},
-		disconnected:  map[string]bool{},
-		paused:        map[string]chan struct{}{},
-		peerLatency:   options.peerLatency,
-		replicaDelay:  map[string]time.Duration{},
-		occurrences:   map[string]int{},
+		t:                     t,
+		options:               options.withDefaults(),
+		store:                 fakes.NewKVStore(),
+		clock:                 clock.NewSteady(),
+		reportsTo:             map[string]string{},
+		pinnedTo:              map[string]string{},
+		hungWorkers:           map[string]bool{},
+		workersWithoutAnswers: map[string]bool{},
+		unreachableHosts:      map[string]bool{},
+		taskSeenAt:            map[string]clock.Micros{},
+		unlimitedJobs:         map[string]bool{},
+		accepted:              map[string]bool{},
+		finalAnswers:          map[string]string{},
+		cancelled:             map[string]confirmedCancellation{},
+		processes:             map[string]*process{},
+		disconnected:          map[string]bool{},
+		paused:                map[string]chan struct{}{},
+		peerLatency:           options.peerLatency,
+		replicaDelay:          map[string]time.Duration{},
+		occurrences:           map[string]int{},
 	}
 	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "big", CPUs: 8, MemGB: 32, Zones: []string{"a", "b"}}}}
 	_, err := c.directClient().Commit(t.Context(), wire.Txn{Operations: []wire.Operation{{Put: kvstore.CatalogKey, Value: catalog}}})
@@ -175,7 +180,7 @@
 				p.kill()
 			}
 		}
-		time.Sleep(time.Second) // calls that wait for a host that is down are back by then
+		time.Sleep(time.Second) // until calls that wait for a host that is down have returned
 	})
 	return c
 }
@@ -187,7 +192,7 @@
 	c.reportsTo[w.ID] = hosts[i%3]
 }
 
-// settingsOf returns the settings of a controller.
+// settingsOf returns the settings of the controller on a host.
 func (c *cluster) settingsOf(host string) *config.Settings {
 	o := &c.options
 	settings := &config.Settings{Host: host, Zone: o.hostZones[host]}
@@ -213,11 +218,11 @@
 	return settings
 }
 
-// start starts a controller's process.
+// start starts the controller on a host.
 func (c *cluster) start(host string) {
 	settings := c.settingsOf(host)
-	script, own := c.options.hostScripts[host]
-	if !own {
+	script, hasOwnScript := c.options.hostScripts[host]
+	if !hasOwnScript {
 		script = c.options.policyScript
 	}
 	parameters, err := policy.Parse(script, settings)
@@ -242,17 +247,17 @@
 	c.mu.Lock()
 	c.processes[host] = p
 	c.mu.Unlock()
-	go p.runDuties(ctx) //nolint:errcheck // ends with the context; the bubble waits for it
+	go p.runDuties(ctx) //nolint:errcheck // it ends with the context, and the synctest bubble waits for it
 }
 
-// process returns a controller's process; nil while it is down.
+// process returns the process on a host, or nil while the host is down.
 func (c *cluster) process(host string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[host]
 }
 
-// crash ends a controller's process at once.
+// crash ends the process on a host immediately.
 func (c *cluster) crash(host string) {
 	c.process(host).kill()
 	c.mu.Lock()
@@ -260,8 +265,8 @@
 	c.processes[host] = nil
 }
 
-// replaceProcess ends a controller's process, starts another on the same host and waits
-// until that one leads its partitions again.
+// replaceProcess ends the process on a host, starts another one and waits until that one leads partitionsPerController
+// partitions.
 func (c *cluster) replaceProcess(host string) {
 	c.crash(host)
 	c.start(host)
@@ -277,11 +282,11 @@
 			return
 		}
 	}
-	require.Fail(c.t, "the new process has not taken its partitions")
+	require.Fail(c.t, "the new process has not acquired its partitions")
 }
 
-// request sends a controller a request of a user, a worker or the load balancer. There is no answer, status 0, from a
-// host that is down or paused; one that is paused handles the request once it goes on.
+// request sends a request of a user, a worker or the load balancer to a host. A host that is down or paused gives no answer,
+// which is a response with status 0; one that is paused handles the request when it resumes.
 func (c *cluster) request(host, method, path, body string) httpx.Response {
 	p := c.process(host)
 	if p == nil {
@@ -292,9 +297,9 @@
 	if path == wire.PathJobs && json.Unmarshal(r.Body, &job) == nil && job.Team == unlimitedTeam {
 		c.unlimitedJobs[job.ID] = true
 	}
-	if gate := c.pauseGate(host); gate != nil {
-		go func() { // nobody waits for the answer any more
-			<-gate
+	if resumed := c.resumeSignal(host); resumed != nil {
+		go func() { // its response is dropped, since the sender has given up
+			<-resumed
 			p.handleRequest(c.t.Context(), r)
 		}()
 		return httpx.Response{}
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -13,29 +13,30 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// submission is the body of a job of limitedTeam, a quarter of a machine each task.
+// submission returns the body of a submission of a job of limitedTeam. Each task takes a quarter of a machine's CPUs.
 func submission(id string, tasks int) string {
 	return fmt.Sprintf(`{"id":%q,"jobclass":"x","owner":"red","shape":"array","rank":"normal","shards":%d,"cpus":2,"accelerators":0,
 	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":5,"snap_every_s":0,"snap_s":0}`, id, tasks)
 }
 
-// unlimitedSubmission is submission by the team without a limit.
+// unlimitedSubmission returns the body of a submission like submission, but of unlimitedTeam.
 func unlimitedSubmission(id string, tasks int) string {
 	return strings.Replace(submission(id, tasks), `"red"`, `"blue"`, 1)
 }
 
-// wholeMachineSubmission is a job of the team without a limit, each of whose tasks takes a whole machine.
+// wholeMachineSubmission returns the body of a submission of a job of unlimitedTeam. Each task takes all CPUs of a machine.
 func wholeMachineSubmission(id string, tasks int) string {
 	return strings.Replace(unlimitedSubmission(id, tasks), `"cpus":2`, `"cpus":8`, 1)
 }
 
-// jobName is the id of a user's i-th job.
+// jobName returns the ID of the i-th job that a test submits.
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
 
-// withdrawPath is where a job is cancelled.
+// withdrawPath returns the path of the request that cancels a job.
 func withdrawPath(id string) string { return wire.PathJobs + "/" + id + "/withdraw" }
 
-// jobPhase asks a controller for a job: its phase, or the status of an answer without one ("0" without any).
+// jobPhase queries a job at a controller and returns its phase. If the response has no phase, jobPhase returns the HTTP status
+// instead, which is "0" if there is no response.
 func (c *cluster) jobPhase(host, id string) string {
 	r := c.get(host, wire.PathJobs+"/"+id)
 	var s wire.JobState
@@ -45,23 +46,23 @@
 	return s.Phase
 }
 
-// isPhase is whether what jobPhase gave is a phase; a status has three digits at most.
+// isPhase reports whether a result of jobPhase is a phase and not a status, which has at most three digits.
 func isPhase(answer string) bool { return len(answer) > 3 }
 
-// isFinal is whether a phase never changes any more once a user was told it.
+// isFinal reports whether a phase is final: once a user was told it, every later answer must give it.
 func isFinal(phase string) bool { return phase == wire.Done || phase == wire.Cancelled }
 
-// queryJob is jobPhase, and holds the answer against all that users were told before: accepted, done and
-// cancelled stay.
+// queryJob does what jobPhase does and checks the answer against all that users were told before: an accepted job must stay
+// known, and a final phase must not change.
 func (c *cluster) queryJob(host, id string) string {
 	c.t.Helper()
 	answer := c.jobPhase(host, id)
 	switch {
 	case answer == "404":
 		require.False(c.t, c.accepted[id], "%s says that it doesn't know %s, which is accepted", host, id)
-	case !isPhase(answer): // not answered for now
+	case !isPhase(answer): // the controller can't answer now
 	case c.finalAnswers[id] != "":
-		require.Equal(c.t, c.finalAnswers[id], answer, "%s of %s, which was reported as over", host, id)
+		require.Equal(c.t, c.finalAnswers[id], answer, "%s gives another phase of %s, which was reported as final", host, id)
 	case isFinal(answer):
 		c.finalAnswers[id] = answer
 		c.accepted[id] = true
@@ -71,8 +72,8 @@
 	return answer
 }
 
-// submitJob submits a job, as its user does once more when there is no answer, and gives the status. The answer is held
-// against all that users were told before.
+// submitJob submits a job, for the first time or again, and returns the HTTP status. It checks the answer against all that users
+// were told before.
 func (c *cluster) submitJob(host, body, id string) (status int) {
 	c.t.Helper()
 	r := c.post(host, wire.PathJobs, body)
@@ -83,7 +84,7 @@
 		var s wire.JobState
 		require.NoError(c.t, json.Unmarshal(r.Body, &s))
 		final := c.finalAnswers[id]
-		require.True(c.t, final == "" || final == s.Phase, "%s, a repeat at %s: %s after %s", id, host, s.Phase, final)
+		require.True(c.t, final == "" || final == s.Phase, "%s, submitted at %s: %s after %s", id, host, s.Phase, final)
 		if isFinal(s.Phase) {
 			c.finalAnswers[id] = s.Phase
 		}
@@ -91,14 +92,14 @@
 	return r.Status
 }
 
-// cancelJob cancels a job as its user does: the final phase that the answer gives, empty where it gives none.
+// cancelJob sends a user's cancellation of a job. It returns the final phase that the answer gives, or "" if it gives none.
 func (c *cluster) cancelJob(host, id string) (phase string) {
 	c.t.Helper()
 	return c.recordCancelResponse(host, id, c.post(host, withdrawPath(id), ""))
 }
 
-// recordCancelResponse holds the answer to a cancellation against all that users were told before. From the first
-// confirmation on requireCancelledStopped watches the job.
+// recordCancelResponse checks the answer to a cancellation against all that users were told before, and returns the final phase
+// that it gives. From the first confirmation on, requireCancelledStopped checks the job's tasks.
 func (c *cluster) recordCancelResponse(host, id string, r httpx.Response) (phase string) {
 	c.t.Helper()
 	require.False(c.t, r.Status == http.StatusNotFound && c.accepted[id], "%s doesn't know %s, which is accepted", host, id)
--- a/internal/controller/controller_failures_test.go
+++ b/internal/controller/controller_failures_test.go
@@ -12,8 +12,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// All controllers crash together and come back: what runs goes on, what was
-// accepted is done, nothing runs twice.
+// Guards against tasks that are lost, or started twice, when all controllers crash together and restart within the worker
+// lease. Running tasks must continue, and the accepted job must complete.
 func TestRunningTasksContinueAfterAllControllersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
@@ -25,7 +25,7 @@
 			c.crash(h)
 		}
 		c.runFor(5*time.Second, 0)
-		require.Equal(t, 6, c.runningTasks(), "leases last")
+		require.Equal(t, 6, c.runningTasks(), "tasks have ended before the worker leases expire")
 		for _, h := range hosts {
 			c.start(h)
 		}
@@ -37,8 +37,9 @@
 	})
 }
 
-// The key-value store is down for 20 s: what runs goes on and more is started;
-// submissions are rejected immediately; what ended is reported as done afterwards.
+// Guards against an outage of the key-value store that stops the work. While the store is down for 20 s, running tasks
+// continue and waiting tasks start, submissions are rejected immediately with Retry-After, and a job whose tasks have ended is
+// not reported as done until its final state can be written.
 func TestTasksRunDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
@@ -50,7 +51,7 @@
 		require.Equal(t, 503, r.Status)
 		require.Positive(t, r.RetryAfter)
 		c.runFor(20*time.Second, 4*time.Second)
-		require.NotEqual(t, wire.Done, c.jobPhase("a", "job-1"), "not durable yet")
+		require.NotEqual(t, wire.Done, c.jobPhase("a", "job-1"), "reported as done before that is durable")
 		c.store.SetDown(false)
 		c.runFor(4*time.Second, 4*time.Second)
 		require.Equal(t, wire.Done, c.jobPhase("a", "job-1"))
@@ -58,8 +59,8 @@
 	})
 }
 
-// The key-value store refuses one controller alone: it resigns its leaderships
-// when a peer's heartbeat says that the peer is served, and the others acquire them.
+// Guards against leaderships that stay with a controller that can't use them. The key-value store refuses only one controller.
+// It resigns its leaderships when a peer's heartbeat says that the peer reaches the store, and the others acquire them.
 func TestLeadershipsMoveFromControllerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
@@ -78,9 +79,9 @@
 	})
 }
 
-// A controller loses the key-value store and its peers, not its workers: they go
-// on until its lease expires, and are other controllers' after it; no job is lost,
-// none runs twice, and its users are sent elsewhere.
+// Guards against jobs that are lost, or run twice, when a controller loses the key-value store and its peers but not its
+// workers. The workers' tasks continue until the controller's lease has expired; then other controllers lead its partitions.
+// Meanwhile the controller reports that it is not ready, so that the load balancer sends users elsewhere.
 func TestControllerWithoutStoreAndPeersIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
@@ -94,7 +95,7 @@
 		require.Equal(t, 503, c.get("a", wire.PathReady).Status)
 		require.Equal(t, 503, c.post("a", wire.PathJobs, submission("job-2", 1)).Status)
 		c.runFor(60*time.Second, 6*time.Second)
-		require.Equal(t, wire.Done, c.jobPhase("b", "job-1"), "others lead what it led")
+		require.Equal(t, wire.Done, c.jobPhase("b", "job-1"), "others have not completed the job")
 		c.setStoreCut("a", false)
 		c.setDisconnected("a", false)
 		c.runFor(10*time.Second, 0)
@@ -103,8 +104,8 @@
 	})
 }
 
-// A controller loses its workers and nothing else: its peers' heartbeats say that
-// they report to the peers, and it transfers its partitions before the workers' leases expire.
+// Guards against tasks that are lost with their worker leases when a controller loses its workers and nothing else. Its peers'
+// heartbeats say that the workers report to the peers, and its partitions must be transferred before the worker leases expire.
 func TestControllerWithoutWorkersTransfersPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 12)
@@ -113,20 +114,19 @@
 		c.runFor(4*time.Second, 0)
 		before := c.runningTasks()
 		require.Equal(t, 6, before)
-		c.unreachable["a"] = true
+		c.unreachableHosts["a"] = true
 		c.runFor(30*time.Second, 0)
 		require.Equal(t, before, c.runningTasks())
 		for _, w := range c.workers {
-			require.EqualValues(t, 1, w.Incarnation, "its lease has expired")
+			require.EqualValues(t, 1, w.Incarnation, "the worker's lease has expired")
 		}
 		c.requireStartedOnce()
-		require.Equal(t, 200, c.get("a", wire.PathReady).Status, "users are served")
+		require.Equal(t, 200, c.get("a", wire.PathReady).Status, "users are not served any more")
 	})
 }
 
-// Controllers are back within a fraction of a second, again and again, also
-// while others are taking leaderships. Every accepted job is known all the time and
-// done in the end; nothing runs twice.
+// Guards against jobs that are forgotten, or tasks that run twice, when controllers restart repeatedly within a fraction of a
+// second, also while others are acquiring leaderships. Every accepted job must be known at all times and complete.
 func TestTasksRunOnceWhenControllersRestartRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -13,9 +13,9 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A controller and the workers that report to it are cut off for longer than the workers' lease:
-// they reach that controller alone, and it nobody else. Its leaderships move, the workers' leases expire, and all
-// of it recovers once they are connected again.
+// Guards against a job that does not recover after a controller and its workers were isolated together for longer than the
+// worker lease. The workers reach only that controller, and it reaches neither the store nor a peer. Its leaderships move to
+// others and its workers' leases expire. After the reconnection the job must complete.
 func TestIsolatedControllerAndWorkersRecoverAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
@@ -23,12 +23,12 @@
 		before := c.leaderships()
 		c.setIsolated(isolated, true)
 		c.runFor(50*time.Second, 0)
-		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "others lead what it led")
+		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "others have not acquired its leaderships")
 		for duty, r := range c.leaderships() {
 			require.NotEqual(t, isolated, r.Leader, duty)
 		}
 		for _, w := range c.workers {
-			require.Equal(t, c.pinnedTo[w.ID] != "", w.Incarnation > 1, "%s: its lease expired", w.ID)
+			require.Equal(t, c.pinnedTo[w.ID] != "", w.Incarnation > 1, "only the leases of isolated workers must expire: %s", w.ID)
 		}
 		c.setIsolated(isolated, false)
 		c.runFor(30*time.Second, 4*time.Second)
@@ -38,7 +38,8 @@
 	})
 }
 
-// All controllers are down for longer than the workers' lease. No job is lost, and what ran runs again, once.
+// Guards against jobs that are lost when all controllers are down for longer than the worker lease. Each task that ran must
+// run again, once.
 func TestTasksRestartAfterAllControllersDownBeyondLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newBusyCluster(t)
@@ -46,7 +47,7 @@
 			c.crash(h)
 		}
 		c.runFor(20*time.Second, 0)
-		require.Zero(t, c.runningTasks(), "their leases have expired")
+		require.Zero(t, c.runningTasks(), "tasks run after the worker leases have expired")
 		for _, h := range hosts {
 			c.start(h)
 		}
@@ -60,41 +61,41 @@
 	})
 }
 
-// A leader crashes while machines with long tasks hang, or don't get the new leader's
-// answers. Back within their lease they go on with their tasks; after it those run elsewhere, or start again.
+// Guards against tasks that are lost or run twice when a leader crashes while machines hang or don't get the new leader's
+// answers. Machines that recover within their lease continue their tasks. Otherwise the tasks run elsewhere or start again.
 func TestLeaderCrashWithUnreachableMachinesRecoversTasks(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name     string
 		affected func(c *cluster) map[string]bool
-		away     time.Duration
+		outage   time.Duration
 	}{
-		{"machines hang, not for long", func(c *cluster) map[string]bool { return c.hungWorkers }, 8 * time.Second},
+		{"machines hang for less than a lease", func(c *cluster) map[string]bool { return c.hungWorkers }, 8 * time.Second},
 		{"machines hang for longer than a lease", func(c *cluster) map[string]bool { return c.hungWorkers }, 40 * time.Second},
-		{"answers are lost, not for long", func(c *cluster) map[string]bool { return c.unanswered }, 8 * time.Second},
-		{"answers are lost for longer than a lease", func(c *cluster) map[string]bool { return c.unanswered }, 40 * time.Second},
+		{"answers are lost for less than a lease", func(c *cluster) map[string]bool { return c.workersWithoutAnswers }, 8 * time.Second},
+		{"answers are lost for longer than a lease", func(c *cluster) map[string]bool { return c.workersWithoutAnswers }, 40 * time.Second},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newBusyCluster(t)
 				leader := c.reportsTo[c.workers[0].ID]
 				before := c.leaderships()
-				away := 0
+				affectedWorkers := 0
 				for _, w := range c.workers {
 					if c.reportsTo[w.ID] == leader {
-						x.affected(c)[w.ID] = true
-						away++
+						tc.affected(c)[w.ID] = true
+						affectedWorkers++
 					}
 				}
-				require.NotZero(t, away)
+				require.NotZero(t, affectedWorkers)
 				c.crash(leader)
 				c.runFor(500*time.Millisecond, 0)
 				c.start(leader)
-				c.runFor(x.away, 0)
+				c.runFor(tc.outage, 0)
 				require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
-				clear(x.affected(c))
+				clear(tc.affected(c))
 				c.runFor(12*time.Second, 0)
 				require.Equal(t, 6, c.runningTasks())
-				if x.away < workerLease.Duration() {
+				if tc.outage < workerLease.Duration() {
 					c.requireStartedOnce()
 				}
 				c.runFor(20*time.Second, 3*time.Second)
@@ -104,8 +105,10 @@
 	}
 }
 
-// Copies of old heartbeats, of earlier attempts too, reach every controller just as
-// a new leader begins, and again when it has acted (argument 13). They change nothing.
+// Guards against a new leader that accepts a delayed copy of an old heartbeat as current, and stops or restarts tasks because
+// of it. Copies of heartbeats, some of earlier attempts, reach every controller while a new leader starts its term and after
+// it has acted. A controller answers each heartbeat only once, and the copies must change nothing (docs/design.md, "Why the
+// rules hold", number 13).
 func TestReplayedHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 6)
@@ -137,17 +140,17 @@
 		before := c.leaderships()
 		c.crash(leader)
 		c.start(leader)
-		for range 60 { // every 50 ms, from before it is registered on
+		for range 60 { // every 50 ms, starting before the new process is registered
 			replay()
 			time.Sleep(50 * time.Millisecond)
 		}
 		c.runForEach(5*time.Second, 0, replay)
 		require.NotZero(t, withTasks)
-		require.NotZero(t, statuses[200], "the first copy is new to the new leader")
-		require.NotZero(t, statuses[503], "and the next is not")
+		require.NotZero(t, statuses[200], "the new leader must answer the first copy")
+		require.NotZero(t, statuses[503], "the new leader must reject further copies")
 		require.NotZero(t, statuses[421])
 		require.GreaterOrEqual(t, c.leadershipsMoved(before), partitionsPerController, "a new process leads")
-		require.Equal(t, 6, c.runningTasks(), "what ran runs on")
+		require.Equal(t, 6, c.runningTasks(), "running tasks must continue")
 		c.requireStartedOnce()
 		c.runForEach(10*time.Second, 3*time.Second, replay)
 		for _, h := range hosts {
@@ -158,8 +161,9 @@
 	})
 }
 
-// New machines get work within a moment, while writes of machine records are held back
-// and leaders crash. No machine has a task without being on record (argument 5).
+// Guards against tasks on machines without a record in the key-value store. A new leader finds machines by their records, so
+// it would miss such a machine and start its tasks elsewhere, too (docs/design.md, "Why the rules hold", number 5). New machines
+// report while writes of machine records are held back and leaders crash. They get tasks only once the records are written.
 func TestNewMachinesGetTasksOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 2)
@@ -197,20 +201,20 @@
 	})
 }
 
-// leaderChanges plays users of a cluster whose leaders change all the time.
+// leaderChanges is a cluster whose leaders change repeatedly while users submit, query and cancel jobs.
 type leaderChanges struct {
 	*cluster
 	submitted int // jobs of limitedTeam
-	cancelled int // confirmed cancellations, repeats included
+	cancelled int // confirmed cancellations, including repeated ones
 }
 
-// changingLeaderJobs is how many jobs users submit while leaders change.
+// changingLeaderJobs is the number of jobs that users submit while leaders change.
 const changingLeaderJobs = 24
 
-// longJob is a job whose tasks take whole machines and end far apart.
+// longJob is a job whose tasks take whole machines and end at very different times.
 const longJob = "job-000099"
 
-// act submits a job, queries all, and cancels one now and then.
+// act submits a job if not all are submitted, queries all submitted jobs, and sometimes cancels one.
 func (l *leaderChanges) act() {
 	n := l.submitted
 	if id := jobName(n); n < changingLeaderJobs && l.submitJob(hosts[n%3], submission(id, 2+n%2), id) == 201 {
@@ -225,32 +229,32 @@
 	}
 }
 
-// runUsers lets time pass while users act.
+// runUsers lets time pass and calls act after every step.
 func (l *leaderChanges) runUsers(d time.Duration) { l.runForEach(d, 6*time.Second, l.act) }
 
-// restart crashes a controller and starts it again after a while.
+// restart crashes the controller on a host and starts it again after a delay.
 func (l *leaderChanges) restart(host string, after time.Duration) {
 	l.crash(host)
 	time.Sleep(after)
 	l.start(host)
 }
 
-// changeLeader makes the leader lose its leaderships, in the i-th way of five.
+// changeLeader makes a leader lose its leaderships in one of five ways, chosen by i.
 func (l *leaderChanges) changeLeader(leader string, i int) {
 	switch i % 5 {
-	case 0: // it is back within a moment
+	case 0: // the leader restarts within a second
 		l.restart(leader, 300*time.Millisecond)
-	case 1: // the key-value store refuses it alone
+	case 1: // the key-value store refuses only the leader
 		l.setStoreCut(leader, true)
 		l.runUsers(8 * time.Second)
 		l.setStoreCut(leader, false)
-	case 2: // in an outage of the key-value store
+	case 2: // the leader restarts during an outage of the key-value store
 		l.store.SetDown(true)
 		l.runUsers(3 * time.Second)
 		l.restart(leader, 200*time.Millisecond)
 		l.runUsers(3 * time.Second)
 		l.store.SetDown(false)
-	case 3: // all of them crash, and it is back before the others
+	case 3: // all controllers crash, and the leader restarts before the others
 		for _, h := range hosts {
 			l.crash(h)
 		}
@@ -262,16 +266,16 @@
 				l.start(h)
 			}
 		}
-	case 4: // it is down for seconds
+	case 4: // the leader is down for four seconds
 		l.crash(leader)
 		l.runUsers(4 * time.Second)
 		l.start(leader)
 	}
 }
 
-// Leaders change ten times in two minutes: they crash, are back within a moment or
-// seconds later, all of them or one alone, are refused and served again, also while the key-value store is down.
-// Jobs of two or three tasks end far apart over this, and some are cancelled.
+// Guards against jobs that never end, or tasks that are repeated after they were done, when leaders change often. The team's
+// leader changes ten times in about two minutes, in the ways of changeLeader. Meanwhile users submit jobs of two or three
+// tasks and cancel some of them, and the tasks of longJob end at very different times.
 func TestJobsEndOverTenLeaderChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leaderChanges{cluster: newSettledCluster(t, 6)}
@@ -286,7 +290,7 @@
 				l.finishTask(longJob + "/1")
 			}
 		}
-		require.GreaterOrEqual(t, len(terms), 10, "as many leaders")
+		require.GreaterOrEqual(t, len(terms), 10, "too few leader changes")
 		require.NotZero(t, l.cancelled)
 		require.Equal(t, changingLeaderJobs, l.submitted)
 		l.runFor(60*time.Second, 4*time.Second)
@@ -297,14 +301,14 @@
 		}
 		require.Equal(t, wire.Done, l.queryJob("a", longJob))
 		for _, w := range l.workers {
-			require.LessOrEqual(t, w.Starts[longJob+"/1"], 1, "what was done stays done")
+			require.LessOrEqual(t, w.Starts[longJob+"/1"], 1, "a task was started again after it was done")
 		}
 	})
 }
 
-// A job's tasks end far apart. The first is done, but the write of its progress has no answer
-// until the leader has crashed: it is not run again, and the job is done with
-// its last task and not before.
+// Guards against a completed task that runs again after a failover because its progress was not written. The writes of the
+// job's progress are held back until the leader has crashed, and must fail afterwards. The job must be done when its last task
+// is done, and not before.
 func TestCompletedTasksStayCompletedAcrossFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 6)
@@ -315,15 +319,15 @@
 		for n := range 2 {
 			c.finishTask(fmt.Sprintf("job-1/%d", n))
 			c.runFor(6*time.Second, 0)
-			require.Greater(t, c.occurrenceCount(occurrenceHeldBack), n, "progress could not be written")
+			require.Greater(t, c.occurrenceCount(occurrenceHeldBack), n, "no write of progress was held back")
 			before, leader := c.unlimitedTeamTerm(), c.unlimitedTeamLeader()
-			late := c.takeHeldTransactions()
+			held := c.takeHeldTransactions()
 			c.crash(leader)
 			c.start(leader)
 			c.runFor(6*time.Second, 0)
 			require.Greater(t, c.unlimitedTeamTerm(), before)
-			for _, commit := range late {
-				require.ErrorIs(t, commit(), kvstore.ErrConflict, "by a former leader")
+			for _, commit := range held {
+				require.ErrorIs(t, commit(), kvstore.ErrConflict, "a write of a former leader was carried out")
 			}
 			require.Equal(t, wire.Running, c.queryJob("a", "job-1"))
 			require.Equal(t, 2-n, c.runningTasks())
@@ -338,12 +342,12 @@
 	})
 }
 
-// runningZones are the zones in which tasks of a job run.
+// runningZones returns the zones in which tasks of a job run.
 func (c *cluster) runningZones(id string) map[string]bool {
 	zones := map[string]bool{}
 	for _, w := range c.workers {
-		for _, k := range w.Tasks {
-			if job, _, _ := wire.SplitTask(k.Task); job == id && k.Phase != wire.TaskExited {
+		for _, task := range w.Tasks {
+			if job, _, _ := wire.SplitTask(task.Task); job == id && task.Phase != wire.TaskExited {
 				zones[w.Zone] = true
 			}
 		}
@@ -351,7 +355,7 @@
 	return zones
 }
 
-// hangBusyWorkers hangs so many of the workers that have tasks, and gives how many it has found.
+// hangBusyWorkers makes at most a given number of the workers that have tasks hang, and returns how many it made hang.
 func (c *cluster) hangBusyWorkers(most int) (n int) {
 	for _, w := range c.workers {
 		if len(w.Tasks) > 0 && n < most && !c.hungWorkers[w.ID] {
@@ -362,8 +366,9 @@
 	return n
 }
 
-// Jobs bound to a given zone, or to any one zone, lose machines. They go on in that zone,
-// or start again together.
+// Guards against a job whose tasks leave its zone after a machine was lost. One job requires the zone b, the other one any
+// single zone for all its tasks. After each loss of machines the jobs must continue in their zone, or start again together in
+// one zone.
 func TestZoneBoundJobsStayInZoneAfterMachineLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 8)
@@ -399,8 +404,9 @@
 	})
 }
 
-// More work than resources, of all priorities, while every call between the controllers takes a
-// fifth of a second each way and a leader crashes. The quota holds, and all of it is done.
+// Guards against an overloaded cluster that exceeds a limit or leaves jobs undone when its controllers are slow to reach each
+// other. There is more work than resources, of all priorities; every call between controllers has a latency of 200 ms each
+// way, and a leader crashes. runFor checks the limit, and all jobs must complete.
 func TestOverloadWithSlowLinksCompletesAllJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 4)
--- a/internal/controller/failure_combinations_test.go
+++ b/internal/controller/failure_combinations_test.go
@@ -13,11 +13,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 )
 
-// Faults of all kinds coincide, from fixed seeds: controllers pause, crash, are
-// back within a moment, lose the key-value store, their peers, their workers, or some
-// of these; the store is down; transactions are carried out late; users
-// cancel and ask. Nothing runs twice, quotas hold, what users were answered stays true, and
-// 75 s after the last fault every job is answered for by every controller, and comes to its end.
+// Guards against rules that hold under each kind of fault but not under their combinations. From fixed seeds, controllers
+// pause, crash and restart, and lose the key-value store, their peers or their workers; the store is down; transactions are
+// carried out late; and users cancel and query jobs. No task may run twice, the limit must hold, and answers to users must
+// not contradict earlier ones. Within 75 s after the last fault every controller must answer for every job, and after
+// another 120 s every accepted job must have ended.
 func TestRulesHoldUnderRandomFailureCombinations(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -26,27 +26,27 @@
 	}
 }
 
-// Kinds of faults that last until a time.
+// Kinds of faults that endFaults ends.
 const (
-	faultStore   = "store"   // a controller has no key-value store
-	faultPeers   = "peers"   // a controller has no peers
-	faultWorkers = "workers" // a controller has no workers
+	faultStore   = "store"   // a controller can't reach the key-value store
+	faultPeers   = "peers"   // a controller can't reach its peers
+	faultWorkers = "workers" // no worker can reach a controller
 	faultOutage  = "outage"  // the key-value store is down
 )
 
-// fault is a kind of fault at a controller; none for an outage.
+// fault is a kind of fault at a host; the host is empty for an outage.
 type fault struct{ kind, host string }
 
 // randomFailures is a run of a cluster under random faults.
 type randomFailures struct {
 	*cluster
-	draw *rand.Rand
-	ends map[fault]time.Time // of the faults that last
-	jobs []string            // that users have submitted
+	faultRNG  *rand.Rand          // chooses the faults and the requests of users
+	faultEnds map[fault]time.Time // when each of the present faults is to end
+	jobs      []string            // jobs that users have submitted
 }
 
 func runRandomFailures(t *testing.T, seed uint64) {
-	r := &randomFailures{cluster: newCluster(t, 6), draw: fakes.Rand(seed + 100), ends: map[fault]time.Time{}}
+	r := &randomFailures{cluster: newCluster(t, 6), faultRNG: fakes.Rand(seed + 100), faultEnds: map[fault]time.Time{}}
 	r.mu.Lock()
 	r.rng = fakes.Rand(seed)
 	r.mu.Unlock()
@@ -58,9 +58,9 @@
 		if step < 30 {
 			id := jobName(step)
 			r.jobs = append(r.jobs, id)
-			r.submitJob(r.anyHost(), submission(id, 1+r.draw.IntN(4)), id)
+			r.submitJob(r.anyHost(), submission(id, 1+r.faultRNG.IntN(4)), id)
 		}
-		r.runFor(time.Duration(500+r.draw.IntN(4000))*time.Millisecond, runTime)
+		r.runFor(time.Duration(500+r.faultRNG.IntN(4000))*time.Millisecond, runTime)
 		for range 4 {
 			r.queryJob(r.anyHost(), r.anyJob())
 		}
@@ -74,19 +74,19 @@
 	r.requireJobsAnsweredAndEnded()
 }
 
-func (r *randomFailures) anyHost() string { return hosts[r.draw.IntN(3)] }
+func (r *randomFailures) anyHost() string { return hosts[r.faultRNG.IntN(3)] }
 
-func (r *randomFailures) anyJob() string { return r.jobs[r.draw.IntN(len(r.jobs))] }
+func (r *randomFailures) anyJob() string { return r.jobs[r.faultRNG.IntN(len(r.jobs))] }
 
-// causeFault draws a fault, or has a user cancel a job.
+// causeFault causes a random fault, or has a user cancel a job.
 func (r *randomFailures) causeFault() {
-	spell := time.Duration(3+r.draw.IntN(45)) * time.Second
+	duration := time.Duration(3+r.faultRNG.IntN(45)) * time.Second
 	host := r.anyHost()
-	until := time.Now().Add(spell)
-	switch r.draw.IntN(12) {
+	until := time.Now().Add(duration)
+	switch r.faultRNG.IntN(12) {
 	case 0:
-		if r.pauseGate(host) == nil {
-			r.pause(host, spell)
+		if r.resumeSignal(host) == nil {
+			r.pause(host, duration)
 		}
 	case 1:
 		r.loseStore(host, until)
@@ -96,19 +96,19 @@
 		r.loseStore(host, until)
 		r.losePeers(host, until)
 	case 4:
-		r.unreachable[host] = true
-		r.ends[fault{faultWorkers, host}] = until
+		r.unreachableHosts[host] = true
+		r.faultEnds[fault{faultWorkers, host}] = until
 	case 5, 6:
-		if r.pauseGate(host) == nil {
+		if r.resumeSignal(host) == nil {
 			r.crash(host)
-			time.Sleep(time.Duration(r.draw.IntN(3000)) * time.Millisecond)
+			time.Sleep(time.Duration(r.faultRNG.IntN(3000)) * time.Millisecond)
 			r.start(host)
 		}
 	case 7:
 		r.store.SetDown(true)
-		r.ends[fault{kind: faultOutage}] = until
+		r.faultEnds[fault{kind: faultOutage}] = until
 	case 8:
-		r.setDelayedWriteShare(0.4 * float64(r.draw.IntN(2)))
+		r.setDelayedWriteShare(0.4 * float64(r.faultRNG.IntN(2)))
 	default:
 		if len(r.jobs) > 0 {
 			r.cancelJob(host, r.anyJob())
@@ -118,17 +118,17 @@
 
 func (r *randomFailures) loseStore(host string, until time.Time) {
 	r.setStoreCut(host, true)
-	r.ends[fault{faultStore, host}] = until
+	r.faultEnds[fault{faultStore, host}] = until
 }
 
 func (r *randomFailures) losePeers(host string, until time.Time) {
 	r.setDisconnected(host, true)
-	r.ends[fault{faultPeers, host}] = until
+	r.faultEnds[fault{faultPeers, host}] = until
 }
 
-// endFaults ends the faults that are over by now.
+// endFaults ends the faults that are to end by a time.
 func (r *randomFailures) endFaults(now time.Time) {
-	for f, at := range r.ends {
+	for f, at := range r.faultEnds {
 		if now.Before(at) {
 			continue
 		}
@@ -138,27 +138,27 @@
 		case faultPeers:
 			r.setDisconnected(f.host, false)
 		case faultWorkers:
-			r.unreachable[f.host] = false
+			r.unreachableHosts[f.host] = false
 		case faultOutage:
 			r.store.SetDown(false)
 		}
-		delete(r.ends, f)
+		delete(r.faultEnds, f)
 	}
 }
 
-// requireJobsAnsweredAndEnded holds that after the faults every controller answers for every accepted job
-// within 75 s, and that every accepted job ends.
+// requireJobsAnsweredAndEnded requires that every controller gives the phase of every accepted job within 75 s after the
+// faults, and that every accepted job has ended after another 120 s.
 func (r *randomFailures) requireJobsAnsweredAndEnded() {
 	r.runFor(75*time.Second, 4*time.Second)
 	for _, id := range r.jobs {
 		for _, h := range hosts {
 			r.queryJob(h, id)
-			require.True(r.t, !r.accepted[id] || isPhase(r.jobPhase(h, id)), "%s at %s is not answered for", id, h)
+			require.True(r.t, !r.accepted[id] || isPhase(r.jobPhase(h, id)), "%s gets no phase at %s", id, h)
 		}
 	}
 	r.runFor(120*time.Second, 4*time.Second)
 	for _, id := range r.jobs {
 		r.queryJob(r.anyHost(), id)
-		require.True(r.t, !r.accepted[id] || r.finalAnswers[id] != "", "%s: %s", id, r.jobPhase("a", id))
+		require.True(r.t, !r.accepted[id] || r.finalAnswers[id] != "", "%s has not ended: %s", id, r.jobPhase("a", id))
 	}
 }
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -17,9 +17,10 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Twenty workers of 8 CPUs run 80 tasks of 2 CPUs at a time, twenty a second. Five teams
-// submit a job of six tasks every four seconds or so, nearly two fifths of that; the hot one ten times
-// as many for a minute, which is half as much again as the fleet can do together with the others.
+// The load of the fair-share tests. Twenty workers with 8 CPUs run up to 80 tasks of 2 CPUs at a time, and complete twenty
+// tasks a second. Each of five teams submits a job of six tasks about every four seconds, which together is nearly two fifths
+// of what the fleet can complete. In a burst, the hot team submits ten times as many jobs for a minute, so that all teams
+// together submit 21 tasks a second, which is more than the fleet can complete.
 const (
 	burstWorkers    = 20
 	hotTeam         = "team-0"
@@ -30,31 +31,31 @@
 	taskDuration    = 4 * time.Second
 	onTimeLimit     = 15 * clock.Second // from submission to the end of the job's last task
 	burstDuration   = time.Minute
-	drainDuration   = 90 * time.Second
-	// maxOnTimeLoss is by how much the burst may lower another team's on-time share.
+	drainDuration   = 90 * time.Second // after the burst, for all jobs to end
+	// maxOnTimeLoss is the amount by which the burst may lower another team's on-time share.
 	maxOnTimeLoss = 0.05
-	// pairedSeeds is how many pairs of runs are pooled: a team has some fourteen jobs in each, and
-	// one late job must not be more than the loss that is allowed.
+	// pairedSeeds is the number of pairs of runs whose counts are pooled. A team has about fourteen jobs in a run, so in a
+	// single run one late job would already exceed maxOnTimeLoss.
 	pairedSeeds = 5
 )
 
-// burstRun is one run of the fleet under the teams' load.
+// burstRun has the parameters of one run of the fleet under the teams' load.
 type burstRun struct {
-	seed               uint64
-	fairShares         bool             // fair shares are on
-	burst              bool             // the hot team submits more than its rate
-	failure            func(c *cluster) // in the middle of the burst; nil: none
-	hostsWithoutShares []string         // hosts with fair shares off all the same
-	hotTeamNear        bool             // the hot team's leader leads all partitions, the others are 40 ms away
+	seed                   uint64
+	fairShares             bool             // fair shares are enabled
+	burst                  bool             // the hot team submits hotRateMultiple times as many jobs
+	failure                func(c *cluster) // called in the middle of the burst; may be nil
+	hostsWithoutShares     []string         // hosts on which fair shares are disabled even if fairShares is set
+	hotTeamLeadsPartitions bool             // the hot team's leader leads all partitions; other leaders reach them in 40 ms each way
 }
 
-// options returns the cluster's settings for a run.
+// options returns the cluster's options for a run.
 func (r *burstRun) options() clusterOptions {
 	o := clusterOptions{hostScripts: map[string]string{}}
 	if r.fairShares {
 		o.policyScript = "fair_shares = True"
 	}
-	if r.hotTeamNear {
+	if r.hotTeamLeadsPartitions {
 		o.hostZones, o.peerLatency = map[string]string{"a": "a", "b": "b", "c": "b"}, 40*time.Millisecond
 	}
 	for _, host := range r.hostsWithoutShares {
@@ -68,7 +69,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
-// rate is how many jobs a second a team submits.
+// rate returns the number of jobs that a team submits per second.
 func (r *burstRun) rate(team string) float64 {
 	if r.burst && team == hotTeam {
 		return teamRate * hotRateMultiple
@@ -76,7 +77,8 @@
 	return teamRate
 }
 
-// arrivals draws when a team submits: the same for both runs of a pair.
+// arrivals returns the random times, from the start of the load, at which a team submits its jobs. Teams with the same rate in
+// both runs of a pair submit at the same times in both.
 func arrivals(seed uint64, team int, rate float64) (out []time.Duration) {
 	rng := fakes.Rand(seed*100 + uint64(team))
 	for at := time.Duration(0); ; {
@@ -88,21 +90,21 @@
 	}
 }
 
-// jobProgress is how far a job is.
+// jobProgress is the progress of a job.
 type jobProgress struct {
 	team      string
 	submitted clock.Micros
-	done      map[string]bool // tasks
-	ended     clock.Micros    // its last task; zero: not yet
+	done      map[string]bool // tasks that are done
+	ended     clock.Micros    // when the last task was done; zero until then
 }
 
 // burstLoad is the load of a run on its cluster.
 type burstLoad struct {
 	*cluster
-	rng     *rand.Rand                 // draws where jobs are submitted
-	pending map[string][]time.Duration // by team: when its next jobs are due, from the start
-	jobs    map[string]*jobProgress
-	seenAt  map[string]clock.Micros // by attempt
+	rng     *rand.Rand                 // chooses the hosts at which jobs are submitted
+	pending map[string][]time.Duration // by team; when its next jobs are due, from the start of the load
+	jobs    map[string]*jobProgress    // by job
+	seenAt  map[string]clock.Micros    // by attemptKey; when it was first seen
 }
 
 func newBurstLoad(t *testing.T, r *burstRun) *burstLoad {
@@ -115,15 +117,15 @@
 	return l
 }
 
-// countOnTime plays the run, requires every job to be done, and counts each team's jobs that were on time.
+// countOnTime executes the run, requires that every job is done, and counts each team's jobs that were on time.
 func (r *burstRun) countOnTime(t *testing.T) onTimeByTeam {
 	l := newBurstLoad(t, r)
 	l.runFleetFor(8*time.Second, 0)
 	failed := false
 	for start := time.Now(); time.Since(start) < burstDuration+drainDuration; time.Sleep(stepInterval) {
-		at := time.Since(start)
-		l.submitDue(at)
-		if r.failure != nil && !failed && at > burstDuration/2 {
+		elapsed := time.Since(start)
+		l.submitDue(elapsed)
+		if r.failure != nil && !failed && elapsed > burstDuration/2 {
 			failed = true
 			r.failure(l.cluster)
 		}
@@ -133,11 +135,11 @@
 	return l.requireAllDone()
 }
 
-// submitDue submits the jobs that are due; one that is not accepted is submitted again in the next step.
-func (l *burstLoad) submitDue(at time.Duration) {
+// submitDue submits the jobs that are due. A job that is not accepted is submitted again in the next step.
+func (l *burstLoad) submitDue(elapsed time.Duration) {
 	for i := range teamCount {
 		team := teamName(i)
-		for len(l.pending[team]) > 0 && l.pending[team][0] <= at {
+		for len(l.pending[team]) > 0 && l.pending[team][0] <= elapsed {
 			id := fmt.Sprintf("job-%d%05d", i, len(l.pending[team]))
 			if !l.submitForTeam(id, team) {
 				break
@@ -148,7 +150,7 @@
 	}
 }
 
-// submitForTeam submits a job at any controller.
+// submitForTeam submits a job at a random controller and reports whether it was accepted.
 func (l *burstLoad) submitForTeam(id, team string) (accepted bool) {
 	body := fmt.Sprintf(`{"id":%q,"jobclass":"x","owner":%q,"shape":"array","rank":"normal","shards":%d,"cpus":2,"accelerators":0,
 	"mem_gb":1,"bundle":"img","size_gb":1,"loaners":true,"guess_s":4,"snap_every_s":0,"snap_s":0}`, id, team, tasksPerJob)
@@ -156,27 +158,27 @@
 	return status == http.StatusOK || status == http.StatusCreated
 }
 
-// step has all workers run their tasks for a step and send a heartbeat. It holds the rules against what runs.
+// step makes all workers run their tasks and send a heartbeat, and checks that no task runs on two machines.
 func (l *burstLoad) step() {
 	now := l.clock.Now()
-	on := placements{}
+	placed := placements{}
 	for _, w := range l.workers {
-		for _, k := range w.InOrder() {
-			attempt := attemptKey(w, k)
+		for _, task := range w.InOrder() {
+			attempt := attemptKey(w, task)
 			if l.seenAt[attempt] == 0 {
 				l.seenAt[attempt] = now
 			}
-			if k.Phase != wire.TaskExited && now >= l.seenAt[attempt]+clock.FromDuration(taskDuration) {
-				k.Phase, k.Cause = wire.TaskExited, wire.CauseDone
-				l.recordDone(k.Task, now)
+			if task.Phase != wire.TaskExited && now >= l.seenAt[attempt]+clock.FromDuration(taskDuration) {
+				task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
+				l.recordDone(task.Task, now)
 			}
 		}
 		l.sendHeartbeat(w)
-		on.add(l.t, w)
+		placed.add(l.t, w)
 	}
 }
 
-// recordDone records that a task is done, and its job if it is the last one.
+// recordDone records that a task is done, and that its job has ended if it was the last task.
 func (l *burstLoad) recordDone(task string, now clock.Micros) {
 	id, _, _ := wire.SplitTask(task)
 	j := l.jobs[id]
@@ -186,38 +188,37 @@
 	}
 }
 
-// requireAllDone requires every job to be done, and counts those that were on time.
+// requireAllDone requires that every job is done, and counts each team's jobs that were on time.
 func (l *burstLoad) requireAllDone() onTimeByTeam {
 	out := onTimeByTeam{}
 	for id, j := range l.jobs {
 		require.Len(l.t, j.done, tasksPerJob, "%s is not done", id)
-		one := jobCounts{0, 1}
+		counts := jobCounts{0, 1}
 		if j.ended <= j.submitted+onTimeLimit {
-			one.onTime = 1
+			counts.onTime = 1
 		}
-		out.add(onTimeByTeam{j.team: one})
+		out.add(onTimeByTeam{j.team: counts})
 	}
 	require.Len(l.t, out, teamCount)
 	return out
 }
 
-// jobCounts counts a team's jobs that were on time, of all.
-type jobCounts struct{ onTime, all int }
+// jobCounts has the numbers of a team's jobs: those that were on time, and all.
+type jobCounts struct{ onTime, total int }
 
-func (j jobCounts) share() float64 { return float64(j.onTime) / float64(j.all) }
+func (j jobCounts) share() float64 { return float64(j.onTime) / float64(j.total) }
 
-// onTimeByTeam has the counts of each team.
+// onTimeByTeam has the counts of jobs by team.
 type onTimeByTeam map[string]jobCounts
 
-// add pools the counts of another run.
+// add adds the counts of another run.
 func (o onTimeByTeam) add(other onTimeByTeam) {
 	for team, counts := range other {
-		o[team] = jobCounts{o[team].onTime + counts.onTime, o[team].all + counts.all}
+		o[team] = jobCounts{o[team].onTime + counts.onTime, o[team].total + counts.total}
 	}
 }
 
-// worstLoss is by how much the burst lowered the on-time share of the team that it hit
-// hardest, the hot one left out.
+// worstLoss returns the largest amount by which the burst lowered the on-time share of a team other than the hot one.
 func worstLoss(without, burst onTimeByTeam) (worst float64) {
 	for team, counts := range without {
 		if team != hotTeam {
@@ -227,13 +228,13 @@
 	return worst
 }
 
-// runPairs plays pairs of runs, and pools the counts without and with the burst.
-func runPairs(t *testing.T, given burstRun, failure func(t *testing.T, c *cluster)) (without, burst onTimeByTeam) {
+// runPairs executes pairs of runs with the same seed, one without and one with the burst, and adds up the counts of each kind.
+func runPairs(t *testing.T, template burstRun, failure func(t *testing.T, c *cluster)) (without, burst onTimeByTeam) {
 	without, burst = onTimeByTeam{}, onTimeByTeam{}
 	for seed := range uint64(pairedSeeds) {
 		for hot, pool := range map[bool]onTimeByTeam{false: without, true: burst} {
 			synctest.Test(t, func(t *testing.T) {
-				r := given
+				r := template
 				r.seed, r.burst = seed, hot
 				if failure != nil {
 					r.failure = func(c *cluster) { failure(t, c) }
@@ -245,42 +246,44 @@
 	return without, burst
 }
 
-// leadingProcess is the controller that leads a team by what it says itself.
+// leadingProcess returns the host whose process considers itself the leader of a team.
 func (c *cluster) leadingProcess(t *testing.T, team string) string {
 	for _, h := range hosts {
 		if _, leading := c.process(h).elector.Leading(scheduler.Duty(team)); leading {
 			return h
 		}
 	}
-	require.Fail(t, "nobody leads", team)
+	require.Fail(t, "no controller leads the team", team)
 	return ""
 }
 
-// One team's burst does not crowd out the others where fair shares are on; with them off
-// it does, so the load is a burst indeed.
+// Guards against a burst of one team that delays the jobs of the others. With fair shares enabled, the other teams' on-time
+// share must not drop by more than maxOnTimeLoss. With fair shares disabled it must drop by much more, which shows that the
+// load suffices for the test.
 func TestFairSharesProtectOtherTeamsFromBurst(t *testing.T) {
-	for name, given := range map[string]burstRun{
+	for name, template := range map[string]burstRun{
 		"partitions are split among the controllers": {},
-		// Whoever is nearest to the partition leader asks first, and has all that comes free.
-		"the hot team's leader leads all partitions": {hotTeamNear: true},
+		// The team leader with the lowest latency to the partition leader asks first, and without fair shares it would get
+		// all resources that become free.
+		"the hot team's leader leads all partitions": {hotTeamLeadsPartitions: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			losses := map[bool]float64{}
 			for _, shares := range []bool{false, true} {
-				given.fairShares = shares
-				without, burst := runPairs(t, given, nil)
+				template.fairShares = shares
+				without, burst := runPairs(t, template, nil)
 				losses[shares] = worstLoss(without, burst)
 				t.Logf("fair shares %v: worst loss %.3f; on time without the burst %v, with it %v", shares, losses[shares], without, burst)
 			}
 			require.LessOrEqual(t, losses[true], maxOnTimeLoss)
-			require.Greater(t, losses[false], 4*maxOnTimeLoss, "with fair shares off the burst does harm")
+			require.Greater(t, losses[false], 4*maxOnTimeLoss, "with fair shares disabled the burst must harm other teams")
 		})
 	}
 }
 
-// The same pairs of runs, with a failure in the middle of both: the hot team's leader crashes and
-// is back three seconds later, or a controller that leads partitions is cut off from its peers
-// for ten seconds. What a failure costs by itself it costs in both runs.
+// Guards against fair shares that fail to protect the other teams during a failure. In the middle of both runs of a pair, the
+// hot team's leader crashes and restarts three seconds later, or a partition leader is disconnected from its peers for ten
+// seconds. Both runs have the failure, so that its own cost does not count as loss by the burst.
 func TestFairSharesProtectOtherTeamsFromBurstDuringFailures(t *testing.T) {
 	for name, failure := range map[string]func(t *testing.T, c *cluster){
 		"the hot team's leader crashes": func(t *testing.T, c *cluster) {
@@ -289,7 +292,7 @@
 			time.Sleep(3 * time.Second)
 			c.start(leader)
 		},
-		"a partition leader is cut off": func(_ *testing.T, c *cluster) {
+		"a partition leader is disconnected": func(_ *testing.T, c *cluster) {
 			c.setDisconnected("b", true)
 			time.AfterFunc(10*time.Second, func() { c.setDisconnected("b", false) })
 		},
@@ -302,8 +305,8 @@
 	}
 }
 
-// Controllers that are switched one after the other work together: the rules hold and every
-// job is done.
+// Guards against failures while operators enable fair shares on one controller after the other. Controllers with fair shares
+// enabled and disabled must work together: no task runs on two machines and every job is done.
 func TestMixedFairShareSettingsCompleteAllJobs(t *testing.T) {
 	for _, without := range [][]string{{"a"}, {"a", "b"}, {"c"}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -13,15 +13,16 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A fleet of 4,000 machines: all are on record, answers to polls are read in several
-// pages, the partitions of a controller that crashes are taken over, and every task runs once.
+// Guards against tasks that are lost or started twice in a large fleet, where the answer to a poll has several pages. In a
+// fleet of 4,000 machines all machines must be recorded, and when a controller crashes, other controllers acquire its
+// partitions while running tasks continue.
 func TestFleetOf4000MachinesSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const machines, jobs, tasksPerJob = 4000, 8, 400
 		c := newClusterWithOptions(t, machines, clusterOptions{heartbeatS: 5})
 		c.runFleetFor(8*time.Second, 0)
 		require.Len(t, c.recordedMachines(), machines)
-		require.Greater(t, machines/len(hosts), 4*peer.PageMachines, "an answer takes several pages")
+		require.Greater(t, machines/len(hosts), 4*peer.PageMachines, "an answer to a poll must need several pages")
 		for i := range jobs {
 			body := unlimitedSubmission(fmt.Sprintf("job-%d", i), tasksPerJob)
 			require.Equal(t, 201, c.post(hosts[i%3], wire.PathJobs, body).Status)
@@ -41,10 +42,9 @@
 	})
 }
 
-// All controllers of a fleet of 1,800 machines crash together, come back within
-// moments of each other, and are restarted one after the other right after
-// that. What runs goes on, nothing runs twice, and every accepted job is
-// answered for all along and done in the end.
+// Guards against a large fleet that loses or repeats work when its controllers restart. All controllers of a fleet of 1,800
+// machines crash together and start again within half a second of each other, and then restart one after the other. Running
+// tasks must continue, none may start twice, and every accepted job must stay known and complete.
 func TestFleetKeepsRunningWhenAllControllersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithOptions(t, 1800, clusterOptions{heartbeatS: 5})
@@ -67,7 +67,7 @@
 		}
 		c.runFleetFor(4*time.Second, 0)
 		for _, h := range hosts {
-			require.Equal(t, 200, c.get(h, wire.PathReady).Status, "ready soon")
+			require.Equal(t, 200, c.get(h, wire.PathReady).Status, "not ready a few seconds after the start")
 			c.crash(h)
 			time.Sleep(200 * time.Millisecond)
 			c.start(h)
@@ -86,7 +86,8 @@
 	})
 }
 
-// Seconds in which nothing happens cost the same on a small fleet and on one eight times as large.
+// Guards against periodic work whose cost grows with the size of the fleet. While nothing happens, the controllers of a fleet
+// must allocate at most 5% more than those of a fleet with an eighth of the machines.
 func TestIdleAllocationsAreIndependentOfFleetSize(t *testing.T) {
 	small, large := idleAllocations(t, 12), idleAllocations(t, 96)
 	t.Log(small, large)
@@ -94,7 +95,7 @@
 	require.LessOrEqual(t, large, small+small/20)
 }
 
-// idleAllocations is what three controllers allocate in ten seconds in which nothing happens.
+// idleAllocations returns the number of memory allocations of three controllers in ten seconds in which nothing happens.
 func idleAllocations(t *testing.T, machines int) (allocations uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, machines)
@@ -103,7 +104,7 @@
 		time.Sleep(10 * time.Second)
 		runtime.ReadMemStats(&after)
 		for _, h := range hosts {
-			require.True(t, c.process(h).elector.LeaseValid(), "the controllers are at work")
+			require.True(t, c.process(h).elector.LeaseValid(), "the controller does not run")
 		}
 		allocations = after.Mallocs - before.Mallocs
 	})
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -12,17 +12,17 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A machine is silent for its lease, and the transaction that deletes its
-// record has no answer. The machine is back, and gets work, from the same partition leader or the next
-// one; then the transaction is carried out after all, and the leader crashes. The next leader
-// must find a machine with tasks on record: one that isn't counts as gone, its tasks
-// as free to run elsewhere (argument 5).
+// Guards against a delayed deletion of a machine's record while the machine has tasks. A new leader takes a machine without
+// a record for gone and starts its tasks elsewhere, so that they would run twice (docs/design.md, "Why the rules hold",
+// number 5). A machine is silent for longer than its lease, and the transaction that deletes its record gets no answer. The
+// machine returns and gets a task, from the same partition leader or from a new process that has replaced it. Then the
+// transaction arrives, which must fail, and the leader crashes.
 func TestDelayedMachineRecordDeletionKeepsMachineWithTasks(t *testing.T) {
-	for _, x := range []struct {
-		name string
-		next bool // the leader's process is replaced before the machine is back
+	for _, tc := range []struct {
+		name     string
+		replaced bool // the leader's process is replaced before the machine returns
 	}{{"the same leader", false}, {"the next leader", true}} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newSettledCluster(t, 6)
 				require.Len(t, c.recordedMachines(), 6)
@@ -36,24 +36,24 @@
 					}
 					return txnServed
 				})
-				all := c.workers
-				c.workers = all[1:] // it is away for longer than its lease
+				allWorkers := c.workers
+				c.workers = allWorkers[1:] // the lost worker sends no heartbeats for longer than its lease
 				c.runFor(18*time.Second, 0)
-				late := c.takeHeldTransactions()
-				require.NotEmpty(t, late, "its record was to be deleted")
+				held := c.takeHeldTransactions()
+				require.NotEmpty(t, held, "no deletion of its record was held back")
 				c.setOnCommit(nil)
-				if x.next {
+				if tc.replaced {
 					c.replaceProcess(leader)
 				}
-				c.workers = all
+				c.workers = allWorkers
 				require.Equal(t, 201, c.post("a", wire.PathJobs, wholeMachineSubmission("job-1", 6)).Status)
 				c.runFor(6*time.Second, 0)
-				require.Equal(t, 6, c.runningTasks(), "it is used again")
-				for _, commit := range late {
+				require.Equal(t, 6, c.runningTasks(), "the machine that has returned must get a task")
+				for _, commit := range held {
 					require.ErrorIs(t, commit(), kvstore.ErrConflict)
 				}
 				c.crash(c.reportsTo[lost.ID])
-				require.True(t, c.recordedMachines()[lost.ID], "it has a task")
+				require.True(t, c.recordedMachines()[lost.ID], "the machine has a task and no record")
 				c.runFor(45*time.Second, 0)
 				require.Equal(t, 6, c.runningTasks())
 			})
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// The names are on the wire: controllers of other releases call them.
+// Guards against a renamed RPC method. The names are on the wire, and controllers of other releases call them.
 func TestPeerMethodsKeepTheirWireNames(t *testing.T) {
 	service := reflect.TypeFor[peer.Service]()
 	for wireName, method := range map[string]string{
--- a/internal/controller/serving_test.go
+++ b/internal/controller/serving_test.go
@@ -12,8 +12,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A job is submitted at one controller, placed by another, run, and reported as
-// done by a third.
+// Guards against failures of the basic case: a job that is submitted at one controller must run within its team's limit, and
+// all controllers must report it as done.
 func TestJobsCompleteWithoutFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
@@ -21,7 +21,7 @@
 		require.Equal(t, 200, c.get("a", wire.PathReady).Status)
 		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-1", 9)).Status)
 		c.runFor(4*time.Second, 0)
-		require.Equal(t, 6, c.runningTasks(), "as many as the limit of 12 CPUs allows")
+		require.Equal(t, 6, c.runningTasks(), "the team's limit allows six tasks")
 		require.Equal(t, wire.Running, c.jobPhase("b", "job-1"))
 		c.runFor(20*time.Second, 4*time.Second)
 		for _, h := range hosts {
@@ -29,13 +29,13 @@
 		}
 		require.Zero(t, c.runningTasks())
 		for _, w := range c.workers {
-			require.Empty(t, w.Tasks, "ended tasks are forgotten")
+			require.Empty(t, w.Tasks, "the worker must forget ended tasks")
 		}
 	})
 }
 
-// A key-value store that takes one change a transaction and half a kilobyte a
-// value: jobs run, are cancelled, and stay known over restarts of all controllers.
+// Guards against writes that exceed the limits of the key-value store. With a store that takes one operation in a transaction
+// and half a kilobyte in a value, jobs must complete, be cancelled, and stay known after all controllers have restarted.
 func TestJobsCompleteUnderMinimalStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithOptions(t, 4, clusterOptions{txnOps: 1, valueKB: 0.5})
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 0)
 		c.runFor(3*time.Second, 0)
-		for _, x := range []struct {
+		for _, tc := range []struct {
 			method, path, body string
 			status             int
 		}{
@@ -85,15 +85,15 @@
 			{"GET", wire.PathJobs + "/job-7", "", 404},
 			{"POST", withdrawPath("job-7"), "", 404},
 		} {
-			r := c.request("a", x.method, x.path, x.body)
-			require.Equal(t, x.status, r.Status, "%s %s", x.method, x.path)
+			r := c.request("a", tc.method, tc.path, tc.body)
+			require.Equal(t, tc.status, r.Status, "%s %s", tc.method, tc.path)
 			require.True(t, json.Valid(r.Body))
 		}
 	})
 }
 
-// A controller loses the key-value store, but neither its peers nor its workers.
-// Users who reach it are served all the same: it forwards their submissions.
+// Guards against a controller that rejects submissions although a peer could accept them. The controller loses the key-value
+// store, but neither its peers nor its workers, and must forward the submissions.
 func TestControllerWithoutStoreForwardsSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
--- a/internal/controller/task_moves_test.go
+++ b/internal/controller/task_moves_test.go
@@ -13,7 +13,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// checkpointingSubmission is a job whose tasks checkpoint and are estimated to run for 200 s.
+// checkpointingSubmission returns the body of a submission like submission, but of a job whose tasks write checkpoints and are
+// estimated to run for 200 s.
 func checkpointingSubmission(id string, tasks int) string {
 	return strings.NewReplacer(`"guess_s":5`, `"guess_s":200`, `"snap_every_s":0,"snap_s":0`, `"snap_every_s":10,"snap_s":1`).
 		Replace(submission(id, tasks))
@@ -37,24 +38,24 @@
 	return n
 }
 
-// giveEvictionNotices has every machine with running tasks say that it is taken back in so many seconds.
+// giveEvictionNotices makes every machine with running tasks report that the cloud evicts it in a number of seconds.
 func (c *cluster) giveEvictionNotices(seconds float64) {
 	for _, w := range c.workers {
-		for _, k := range w.InOrder() {
-			if k.Phase != wire.TaskExited {
+		for _, task := range w.InOrder() {
+			if task.Phase != wire.TaskExited {
 				w.NoticeS = &seconds
 			}
 		}
 	}
 }
 
-// moveFault is what happens to a controller while tasks move.
+// moveFault is a fault that occurs while tasks are moved; cause gets the host at which it occurs.
 type moveFault struct {
 	name  string
 	cause func(c *cluster, host string)
 }
 
-var noMoveFault = moveFault{"nothing else", func(*cluster, string) {}}
+var noMoveFault = moveFault{"no fault", func(*cluster, string) {}}
 
 var moveFaults = []moveFault{
 	noMoveFault,
@@ -73,9 +74,10 @@
 	}},
 }
 
-// Whole controllers move tasks off machines with an eviction notice; one of them
-// crashes or pauses meanwhile, or the key-value store is down. No task is on two machines
-// (runFor checks that), the team stays within its quota, and what can run does.
+// Guards against moves that are left half done, or run a task twice, when a controller fails. The controllers move tasks off
+// machines with an eviction notice while one controller crashes, pauses or is disconnected, or the key-value store is down.
+// No task may be on two machines and the team must stay within its limit, both of which runFor checks, and all tasks must
+// run and complete.
 func TestTaskMovesCompleteDuringControllerFailures(t *testing.T) {
 	for _, fault := range moveFaults {
 		for seed := range uint64(4) {
@@ -95,7 +97,7 @@
 					if fault.name == noMoveFault.name {
 						require.Equal(t, 3, c.movedTasks())
 						for _, w := range c.workers {
-							require.False(t, w.NoticeS != nil && len(w.Tasks) > 0, "%s is empty", w.ID)
+							require.False(t, w.NoticeS != nil && len(w.Tasks) > 0, "%s has an eviction notice and still has tasks", w.ID)
 						}
 					}
 					c.runFor(30*time.Second, time.Second)
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -12,13 +12,12 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Users ask at all controllers within milliseconds of a job's acceptance, its end or
-// the confirmation of its cancellation, repeat the submission, and some cancel
-// immediately or at the end of the last task: whatever one of them was told, none is
-// told anything older. The same where the answers of the key-value store are
-// lost while others read what was written, or its transactions come late.
+// Guards against an answer to a user that is older than an answer that some controller gave before. Users query jobs at all
+// controllers within milliseconds of a job's acceptance, its end or the confirmation of its cancellation. They also repeat
+// submissions, and cancel some jobs immediately or at the end of the last task. In some cases the key-value store's answers
+// are lost or slow, so that other controllers read a write before its writer knows of it, or its transactions are delayed.
 func TestUserAnswersNeverRegressAcrossControllers(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name    string
 		outcome txnOutcome
 	}{
@@ -27,60 +26,61 @@
 		{"answers of transactions are slow", responseSlow},
 		{"transactions come late", txnHeldBack},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				u := newImpatientUsers(t)
-				u.setOnCommit(u.failEverySecond(x.outcome))
-				for i := range impatientJobs {
+				u := newConcurrentUsers(t)
+				u.setOnCommit(u.failEverySecond(tc.outcome))
+				for i := range concurrentUserJobs {
 					u.submitAndQuery(i)
 				}
-				u.runForEach(20*time.Second, 1500*time.Millisecond, u.repeatEverything)
+				u.runForEach(20*time.Second, 1500*time.Millisecond, u.repeatRequests)
 				require.NotZero(t, u.repeats)
-				require.NotZero(t, u.endRepeats, "repeats and cancellations at the very end")
+				require.NotZero(t, u.endRepeats, "no repeats and cancellations during the write of a final state")
 				u.setOnCommit(nil)
 				u.everyFiveMS = nil
 				u.runFor(30*time.Second, time.Second)
 				u.requireAllEnded()
-				if x.outcome != txnServed {
-					require.NotZero(t, u.occurrenceCount(occurrenceFailed(kvstore.ActiveJobPrefix)), "an acceptance had no answer")
-					require.NotZero(t, u.occurrenceCount(occurrenceFailed(kvstore.FinalJobPrefix)), "an end had no answer")
+				if tc.outcome != txnServed {
+					require.NotZero(t, u.occurrenceCount(occurrenceFailed(kvstore.ActiveJobPrefix)), "no write of an acceptance has failed")
+					require.NotZero(t, u.occurrenceCount(occurrenceFailed(kvstore.FinalJobPrefix)), "no write of a final state has failed")
 				}
 			})
 		})
 	}
 }
 
-// impatientJobs is how many jobs the impatient users submit.
-const impatientJobs = 12
+// concurrentUserJobs is the number of jobs that concurrentUsers submit.
+const concurrentUserJobs = 12
 
-// endWatch is how long after its end began to be written a job is queried every five milliseconds, and for
-// endRepeatWindow its submission and cancellation are repeated too.
 const (
-	endWatch        = 300 * time.Millisecond
+	// endWatchDuration is how long a job is queried every five milliseconds, from the start of the write of its final state.
+	endWatchDuration = 300 * time.Millisecond
+	// endRepeatWindow is how long the job's submission and cancellation are repeated as well.
 	endRepeatWindow = 20 * time.Millisecond
 )
 
-// impatientUsers query, repeat and cancel their jobs at all controllers at the moments at which the answers change.
-type impatientUsers struct {
+// concurrentUsers query, resubmit and cancel their jobs at all controllers at the times at which the answers change.
+type concurrentUsers struct {
 	*cluster
 	ending     chan string          // jobs whose final state is being written
-	endingAt   map[string]time.Time // by job, while it is watched
-	repeats    int                  // repeats of jobs that have ended
-	endRepeats int                  // repeats while the final state is being written
+	endingAt   map[string]time.Time // by job; when the write of its final state started, until endWatchDuration has passed
+	repeats    int                  // number of repeated requests for jobs that have ended
+	endRepeats int                  // number of repeated requests during the write of a final state
 }
 
-func newImpatientUsers(t *testing.T) *impatientUsers {
-	u := &impatientUsers{cluster: newSettledCluster(t, 6), ending: make(chan string, 1000), endingAt: map[string]time.Time{}}
-	u.setReplicaDelay(u.teamLeader(limitedTeam), 400*time.Millisecond) // others read its writes before it does
-	u.everyFiveMS = u.watchEnds
+func newConcurrentUsers(t *testing.T) *concurrentUsers {
+	u := &concurrentUsers{cluster: newSettledCluster(t, 6), ending: make(chan string, 1000), endingAt: map[string]time.Time{}}
+	u.setReplicaDelay(u.teamLeader(limitedTeam), 400*time.Millisecond) // so that others read its writes before it does
+	u.everyFiveMS = u.queryEndingJobs
 	return u
 }
 
-// occurrenceFailed names that a write of a key with a prefix has not been served as usual.
+// occurrenceFailed returns the event that is counted when failEverySecond gives its outcome to a write of a key with a prefix.
 func occurrenceFailed(prefix string) string { return prefix + " failed" }
 
-// failEverySecond gives every second transaction that accepts or ends a job an outcome.
-func (u *impatientUsers) failEverySecond(outcome txnOutcome) func(string, wire.Txn) txnOutcome {
+// failEverySecond returns a function for setOnCommit, which gives an outcome to every second transaction that accepts a job or
+// writes the final state of one.
+func (u *concurrentUsers) failEverySecond(outcome txnOutcome) func(string, wire.Txn) txnOutcome {
 	return func(_ string, m wire.Txn) txnOutcome {
 		for _, prefix := range []string{kvstore.ActiveJobPrefix, kvstore.FinalJobPrefix} {
 			if !writesTo(m, prefix) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// watchEnds queries the jobs whose final state is being written, and repeats their submission and cancellation.
-func (u *impatientUsers) watchEnds() {
+// queryEndingJobs queries the jobs whose final state is being written, and repeats their submission and cancellation.
+func (u *concurrentUsers) queryEndingJobs() {
 	for len(u.ending) > 0 {
 		u.endingAt[<-u.ending] = time.Now()
 	}
@@ -112,18 +112,18 @@
 			u.submitJob(hosts[u.endRepeats%3], submission(id, 1), id)
 			u.cancelJob(hosts[(u.endRepeats+1)%3], id)
 		}
-		if time.Since(at) > endWatch {
+		if time.Since(at) > endWatchDuration {
 			delete(u.endingAt, id)
 		}
 	}
 }
 
-// cancelsEarly is whether the i-th job is cancelled as soon as it is accepted.
+// cancelsEarly reports whether the i-th job is cancelled as soon as it is accepted.
 func cancelsEarly(i int) bool { return i%3 == 1 }
 
-// submitAndQuery submits the i-th job until it is accepted, and queries it right after that, and right after its
-// cancellation where it is cancelled early.
-func (u *impatientUsers) submitAndQuery(i int) {
+// submitAndQuery submits the i-th job until it is accepted, and queries it immediately afterwards. If the job is to be cancelled
+// early, it cancels the job and again queries it immediately afterwards.
+func (u *concurrentUsers) submitAndQuery(i int) {
 	id, h := jobName(i), hosts[i%3]
 	body := submission(id, 1+i%2)
 	for try := 0; !u.accepted[id] && try < 30; try++ {
@@ -132,34 +132,34 @@
 		}
 	}
 	require.True(u.t, u.accepted[id])
-	u.queryClosely(id, body)
+	u.queryRapidly(id, body)
 	if cancelsEarly(i) {
 		u.cancelJob(hosts[(i+1)%3], id)
-		u.queryClosely(id, body)
+		u.queryRapidly(id, body)
 	}
 	u.runFor(500*time.Millisecond, 0)
 	u.releaseHeldTransactions()
 }
 
-// queryClosely queries a job and repeats its submission every two milliseconds for a moment.
-func (u *impatientUsers) queryClosely(id, body string) {
-	for k := range 6 {
+// queryRapidly queries a job at all controllers and repeats its submission, six times at intervals of two milliseconds.
+func (u *concurrentUsers) queryRapidly(id, body string) {
+	for i := range 6 {
 		for _, h := range hosts {
 			u.queryJob(h, id)
 		}
-		u.submitJob(hosts[k%3], body, id)
+		u.submitJob(hosts[i%3], body, id)
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// repeatEverything queries all jobs, cancels some once more, or for the first time while they run, and repeats everything
-// about those that have ended.
-func (u *impatientUsers) repeatEverything() {
-	for i := range impatientJobs {
+// repeatRequests queries all jobs and cancels some, for the first time or again. For jobs that have ended, it repeats the query,
+// the submission and the cancellation at all controllers.
+func (u *concurrentUsers) repeatRequests() {
+	for i := range concurrentUserJobs {
 		id := jobName(i)
 		phase := u.queryJob(hosts[i%3], id)
 		if u.finalAnswers[id] == "" && (cancelsEarly(i) || i%3 == 2 && phase == wire.Running) {
-			u.cancelJob(hosts[(i+1)%3], id) // those that run perhaps at the very end of their last task
+			u.cancelJob(hosts[(i+1)%3], id) // a running job may be at the end of its last task
 		}
 		if u.finalAnswers[id] != "" {
 			u.repeats++
@@ -173,16 +173,17 @@
 	u.releaseHeldTransactions()
 }
 
-// requireAllEnded holds that every job has ended, at least those cancelled early as cancelled, and is answered for.
-func (u *impatientUsers) requireAllEnded() {
+// requireAllEnded requires that every controller answers for every job, that every job has ended as done or cancelled, that
+// at least one is done, and that at least as many are cancelled as users cancel early.
+func (u *concurrentUsers) requireAllEnded() {
 	ends := map[string]int{}
-	for i := range impatientJobs {
+	for i := range concurrentUserJobs {
 		for _, h := range hosts {
 			require.NotEqual(u.t, "503", u.queryJob(h, jobName(i)))
 		}
 		ends[u.finalAnswers[jobName(i)]]++
 	}
 	require.NotZero(u.t, ends[wire.Done])
-	require.GreaterOrEqual(u.t, ends[wire.Cancelled], impatientJobs/3)
-	require.Equal(u.t, impatientJobs, ends[wire.Done]+ends[wire.Cancelled])
+	require.GreaterOrEqual(u.t, ends[wire.Cancelled], concurrentUserJobs/3)
+	require.Equal(u.t, concurrentUserJobs, ends[wire.Done]+ends[wire.Cancelled])
 }
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -20,8 +20,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// newTwoZoneCluster makes a cluster with workers in zones a and b, controllers a and b in zone a and controller c in
-// zone b. The machines of zone b report to c. zoneReturn is whether work returns to a zone in stages.
+// newTwoZoneCluster makes a cluster with controllers a and b in zone a, controller c in zone b, and workers in both zones. The
+// workers of zone b report to c. If zoneReturn is set, work returns to a zone in stages.
 func newTwoZoneCluster(t *testing.T, zoneReturn bool) *cluster {
 	script := "history = True\n"
 	if zoneReturn {
@@ -39,7 +39,7 @@
 	return c
 }
 
-// setZoneDisconnected cuts zone b off, with its controller and its workers, or connects it again.
+// setZoneDisconnected disconnects zone b, with its controller and its workers, or reconnects it.
 func (c *cluster) setZoneDisconnected(disconnected bool) {
 	c.setStoreCut("c", disconnected)
 	c.setDisconnected("c", disconnected)
@@ -51,42 +51,42 @@
 	}
 }
 
-// timetable is what is to be done at times while a cluster runs.
+// timetable has the actions that are to be executed at given times while a cluster runs.
 type timetable []timedAction
 
-// timedAction is done once its time has come; do is nil after that.
+// timedAction is an action that is executed once its time has come. After that, do is nil.
 type timedAction struct {
 	at time.Time
 	do func()
 }
 
-// after adds what is to be done after a while.
+// after adds an action that is to be executed after a delay.
 func (t *timetable) after(d time.Duration, do func()) {
 	*t = append(*t, timedAction{time.Now().Add(d), do})
 }
 
-// run does what is due.
+// run executes the actions that are due.
 func (t *timetable) run() {
-	for i, x := range *t {
-		if x.do != nil && !time.Now().Before(x.at) {
+	for i, action := range *t {
+		if action.do != nil && !time.Now().Before(action.at) {
 			(*t)[i].do = nil
-			x.do()
+			action.do()
 		}
 	}
 }
 
-// zoneState is zone b's state on record, as a controller's replica shows it.
+// zoneState returns the record of zone b in a controller's replica.
 func (c *cluster) zoneState(host string) zone.Record {
 	return c.process(host).ZoneRecords()["b"].Record
 }
 
-// submitWithPriority submits a job of the team without a limit at a controller that is not cut off.
+// submitWithPriority submits a job of unlimitedTeam at controller a, which is never disconnected.
 func (c *cluster) submitWithPriority(id, priority string, tasks int) {
 	body := strings.Replace(unlimitedSubmission(id, tasks), `"rank":"normal"`, fmt.Sprintf(`"rank":%q`, priority), 1)
 	require.Equal(c.t, 201, c.post("a", wire.PathJobs, body).Status)
 }
 
-// historyEvents gathers the history of all controllers.
+// historyEvents returns the history events of all controllers.
 func (c *cluster) historyEvents() (out []history.Event) {
 	for _, h := range hosts {
 		out = append(out, c.process(h).history.Page(0, 100_000).Events...)
@@ -94,7 +94,7 @@
 	return out
 }
 
-// firstStarts returns when the first task of each job was seen running in zone b after a moment.
+// firstStarts returns, by job, when a task of the job was first seen running in zone b at or after a time in Unix milliseconds.
 func (c *cluster) firstStarts(afterMS int64) map[string]int64 {
 	out := map[string]int64{}
 	for _, e := range c.historyEvents() {
@@ -105,7 +105,8 @@
 	return out
 }
 
-// earlyStarts lists the attempts that started in zone b between a moment and the stage that admits urgent work.
+// earlyStarts lists the attempts that started in zone b between a time in Unix milliseconds and the stage that admits urgent
+// work.
 func (c *cluster) earlyStarts(afterMS int64) (out []history.Event) {
 	events := c.historyEvents()
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
@@ -123,9 +124,9 @@
 	return out
 }
 
-// requireDoneOnce asks every controller for every job, and holds that each gives the same final answer,
-// that none has recorded a second one, and that some controller has recorded it. One that was cut off
-// as a job ended need not have: it asks others then.
+// requireDoneOnce requires that every controller reports the jobs as done, that at least one controller has recorded the end of
+// each job in its history, that none has recorded it twice, and that history.Check finds no violation. A controller that was
+// disconnected when a job ended need not have recorded the end, since it asks other controllers then.
 func (c *cluster) requireDoneOnce(ids ...string) {
 	for _, id := range ids {
 		for _, h := range hosts {
@@ -143,16 +144,17 @@
 		}
 	}
 	for _, id := range ids {
-		require.NotEmpty(c.t, finals[id], "%s has no final answer", id)
+		require.NotEmpty(c.t, finals[id], "no controller has recorded the end of %s", id)
 		for h, n := range finals[id] {
-			require.Equal(c.t, 1, n, "final answers of %s at %s", id, h)
+			require.Equal(c.t, 1, n, "recorded ends of %s at %s", id, h)
 		}
 	}
 	require.Empty(c.t, history.Check(events, 0))
 }
 
-// A zone is cut off for longer than a worker lease and comes back. Work goes on in the other zone; when it
-// is back, work returns in order: urgent, then services, then what can wait. Every job has one final answer.
+// Guards against work that returns to a zone too early or in the wrong order. A zone is disconnected for longer than a worker
+// lease while work continues in the other zone. After the reconnection nothing may start in the zone before its machines are
+// accounted for. Then work returns in stages: urgent jobs, then services, then jobs that can wait. Every job must end once.
 func TestZoneLossAndReturnAdmitsWorkInStages(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -165,7 +167,7 @@
 				c.setZoneDisconnected(true)
 				c.runFor(time.Duration(34+rng.IntN(12))*time.Second, 20*time.Second)
 				require.Equal(t, zone.Lost, c.zoneState("a").State)
-				// More than the other zone can hold: the rest waits for the return.
+				// These jobs need more than the other zone has. The rest of their tasks waits for the return.
 				c.submitWithPriority("job-3", "idle", 20)
 				c.submitWithPriority("job-4", "normal", 40)
 				c.submitWithPriority("job-5", "high", 30)
@@ -180,12 +182,12 @@
 				require.True(t, states["returning reconcile"] && states["returning urgent"], "%v", states)
 				c.runFor(150*time.Second, 8*time.Second)
 				require.Equal(t, zone.Healthy, c.zoneState("a").State)
-				require.Empty(t, c.earlyStarts(back), "nothing starts before machines are accounted for")
+				require.Empty(t, c.earlyStarts(back), "attempts started before the machines were accounted for")
 				first := c.firstStarts(back)
-				require.NotZero(t, first["job-5"], "urgent work has returned: %v", first)
-				for _, x := range [][2]string{{"job-5", "job-4"}, {"job-4", "job-3"}} {
-					if first[x[0]] != 0 && first[x[1]] != 0 {
-						require.LessOrEqual(t, first[x[0]], first[x[1]], "%s before %s: %v", x[0], x[1], first)
+				require.NotZero(t, first["job-5"], "urgent work has not returned: %v", first)
+				for _, pair := range [][2]string{{"job-5", "job-4"}, {"job-4", "job-3"}} {
+					if first[pair[0]] != 0 && first[pair[1]] != 0 {
+						require.LessOrEqual(t, first[pair[0]], first[pair[1]], "%s must return before %s: %v", pair[0], pair[1], first)
 					}
 				}
 				c.requireDoneOnce("job-1", "job-2", "job-3", "job-4", "job-5")
@@ -194,7 +196,7 @@
 	}
 }
 
-// zoneReturnFault is what happens while a zone returns; what ends it later goes to the timetable.
+// zoneReturnFault is a fault that occurs while a zone returns. The function cause adds the actions that end it to a timetable.
 type zoneReturnFault struct {
 	name  string
 	cause func(c *cluster, later *timetable)
@@ -214,7 +216,7 @@
 		c.store.SetDown(true)
 		later.after(8*time.Second, func() { c.store.SetDown(false) })
 	}},
-	{"the zone is lost again and again", func(c *cluster, later *timetable) {
+	{"the zone is lost repeatedly", func(c *cluster, later *timetable) {
 		for i := range 4 {
 			later.after(time.Duration(5+10*i)*time.Second, func() { c.setZoneDisconnected(true) })
 			later.after(time.Duration(10+10*i)*time.Second, func() { c.setZoneDisconnected(false) })
@@ -222,11 +224,11 @@
 	}},
 	{"heartbeats arrive, answers don't", func(c *cluster, later *timetable) {
 		for _, w := range c.workers {
-			c.unanswered[w.ID] = w.Zone == "b"
+			c.workersWithoutAnswers[w.ID] = w.Zone == "b"
 		}
-		later.after(10*time.Second, func() { clear(c.unanswered) })
+		later.after(10*time.Second, func() { clear(c.workersWithoutAnswers) })
 	}},
-	{"operators hold it", func(c *cluster, later *timetable) {
+	{"operators hold the return", func(c *cluster, later *timetable) {
 		hold := func(held bool) {
 			for _, h := range hosts {
 				c.process(h).holdZone(peer.ZoneHoldRequest{Zone: "b", Held: held})
@@ -237,7 +239,8 @@
 	}},
 }
 
-// Whatever happens during the return: no task is on two machines (runFor checks that), and every job has one final answer.
+// Guards against faults during a zone's return that make a task run on two machines, which runFor checks, or a job end twice
+// or not at all.
 func TestZoneReturnDuringFailuresKeepsRules(t *testing.T) {
 	for _, fault := range zoneReturnFaults {
 		for seed := range uint64(3) {
@@ -269,7 +272,8 @@
 	}
 }
 
-// Where zone return is off a zone's loss has no stages: no zone state is written, nothing is gated.
+// Guards against zone states that have an effect although zone return is disabled. After a zone was lost and has returned, no
+// zone state may be recorded, and partition leaders must not restrict which work they admit.
 func TestZoneReturnDisabledWritesNoZoneStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTwoZoneCluster(t, false)
@@ -284,27 +288,27 @@
 	})
 }
 
-// Every partition leader's gate follows the stages of a return, as its replica shows them, and is open once the
-// return has ended.
+// Guards against a partition leader that ignores the stages of a zone's return, or still restricts work after the return has
+// ended. Every partition leader must admit the stages that the zone states in its replica give.
 func TestPartitionLeadersGateStagesByZoneState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTwoZoneCluster(t, true)
-		gated := map[string]map[recovery.Stage]bool{} // by controller
+		admitted := map[string]map[recovery.Stage]bool{} // by controller
 		c.setZoneDisconnected(true)
 		c.runFor(45*time.Second, 0)
 		c.setZoneDisconnected(false)
 		for _, h := range hosts {
-			gated[h] = map[recovery.Stage]bool{}
+			admitted[h] = map[recovery.Stage]bool{}
 		}
 		c.runForEach(25*time.Second, 0, func() {
 			for _, h := range hosts {
 				if s, ok := c.process(h).partitions.AdmittedStages()["b"]; ok {
-					gated[h][s] = true
+					admitted[h][s] = true
 				}
 			}
 		})
 		for _, h := range hosts {
-			require.True(t, gated[h][recovery.Reconcile] && gated[h][recovery.Urgent], "%s: %v", h, gated)
+			require.True(t, admitted[h][recovery.Reconcile] && admitted[h][recovery.Urgent], "%s: %v", h, admitted)
 		}
 		c.runFor(40*time.Second, 0)
 		for _, h := range hosts {
