--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -7,8 +7,8 @@
 )
 
 // AcquirePartition starts leading a partition under a term. Every recorded machine may hold tasks of former leaders
-// until a heartbeat reports a token of this term, or until no leader has answered a heartbeat for a whole worker
-// lease, which may have started as late as now (docs/design.md, argument 6).
+// until a heartbeat reports a token of this term, or until no leader has answered a heartbeat for a whole worker lease,
+// which may have started as late as now (docs/design.md, "Why the rules hold", number 6).
 func (s *State) AcquirePartition(partition int, term uint64, recorded inventory.Group, now clock.Micros) {
 	s.ReleasePartition(partition)
 	s.terms[partition] = term
@@ -86,14 +86,14 @@
 }
 
 // Drain returns the ids of the machines that can be returned to the cloud: those that hold neither tasks nor leases,
-// and those that are lost. It marks them as draining, so that they get no new tasks. Machines in use stay as they
-// are.
+// and those that are lost. It marks them as draining, so that they get no new tasks. Other machines stay as they are:
+// one that is recorded but not accounted for may hold tasks of former leaders.
 func (s *State) Drain(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, ref := range list {
 		m, added := s.findOrAdd(ref, partitionOf, now)
 		switch {
 		case m == nil:
-		case added: // no heartbeat of it has arrived, so it has no tasks
+		case added: // neither a heartbeat nor a record of it has arrived, so it has no tasks
 			m.draining = true
 			ready = append(ready, ref.ID)
 		case m.worker.lost() || len(m.tasks) == 0 && (m.accounted || m.record != recordPresent):
@@ -107,7 +107,7 @@
 
 // HandleMachineRecord records whether a machine's record is in the key-value store. A late copy of an old write can
 // bring back the record of a machine that does not exist any more. Such a machine is added like any other, becomes
-// silent, and has its record removed (docs/design.md, argument 5).
+// silent, and has its record removed (docs/design.md, "Why the rules hold", number 5).
 func (s *State) HandleMachineRecord(id string, partition int, r inventory.Record, exists bool, now clock.Micros) {
 	m := s.machines[id]
 	if m == nil && exists {
--- a/internal/partition/acquisition_test.go
+++ b/internal/partition/acquisition_test.go
@@ -8,8 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// A machine that is returned to the cloud with a task or a lease on it would lose the task. So Drain only gives out a
-// machine that has neither, and the machine gets no tasks afterwards.
+// A machine that is returned to the cloud with a task or a lease on it would lose the task. So Drain returns only
+// machines that have neither, and they get no tasks afterwards.
 func TestMachineIsDrainedOnlyWhenEmpty(t *testing.T) {
 	s := newFixture(t)
 	partitionOf := func(string, string) int { return 0 }
--- a/internal/partition/cancellations.go
+++ b/internal/partition/cancellations.go
@@ -5,8 +5,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// teamTerms holds the highest term of each team that this process has seen. A request under a lower term was sent by
-// a former team leader and is rejected: the present leader may have decided otherwise (docs/design.md, argument 7).
+// teamTerms holds the highest term of each team that this process has seen. A request under a lower term was sent by a
+// former team leader and is rejected: the present leader may have decided otherwise (docs/design.md,
+// "Why the rules hold", number 7).
 type teamTerms map[string]uint64
 
 // fence raises the teams' terms, so that requests under lower ones are rejected from now on.
@@ -29,9 +30,9 @@
 	term       uint64 // the team's term under which the scheduler sent it
 }
 
-// cancellations holds the jobs that schedulers have cancelled, by id. An acknowledged cancellation is kept for as
-// long as the replica shows the job as active, because the replica may be behind; otherwise a task of the job could
-// start again (docs/design.md, argument 11).
+// cancellations holds the jobs that schedulers have cancelled, by id. An acknowledged cancellation is kept for as long
+// as the replica shows the job as active, because the replica may be behind; otherwise a task of the job could start
+// again (docs/design.md, "Why the rules hold", number 11).
 type cancellations map[string]cancellation
 
 func (c cancellations) has(job string) bool {
--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -9,9 +9,9 @@
 const maxCommands = 400
 
 // jobEnded reports whether a task's job has ended, so that none of its tasks may run any more. For a found task it is
-// enough that the replica does not show the job as active: the job's record was stored before the task started, and
-// the replica is as new as this leadership. For a task that this leader assigned, the replica must also be as new as
-// the job's record; otherwise it may not have seen the job yet (docs/design.md, argument 11).
+// enough that the replica does not show the job as active: the job's record was stored before the task started, and the
+// replica is as new as this leadership. For a task that this leader assigned, the replica must also be as new as the
+// job's record; otherwise it may not have seen the job yet (docs/design.md, "Why the rules hold", number 11).
 func (s *State) jobEnded(t *task) bool {
 	return s.cancellations.has(t.id.Job) || s.jobs.Ended(t.id.Job, t.jobRevision)
 }
@@ -31,8 +31,8 @@
 	return out
 }
 
-// stopTasksOfEndedJobs decides to stop the tasks of ended jobs. No scheduler acknowledges their exits any more, so
-// they count as acknowledged.
+// stopTasksOfEndedJobs decides to stop the tasks of ended jobs. Their exits count as acknowledged, so that the worker
+// can forget them without a scheduler's acknowledgement.
 func (s *State) stopTasksOfEndedJobs(m *machine, tasks []*task) {
 	for _, t := range tasks {
 		if !s.jobEnded(t) {
@@ -108,7 +108,7 @@
 // prependForgetCommands puts the forget commands that are due in front of other commands. A run command that arrives
 // after the forget would start the attempt a second time. So forget commands go only into responses to heartbeats,
 // which the worker processes in order, and only when no unanswered delivery can still bring the run command
-// (docs/design.md, argument 2).
+// (docs/design.md, "Why the rules hold", number 2).
 func prependForgetCommands(m *machine, tasks []*task, others []wire.Order) []wire.Order {
 	var out []wire.Order
 	for _, t := range tasks {
--- a/internal/partition/delivery_state.go
+++ b/internal/partition/delivery_state.go
@@ -26,10 +26,10 @@
 // deliveryState holds the fencing token of one machine and the state of command deliveries to its worker's own
 // address.
 //
-// A fencing token is (partition term, sequence number). A worker rejects commands under a lower token than the
-// highest it has seen, so commands of former leaders and of abandoned deliveries change nothing. An unanswered
-// delivery increments the sequence number: the worker may still execute its commands until it reports a higher token
-// (docs/design.md, arguments 1 and 2).
+// A fencing token is (partition term, sequence number). A worker rejects commands under a lower token than the highest
+// it has seen, so commands of former leaders and of abandoned deliveries change nothing. An unanswered delivery
+// increments the sequence number: the worker may still execute its commands until it reports a higher token
+// (docs/design.md, "Why the rules hold", numbers 1 and 2).
 type deliveryState struct {
 	token         uint64       // the token of the next commands
 	reportedToken uint64       // the highest that the worker has reported as seen
--- a/internal/partition/expiry.go
+++ b/internal/partition/expiry.go
@@ -4,7 +4,7 @@
 
 const (
 	// silenceMargin is added to the worker lease, on top of clock drift, before a machine counts as silent
-	// (docs/design.md, argument 4).
+	// (docs/design.md, "Why the rules hold", number 4).
 	silenceMargin = 500 * clock.Millisecond
 	// goneRetention is how long a machine that is gone stays known, so that its late heartbeats are rejected.
 	goneRetention = 600 * clock.Second
@@ -32,7 +32,7 @@
 
 // expireWorkerLease marks a machine as silent, and removes its tasks, when no leader can have answered its heartbeats
 // with 200 for a whole worker lease: the worker has then killed and forgotten all of its tasks (docs/design.md,
-// argument 4).
+// "Why the rules hold", number 4).
 func (s *State) expireWorkerLease(m *machine, now clock.Micros) {
 	if m.worker.lost() || now <= m.worker.answeredAt+s.timing.Lease.PlusDrift()+silenceMargin {
 		return
@@ -69,9 +69,9 @@
 	}
 }
 
-// decideRecordRemoval decides to remove the record of a lost machine, again with each tick until the record is gone.
-// A machine that comes back before then gets no tasks until it is recorded again: the new write changes the mod
-// revision that the late removal is conditional on, so the removal fails (docs/design.md, argument 5).
+// decideRecordRemoval decides to remove the record of a lost machine, again with each tick until the record is gone. A
+// machine that comes back before then gets no tasks until it is recorded again: the new write changes the mod revision
+// that the late removal is conditional on, so the removal fails (docs/design.md, "Why the rules hold", number 5).
 func (m *machine) decideRecordRemoval() bool {
 	if !m.worker.lost() || m.record == recordAbsent {
 		return false
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -83,7 +83,8 @@
 	return response
 }
 
-// redirectHeartbeat answers the heartbeat of a machine whose partition another process leads.
+// redirectHeartbeat answers the heartbeat of a machine whose partition this process does not lead: with 421 and the
+// leader's name, or with 503 if no leader is known.
 func (s *Server) redirectHeartbeat(hb *wire.Heartbeat, partition int) httpx.Response {
 	leader, ok := s.elections.Leader(Duty(partition))
 	if !ok || leader == s.controller {
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// applyIncarnation records the incarnation and tick of a status. When a worker begins a later incarnation it has
-// killed the tasks of the earlier ones, so their attempts are removed (docs/design.md, argument 4).
+// applyIncarnation records the incarnation and tick of a status. When a worker begins a later incarnation it has killed
+// the tasks of the earlier ones, so their attempts are removed (docs/design.md, "Why the rules hold", number 4).
 func (s *State) applyIncarnation(m *machine, hb *wire.Heartbeat, now clock.Micros) (changed bool) {
 	changed = !m.worker.contacted
 	if !m.worker.contacted || hb.Incarnation > m.worker.incarnation {
@@ -111,9 +111,9 @@
 	return changed
 }
 
-// applyWorkerState records the highest fencing token that the worker has seen, and its eviction notice. The first
-// token of this term makes the machine accounted for: the worker rejects all commands of former leaders from then on
-// (docs/design.md, argument 6).
+// applyWorkerState records the highest fencing token that the worker has seen, and its eviction notice. The first token
+// of this term makes the machine accounted for: the worker rejects all commands of former leaders from then on
+// (docs/design.md, "Why the rules hold", number 6).
 func (s *State) applyWorkerState(m *machine, hb *wire.Heartbeat, now clock.Micros) (changed bool) {
 	m.delivery.reportedToken = max(m.delivery.reportedToken, hb.FencingToken)
 	if m.delivery.unconfirmed && hb.FencingToken >= m.delivery.token {
@@ -173,10 +173,10 @@
 	return t
 }
 
-// removeUnlistedTasks removes the tasks that a worker has listed before and does not list any more, and those that
-// were stopped before they started and can't start any more. The latter is certain only from a heartbeat that was
-// sent after the one whose response carried the last run command, and when no unanswered delivery can still bring a
-// run command (docs/design.md, argument 2).
+// removeUnlistedTasks removes the tasks that a worker has listed before and does not list any more, and those that were
+// stopped before they started and can't start any more. The latter is certain only from a heartbeat that was sent after
+// the one whose response carried the last run command, and when no unanswered delivery can still bring a run command
+// (docs/design.md, "Why the rules hold", number 2).
 func (s *State) removeUnlistedTasks(m *machine, hb *wire.Heartbeat, listed map[peer.TaskID]bool, via route) {
 	for id, t := range m.tasks {
 		if listed[id] || t.state == taskLeased {
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -6,8 +6,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// maxReservation is the longest time for which a scheduler can reserve resources for a task that is to move to a
-// machine.
+// maxReservation is the longest time that a held lease lasts. A held lease is a resource lease that is granted for a
+// task that is to move to the machine; the task starts only by a StartTask.
 const maxReservation = 60 * clock.Second
 
 // decision is the outcome of an assignment.
@@ -62,8 +62,9 @@
 	return !m.hasAttempt(a.ID.Job, a.ID.N)
 }
 
-// attemptTermShift is the number of bits below the team's term in an attempt number. Because each team leader puts
-// its own term into the number, leaders of different terms never use the same one (docs/design.md, argument 3).
+// attemptTermShift is the number of bits below the team's term in an attempt number. Because each team leader puts its
+// own term into the number, leaders of different terms never use the same one (docs/design.md,
+// "Why the rules hold", number 3).
 const attemptTermShift = 32
 
 // chooseVictims selects, among the preemption victims that an assignment names, as many tasks as must stop for the
@@ -116,9 +117,8 @@
 	return t.addedAt + s.timing.RoomLeaseTTL
 }
 
-// hasReservation reports whether the machine has a reservation: a lease held for a task that is to move to the
-// machine. A machine has at most one, so that moves that several schedulers decide on at the same time do not meet on
-// it.
+// hasReservation reports whether the machine has a held lease. A machine has at most one, so that moves that several
+// schedulers decide on at the same time do not meet on it.
 func (m *machine) hasReservation() bool {
 	for _, t := range m.tasks {
 		if t.reserved && !t.exited() {
@@ -128,9 +128,9 @@
 	return false
 }
 
-// startReservedTask turns a reservation into an ordinary lease, so that the task's run command is sent. The current
-// leader of the task's team requests this once the task is gone from its previous machine; without the request the
-// reservation expires. A machine that has become unusable drops the reservation instead.
+// startReservedTask turns a held lease into an ordinary one, so that the task's run command is sent. The current leader
+// of the task's team requests this once the task is gone from its previous machine; without the request the held lease
+// expires. The held lease is removed instead if the job has ended or the machine has become unusable.
 func (s *State) startReservedTask(start *peer.StartTask, term uint64, now clock.Micros) {
 	m := s.machines[start.Machine]
 	if m == nil {
--- a/internal/partition/leases_test.go
+++ b/internal/partition/leases_test.go
@@ -29,7 +29,7 @@
 }
 
 // An assignment that a scheduler made for a former leader of the partition reaches the next one. It must be rejected,
-// since it rests on the former leader's view.
+// since it is based on the former leader's view.
 func TestAssignmentUnderFormerPartitionTermIsRejected(t *testing.T) {
 	s := newFixture(t)
 	s.state.AcquirePartition(0, 2, map[string]inventory.Record{"m-1": {Addr: "x", Type: "big"}}, s.now)
@@ -62,7 +62,7 @@
 	require.Equal(t, wire.VerbRun, orders.Orders[0].Verb)
 }
 
-// A reservation takes resources of the machine for a task that is to move there. The task must not start before its
+// A held lease takes resources of the machine for a task that is to move there. The task must not start before its
 // scheduler reports that it is gone from its previous machine, or it would run twice.
 func TestReservationStartsOnlyByStartTask(t *testing.T) {
 	s := newFixture(t)
@@ -75,14 +75,14 @@
 	require.Empty(t, s.worker.Tasks)
 	require.True(t, s.tasks()[0].Held)
 	require.True(t, s.assign(1, 2) && s.assign(2, 3) && s.assign(3, 4))
-	require.False(t, s.assign(4, 5), "the reservation and three leases take all resources")
+	require.False(t, s.assign(4, 5), "the held lease and three ordinary leases take all resources")
 	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
 	require.False(t, s.tasks()[0].Held)
 }
 
-// Several schedulers decide at the same time to move tasks to one machine. Only one of them may get a reservation.
+// Several schedulers decide at the same time to move tasks to one machine. Only one of them may get a held lease.
 func TestMachineHasOneReservationAtATime(t *testing.T) {
 	s := newFixture(t)
 	require.True(t, s.reserve(0, 1))
@@ -100,13 +100,13 @@
 			s.heartbeat()
 			s.state.Tick(s.now)
 		}
-		require.Len(t, s.tasks(), 1, "a reservation lasts longer than an ordinary lease")
+		require.Len(t, s.tasks(), 1, "a held lease lasts longer than an ordinary one")
 		s.now += 2 * sec
 		s.state.Tick(s.now)
 		require.Empty(t, s.tasks())
 		s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 		s.heartbeat()
-		require.Empty(t, s.worker.Tasks, "a start after the reservation has expired must be ignored")
+		require.Empty(t, s.worker.Tasks, "a start after the held lease has expired must be ignored")
 	})
 	t.Run("is stopped", func(t *testing.T) {
 		s := newFixture(t)
@@ -135,7 +135,7 @@
 	require.True(t, s.tasks()[0].Held)
 }
 
-// A machine receives an eviction notice while it has a reservation. The reserved task must not start there.
+// A machine receives an eviction notice while it has a held lease. The task must not start there.
 func TestReservedStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
 	s := newFixture(t)
 	s.reserve(0, 1)
--- a/internal/partition/liveness.go
+++ b/internal/partition/liveness.go
@@ -27,8 +27,8 @@
 // it.
 //
 // Heartbeats and responses to deliveries are ordered by (incarnation, tick), and an older one changes nothing
-// (docs/design.md, argument 2). Each heartbeat is answered, and counts as a sign of life, only once, so that late
-// copies do not keep a dead machine alive (argument 13).
+// (docs/design.md, "Why the rules hold", number 2). Each heartbeat is answered, and counts as a sign of life, only
+// once, so that late copies do not keep a dead machine alive (number 13).
 type workerState struct {
 	contacted     bool   // a heartbeat or a response to a delivery has arrived in this term
 	incarnation   uint64 // the latest known; until the worker is contacted, a guess to address commands to
--- a/internal/partition/machine.go
+++ b/internal/partition/machine.go
@@ -12,7 +12,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// recordState is the state of a machine's record in the key-value store (docs/design.md, argument 5).
+// recordState is the state of a machine's record in the key-value store (docs/design.md,
+// "Why the rules hold", number 5).
 //
 //	             record seen                 removal decided
 //	recordAbsent -----------> recordPresent ----------------> recordRemoving
@@ -38,8 +39,8 @@
 
 // machine is a machine of a partition that this process leads.
 //
-// Its tasks are all attempts that may be running on it or have its resources leased. A task is removed only when it
-// is gone for certain (docs/design.md, argument 4) or when no run command was ever sent for it.
+// Its tasks are all attempts that may be running on it or have its resources leased. A task is removed only when it is
+// gone for certain (docs/design.md, "Why the rules hold", number 4) or when no run command was ever sent for it.
 type machine struct {
 	id        string
 	partition int
@@ -54,7 +55,7 @@
 	record   recordState
 
 	// accounted is set when the worker has reported a token of this term: it rejects commands of former leaders from
-	// then on, so its task list is complete (docs/design.md, argument 6).
+	// then on, so its task list is complete (docs/design.md, "Why the rules hold", number 6).
 	accounted bool
 	draining  bool
 	eviction  evictionNotice
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -92,7 +92,7 @@
 
 // writeMachineRecords adds and removes machine records. Each write is conditional on this process still leading the
 // partition and on the key's last known mod revision, so that a late write can't remove the record of a machine that
-// may hold tasks (docs/design.md, argument 5). A later tick retries failed writes.
+// may hold tasks (docs/design.md, "Why the rules hold", number 5). A later tick retries failed writes.
 func (s *Server) writeMachineRecords(ctx context.Context, unrecorded inventory.Group, removals []string) {
 	for partition, changes := range s.changesByPartition(unrecorded, removals) {
 		leadership, leading := s.elections.Leading(Duty(partition))
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -13,12 +13,12 @@
 	publicationDelay           = 12 * clock.Millisecond // from a change to its publication, to include changes that follow at once
 	minPublicationInterval     = 25 * clock.Millisecond
 	maxPublicationInterval     = 120 * clock.Millisecond
-	publicationIntervalPerPoll = clock.Millisecond / 8 // added to minPublicationInterval per known machine and waiting poll
+	publicationIntervalPerPoll = clock.Millisecond / 8 // times the known machines, times the waiting polls; added to minPublicationInterval
 )
 
 // publicationInterval returns the shortest time between two publications. It grows with the number of known machines
-// and of waiting polls, because each response costs both sides, and every controller polls every other one. Most of
-// the cost of a process comes from how often it is woken, not from how much it does then.
+// and with that of waiting polls, because each response costs both sides, and every controller polls every other one.
+// Most of the cost of a process comes from how often it is woken, not from how much it does then.
 func publicationInterval(machines, waitingPolls int) clock.Micros {
 	return min(minPublicationInterval+clock.Micros(machines*waitingPolls)*publicationIntervalPerPoll, maxPublicationInterval)
 }
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -113,14 +113,14 @@
 	return s.state.view(s.state.machines["m-1"], 0, s.now).Tasks
 }
 
-// reserve sends an assignment with a reservation and reports whether it was accepted.
+// reserve sends an assignment with a held lease and reports whether it was accepted.
 func (s *fixture) reserve(n int, attempt uint64) bool {
 	a := assignment(n, attempt)
 	a.Hold = 20 * sec
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
 }
 
-// startFirstTask returns the message that starts the job's first task, attempt 1, on its reservation.
+// startFirstTask returns the message that starts the job's first task, attempt 1, on its held lease.
 func startFirstTask() peer.StartTask {
 	return peer.StartTask{ID: assignment(0, 1).ID, Machine: "m-1", Team: team}
 }
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -11,8 +11,8 @@
 // UnrecordedMachines and Tick return commands to send and machine records to add or remove. The server reports their
 // results with HandleDeliveryResponse, HandleDeliveryTimeout and HandleMachineRecord.
 //
-// The following invariants are proved in docs/design.md, "Why the rules hold"; the number is that of the argument.
-// Each line ends with the types and methods that maintain the invariant.
+// The following invariants are numbered as in docs/design.md, "Why the rules hold", which gives the reasons. Each line
+// ends with the types and methods that maintain the invariant.
 //
 //   - 1: workers reject commands of former partition leaders, by the fencing token: deliveryState
 //   - 2: an attempt whose run command may still reach the worker is not given up: task.unansweredToken,
--- a/internal/partition/tasks.go
+++ b/internal/partition/tasks.go
@@ -8,7 +8,8 @@
 )
 
 // taskState is the progress of an attempt on a machine, as this leader knows it. An attempt that a worker lists, but
-// that a former leader assigned, is called found. It starts as taskReported.
+// that a former leader assigned, is called found. It starts as taskReported, or as taskExited if the worker lists it as
+// exited.
 //
 //	(accepted)               (found)
 //	    |                       |
@@ -24,7 +25,7 @@
 //	                any more
 //
 // An attempt that is past taskLeased is also removed when it is gone for certain: the worker has begun a later
-// incarnation, the worker lease has expired, or the machine is gone (docs/design.md, argument 4).
+// incarnation, the worker lease has expired, or the machine is gone (docs/design.md, "Why the rules hold", number 4).
 type taskState uint8
 
 const (
@@ -35,7 +36,7 @@
 )
 
 // task is one attempt on a machine. While unansweredToken shows that its run command may still arrive, the attempt is
-// kept, whatever else is known of it: the worker could still start it (docs/design.md, argument 2).
+// kept, whatever else is known of it: the worker could still start it (docs/design.md, "Why the rules hold", number 2).
 type task struct {
 	id          peer.TaskID
 	team        string
@@ -48,12 +49,12 @@
 
 	state           taskState
 	withinGuarantee bool // its job is within its team's guarantee
-	reserved        bool // its lease is a reservation: no run command is sent before a peer.StartTask
+	reserved        bool // it has a held lease: no run command is sent before a peer.StartTask
 	stopping        bool // it is to stop, with stopGraceS to checkpoint
 	acknowledged    bool // its exit is recorded, or its job has ended: the worker may forget it
 
-	addedAt     clock.Micros // when the lease was accepted, the reservation was started, or the attempt was found
-	reservedFor clock.Micros // the longest time that a reservation lasts
+	addedAt     clock.Micros // when the lease was accepted, the held lease was started, or the attempt was found
+	reservedFor clock.Micros // the longest time that the held lease lasts
 	stopGraceS  float64
 
 	runTick         uint64       // tick of the heartbeat whose response carried the last run command
