--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -26,8 +26,8 @@
 	Type string `json:"t"` // machine type in the catalog
 	Zone string `json:"z"`
 	Spot bool   `json:"s,omitempty"`
-	// AtMS is the time of day, in milliseconds, when the record was made; the machine existed then. 0:
-	// unknown.
+	// AtMS is the wall clock time, in Unix milliseconds, when the record was made; the machine existed
+	// then. 0: unknown.
 	AtMS int64 `json:"w,omitempty"`
 }
 
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -153,8 +153,9 @@
 	return f, ok
 }
 
-// Ended reports whether a job has ended whose record had the mod revision modRevision: its final state is
-// known, or the cache includes that revision and has no active job with this id.
+// Ended reports whether a job has ended. modRevision is the mod revision of the job's record. The job has
+// ended if its final state is known, or if the cache includes that revision and has no active job with this
+// id.
 func (c *Cache) Ended(id string, modRevision uint64) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -8,7 +8,7 @@
 // Record is the value of an active job's key, ml/a/ID. Golden tests check its encoded form.
 type Record struct {
 	wire.Job
-	AcceptedMS int64 `json:"accepted_ms"` // time of day at the accepting controller, in milliseconds
+	AcceptedMS int64 `json:"accepted_ms"` // wall clock time at the accepting controller, in Unix milliseconds
 	// Watermarked jobs may be placed without a watermark of their own in the key-value store: from
 	// acceptance on, each of their tasks counts as possibly assigned.
 	Watermarked bool `json:"marked,omitempty"`
--- a/internal/kvstore/budget_shares_test.go
+++ b/internal/kvstore/budget_shares_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The shares and bursts of the budget for given limits of the store.
+// newBudget divides the limits of the store into the shares and bursts of one controller.
 func TestBudgetIsDividedIntoSharesAndBursts(t *testing.T) {
 	type limit struct {
 		perSecond float64
--- a/internal/kvstore/doc.go
+++ b/internal/kvstore/doc.go
@@ -1,8 +1,8 @@
 // Package kvstore is the client of the key-value store, which holds all durable state that controllers share.
 //
-// Client sends requests and keeps to this controller's part of the request budget (budget.go). PriorityClient and UserClient are
-// the same client with other parts of the budget. Replica follows all keys by a watch and notifies one listener of every change,
-// in order. The package does only I/O: its callers decide what to write, and on which conditions.
+// Client sends requests and keeps to this controller's part of the request budget (budget.go). PriorityClient and UserClient
+// are the same client with other parts of the budget. Replica follows all keys by a watch and notifies one listener of the
+// changes, those of each key in order. The package does only I/O: its callers decide what to write, and on which conditions.
 //
 // Invariants:
 //
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -29,7 +29,7 @@
 	LeaderPrefix, ControllerPrefix, ActiveJobPrefix, MachinePrefix, ProgressPrefix, WatermarkPrefix, ZonePrefix, catalogPrefix,
 }
 
-// Event is one change of a key. Events come in order of revisions.
+// Event is one change of a key. The events of a key come in the order of their revisions.
 type Event struct {
 	Key         string
 	Value       json.RawMessage // nil: deleted
@@ -53,8 +53,8 @@
 	revision     uint64            // the listener knows all changes up to this one
 }
 
-// NewReplica makes a replica that notifies the listener of changes, in order, together with the revision up to which the
-// listener then knows all changes. The goroutine of Run calls the listener, which must not block.
+// NewReplica makes a replica that notifies the listener of changes, those of each key in order, together with the revision up
+// to which the listener then knows all changes. The goroutine of Run calls the listener, which must not block.
 func NewReplica(source Source, listener func([]Event, uint64), log *slog.Logger) *Replica {
 	return &Replica{source: source, notify: listener, log: log, modRevisions: map[string]uint64{}}
 }
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -12,8 +12,8 @@
 	e.log.Warn("leaderships resigned", "incarnation", e.lastResigned, "reason", reason)
 }
 
-// StoreContact returns the age of the last contact with the key-value store, and the last incarnation that resigned. Contact is
-// the sending of the last renewal or registration that the store has confirmed.
+// StoreContact returns the age of the last contact with the key-value store, and the last incarnation that resigned. The age is
+// the time since the last confirmed renewal or registration was sent.
 func (e *Elector) StoreContact() (age clock.Micros, resigned string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,13 +42,13 @@
 	}
 }
 
-// peerContactLimit returns the age of a peer's last contact from which on the peer counts as having no contact with the store.
-// It is half the time after which this process counts as cut off, so that an outage that both share makes neither resign.
+// peerContactLimit returns the age of a peer's last contact with the store at which the peer counts as having lost contact. It
+// is half the time after which this process counts as cut off, so that an outage that both share makes neither resign.
 func (e *Elector) peerContactLimit() clock.Micros { return e.timing.ResignAfter / 2 }
 
-// SharedOutage reports whether this process hears its peers but neither it nor any of them has contact with the key-value
-// store. No other controller can then serve users better than this one. In a cluster of one controller it is true whenever that
-// controller has no contact.
+// SharedOutage reports whether neither this process nor any peer that it hears has contact with the key-value store, and this
+// process is not isolated. No other controller can then serve users better than this one. In a cluster of one controller it is
+// true whenever that controller has no contact.
 func (e *Elector) SharedOutage() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leaderelection/contact_scenario_test.go
+++ b/internal/leaderelection/contact_scenario_test.go
@@ -65,7 +65,7 @@
 		require.False(t, a.SharedOutage())
 		kv.SetDown(true)
 		time.Sleep(6 * time.Second)
-		require.False(t, a.SharedOutage(), "no peer has reported that it has no contact")
+		require.False(t, a.SharedOutage(), "without a peer's heartbeat the process counts as isolated")
 		a.ObservePeer(6 * clock.Second)
 		require.True(t, a.SharedOutage())
 		a.ObservePeer(clock.Second)
--- a/internal/leaderelection/doc.go
+++ b/internal/leaderelection/doc.go
@@ -57,7 +57,7 @@
 // Numbers refer to docs/design.md, "Why the rules hold"; titles in quotation marks are sections of that page.
 //
 //   - At most one controller acts on a leadership at any time ("Leadership"). A leader acts only while its lease is valid by
-//     its own steady clock, and no other controller can acquire the leadership before the store has dropped the leader's
+//     its own monotonic clock, and no other controller can acquire the leadership before the store has dropped the leader's
 //     registration, which lasts longer than that. The one exception is a leader that resigns or transfers the leadership: it
 //     stops acting on it for good, and only then lets another acquire it (Elector.ObservePeer, Election.TransferLeadership).
 //   - A leadership takes effect only when the replica shows it, so that the new leader has applied every record written before
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -130,7 +130,7 @@
 func (e *Election) applyLeadership(duty string, ev kvstore.Event) {
 	l := Leadership{ModRevision: ev.ModRevision}
 	if ev.Value != nil && json.Unmarshal(ev.Value, &l.Record) != nil {
-		return // the former state stays, so that no write conditional on its mod revision succeeds
+		return // undecodable: the former mod revision stays, so that a write conditional on it fails
 	}
 	e.leaderships[duty] = l
 }
