--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -7,7 +7,7 @@
 // limits, and makes the requests. instanceList tracks which instances exist, requestPacer limits how many requests
 // are sent at a time, and package zone decides the states of zones. Autoscaler, zoneStates and CloudClient do the I/O.
 //
-// Invariants; the numbers are those of the arguments in docs/design.md, "Why the rules hold":
+// Invariants; the numbers are those in docs/design.md, "Why the rules hold":
 //   - An instance counts as gone only on evidence from the cloud: it was returned, is listed as failed, or is
 //     proven absent from the list (4, instanceList).
 //   - The name of a scale-out request is used only once, and a machine is returned only after its partition
--- a/internal/autoscaler/cloud_client_test.go
+++ b/internal/autoscaler/cloud_client_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only a 503 whose body gives lack of capacity as the reason is a refusal. After any other status but 200 the
-// instances may have been granted; treating it as a refusal would back off too long and request others in their place.
+// Only a 503 whose body gives lack of capacity as the reason is a refusal. After any other status but 200 the instances
+// may have been granted, so the kind is held back only until the list shows them, not for the longer backoff of a
+// refusal.
 func TestCloudStatusIsRefusalOnlyWithNoCapacity(t *testing.T) {
 	require.NoError(t, checkStatus(200, nil))
 	require.ErrorIs(t, checkStatus(503, []byte(`{"error":"no capacity"}`)), errNoCapacity)
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -36,11 +36,11 @@
 // instanceList holds what is known of the fleet's instances in a term, from the cloud's list and from its
 // responses to requests. It does no I/O. The goroutine of Autoscaler.Run owns it.
 //
-// That an instance is absent from a list proves nothing in itself, since the list lags behind and the instance
-// may be newer. But an instance that has been on the list stays on it until it is gone. So if a list describes a
-// later moment than the first one that showed the instance, even if it is twice the lag old, and the instance is
-// not on it, then the instance is gone with all tasks on it. The tasks can be placed again at once, without
-// waiting for the worker's lease to expire (docs/design.md, "Why the rules hold", 4).
+// That an instance is absent from a list proves nothing in itself, since the list lags behind and the instance may be
+// newer. But an instance that has been on the list stays on it until it is gone. So if a list describes a later moment
+// than the first one that showed the instance, even if it is twice the lag old, and the instance is not on it, then the
+// instance is gone with all tasks on it. The tasks can be placed again at once, without waiting for the worker's lease
+// to expire (docs/design.md, "Why the rules hold", number 4).
 type instanceList struct {
 	maxLag  clock.Micros // bound on how far the cloud's list lags behind
 	maxSkew clock.Micros // bound on the difference between the wall clocks of two controllers
@@ -183,8 +183,8 @@
 	delete(l.firstListed, id)
 }
 
-// refreshInstancesIfDue reads the cloud's list if the last complete read is too old, and no failed read has just
-// been made.
+// refreshInstancesIfDue reads the cloud's list if the last complete read is too old. After a failed read it waits for
+// listRetryInterval.
 func (a *Autoscaler) refreshInstancesIfDue(ctx context.Context, now clock.Micros) {
 	due := a.instanceList.listedAt == 0 || now > a.instanceList.listedAt+listInterval
 	if !due || now < a.nextListAt {
--- a/internal/autoscaler/plan_scale_out.go
+++ b/internal/autoscaler/plan_scale_out.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// limitToCatchup drops instances from the request that are not needed because the other capacity completes the waiting
-// work within the time to catch up, or by its deadline if that is earlier. So with economy no instances are requested
-// for work that the present machines complete in time.
+// limitToCatchup reduces the requested instances to those without which the waiting work would not be completed within
+// the time to catch up, or by its deadline if that is earlier. So with economy no instances are requested for work that
+// the present machines complete in time.
 func (p *planner) limitToCatchup() {
 	meanRunS := meanRunTimeS(p.Demands)
 	added := 0.0 // CPUs requested of the kinds before
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -48,8 +48,9 @@
 	require.Empty(t, scaleIn)
 }
 
-// A kind that was refused is not requested during its backoff, and ordinary instances are requested in its place. Tasks
-// that must not run on spot instances, or only in one zone, get no others.
+// A kind that was refused is not requested during its backoff, and ordinary instances are requested in its place. For
+// tasks that must not run on spot instances, or that must run in one zone, only instances that they may use are
+// requested.
 func TestPlanAvoidsRefusedAndForbiddenKinds(t *testing.T) {
 	in := testInput()
 	in.Demands = waitingDemand(4, nil)
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -14,7 +14,7 @@
 
 // scaleIn returns those of the planned machines to the cloud that their partition leaders have drained. Returning a
 // machine that is not drained would kill its tasks, or any task that its partition leader starts there meanwhile
-// (docs/design.md, "Why the rules hold", 12).
+// (docs/design.md, "Why the rules hold", number 12).
 func (a *Autoscaler) scaleIn(ctx context.Context, planned []ScaleIn) {
 	if len(planned) == 0 {
 		return
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -100,9 +100,9 @@
 }
 
 // requestScaleOut sends scale-out requests concurrently, and reports whether fewer instances were granted than
-// requested. Each request is named by the term and a counter, so that no name is ever used again. The cloud treats
-// a request with a known name as a repetition and answers it with the former response, so that a request with
-// a used name would get no new instances (docs/design.md, "Why the rules hold", 12).
+// requested. Each request is named by the term and a counter, so that no name is ever used again. The cloud treats a
+// request with a known name as a repetition and answers it with the former response, so that a request with a used name
+// would get no new instances (docs/design.md, "Why the rules hold", number 12).
 func (a *Autoscaler) requestScaleOut(ctx context.Context, requests []ScaleOut) (short bool) {
 	sent := a.clock.Now()
 	granted := make([]wire.HostList, len(requests))
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -24,7 +24,8 @@
 
 // ZoneSource provides the input by which the fleet's leader decides the states of zones.
 type ZoneSource interface {
-	// ZoneEvidence returns how many machines each zone has, and how many of them are missing.
+	// ZoneEvidence returns, for each zone, how many machines it has, how many of them are missing, and how many are not
+	// accounted for.
 	ZoneEvidence() map[string]zone.Evidence
 	// ZoneRecords returns the stored states of zones with the mod revisions of their keys.
 	ZoneRecords() map[string]ZoneRecord
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,8 +3,8 @@
 //
 // Leases and timeouts are measured on the monotonic clock of a process, so that adjustments of the wall clock don't
 // change them. The monotonic clocks of two processes show different times but run at nearly the same rate. LessDrift
-// and PlusDrift turn a span on one clock into a bound for the other, so that a process never assumes that another
-// one's lease has expired too early (docs/design.md, "Why the rules hold", numbers 4 and 17).
+// and PlusDrift turn a span on one clock into a bound for the other, so that a process never assumes too early that
+// another one's lease has expired (docs/design.md, "Why the rules hold", numbers 4 and 17).
 package clock
 
 import (
--- a/internal/fairshare/withholding.go
+++ b/internal/fairshare/withholding.go
@@ -20,7 +20,7 @@
 	open     map[string]clock.Micros // until when a machine is open after a withholding timed out, by machine
 }
 
-// withholding says that a machine has been withheld in favour of a team since a time.
+// withholding is the team in whose favour a machine is withheld, and the time at which that began.
 type withholding struct {
 	team  string
 	since clock.Micros
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -60,9 +60,9 @@
 // An event that is not listed for a state changes nothing.
 //
 // Invariants for every order of events:
-//   - StartDestination is returned at most once, only from sourceStopping, and only by SourceGone, which says that
-//     the task is certain to be gone from the source. Otherwise two copies of the task could run (docs/design.md,
-//     "Why the rules hold", argument 4).
+//   - StartDestination is returned at most once, only from sourceStopping, and only by SourceGone, which says that the
+//     task is certain to be gone from the source. Otherwise two copies of the task could run (docs/design.md,
+//     "Why the rules hold", number 4).
 //   - When a move ends, the task either still runs at the source or is gone from it.
 //   - A lease that is not used is released, unless it is gone already.
 //
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -156,7 +156,7 @@
 
 // Weigh returns the gain and the cost of a move to a destination, and why the task is not moved there. why is
 // NotDeclined if the gain exceeds the cost by the margin, and the Heat of the destination with the task is lower than
-// the present Heat of the source. The second condition keeps tasks from being moved back and forth.
+// the present Heat of the source.
 func (p *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > maxViewAge {
 		return 0, 0, StaleView
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -96,8 +96,8 @@
 
 // Admits reports whether a task of a stage may be assigned to a machine while inFlight starts are under way in the
 // zone. A machine on which no task has been seen running gets one trial task, of any admitted stage, before it gets
-// more. After a loss that outlasted the workers' leases this holds for all machines, so that urgent tasks
-// must be admitted as trial tasks too and not wait for other work to run first.
+// more. After a loss that outlasted the workers' leases this holds for all machines, so urgent tasks are admitted as
+// trial tasks too: otherwise they would wait for other work to run first.
 func (g *Gate) Admits(task Stage, m Machine, inFlight int, now clock.Micros) bool {
 	stage := g.Stage(now)
 	if stage == Open {
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -60,7 +60,7 @@
 	return stageNames[s]
 }
 
-// valid reports whether there is such a stage. A number read from a record may be of none.
+// valid reports whether there is such a stage. A number read from a record may stand for no stage.
 func (s Stage) valid() bool { return s >= Reconcile && s <= Open }
 
 // StageOf returns the stage with a name, and false if there is none.
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -17,10 +17,10 @@
 // If none are reachable in any zone, it is the deciding controller that is cut off. For the same reason a zone
 // that is the only one is never lost.
 //
-// Invariant: a state never says that a task is gone, since a lost zone may just be cut off while its controllers
-// and workers go on. If it did, tasks would be started twice. What proves that a task is gone is argued in
-// docs/design.md, "Why the rules hold", 4. A state decides only where instances are requested, and which
-// work is admitted to a zone that is reachable again.
+// Invariant: a state never says that a task is gone, since a lost zone may just be cut off while its controllers and
+// workers go on. If it did, tasks would be started twice. What proves that a task is gone is explained in
+// docs/design.md, "Why the rules hold", number 4. A state decides only where instances are requested, and which work is
+// admitted to a zone that is reachable again.
 package zone
 
 import (
@@ -51,8 +51,8 @@
 	Why   string         `json:"why"`             // the evidence for the change, as text
 }
 
-// minMachines is the least number of machines of a zone that can become suspect. Where there are only one or two,
-// they may have failed independently of their zone.
+// minMachines is the number of machines that a zone must have to become suspect. One or two machines may fail
+// independently of their zone.
 const minMachines = 3
 
 // Evidence counts the machines of a zone by what is known of them.
