--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -1,5 +1,5 @@
-// Package jobs caches the jobs in the key-value store at each controller: all active ones, and the final
-// states of recent ones.
+// Package jobs provides each controller's cache of the jobs in the key-value store: all active ones, and
+// the final states of recent ones.
 //
 // Record and Final are the stored forms (record.go). Job is an active job with values derived from its
 // record. Cache is updated by the replica's events. The package does no I/O.
--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -86,8 +86,8 @@
 }
 
 // Drain returns the ids of the machines that can be returned to the cloud: those that hold neither tasks nor leases,
-// and those that are lost. It marks them as draining, so that they get no new tasks. Other machines stay as they are:
-// one that is recorded but not accounted for may hold tasks of former leaders.
+// and those that are lost. It marks them as draining, so that they get no new tasks. Other machines stay as they are.
+// They include recorded machines that are not accounted for, which may hold tasks of former leaders.
 func (s *State) Drain(list []peer.MachineRef, partitionOf func(id, zone string) int, now clock.Micros) (ready []string) {
 	for _, ref := range list {
 		m, added := s.findOrAdd(ref, partitionOf, now)
--- a/internal/partition/batches.go
+++ b/internal/partition/batches.go
@@ -5,8 +5,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// batchRetention is how long the last batch of a scheduler's process is remembered. The process is gone by the time
-// it is dropped.
+// batchRetention is how long the last batch of a scheduler's process is remembered. After that time the process is
+// assumed to be gone, so that it can't repeat the batch.
 const batchRetention = 3600 * clock.Second
 
 // lastBatch is the latest batch of one scheduler process, with its response.
--- a/internal/partition/liveness.go
+++ b/internal/partition/liveness.go
@@ -34,8 +34,9 @@
 	incarnation   uint64 // the latest known; until the worker is contacted, a guess to address commands to
 	tick          uint64 // the latest known of the incarnation
 	lastHeartbeat heartbeatID
-	// answeredAt is the latest time at which the worker lease may have started: the last answered heartbeat, the
-	// first status of an incarnation, or the acquisition of the partition.
+	// answeredAt is the latest time at which the worker lease may have started: the last answered heartbeat, the first
+	// status of an incarnation, the response that showed a restart within an incarnation, or the acquisition of the
+	// partition. For a machine that is gone it is the time of that report.
 	answeredAt clock.Micros
 	overdue    bool
 	silent     bool
--- a/internal/partition/quarantine.go
+++ b/internal/partition/quarantine.go
@@ -54,7 +54,8 @@
 	clear(r.jobs)
 }
 
-// recordExit counts a task's exit for or against its machine and its job.
+// recordExit updates the failure records of a task's machine and job when the task exits. A success clears both. An
+// error counts against the machine, unless the job has failed on more than jobFaultThreshold machines.
 func (s *State) recordExit(m *machine, t *task, cause string, now clock.Micros) {
 	switch cause {
 	case wire.CauseDone:
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -69,7 +69,7 @@
 	Instance             string // incarnation of this process
 	Partitioning         Partitioning
 	TxnOps               int // largest number of operations in a transaction
-	MaxRecordBytes       int
+	MaxRecordBytes       int // largest value of a key with machine records, in bytes
 	MaxWorkerConnections int // largest number of connections to workers' own addresses
 	Timing               Timing
 
