--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -13,8 +13,8 @@
 const (
 	// catalogInterval is the time between two reads of the catalog. Prices and zones change rarely.
 	catalogInterval = 30 * clock.Second
-	// catalogWriteRetryInterval is the time after which the catalog is read and stored again when storing
-	// it failed.
+	// catalogWriteRetryInterval is the time after which the catalog is read and stored again if storing it has
+	// failed.
 	catalogWriteRetryInterval = 3 * clock.Second
 )
 
--- a/internal/autoscaler/cloud_client.go
+++ b/internal/autoscaler/cloud_client.go
@@ -19,7 +19,7 @@
 	// cloudCallTimeout bounds a call including its wait for the rate limiter, so that an outage of the cloud
 	// does not block the autoscaler's loop.
 	cloudCallTimeout = 5 * time.Second
-	// cloudConnections is the number of connections to the cloud.
+	// cloudConnections is the number of idle connections to the cloud that are kept open.
 	cloudConnections = 4
 	// cloudBudgetShare is the share of the permitted request rate that the client uses. The cloud may measure
 	// the rate over other intervals of a second than the client, and so count more requests in one of them.
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// usageInterval is the time between two counts of the teams' usage, with each of which the shares are divided again.
-// Leases that are granted in between are added to the last count.
+// usageInterval is the time between two counts of the teams' usage. Each count is followed by a new division of the
+// shares. Leases that are granted in between are added to the last count.
 const usageInterval = clock.Second / 2
 
 // UsageDue reports whether the caller should count usage and call UpdateUsage: some demand is known, and the last count
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -16,7 +16,7 @@
 // Claimant is the input of Divide for one team that uses resources or waits for them.
 type Claimant struct {
 	Weight          float64           // of the team's share, relative to other teams' weights
-	Used            resources.Amounts // by its running tasks
+	Used            resources.Amounts // by its tasks
 	Waiting         resources.Amounts // requested by its waiting tasks
 	WithinGuarantee resources.Amounts // the part of Used and Waiting that the team's guarantee covers
 }
