--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -1,5 +1,5 @@
-// Package jobs caches the jobs in the key-value store at each controller: all active ones, and the final
-// states of recent ones.
+// Package jobs provides each controller's cache of the jobs in the key-value store: all active ones, and
+// the final states of recent ones.
 //
 // Record and Final are the stored forms (record.go). Job is an active job with values derived from its
 // record. Cache is updated by the replica's events. The package does no I/O.
@@ -153,8 +153,9 @@
 	return f, ok
 }
 
-// Ended reports whether a job has ended whose record had the mod revision modRevision: its final state is
-// known, or the cache includes that revision and has no active job with this id.
+// Ended reports whether a job has ended. modRevision is the mod revision of the job's record. The job has
+// ended if its final state is known, or if the cache includes that revision and has no active job with this
+// id.
 func (c *Cache) Ended(id string, modRevision uint64) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/partition/liveness.go
+++ b/internal/partition/liveness.go
@@ -27,15 +27,16 @@
 // it.
 //
 // Heartbeats and responses to deliveries are ordered by (incarnation, tick), and an older one changes nothing
-// (docs/design.md, argument 2). Each heartbeat is answered, and counts as a sign of life, only once, so that late
-// copies do not keep a dead machine alive (argument 13).
+// (docs/design.md, "Why the rules hold", number 2). Each heartbeat is answered, and counts as a sign of life, only
+// once, so that late copies do not keep a dead machine alive (number 13).
 type workerState struct {
 	contacted     bool   // a heartbeat or a response to a delivery has arrived in this term
 	incarnation   uint64 // the latest known; until the worker is contacted, a guess to address commands to
 	tick          uint64 // the latest known of the incarnation
 	lastHeartbeat heartbeatID
-	// answeredAt is the latest time at which the worker lease may have started: the last answered heartbeat, the
-	// first status of an incarnation, or the acquisition of the partition.
+	// answeredAt is the latest time at which the worker lease may have started: the last answered heartbeat, the first
+	// status of an incarnation, the response that showed a restart within an incarnation, or the acquisition of the
+	// partition. For a machine that is gone it is the time of that report.
 	answeredAt clock.Micros
 	overdue    bool
 	silent     bool
--- a/internal/partition/quarantine.go
+++ b/internal/partition/quarantine.go
@@ -37,8 +37,8 @@
 	quarantined   bool            // the machine gets no more tasks, and is returned to the cloud once it is empty
 }
 
-// add counts a failure. It cordons the machine, for longer with each failure in a row, and quarantines it when tasks
-// of quarantineJobs different jobs have failed in a row.
+// add counts a failure. It cordons the machine, for longer with each failure in a row, and quarantines it when tasks of
+// quarantineJobs different jobs, or maxConsecutiveFailures tasks, have failed in a row.
 func (r *failureRecord) add(job string, quarantineJobs int, now clock.Micros) {
 	r.consecutive++
 	r.jobs[job] = true
@@ -54,7 +54,8 @@
 	clear(r.jobs)
 }
 
-// recordExit counts a task's exit for or against its machine and its job.
+// recordExit updates the failure records of a task's machine and job when the task exits. A success clears both. An
+// error counts against the machine, unless the job has failed on more than jobFaultThreshold machines.
 func (s *State) recordExit(m *machine, t *task, cause string, now clock.Micros) {
 	switch cause {
 	case wire.CauseDone:
