--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -20,7 +20,7 @@
 	term         uint64 // of the machine's partition at the time of the assignment
 	unanswered   bool   // the partition leader has not answered yet
 	viewVersion  uint64 // version of the machine's view from which on it shows the accepted assignment
-	instance     string // incarnation to which it was sent, or which accepted it
+	instance     string // process of the partition leader to which it was sent, or which accepted it
 	phase        string // as last reported, see wire.Task*
 	reserved     bool   // it is a held lease: the task runs elsewhere and is to move here
 	orphaned     bool   // it is no longer wanted: it is stopped, and only counted until it is gone
@@ -94,7 +94,7 @@
 	}
 }
 
-// requestStop queues a command to stop a task that gives it graceS seconds to checkpoint.
+// requestStop queues a command that stops a task and gives it graceS seconds to save a checkpoint.
 func (s *Scheduler) requestStop(a *assignment, graceS float64) {
 	if m := s.machines[a.machine]; m != nil {
 		session := s.sessions[m.leader]
--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// A batch's response arrives after a poll that shows the machine after the assignment's acceptance and with the task gone again.
-// No later view mentions the task, so accepting the assignment then would keep the task assigned for ever.
+// The response to a batch arrives late: a poll has already shown the machine as it was after the assignment was accepted and its
+// task gone again. No later view mentions the task. Unless the response releases it, the task stays assigned for ever.
 func TestLateAcceptanceOfGoneTaskIsReleased(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.runSteps(8)
@@ -70,7 +70,7 @@
 			sim.deliverCommands(id, true, false)
 		}
 	}
-	sim.boot(crashed) // the response is lost with the incarnation
+	sim.boot(crashed) // the response is lost with the process
 	sim.acquirePartition(p, sim.leaderOf[p])
 	for range 4 {
 		for _, c := range sim.controllers {
@@ -93,8 +93,8 @@
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// The response to a batch comes from another incarnation than the one that may have accepted its assignments. That rejection
-// must not release them: a task that was accepted would be started twice.
+// The response to a batch comes from another process than the one that may have accepted its assignments. That rejection must not
+// release them: a task that was accepted would be started twice.
 func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -8,22 +8,22 @@
 // HasBatch reports whether there is a batch to send to a partition leader now.
 func (s *Scheduler) HasBatch(host string, now clock.Micros) bool { return s.sessions[host].isDue(now) }
 
-// NextBatch returns the batch to send to a partition leader now, or nil if there is none. It returns the same batch until that
-// is answered.
+// NextBatch returns the batch to send to a partition leader now, or nil if there is none. It returns the same batch until the
+// batch is answered or the partition leader's process has been replaced.
 func (s *Scheduler) NextBatch(host string) *peer.Batch {
 	session := s.sessions[host]
 	return session.next(s.instance, session.instance, s.TeamTerms)
 }
 
-// HandleBatchResponse applies the response to a batch; ok is false if another incarnation has answered than the one for which
-// the batch was made.
+// HandleBatchResponse applies the response to a batch. ok is false if the response is not from the process for which the batch was
+// made, or that process has been replaced since.
 func (s *Scheduler) HandleBatchResponse(host string, batch *peer.Batch, response *peer.BatchResponse, now clock.Micros) (ok bool) {
 	session := s.sessions[host]
 	if session.inFlight != batch {
 		return true
 	}
 	if response.Incarnation != session.inFlightInstance || response.Incarnation != session.instance {
-		// The incarnation that was to get the batch may have accepted assignments, which this response says nothing about.
+		// The process that was to get the batch may have accepted its assignments; a response of another one does not tell.
 		session.abandonInFlight()
 		return false
 	}
@@ -44,8 +44,8 @@
 type assignmentResponse struct {
 	accepted bool
 	yielded  bool   // rejected in favour of other teams
-	leader   string // host of the partition leader, which may have lost the machine's partition since
-	instance string // its incarnation
+	leader   string // controller that has responded, which may have lost the machine's partition since
+	instance string // its process
 	version  uint64 // version of the machine's view from which on it shows the assignment
 }
 
@@ -97,9 +97,9 @@
 	s.recomputeAvailable(m)
 }
 
-// recordCancelAcknowledgements records that an incarnation has the cancellations of a batch in memory. A cancellation is only
-// confirmed when that holds for every partition leader: otherwise one could still start a task of the job (docs/design.md,
-// "Why the rules hold", number 11).
+// recordCancelAcknowledgements records that a process has the cancellations of a batch in memory. A cancellation is only confirmed
+// when that holds for every partition leader: otherwise one could still start a task of the job (docs/design.md, "Why the rules
+// hold", number 11).
 func (s *Scheduler) recordCancelAcknowledgements(batch *peer.Batch, instance string) {
 	for _, c := range batch.Cancels {
 		tm := s.teams[c.Team]
--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -13,7 +13,7 @@
 // the cancellation in memory, under exactly the leadership that is a condition of the transaction. A partition leader that
 // handles the job's workers afterwards therefore either has the cancellation in memory, or acquired its partition later and
 // found the final state in its replica. Otherwise a partition leader whose replica is behind the key-value store could still
-// let a task of the cancelled job start (docs/design.md, "Why the rules hold", 11).
+// let a task of the cancelled job start (docs/design.md, "Why the rules hold", number 11).
 
 // PartitionLeadership is the leadership of a partition as this controller's replica shows it.
 type PartitionLeadership struct {
@@ -82,7 +82,7 @@
 // CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these
 // leaderships: the present process of each leader has the cancellation in memory, and no task of the job can start any more.
 // It queues the cancellation for processes that have not acknowledged it. A final state that was written earlier could be
-// answered to the user while a partition leader still starts a task of the job (docs/design.md, "Why the rules hold", 11).
+// reported to the user while a partition leader still starts a task of the job (docs/design.md, "Why the rules hold", number 11).
 func (s *Scheduler) CancellationConfirmed(j *job, partitions []PartitionLeadership) bool {
 	if !j.mayHaveBeenAssigned() {
 		return j.cancelling
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Guards against a task that starts after its job has been answered as cancelled. The job is cancelled while a run command is on
+// Guards against a task that starts after its job has been reported as cancelled. The job is cancelled while a run command is on
 // its way to the worker, while its image is being fetched, or while a machine on which a former scheduler may have placed it is
 // not accounted for. Every partition leader has acknowledged the cancellation, but it must not count as confirmed before no task
 // can start any more.
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -13,15 +13,15 @@
 const (
 	// cancelTimeout is how long a request waits for its cancellation before its user is asked to retry.
 	cancelTimeout = 1500 * time.Millisecond
-	// cancelRetryInterval is how long the final state of a cancelled job is not written after a write failed. Most writes fail
-	// because a leadership has changed and the replica does not show the change yet.
+	// cancelRetryInterval is the pause after a failed write of a cancelled job's final state. Most writes fail because a
+	// leadership has changed and the replica does not show the change yet.
 	cancelRetryInterval = 200 * clock.Millisecond
 )
 
 // canceller carries out cancellations: it has the Scheduler send them to the partition leaders, waits until all have
 // acknowledged, and writes the final state on the condition that no partition's leadership has changed.
-// Scheduler.CancellationConfirmed decides when it may write. A job that is answered as cancelled therefore starts no task
-// afterwards (docs/design.md, "Why the rules hold", 11).
+// Scheduler.CancellationConfirmed decides when it may write. A job that is reported as cancelled therefore starts no task
+// afterwards (docs/design.md, "Why the rules hold", number 11).
 type canceller struct {
 	*core
 	store           Store
@@ -41,7 +41,7 @@
 }
 
 // CancelJob cancels a job: no task of it is assigned from now on. Once it is certain that no task can start on any machine the
-// final state is written, and only then is the job answered as cancelled. When that takes longer than cancelTimeout the user is
+// final state is written, and only then is the job reported as cancelled. When that takes longer than cancelTimeout the user is
 // asked to retry.
 func (s *Server) CancelJob(request peer.JobRequest) peer.JobResponse {
 	return s.cancellations.cancel(request)
@@ -99,8 +99,8 @@
 	return cancelStep{job: j, partitions: partitions, write: c.beginFinalWrite(j, partitions), updated: c.updated.next()}
 }
 
-// resume continues all cancellations, also those whose users were asked to retry. The users then find the final state written,
-// and no job stays active for ever that may not start any task.
+// resume continues all cancellations, also those whose users were asked to retry. A user who retries then finds the final state
+// written, and no cancelled job stays active for ever.
 func (c *canceller) resume(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -26,7 +26,7 @@
 
 	mu        sync.Mutex
 	scheduler *Scheduler // guarded by mu, as are the teams and jobs that it returns
-	updated   broadcast  // guarded by mu; notified after each answer of a partition leader and each write of a cancellation
+	updated   broadcast  // guarded by mu; notified after each response of a partition leader and each write of a cancellation
 }
 
 // errLeadershipLost means that this process no longer leads a team, or leads it under another term.
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -125,8 +125,8 @@
 }
 
 // teamDemands computes the demand of each team that this process leads, also of teams for which nothing waits. It leaves out jobs
-// with tasks that a former leader may have started and that therefore wait until all machines are accounted for, since they
-// could not use capacity now.
+// with tasks that a former leader may have started, since these tasks wait until all machines are accounted for and could not use
+// capacity now.
 func (s *Scheduler) teamDemands(now clock.Micros) []fairshare.Demand {
 	shapes := map[string][]fairshare.Shape{}
 	indices := map[shapeKey]int{}
--- a/internal/scheduler/exhausted_demand.go
+++ b/internal/scheduler/exhausted_demand.go
@@ -4,8 +4,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// exhaustedDemand records, for one scheduling cycle, for which jobs no capacity was found, so that the search is not repeated for
-// the same job or for a job that needs at least as much as an unconstrained one.
+// exhaustedDemand records, for one scheduling cycle, for which jobs no capacity was found. The search is then not repeated for the
+// same job, nor for a job whose tasks need at least as much as those of an unconstrained job for which none was found.
 type exhaustedDemand struct {
 	needs  []resources.Amounts // requests of one task of unconstrained jobs for which no machine had capacity
 	jobs   map[*job]bool       // jobs for which no machine had capacity
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -35,8 +35,8 @@
 	tm.yielding[host] = y
 }
 
-// yieldsAt reports whether the job should not be assigned to a partition leader now because that keeps its capacity for other
-// teams. Work within a guarantee, and work of a higher priority than was rejected, is assigned all the same.
+// yieldsAt reports whether the job should not be assigned to a partition leader now because the leader keeps its capacity for
+// other teams. Work within a guarantee, and work of a higher priority than was rejected, is assigned all the same.
 func (j *job) yieldsAt(host string, now clock.Micros) bool {
 	y, ok := j.team.yielding[host]
 	return ok && now < y.until && j.PriorityLevel <= y.maxPriority && !j.withinGuarantee
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -28,7 +28,7 @@
 	return !j.Spread || j.tasksByZone[m.Zone]+1 <= (j.Tasks+1)/2
 }
 
-// unconstrained reports whether any machine with enough capacity may take the job's tasks.
+// unconstrained reports whether the job itself allows its tasks on any machine with enough capacity.
 func (j *job) unconstrained() bool {
 	return j.Spot && j.Zone == "" && len(j.Types) == 0 && !j.OneZone && !j.Spread && len(j.avoidUntil) == 0
 }
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -31,11 +31,11 @@
 
 // finalStateWriter writes the final states of jobs. One transaction replaces the active record by the final state, on the
 // condition of the team's leadership and of the active record's mod revision. From the moment at which it is sent until its
-// outcome is known the job's status is not answered (job.finalStateUncertain), so that no user is told that a job is active
-// after its final state has been written (docs/design.md, "Why the rules hold", 10).
+// outcome is known, users who query the job are asked to retry (job.finalStateUncertain), so that none is told that a job is
+// active after its final state has been written (docs/design.md, "Why the rules hold", number 10).
 //
 // A job that ends as done needs no confirmation by partition leaders. The final state of a cancelled job is written through
-// canceller, which waits for their confirmation (argument 11 there).
+// canceller, which waits for their confirmation (number 11 there).
 type finalStateWriter struct {
 	*core
 	store    Store // for jobs that are done, and for progress records that are deleted afterwards
@@ -53,15 +53,15 @@
 	conditions []wire.Condition // in addition to those on the team's leadership and the jobs' records
 }
 
-// startDue starts writing the final states of jobs whose tasks are all done, with as many jobs in a transaction as fit. The
-// status of a job is answered until immediately before its final state is sent.
+// startDue starts writing the final states of jobs whose tasks are all done, with as many jobs in a transaction as fit. Queries
+// of a job are answered until immediately before its final state is sent.
 func (w *finalStateWriter) startDue(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	maxOperations := min(w.txnOps, maxFinalWriteOperations)
 	for _, tm := range w.scheduler.teams {
 		ready := w.scheduler.CompletedJobs(tm)
-		// When more jobs are ready than fit into one transaction with two operations each, one operation must do for each.
+		// When more jobs are ready than fit into one transaction with two operations each, each job gets only one operation.
 		inPlace := maxOperations < 2 || len(ready) > maxOperations/2
 		for len(ready) > 0 && tm.finalWritesInFlight < maxFinalWritesInFlight {
 			n := w.batchSize(ready, maxOperations, inPlace)
@@ -111,9 +111,9 @@
 }
 
 // write writes final states, and repeats the transaction until it is written. Jobs that are no longer active at an attempt are
-// left out of it. It gives up when the team's leadership is lost (errLeadershipLost) or the context ends. The write of a
-// cancellation it also gives up when an attempt is rejected and no earlier one is without an answer, or after
-// maxUncertainCancelAttempts attempts; the error is then that of the last attempt.
+// left out of it. It gives up when the team's leadership is lost (errLeadershipLost) or the context ends. It also gives up the
+// write of a cancellation as soon as an attempt is rejected and all earlier ones were, or after maxUncertainCancelAttempts
+// attempts; the error is then that of the last attempt.
 func (w *finalStateWriter) write(ctx context.Context, f *finalWrite) error {
 	tm := f.jobs[0].team
 	for attempt := 1; ctx.Err() == nil; attempt++ {
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -23,7 +23,7 @@
 }
 
 // slowestFetchTime returns how long the slowest machine type that the job allows takes to fetch the job's image; ok is false
-// if a rate is unknown.
+// if r has no rate for any of these types, or one that is not positive.
 func (r fetchRates) slowestFetchTime(j *job) (fetch clock.Micros, ok bool) {
 	for name, rate := range r {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, name) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -46,16 +46,16 @@
 	unacknowledged    map[peer.TaskID]string // attempts that are done but not recorded yet, with their machines
 	acknowledgedTerms map[peer.TaskID]uint64 // partition terms under which the end of an attempt was acknowledged
 
-	stalledSince     clock.Micros // since when some task has found no capacity, or no room below the limit; 0: all found some
-	noPlacementSince clock.Micros // since when no task has been placed for lack of capacity; 0: the last one was placed
+	stalledSince     clock.Micros // since when some task lacks capacity or room below the team's limit; 0: none does
+	noPlacementSince clock.Micros // since when every search for a machine has failed; 0: the last one succeeded, or there was none
 	imageWaitSince   clock.Micros // since when the job waits for a machine with its image; 0: it does not
 
 	runs              []taskRun
 	consecutiveErrors int
 	retries           int                     // how often tasks had to be placed again
 	lastStartAt       clock.Micros            // when a task was last seen to have begun to run
-	avoidUntil        map[string]clock.Micros // by machine: no task is placed there before, since one failed
-	backoffUntil      clock.Micros            // no task is placed before, since many failed
+	avoidUntil        map[string]clock.Micros // by machine: time before which no task is placed there, since one failed
+	backoffUntil      clock.Micros            // time before which no task of the job is placed, since many failed
 }
 
 // AddJob adds an active job, if its team is led here.
@@ -112,7 +112,7 @@
 	j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 }
 
-// restoreProgress marks the tasks as done that a progress record shows as done.
+// restoreProgress marks as done the tasks that a progress record shows as done.
 func (j *job) restoreProgress(chunk chunkID, bits []byte) {
 	for i, b := range bits {
 		for bit := range 8 {
@@ -151,7 +151,7 @@
 	return out
 }
 
-// isActive reports whether its team still lists the job.
+// isActive reports whether the job is still one of its team's active jobs.
 func (j *job) isActive() bool { return j.team.jobs[j.ID] == j }
 
 // isCurrent reports whether an assignment is the current one of its task.
@@ -216,7 +216,7 @@
 	}
 }
 
-// requeueUnplaced puts a task for which no machine was found back to the front of the queue, and records since when the job
+// requeueUnplaced puts a task for which no machine was found back at the front of the queue, and records since when the job
 // lacks capacity.
 func (j *job) requeueUnplaced(task int, now clock.Micros) {
 	j.queue = append([]int{task}, j.queue...)
--- a/internal/scheduler/leader_session.go
+++ b/internal/scheduler/leader_session.go
@@ -10,9 +10,9 @@
 // leaderSession is what a scheduler knows about a controller that leads partitions, and what it has to send to it.
 type leaderSession struct {
 	batchQueue
-	instance             string // incarnation of the controller, as it names it; empty before its first response
+	instance             string // process of the controller, as its responses name it; empty before the first response
 	cursor               uint64 // version of the partition leader's state up to which its views have been applied
-	generation           uint64 // number of incarnations seen: polls carry it, so that late responses are recognized
+	generation           uint64 // number of processes seen: polls carry it, so that late responses of former ones are recognized
 	partitionTerms       map[int]uint64
 	fencedTerms          map[string]uint64 // by team: the partition leader rejects assignments of lower terms
 	reachable            bool
@@ -28,8 +28,9 @@
 	return &leaderSession{partitionTerms: map[int]uint64{}, fencedTerms: map[string]uint64{}}
 }
 
-// start begins a session with a new incarnation of the controller. Responses to polls of a former one are ignored from
-// now on, and no team's term is known to be fenced.
+// start begins a session with a new process of the controller. From now on, late responses of a former process to polls are
+// ignored, and no team's term is known to be fenced. A batch in flight to the former process is given up by next: only the next
+// leader of its machines can tell what became of the assignments.
 func (l *leaderSession) start(instance string) {
 	l.fencedTerms = map[string]uint64{}
 	l.partitionTerms = map[int]uint64{}
@@ -47,12 +48,12 @@
 type batchQueue struct {
 	sequence              uint64
 	inFlight              *peer.Batch
-	inFlightInstance      string // incarnation for which the batch in flight was made
+	inFlightInstance      string // process for which the batch in flight was made
 	pending               peer.Batch
 	acknowledgementsSince clock.Micros // when the oldest pending acknowledgement was first seen; 0: none was
 }
 
-// acknowledgementInterval is for how long acknowledgements are collected before they cause a batch: nobody waits for them.
+// acknowledgementInterval is how long acknowledgements are collected before they alone cause a batch: nobody waits for them.
 const acknowledgementInterval = 300 * clock.Millisecond
 
 // isDue reports whether there is a batch to send now.
@@ -71,8 +72,8 @@
 	return !urgent.Empty() || now >= q.acknowledgementsSince+acknowledgementInterval
 }
 
-// next returns the batch to send to an incarnation: the one in flight to it, or a new one of the pending messages. It
-// returns nil if there is none, or if no incarnation is known yet.
+// next returns the batch to send to a process: the one in flight to it, or a new one of the pending messages. It returns nil
+// if there is none, or if no process is known yet.
 func (q *batchQueue) next(sender, instance string, terms func() map[string]uint64) *peer.Batch {
 	if q.inFlight != nil && q.inFlightInstance == instance {
 		return q.inFlight
@@ -88,10 +89,10 @@
 	return q.inFlight
 }
 
-// abandonInFlight gives up the batch in flight because the incarnation for which it was made is gone. The assignments of
-// the batch stay counted: that incarnation may have accepted and started them, which only the next leader of their machines
-// can tell (docs/design.md, "Why the rules hold", number 8). Stops are queued again for the next incarnation.
-// Cancellations are queued again by CancellationConfirmed.
+// abandonInFlight gives up the batch in flight because the process for which it was made is gone. The assignments of the
+// batch stay counted: that process may have accepted and started them, which only the next leader of their machines can tell
+// (docs/design.md, "Why the rules hold", number 8). Stops are queued again for the next process. Cancellations are queued
+// again by CancellationConfirmed.
 func (q *batchQueue) abandonInFlight() {
 	if q.inFlight == nil {
 		return
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// poll asks a partition leader once for the machines that have changed, and applies the answer. When the partition leader has
-// not answered under a team's present term yet, NextPoll asks for all machines: the partition leader rejects assignments under
-// lower terms before it answers, so the answer misses no task that a former leader of the team can still start there
-// (docs/design.md, "Why the rules hold", 7).
+// poll asks a partition leader once for the machines that have changed, and applies the response. While the partition leader has
+// not fenced a team's present term, NextPoll asks for all machines: the partition leader rejects assignments under lower terms
+// before it responds, so the response misses no task that a former leader of the team can still start there (docs/design.md,
+// "Why the rules hold", number 7).
 func (s *Server) poll(host string, wait clock.Micros) error {
 	s.mu.Lock()
 	request := s.scheduler.NextPoll(host)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// notifyUpdated wakes the goroutines for which a partition leader's answer may matter: waiting cancellations, scheduleLoop and
+// notifyUpdated wakes the goroutines for which a partition leader's response may matter: waiting cancellations, scheduleLoop and
 // writeLoop. The caller holds the lock.
 func (s *Server) notifyUpdated() {
 	s.updated.notify()
@@ -113,7 +113,7 @@
 	}
 }
 
-// sendBatch sends a batch and applies its answer. It pauses after a failure that would also affect a batch sent immediately
+// sendBatch sends a batch and applies the response. It pauses after a failure that would also affect a batch sent immediately
 // afterwards.
 func (s *Server) sendBatch(ctx context.Context, host string, batch *peer.Batch) {
 	response, err := s.partitions[host].ApplyBatch(*batch)
--- a/internal/scheduler/machine_cache.go
+++ b/internal/scheduler/machine_cache.go
@@ -13,7 +13,7 @@
 // Invariant: the capacity index and the counts are updated with every change of a machine's state, see reindex.
 type machineCache struct {
 	machines         map[string]*machineState  // by id, of all partitions
-	sessions         map[string]*leaderSession // by host
+	sessions         map[string]*leaderSession // by controller
 	recordedMachines map[string]bool           // ids of machines with a record in the key-value store
 	capacity         capacityIndex             // schedulable machines
 	observedTasks    observedTaskCounts
@@ -39,7 +39,7 @@
 	return m.Usable && c.isCurrent(m) && c.machines[m.ID] == m
 }
 
-// isCurrent reports whether a machine's state comes from its present partition leader, and whether that is reachable.
+// isCurrent reports whether a machine's state comes from its present partition leader and that leader is reachable.
 func (c *machineCache) isCurrent(m *machineState) bool {
 	session := c.sessions[m.leader]
 	return session.reachable && session.instance == m.instance && session.partitionTerms[m.Part] == m.Term
@@ -58,7 +58,7 @@
 }
 
 // removeIfSilent removes a machine that is silent, has no record and has no assignments. It keeps a machine with an
-// unanswered assignment: the machine may return with a new incarnation, and its partition leader may accept the
+// unanswered assignment: the machine may return with a new worker incarnation, and its partition leader may accept the
 // assignment then.
 func (c *machineCache) removeIfSilent(m *machineState) {
 	if m.Silent && !c.recordedMachines[m.ID] && len(m.assignments) == 0 {
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -13,7 +13,7 @@
 // machineState is the cached state of a machine: its latest view, and the assignments made since.
 type machineState struct {
 	peer.MachineView
-	leader             string            // host of the controller that sent the view
+	leader             string            // controller that sent the view
 	instance           string            // process of that controller
 	available          resources.Amounts // free by the view, less assignments that the view does not show
 	nameHash           uint64
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -16,8 +16,7 @@
 	Veto func(rebalance.Record) bool
 }
 
-// move is a move in progress: its state machine, the task's assignment at the source, and the assignment of the held resource
-// lease at the destination.
+// move is a move in progress: its state machine, the task's assignment at the source, and the held lease at the destination.
 type move struct {
 	*rebalance.Move
 	source, destination *assignment
@@ -198,7 +197,7 @@
 	return to
 }
 
-// startMove begins a move: it requests a resource lease at the destination, which reserves capacity but starts no task.
+// startMove begins a move: it requests a held lease at the destination, which reserves capacity but starts no task.
 func (s *Scheduler) startMove(source *assignment, to *machineState, plan *rebalance.Move, now clock.Micros) {
 	a := newAssignment(source.job, source.id.N, to, now)
 	a.reserved = true
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -38,8 +38,7 @@
 	s.workers[id].NoticeS = &left
 }
 
-// runUntil runs the cluster until reached returns true, and stops immediately then. It fails after
-// 10 s of simulated time.
+// runUntil runs the cluster until reached returns true, and stops immediately then. It fails after 10 s of simulated time.
 func (s *simulation) runUntil(step string, reached func() bool) {
 	s.t.Helper()
 	for range 200 {
@@ -179,7 +178,7 @@
 				if !ended {
 					require.Equal(t, 1, sim.runningTasks(), "the task must run")
 				}
-				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "nothing else may count")
+				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "only the running task may count against the limit")
 			})
 		}
 	}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -9,13 +9,13 @@
 // This file derives the urgency of a job from its deadline and the objectives in the settings. Every result depends only on
 // the job, the settings and the time.
 
-// lateness is how late a job is.
+// lateness is how late a job is; jobs with a higher value are placed later.
 type lateness int
 
 const (
 	onTime        lateness = iota
 	pastDeadline           // misses its deadline, but can meet the longer bound of its class's objective (Timing.Times)
-	pastObjective          // misses that as well: it does not matter how late it is, only that all work gets done
+	pastObjective          // misses that as well: its own lateness no longer matters, only how soon all work is done
 )
 
 // deadline returns the time at which the job should be done, or the maximum time if it has no deadline.
@@ -49,7 +49,6 @@
 	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
-// latenessOf classifies how late a job is.
 func (t *Timing) latenessOf(j *job, now clock.Micros) lateness {
 	if !j.missesDeadline(now) {
 		return onTime
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -37,7 +37,7 @@
 	s.setReachable(host, true)
 	if response.Incarnation != session.instance {
 		if request.Gen != session.generation || !response.Full {
-			return // the poll was sent before the present incarnation was seen: a former one has answered
+			return // the poll was sent before the present process was seen: a former one has responded
 		}
 		session.start(response.Incarnation)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// applyPollHeader applies the part of a response that concerns the partition leader as a whole. The partition leader has made a
-// full response after it fenced the terms that the poll contained.
+// applyPollHeader applies the part of a response that concerns the partition leader as a whole. The partition leader fences the
+// terms of a poll before it responds. A full response has only views made after that, so the terms count as fenced.
 func (s *Scheduler) applyPollHeader(session *leaderSession, terms map[string]uint64, response *peer.PollResponse, now clock.Micros) {
 	session.cursor, session.partitionTerms = response.Cursor, response.Parts
 	session.polledAt, session.supportsReservations = now, response.Holds
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -96,7 +96,7 @@
 	return best
 }
 
-// prefersPreemption reports whether to preempt on machine m at a cost rather than on another at its cost.
+// prefersPreemption reports whether preempting on m is better than on other, given the cost of the victims on each.
 func (s *selector) prefersPreemption(j *job, m *machineState, cost clock.Micros, other *machineState, otherCost clock.Micros) bool {
 	if a, b := cost/preemptionCostStep, otherCost/preemptionCostStep; a != b {
 		return a < b
@@ -169,7 +169,7 @@
 	return t.Rank < j.PriorityLevel || j.withinGuarantee && t.Team != j.team.Name && (t.Rank == j.PriorityLevel || guaranteeDue)
 }
 
-// compareVictims sorts the tasks to stop first to the front: the lowest priority, within it tasks beyond their team's
+// compareVictims orders tasks by which is stopped first: the lowest priority, within a priority tasks beyond their team's
 // guarantee, then the latest start.
 func compareVictims(a, b *observedTask) int {
 	if a.Covered != b.Covered && a.Rank == b.Rank {
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("%s%s/%s", kvstore.ProgressPrefix, id, chunk)
 }
 
-// progressWriter writes at intervals which tasks are completed. Only after the write are the tasks' ends acknowledged, so that
-// the workers forget them. Each write has a condition on the mod revision of the record that it replaces: otherwise a late copy
+// progressWriter writes at intervals which tasks are completed. The ends of the tasks are acknowledged only after the write, since
+// the workers forget them then. Each write has a condition on the mod revision of the record that it replaces: otherwise a late copy
 // of an earlier write could mark tasks as not done that the workers have forgotten (docs/design.md, "Late writes").
 type progressWriter struct {
 	*core
@@ -69,7 +69,7 @@
 	for _, tm := range w.scheduler.teams {
 		for _, j := range tm.jobs {
 			if j.finalWriteInFlight || j.doneCount == j.Tasks {
-				continue // the final state covers all progress and takes no more operations than a progress record
+				continue // its final state is written next, costs no more and covers all progress
 			}
 			for chunk := range j.dirtyChunks {
 				byTeam[tm] = append(byTeam[tm], progressWrite{job: j, chunk: chunk})
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -7,7 +7,7 @@
 
 // Status returns the state of a job for its user. The answer is empty (Known is false) unless this process leads the team. While
 // the outcome of the write of the job's final state is unknown, the user is asked to retry: otherwise a job could be reported as
-// active after it has been reported as over (docs/design.md, "Why the rules hold", 10).
+// active after it has been reported as over (docs/design.md, "Why the rules hold", number 10).
 func (s *Server) Status(request peer.JobRequest) peer.JobResponse {
 	if _, ok := s.elections.Leading(Duty(request.Team)); !ok {
 		return peer.JobResponse{}
@@ -41,7 +41,8 @@
 	return s.scheduler.TeamStatuses(s.clock.Now())
 }
 
-// ZoneEvidence returns for each zone how many of its machines are known, have missed heartbeats, or are not accounted for.
+// ZoneEvidence returns for each zone how many of its machines are known, have missed heartbeats, or are not accounted for;
+// see Scheduler.ZoneEvidence.
 // misdirected names the machines of other controllers that send their heartbeats to this one.
 func (s *Server) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	s.mu.Lock()
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -10,8 +10,8 @@
 
 // schedulingOrder returns the queue: the jobs that have tasks to place, in the order in which these are placed. Jobs that
 // can still meet their deadline, or have none, come first, ordered by priority, guarantee, fair share, waiting work,
-// deadline, latest start and age. Jobs follow that can only meet the longer bound of an objective (Timing.Times), in the
-// same order. Jobs that miss both come last, those with the longest tasks first.
+// deadline, latest start and age. Next come jobs that can only meet the longer bound of an objective (Timing.Times), in
+// the same order. Last come jobs that miss both, those with the longest tasks first.
 func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
 	for _, tm := range s.teams {
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -36,8 +36,9 @@
 
 // releaseIfGone releases an assignment if its task is not on the machine and can't start there any more: the machine's view is
 // at least as new as the acceptance, or a later leader of the partition, which rejects the assignment, has made it. The view
-// must be Accounted, since any other may lack a task that is on the machine or can still start there. Releasing that one would
-// let it run twice and leave it out of the team's limit (docs/design.md, "Why the rules hold", number 8).
+// must be Accounted, since any other may lack a task that is on the machine or can still start there. If the assignment of such a
+// task were released, the task could run twice and would not count against the team's limit (docs/design.md, "Why the rules
+// hold", number 8).
 func (s *Scheduler) releaseIfGone(a *assignment, m *machineState) {
 	if m.tasks[a.id] != nil {
 		return
--- a/internal/scheduler/replica_events.go
+++ b/internal/scheduler/replica_events.go
@@ -75,7 +75,7 @@
 	s.scheduler.HandleWatermarkRecord(e.Key, tasksByJob, e.ModRevision)
 }
 
-// applyMachineRecord applies a change of a record of machines. The caller holds the lock.
+// applyMachineRecord applies a change of a machine record, which may have several machines. The caller holds the lock.
 func (s *Server) applyMachineRecord(e kvstore.Event) {
 	added, removed := s.records.Apply(e)
 	for _, id := range removed {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -124,7 +124,7 @@
 		m.assignedFetchUntil, m.assignedFetchImage = now+fetch, j.Image
 	}
 	for _, id := range choice.victims {
-		// The capacity of the victims is reserved for this task, so it must not show as available.
+		// The victims' capacity goes to this task, whose request has been subtracted above: only the rest is available.
 		if t := m.tasks[id]; t != nil {
 			t.preemptingUntil = now + victimCooldown
 			m.available = m.available.Plus(t.Need)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -29,11 +29,11 @@
 
 // Timing configures the scheduling cycle: its sizes, waiting times, objectives and optional features.
 type Timing struct {
-	// Sample is how many machines are scored for a task. A cycle makes at most Batch assignments plus a quarter of the
-	// number of waiting tasks.
+	// Sample is how many machines are drawn at random and compared for a task that is not small. A cycle makes assignments
+	// up to Batch plus a quarter of the number of waiting tasks; overdue first tasks of jobs are placed regardless of that.
 	Sample, Batch int
 	Lease         clock.Micros            // worker lease: a lost machine is noticed after this time
-	PreemptAfter  clock.Micros            // how long a job finds no capacity before it preempts
+	PreemptAfter  clock.Micros            // how long a job must lack capacity before it may preempt
 	Economy       bool                    // saves cost at the expense of start times, see waitsForImageByFit and onDemandIfUrgent
 	Waits         map[string]clock.Micros // by job class: tasks should start within this time after acceptance
 	Guarantee     clock.Micros            // work within a guarantee should start within this time; 0: no objective
@@ -61,7 +61,7 @@
 	progress      map[string]map[chunkID]progress // records of completed tasks, by job id
 	chunkTasks    int                             // number of tasks that a new progress record covers
 	legacyRecords bool                            // an earlier release, which wrote no watermarks, has recorded machines
-	watermarks    map[string]watermarks           // by key
+	watermarks    map[string]watermarks           // watermark records, by key
 
 	published      demandPublication
 	moves          moves
@@ -76,7 +76,7 @@
 	Timing   Timing
 	Instance string       // identifies this process
 	Teams    []Team       // all teams, including those led by other controllers
-	Hosts    []string     // all controllers
+	Hosts    []string     // names of all controllers
 	Seed     uint64       // of the random sampling of machines
 	WallMS   func() int64 // time of day in ms, within the error bound of the settings
 }
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -65,7 +65,7 @@
 	}
 	if s.imageFetchTooSlow(j, candidates[0], now) {
 		// Fetching the image alone would make the task miss its start objective. So the task preempts others on a machine
-		// with the image, without waiting for PreemptAfter: it is worth the work of a task that has hardly begun.
+		// with the image, without waiting for PreemptAfter: capacity there is worth the work of a task that has hardly begun.
 		if choice := s.preempt(j, withImage, now); choice.machine != nil && !choice.overridesPriority {
 			return choice
 		}
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -34,7 +34,8 @@
 	// CommitWithCheck does the same, but calls beforeSend after it has waited for the budget and immediately before it sends
 	// the transaction. When beforeSend returns an error the transaction is not sent.
 	CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error)
-	// HasSpareWrites reports whether the budget has room now for n operations that are not urgent.
+	// HasSpareWrites reports whether the budget has room now for n operations that are not urgent, and enough left for
+	// other writes.
 	HasSpareWrites(n int) bool
 }
 
@@ -55,7 +56,7 @@
 	partitions      map[string]PartitionClient // by controller
 	fairShares      bool                       // polls carry the teams' demands
 	scheduleMetrics *telemetry.Duty            // durations and delays of scheduling cycles
-	pollMetrics     *telemetry.Duty            // time taken to apply answers to polls
+	pollMetrics     *telemetry.Duty            // time taken to apply responses to polls
 	batchWakes      map[string]loop.Signal     // by controller; wakes its sendLoop: there may be a batch to send
 	records         *inventory.Records         // machine records as the replica shows them; guarded by mu
 	lifetime        *lifetime
@@ -141,7 +142,7 @@
 //
 // It polls every partition leader at once after an acquisition. The poll carries the new term, and from then on the partition
 // leader rejects assignments under lower terms. Otherwise the team's former leader could still start a task that this one has
-// placed elsewhere (docs/design.md, "Why the rules hold", 7).
+// placed elsewhere (docs/design.md, "Why the rules hold", number 7).
 func (s *Server) Reconcile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -24,7 +24,7 @@
 	limitCPU = 12 // CPU limit of the team in tests that set one
 )
 
-// controller is a controller in its role as partition leader. A crash replaces its incarnation and state.
+// controller is a controller in its role as partition leader. A crash replaces its process and state.
 type controller struct {
 	name           string
 	instance       string
@@ -40,7 +40,7 @@
 // lateBatch is a batch that the network has delayed.
 type lateBatch struct {
 	controller *controller
-	sentTo     *partition.State // state of the incarnation to which the batch was sent
+	sentTo     *partition.State // state of the process to which the batch was sent
 	batch      peer.Batch
 }
 
@@ -70,7 +70,7 @@
 	watermarks                 map[string]WatermarkWrite // stored watermark records, with their mod revisions
 	legacyRecords              bool                      // an earlier release has recorded machines
 	moves                      *Moves                    // nil: running tasks are not moved
-	leadersWithoutReservations bool                      // partition leaders grant no held leases, as those of earlier releases
+	leadersWithoutReservations bool                      // partition leaders grant no held leases, like those of earlier releases
 }
 
 // Active returns an active job. With Active and Ended the simulation serves as the partition leaders' job cache.
@@ -122,7 +122,7 @@
 	return sim
 }
 
-// boot starts a new incarnation of a controller, which leads no partition yet.
+// boot starts a new process of a controller, which leads no partition yet.
 func (s *simulation) boot(c *controller) {
 	s.restarts++
 	c.instance = fmt.Sprintf("%s-%d", c.name, s.restarts)
@@ -130,7 +130,6 @@
 	c.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
-// partitionOf returns the partition of a machine.
 func (s *simulation) partitionOf(id string) int { return int(id[2]-'0') % len(s.leaderOf) }
 
 // acquirePartition moves the leadership of a partition to a controller, under a new term.
@@ -148,7 +147,7 @@
 	s.controllers[to].partitionState.AcquirePartition(p, s.termOf[p], found, s.now)
 }
 
-// restart replaces a controller's incarnation. The new one acquires the partitions of the old one.
+// restart replaces a controller's process. The new one acquires the partitions of the old one.
 func (s *simulation) restart(c *controller) {
 	s.boot(c)
 	for p, leader := range s.leaderOf {
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -18,8 +18,9 @@
 
 // team is a team that this scheduler leads, under one term.
 //
-// A machine is accounted for under the term when its views list every task of the team that can be on it: its partition
-// leader rejects assignments of earlier terms, and commands of former partition leaders can't change the machine.
+// A machine is accounted for under the term once its views list every task of the team that can be on it: its partition
+// leader rejects assignments of the team's earlier terms, commands of former partition leaders can't change the machine,
+// and it has no task whose team is unknown.
 //
 // Invariant: used counts every assignment from the decision until the attempt is known to be gone, and
 // unaccountedCapacity is all the capacity of the machines that are not accounted for. Both count against the limit, so
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -17,10 +17,11 @@
 // A job's watermark bounds the tasks that may have been assigned: a task is assigned only after a watermark above its number is
 // in the key-value store. The team's next scheduler therefore knows which tasks can't be on any machine, and starts those
 // immediately, while the others wait until every machine is accounted for. Without the watermark it could start a task that a
-// former scheduler has started too (docs/design.md, "Why the rules hold", 7).
+// former scheduler has started too (docs/design.md, "Why the rules hold", number 7).
 //
-// The watermarks of many jobs share a record. The acceptance record of a job whose tasks should start within a given time
-// watermarks all its tasks, since writes of watermarks take from the same write budget for which users wait.
+// The watermarks of many jobs share a record. The acceptance record of a job with few tasks, or whose tasks should start within
+// a given time, watermarks all its tasks (jobs.Record.Watermarked): writes of watermarks take from the write budget that users
+// wait for.
 
 const (
 	// watermarkStep is the number of tasks by which a watermark is raised.
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -43,9 +43,10 @@
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
 
-// ZoneEvidence returns for each zone how many of its machines are known, have missed heartbeats, or are reachable but not
-// accounted for. misdirected names the machines of other controllers that send their heartbeats to this one. They do not count as
-// missing: only their controller is unreachable, and the machines are not.
+// ZoneEvidence returns for each zone how many of its machines are known, how many have missed heartbeats, and how many have not
+// but are not accounted for. A machine counts among those with missed heartbeats also while its partition leader is unreachable or
+// has changed. misdirected names the machines of other controllers that send their heartbeats to this one: they do not count
+// there, since it is their controller that is unreachable, not the machine.
 func (s *Scheduler) ZoneEvidence(misdirected map[string]bool) map[string]zone.Evidence {
 	out := map[string]zone.Evidence{}
 	for _, m := range s.machines {
