--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -23,7 +23,7 @@
 		return true
 	}
 	if response.Incarnation != session.inFlightInstance || response.Incarnation != session.instance {
-		// The process that was to get the batch may have accepted its assignments; a response of another one does not tell.
+		// The process that was to get the batch may have accepted its assignments; a response from another does not tell.
 		session.abandonInFlight()
 		return false
 	}
--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// mayHaveBeenAssigned reports whether this scheduler or a former one may have assigned a task of the job to any machine. If
+// mayHaveBeenAssigned reports whether this or a former leader of the team may have assigned a task of the job to any machine. If
 // neither has, no task can start without a new assignment by this scheduler, and the cancellation needs no acknowledgements.
 func (j *job) mayHaveBeenAssigned() bool { return j.offeredHere || j.offeredByFormer > 0 }
 
@@ -110,7 +110,7 @@
 }
 
 // mayStillStart reports whether some task of a job may be about to start: its run command is on the way to the worker, it waits
-// for its image, or a former scheduler may have placed it on a machine that is not accounted for.
+// for its image, or a former leader of the team may have assigned it to a machine that is not accounted for.
 func (j *job) mayStillStart() bool {
 	notRunning := 0
 	for _, assigned := range j.tasksByZone {
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -38,13 +38,13 @@
 }
 
 // Guards against a team that exceeds its limit with tasks of a job that is over. The team is at its limit with one job, whose
-// machines hang, get no answers, or have a new process of their partition leader. The job is cancelled, and another process
+// machines hang, get no responses, or have a new process of their partition leader. The job is cancelled, and another process
 // takes over the team. No controller knows the job any more, but its tasks may still run on those machines and must count
 // against the limit.
 func TestLimitCountsAttemptsOfCancelledJobs(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		heartbeats bool // heartbeats of the job's machines arrive, but the answers are lost
+		heartbeats bool // heartbeats of the job's machines arrive, but the responses are lost
 		restarted  bool // the partition leaders' processes restart after the cancellation
 	}{
 		{"machines hang", false, false},
@@ -65,7 +65,7 @@
 					sim.acquirePartition(p, p)
 				}
 				for _, id := range sim.machineIDs {
-					sim.heartbeat(id, true) // the answer carries only the new fencing token
+					sim.heartbeat(id, true) // the response carries only the new fencing token
 				}
 			}
 			sim.newScheduler()
@@ -102,8 +102,8 @@
 }
 
 // Guards against a task that starts after its job has been reported as cancelled. The job is cancelled while a run command is on
-// its way to the worker, while its image is being fetched, or while a machine on which a former scheduler may have placed it is
-// not accounted for. Every partition leader has acknowledged the cancellation, but it must not count as confirmed before no task
+// its way to the worker, while its image is being fetched, or while a machine to which a former team leader may have assigned it
+// is not accounted for. Every partition leader has acknowledged the cancellation, but it must not count as confirmed before no task
 // can start any more.
 func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
 	for _, tc := range []struct {
@@ -183,7 +183,7 @@
 }
 
 // Guards against a cancellation that counts as confirmed although a partition leader has not acknowledged it, as the scheduler
-// knows it: a batch that reaches the partition leader but whose answer is lost is not an acknowledgement.
+// knows it: a batch that reaches the partition leader but whose response is lost is not an acknowledgement.
 func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
@@ -194,7 +194,7 @@
 	j := sim.scheduler.teams[red].jobs["job-1"]
 	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
 	sim.sendBatch(sim.controllers[0], true, true)
-	sim.sendBatch(sim.controllers[1], true, false) // acknowledged, but the answer is lost
+	sim.sendBatch(sim.controllers[1], true, false) // acknowledged, but the response is lost
 	require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
 	sim.sendBatch(sim.controllers[1], true, true)
 	require.True(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()))
--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -5,8 +5,7 @@
 	"slices"
 )
 
-// machineSet is a set of machines. Its order depends only on the additions and removals, so that decisions are
-// reproducible.
+// machineSet is a set of machines. Unlike that of a map, its order depends only on the additions and removals.
 type machineSet struct {
 	machines  []*machineState
 	positions map[*machineState]int
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -36,8 +36,7 @@
 // withImage gives a job an image of 4 GB and an estimated run time of 30 s.
 func withImage(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
-// A machine with the image is chosen while fetching the image costs more than a slow machine would, and another one as soon as
-// the machine with the image is so slow that the fetch costs less.
+// A machine with the image must be chosen, but only until its slowness costs more than fetching the image on another machine.
 func TestCostSelectionWeighsImageAgainstPace(t *testing.T) {
 	sim := simulationWithCosts(t)
 	imageMachine := sim.machineRunning("job-1/0")
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -36,7 +36,7 @@
 	smallExamined, smallPolled := measure(60)
 	largeExamined, largePolled := measure(1800)
 	require.LessOrEqual(t, largeExamined, smallExamined+12, "machines examined")
-	require.LessOrEqual(t, largePolled, 6, "machines in answers")
+	require.LessOrEqual(t, largePolled, 6, "machines in responses")
 	require.LessOrEqual(t, smallPolled, 6)
 }
 
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -45,7 +45,7 @@
 	return remaining
 }
 
-// tasksThatFit returns how many tasks fit into a capacity by their CPUs and GPUs. It is negative if the capacity is.
+// tasksThatFit returns how many tasks fit into a capacity by their CPUs and GPUs. It may be negative if the capacity is.
 func tasksThatFit(capacity, need resources.Amounts) int {
 	n := math.MaxInt
 	if need.CPU > 0 {
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -195,7 +195,7 @@
 // beforeSending is called after a transaction has waited for the budget and immediately before it is sent. It checks again that
 // this process leads the team and that the jobs are active, and only then marks their final states as uncertain. With hundreds
 // of final states a minute most of the time is spent waiting for the budget. If the jobs were marked before the wait, their
-// status would not be answered for so long that users would take the jobs for lost.
+// users would be asked to retry for so long that they would take the jobs for lost.
 func (w *finalStateWriter) beforeSending(tm *team, batch []*job) error {
 	if _, err := w.leadershipCondition(tm); err != nil {
 		return err
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -12,7 +12,7 @@
 
 // job is an active job of a team that is led here, with the state of its tasks.
 //
-// Invariant: no scheduler ever assigned a task whose number is at or above the watermark. A former leader of the team may
+// Invariant: no leader of the team ever assigned a task whose number is at or above the watermark. A former leader of the team may
 // have assigned those below offeredByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
 // The others are not placed while awaitsAccounting is set, since they may run on a machine that has not been seen yet and
 // would run twice (docs/design.md, "Why the rules hold", number 7).
@@ -53,7 +53,7 @@
 	runs              []taskRun
 	consecutiveErrors int
 	retries           int                     // how often tasks had to be placed again
-	lastStartAt       clock.Micros            // when a task was last seen to have begun to run
+	lastStartAt       clock.Micros            // when a task was last seen to start running
 	avoidUntil        map[string]clock.Micros // by machine: time before which no task is placed there, since one failed
 	backoffUntil      clock.Micros            // time before which no task of the job is placed, since many failed
 }
@@ -157,7 +157,7 @@
 // isCurrent reports whether an assignment is the current one of its task.
 func (j *job) isCurrent(a *assignment) bool { return j.assignments[a.id.N] == a }
 
-// hasStarted reports whether some task of the job is, was, or may have been on a machine.
+// hasStarted reports whether some task of the job is assigned, has been seen running, or is done.
 func (j *job) hasStarted() bool {
 	return len(j.assignments) > 0 || j.doneCount > 0 || j.lastStartAt > 0
 }
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// sendBatch sends a batch and applies the response. It pauses after a failure that would also affect a batch sent immediately
-// afterwards.
+// sendBatch sends a batch and applies the response. After a failure it pauses, since a batch sent immediately afterwards would
+// fail for the same reason.
 func (s *Server) sendBatch(ctx context.Context, host string, batch *peer.Batch) {
 	response, err := s.partitions[host].ApplyBatch(*batch)
 	if err != nil {
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -80,7 +80,7 @@
 	return m.paceSum / float64(m.paceSamples)
 }
 
-// heat returns the load of the machine when so many micro-CPUs are free: the share of its CPUs in use, times its pace. Tasks
+// heat returns the load of the machine if it has free micro-CPUs left: the share of its CPUs in use, times its pace. Tasks
 // are moved only to machines with less heat than their own. A machine under an eviction notice, or without known capacity,
 // has more than any other.
 func (m *machineState) heat(free int64) float64 {
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -178,7 +178,7 @@
 				if !ended {
 					require.Equal(t, 1, sim.runningTasks(), "the task must run")
 				}
-				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "only the running task may count against the limit")
+				require.EqualValues(t, int64(sim.runningTasks())*2_000_000, sim.scheduler.teams[red].used.CPU, "no other use is counted")
 			})
 		}
 	}
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// checkPartitions compares the partitions of a leader with all cached machines: it releases machines that are gone, and makes
-// machines unusable whose partition the leader has lost.
+// checkPartitions compares the partitions of a leader with all cached machines: it releases machines that are gone, and marks
+// machines as unusable if the leader has lost their partition.
 func (s *Scheduler) checkPartitions(host string, session *leaderSession, now clock.Micros) {
 	session.partitionsCheckedAt = now
 	for _, m := range s.machines {
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -18,7 +18,7 @@
 
 // progressWriter writes at intervals which tasks are completed. The ends of the tasks are acknowledged only after the write, since
 // the workers forget them then. Each write has a condition on the mod revision of the record that it replaces: otherwise a late copy
-// of an earlier write could mark tasks as not done that the workers have forgotten (docs/design.md, "Late writes").
+// of an earlier write could mark tasks as not done after the workers have forgotten them (docs/design.md, "Late writes").
 type progressWriter struct {
 	*core
 	store    Store
@@ -135,8 +135,8 @@
 		p := &writes[i]
 		p.snapshot()
 		key := progressKey(p.job.ID, p.id())
-		// Without the condition on the record's own mod revision, a late copy of an earlier write would undo newer writes, and
-		// the workers have forgotten the ends of the tasks that those cover.
+		// Without the condition on the record's own mod revision, a late copy of an earlier write would undo newer writes, whose
+		// tasks the workers have forgotten already.
 		txn.Conditions = append(txn.Conditions,
 			wire.Condition{Key: kvstore.ActiveJobPrefix + p.job.ID, ModRevision: p.job.ModRevision},
 			wire.Condition{Key: key, ModRevision: w.scheduler.progress[p.job.ID][p.id()].modRevision})
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -56,8 +56,8 @@
 }
 
 // updateUnaccountedCapacity updates, for each team, the number and capacity of the machines that are not accounted for.
-// After a restart no machine has been seen yet, and each counts as the largest one. That one is searched for at most
-// once per cycle: searching for it per machine is quadratic in the size of the fleet.
+// After a restart many machines have not been seen yet, and each of them counts as the largest machine seen. That one
+// is searched for at most once per cycle: a search per machine would be quadratic in the size of the fleet.
 func (s *Scheduler) updateUnaccountedCapacity() {
 	largest := sync.OnceValue(s.largestMachine)
 	for _, tm := range s.teams {
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -79,7 +79,7 @@
 	return f.scheduler.teams[red].jobs[id]
 }
 
-// Guards against a job's status that is not answered while its final state waits for the write budget. Hundreds of jobs with one
+// Guards against users who are asked to retry while their jobs' final states wait for the write budget. Hundreds of jobs with one
 // task each are done at once, far more than the budget has operations for. Only a job whose final state is being sent at the
 // moment may be answered with a retry.
 func TestFinalStateQueuedForWriteBudgetKeepsStatusAnswered(t *testing.T) {
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -122,7 +122,7 @@
 }
 
 // Guards against a machine that stays in the scheduler's cache, with its assignments, after it is gone. A partition changes
-// leaders, and the former leader's last answer to a poll arrives late: it shows a machine whose record was deleted before the new
+// leaders, and the former leader's last response to a poll arrives late: it shows a machine whose record was deleted before the new
 // leader acquired the partition.
 func TestLatePollOfFormerLeaderRestoresNoMachine(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -13,7 +13,7 @@
 const watermarkInterval = 150 * time.Millisecond
 
 // watermarkWriter writes watermarks before the tasks below them are assigned. It passes a watermark to the Scheduler only after
-// the write, so that no task is assigned that the durable watermark does not cover: the team's next scheduler would start such a
+// the write, so that no task is assigned that the durable watermark does not cover: the team's next leader would start such a
 // task a second time (docs/design.md, "Why the rules hold", number 7).
 type watermarkWriter struct {
 	*core
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -15,9 +15,9 @@
 // This file has the decisions about watermarks; watermarkWriter does the I/O.
 //
 // A job's watermark bounds the tasks that may have been assigned: a task is assigned only after a watermark above its number is
-// in the key-value store. The team's next scheduler therefore knows which tasks can't be on any machine, and starts those
+// in the key-value store. The team's next leader therefore knows which tasks can't be on any machine, and starts those
 // immediately, while the others wait until every machine is accounted for. Without the watermark it could start a task that a
-// former scheduler has started too (docs/design.md, "Why the rules hold", number 7).
+// former leader has started too (docs/design.md, "Why the rules hold", number 7).
 //
 // The watermarks of many jobs share a record. The acceptance record of a job with few tasks, or whose tasks should start within
 // a given time, watermarks all its tasks (jobs.Record.Watermarked): writes of watermarks take from the write budget that users
@@ -89,7 +89,7 @@
 
 // PlanWatermarks decides which watermarks to raise: those of the jobs that are first in the queue, until the tasks that may be
 // assigned fill a quarter of the team's part of the usable CPUs (see aheadDivisor). The watermarks of later jobs are not raised
-// yet, so that a next scheduler of the team could start their tasks without waiting. A record's value takes at most maxBytes.
+// yet, so that a next leader of the team could start their tasks without waiting. A record's value takes at most maxBytes.
 func (s *Scheduler) PlanWatermarks(now clock.Micros, maxBytes int) (out []WatermarkWrite) {
 	plan := watermarkPlan{
 		limitCPU: s.capacity.usableCPU/int64(aheadDivisor*max(1, len(s.teamConfigs))) + minAheadCPU,
@@ -180,7 +180,7 @@
 	return remaining
 }
 
-// releaseFormerlyOffered queues the tasks that a former scheduler may have assigned. It is called once all machines are
+// releaseFormerlyOffered queues the tasks that a former leader of the team may have assigned. It is called once all machines are
 // accounted for, when the tasks that run on any of them are known and need not be queued.
 func (j *job) releaseFormerlyOffered() {
 	j.awaitsAccounting = false
