--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -9,11 +9,11 @@
 
 // This file has the decisions of a cancellation; canceller does the I/O.
 //
-// The final state of a cancelled job is written only while each partition either has no leader, or is led by a process that has
-// the cancellation in memory, under exactly the leadership that is a condition of the transaction. A partition leader that
-// handles the job's workers afterwards therefore either has the cancellation in memory, or acquired its partition later and
-// found the final state in its replica. Otherwise a partition leader whose replica is behind the key-value store could still
-// let a task of the cancelled job start (docs/design.md, "Why the rules hold", number 11).
+// The final state of a cancelled job is written only when each partition is led by a process that has the cancellation in memory,
+// or has no leader. Each partition's leadership is a condition of the transaction. A partition leader that handles the job's
+// workers afterwards is therefore one of these processes, or acquired its partition later and found the final state in its
+// replica. Without this rule, a partition leader whose replica is behind the key-value store could still let a task of the
+// cancelled job start (docs/design.md, "Why the rules hold", number 11).
 
 // PartitionLeadership is the leadership of a partition as this controller's replica shows it.
 type PartitionLeadership struct {
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Guards against a cancellation that counts as confirmed although a partition leader has not acknowledged it, as the scheduler
-// knows it: a batch that reaches the partition leader but whose response is lost is not an acknowledgement.
+// Guards against a cancellation that counts as confirmed before the scheduler has the acknowledgement of every partition leader. A
+// batch that reaches the partition leader, but whose response is lost, is no acknowledgement.
 func TestCancellationIsConfirmedOnlyWhenLeadersAcknowledge(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -96,7 +96,7 @@
 }
 
 // HandleMachineRecord applies a change of a machine's record in the key-value store; exists is false if the record was
-// removed. A machine is gone for certain when its record is removed, so that it is no longer unaccounted for.
+// removed. A machine is gone for certain when its record is removed, so it no longer counts as unaccounted for.
 func (s *Scheduler) HandleMachineRecord(id string, exists bool) {
 	if exists {
 		s.recordedMachines[id] = true
