--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -210,8 +210,7 @@
 	return scheduleInterval(assigned, took)
 }
 
-// writeLoop writes final states as soon as they are due, continues cancellations whose users were asked to retry, and writes
-// progress at intervals.
+// writeLoop writes final states as soon as they are due, continues all cancellations, and writes progress at intervals.
 func (s *Server) writeLoop(ctx context.Context) error {
 	tick := time.NewTicker(writeTick)
 	defer tick.Stop()
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-// Status returns the answer to a query of an active job's state.
+// Status returns the state of an active job. It asks the user to retry while the job's final state may have been written already.
 func (s *Scheduler) Status(teamName, id string) peer.JobResponse {
 	tm := s.teams[teamName]
 	if tm == nil {
