--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -9,11 +9,11 @@
 
 // This file has the decisions of a cancellation; canceller does the I/O.
 //
-// The final state of a cancelled job is written only while each partition either has no leader, or is led by a process that has
-// the cancellation in memory, under exactly the leadership that is a condition of the transaction. A partition leader that
-// handles the job's workers afterwards therefore either has the cancellation in memory, or acquired its partition later and
-// found the final state in its replica. Otherwise a partition leader whose replica is behind the key-value store could still
-// let a task of the cancelled job start (docs/design.md, "Why the rules hold", 11).
+// The final state of a cancelled job is written only when each partition is led by a process that has the cancellation in memory,
+// or has no leader. Each partition's leadership is a condition of the transaction. A partition leader that handles the job's
+// workers afterwards is therefore one of these processes, or acquired its partition later and found the final state in its
+// replica. Without this rule, a partition leader whose replica is behind the key-value store could still let a task of the
+// cancelled job start (docs/design.md, "Why the rules hold", number 11).
 
 // PartitionLeadership is the leadership of a partition as this controller's replica shows it.
 type PartitionLeadership struct {
@@ -75,14 +75,14 @@
 	}
 }
 
-// mayHaveBeenAssigned reports whether this scheduler or a former one may have assigned a task of the job to any machine. If
+// mayHaveBeenAssigned reports whether this or a former leader of the team may have assigned a task of the job to any machine. If
 // neither has, no task can start without a new assignment by this scheduler, and the cancellation needs no acknowledgements.
 func (j *job) mayHaveBeenAssigned() bool { return j.offeredHere || j.offeredByFormer > 0 }
 
 // CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these
 // leaderships: the present process of each leader has the cancellation in memory, and no task of the job can start any more.
 // It queues the cancellation for processes that have not acknowledged it. A final state that was written earlier could be
-// answered to the user while a partition leader still starts a task of the job (docs/design.md, "Why the rules hold", 11).
+// reported to the user while a partition leader still starts a task of the job (docs/design.md, "Why the rules hold", number 11).
 func (s *Scheduler) CancellationConfirmed(j *job, partitions []PartitionLeadership) bool {
 	if !j.mayHaveBeenAssigned() {
 		return j.cancelling
@@ -110,7 +110,7 @@
 }
 
 // mayStillStart reports whether some task of a job may be about to start: its run command is on the way to the worker, it waits
-// for its image, or a former scheduler may have placed it on a machine that is not accounted for.
+// for its image, or a former leader of the team may have assigned it to a machine that is not accounted for.
 func (j *job) mayStillStart() bool {
 	notRunning := 0
 	for _, assigned := range j.tasksByZone {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -12,7 +12,7 @@
 
 // job is an active job of a team that is led here, with the state of its tasks.
 //
-// Invariant: no scheduler ever assigned a task whose number is at or above the watermark. A former leader of the team may
+// Invariant: no leader of the team ever assigned a task whose number is at or above the watermark. A former leader of the team may
 // have assigned those below offeredByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
 // The others are not placed while awaitsAccounting is set, since they may run on a machine that has not been seen yet and
 // would run twice (docs/design.md, "Why the rules hold", number 7).
@@ -46,16 +46,16 @@
 	unacknowledged    map[peer.TaskID]string // attempts that are done but not recorded yet, with their machines
 	acknowledgedTerms map[peer.TaskID]uint64 // partition terms under which the end of an attempt was acknowledged
 
-	stalledSince     clock.Micros // since when some task has found no capacity, or no room below the limit; 0: all found some
-	noPlacementSince clock.Micros // since when no task has been placed for lack of capacity; 0: the last one was placed
+	stalledSince     clock.Micros // since when some task lacks capacity or room below the team's limit; 0: none does
+	noPlacementSince clock.Micros // since when every search for a machine has failed; 0: the last one succeeded, or there was none
 	imageWaitSince   clock.Micros // since when the job waits for a machine with its image; 0: it does not
 
 	runs              []taskRun
 	consecutiveErrors int
 	retries           int                     // how often tasks had to be placed again
-	lastStartAt       clock.Micros            // when a task was last seen to have begun to run
-	avoidUntil        map[string]clock.Micros // by machine: no task is placed there before, since one failed
-	backoffUntil      clock.Micros            // no task is placed before, since many failed
+	lastStartAt       clock.Micros            // when a task was last seen to start running
+	avoidUntil        map[string]clock.Micros // by machine: time before which no task is placed there, since one failed
+	backoffUntil      clock.Micros            // time before which no task of the job is placed, since many failed
 }
 
 // AddJob adds an active job, if its team is led here.
@@ -112,7 +112,7 @@
 	j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
 }
 
-// restoreProgress marks the tasks as done that a progress record shows as done.
+// restoreProgress marks as done the tasks that a progress record shows as done.
 func (j *job) restoreProgress(chunk chunkID, bits []byte) {
 	for i, b := range bits {
 		for bit := range 8 {
@@ -151,13 +151,13 @@
 	return out
 }
 
-// isActive reports whether its team still lists the job.
+// isActive reports whether the job is still one of its team's active jobs.
 func (j *job) isActive() bool { return j.team.jobs[j.ID] == j }
 
 // isCurrent reports whether an assignment is the current one of its task.
 func (j *job) isCurrent(a *assignment) bool { return j.assignments[a.id.N] == a }
 
-// hasStarted reports whether some task of the job is, was, or may have been on a machine.
+// hasStarted reports whether some task of the job is assigned, has been seen running, or is done.
 func (j *job) hasStarted() bool {
 	return len(j.assignments) > 0 || j.doneCount > 0 || j.lastStartAt > 0
 }
@@ -216,7 +216,7 @@
 	}
 }
 
-// requeueUnplaced puts a task for which no machine was found back to the front of the queue, and records since when the job
+// requeueUnplaced puts a task for which no machine was found back at the front of the queue, and records since when the job
 // lacks capacity.
 func (j *job) requeueUnplaced(task int, now clock.Micros) {
 	j.queue = append([]int{task}, j.queue...)
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -13,7 +13,7 @@
 // machineState is the cached state of a machine: its latest view, and the assignments made since.
 type machineState struct {
 	peer.MachineView
-	leader             string            // host of the controller that sent the view
+	leader             string            // controller that sent the view
 	instance           string            // process of that controller
 	available          resources.Amounts // free by the view, less assignments that the view does not show
 	nameHash           uint64
@@ -80,7 +80,7 @@
 	return m.paceSum / float64(m.paceSamples)
 }
 
-// heat returns the load of the machine when so many micro-CPUs are free: the share of its CPUs in use, times its pace. Tasks
+// heat returns the load of the machine if it has free micro-CPUs left: the share of its CPUs in use, times its pace. Tasks
 // are moved only to machines with less heat than their own. A machine under an eviction notice, or without known capacity,
 // has more than any other.
 func (m *machineState) heat(free int64) float64 {
@@ -96,7 +96,7 @@
 }
 
 // HandleMachineRecord applies a change of a machine's record in the key-value store; exists is false if the record was
-// removed. A machine is gone for certain when its record is removed, so that it is no longer unaccounted for.
+// removed. A machine is gone for certain when its record is removed, so it no longer counts as unaccounted for.
 func (s *Scheduler) HandleMachineRecord(id string, exists bool) {
 	if exists {
 		s.recordedMachines[id] = true
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -56,8 +56,8 @@
 }
 
 // updateUnaccountedCapacity updates, for each team, the number and capacity of the machines that are not accounted for.
-// After a restart no machine has been seen yet, and each counts as the largest one. That one is searched for at most
-// once per cycle: searching for it per machine is quadratic in the size of the fleet.
+// After a restart many machines have not been seen yet, and each of them counts as the largest machine seen. That one
+// is searched for at most once per cycle: a search per machine would be quadratic in the size of the fleet.
 func (s *Scheduler) updateUnaccountedCapacity() {
 	largest := sync.OnceValue(s.largestMachine)
 	for _, tm := range s.teams {
@@ -124,7 +124,7 @@
 		m.assignedFetchUntil, m.assignedFetchImage = now+fetch, j.Image
 	}
 	for _, id := range choice.victims {
-		// The capacity of the victims is reserved for this task, so it must not show as available.
+		// The victims' capacity goes to this task, whose request has been subtracted above: only the rest is available.
 		if t := m.tasks[id]; t != nil {
 			t.preemptingUntil = now + victimCooldown
 			m.available = m.available.Plus(t.Need)
