--- a/internal/peer/batches.go
+++ b/internal/peer/batches.go
@@ -42,7 +42,7 @@
 	Over    bool
 	Covered bool // the job is within its team's guarantee
 	// Hold asks for a held lease: the resources are kept for at most this span, for a task that still runs
-	// on another machine and is moving to this one. Such a task starts only by a StartTask. With 0 the task
+	// on another machine and is to move to this one. Such a task starts only by a StartTask. With 0 the task
 	// starts immediately.
 	Hold clock.Micros
 	// Stage is the recovery.Stage that admits the task when its zone returns, plus one. 0 means that the
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -26,7 +26,7 @@
 // What the names mean in the terms of docs/glossary.md:
 //
 //   - Methods: Round sends a batch, Hello a heartbeat, Withdraw a cancellation, and Gone a list of machines
-//     that certainly no longer exist.
+//     that are gone for certain.
 //   - Asks are assignments and Settles are acknowledgements. Refused means rejected, and Yielded means
 //     rejected in favour of another team.
 //   - Part is a partition and Parts are partitions. Term and Terms are the terms of partition leaderships or
@@ -38,6 +38,7 @@
 //     Unsettled unaccounted. Strays counts misdirected machines. Contact is the time since the key-value
 //     store last confirmed the controller lease.
 //   - Hold and Held of an assignment or a task refer to a held resource lease, which keeps resources for a
-//     task that is moving to the machine. Held of a zone means that an operator has stopped its return.
+//     task that is to move to the machine. Held of a zone means that an operator holds its return at the present
+//     stage.
 //     Holder is the leader, and Most is a maximum.
 package peer
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -8,8 +8,8 @@
 
 // JobResponse is a scheduler's answer to a JobRequest.
 type JobResponse struct {
-	Known bool          // the responder leads the team, so Found is reliable
-	Found bool          // the team has an active job with the id
+	Known bool          // the responder leads the team; otherwise the other fields are not set
+	Found bool          // the responder knows an active or final job with the id
 	Retry bool          // no answer yet: the job's final state or its cancellation is being written
 	State wire.JobState // valid when Known and Found are set and Retry is not
 }
--- a/internal/peer/operators.go
+++ b/internal/peer/operators.go
@@ -61,7 +61,7 @@
 	// Admits names the latest recovery.Stage whose work this controller, as a partition leader, admits on its
 	// machines in the zone. It is "" if the controller admits all work.
 	Admits string
-	Held   bool   // an operator has stopped the zone's return at its present stage
+	Held   bool   // an operator holds the zone's return at its present stage
 	Flaps  int    // how often the zone was lost again during its return
 	AtMS   int64  // time of day of the last change, in milliseconds since 1970 UTC
 	Why    string // evidence that led to the last change
@@ -79,13 +79,13 @@
 	Fleet bool // the controller leads the fleet, and so decides on the states of the zones
 }
 
-// ZoneHoldRequest asks the leader of the fleet to stop a zone's return at its present stage, or to resume it.
+// ZoneHoldRequest asks the leader of the fleet to hold a zone's return at its present stage, or to resume it.
 type ZoneHoldRequest struct {
 	Zone string
-	Held bool // true: stop the return; false: resume it
+	Held bool // true: hold the return; false: resume it
 }
 
-// ZoneHoldResponse reports whether the return was stopped or resumed.
+// ZoneHoldResponse reports whether the return was held or resumed.
 type ZoneHoldResponse struct {
 	Done    bool
 	Holder  string // host of the fleet's leader, as far as the controller knows; "": unknown
--- a/internal/peer/polls.go
+++ b/internal/peer/polls.go
@@ -58,8 +58,8 @@
 // PollRequest asks a partition leader for the machines that changed after a cursor. When none has, the
 // partition leader waits for a change before it answers.
 type PollRequest struct {
-	// Incarnation is the partition leader's incarnation, as the scheduler knows it. When it is not the
-	// present one, or empty, the response lists all machines.
+	// Incarnation is the partition leader's incarnation, as the scheduler knows it. When it is empty
+	// or not the present one, the response lists all machines.
 	Incarnation string
 	Cursor      uint64 // Cursor of the last response; ignored if Incarnation is not the present one
 	// Terms has the terms of the team leaderships that the scheduler holds, by team. After this
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -13,7 +13,7 @@
 	Zone    string            // the only allowed zone; "": any
 	Spot    bool              // spot instances are allowed
 	Rank    int               // priority level of the job
-	Waiting int               // number of tasks that wait
+	Waiting int               // number of tasks that wait and fit below the team's limit
 	RunFor  clock.Micros      // the user's estimate of one task's run time
 	Stage   int               // the recovery.Stage that admits the tasks when a zone returns, plus one; 0: not named
 	Slack   clock.Micros      // how long the tasks may still wait; 0: the job is late, or no time is set for it
@@ -38,13 +38,14 @@
 // its id and its zone.
 type MachineRef struct{ ID, Zone string }
 
-// DrainRequest asks a partition leader to drain machines that are to be scaled in. It drains a machine that has
-// no task and no lease: the machine gets no tasks any more. A machine in use stays as it is.
+// DrainRequest asks a partition leader to drain machines that are to be scaled in. It drains a machine, which then
+// gets no more tasks, only if no task can be on it: the machine is silent, or it has neither attempts nor leases and
+// no former leader can have left any there. All other machines stay as they are.
 type DrainRequest struct{ Machines []MachineRef }
 
 // DrainResponse lists the ids of the drained machines, which can be returned to the cloud.
 type DrainResponse struct{ Ready []string }
 
-// MachinesGone tells a partition leader which machines certainly no longer exist, so that it need not wait for
-// their worker leases to expire.
+// MachinesGone tells a partition leader which machines are gone for certain: they no longer exist. It need not wait
+// for their worker leases to expire.
 type MachinesGone struct{ Machines []MachineRef }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -27,13 +27,13 @@
 	Submit(in SubmitRequest, out *SubmitResponse) error
 	// Drain asks a partition leader to drain machines for a scale-in, and returns those that are drained.
 	Drain(in DrainRequest, out *DrainResponse) error
-	// Gone tells a partition leader which machines certainly no longer exist. Its response is empty.
+	// Gone tells a partition leader which machines are gone for certain. Its response is empty.
 	Gone(in MachinesGone, out *DrainResponse) error
 	// Teams returns the state of the teams, as one controller knows it.
 	Teams(in TeamsRequest, out *TeamsResponse) error
 	// Zones returns the state of the zones, as one controller knows it.
 	Zones(in ZonesRequest, out *ZonesResponse) error
-	// HoldZone stops the return of a zone at its present stage, or resumes it.
+	// HoldZone holds the return of a zone at its present stage, or resumes it.
 	HoldZone(in ZoneHoldRequest, out *ZoneHoldResponse) error
 	// History returns a part of the controller's history of events.
 	History(in HistoryRequest, out *history.Page) error
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -64,7 +64,7 @@
 	Zone  string  `json:"yard"`
 	Spot  bool    `json:"loaners"`
 	Phase string  `json:"phase"`  // MachineBooting, MachineRunning or MachineFailed
-	AgeS  float64 `json:"held_s"` // time since the scale-out request, as of the moment that the list shows
+	AgeS  float64 `json:"held_s"` // time from the scale-out request until the moment that the list shows
 }
 
 // InstancePage is one page of the cloud's list, in the order of the ids. The list shows a past moment: recent
--- a/wire/store.go
+++ b/wire/store.go
@@ -65,7 +65,7 @@
 
 // WatchResponse answers a watch with all changes after the requested revision, in the order of their revisions.
 type WatchResponse struct {
-	Revision uint64   `json:"ledger_rev"` // revision from which the next watch continues
+	Revision uint64   `json:"ledger_rev"` // the next watch asks for changes after this revision
 	Changes  []Change `json:"log"`
 }
 
