--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -81,8 +81,9 @@
 }
 
 // cluster has three controllers, a key-value store and workers. Their connections are function calls, which fail or wait
-// under faults. Only the test's goroutine uses a cluster, and onCommit while the test's goroutine waits. The fields after
-// mu are also used by the controllers' goroutines.
+// under faults. Only the test's goroutine uses the fields before mu. The function onCommit, which a controller's goroutine calls,
+// may use them too, since the test's goroutine waits meanwhile. Controllers' goroutines also use the fields after mu, and lock
+// mu for that.
 type cluster struct {
 	t       *testing.T
 	options clusterOptions
@@ -97,7 +98,7 @@
 	unreachableHosts      map[string]bool         // hosts that no worker reaches
 	recordsHeartbeats     bool                    // heartbeats are added to recordedHeartbeats
 	recordedHeartbeats    [][]byte                // bodies of heartbeats, in the order in which they were sent
-	taskSeenAt            map[string]clock.Micros // by task, used by runFleetFor; when the task was first seen on a worker
+	taskSeenAt            map[string]clock.Micros // by task and attempt, used by runFleetFor; when it was first seen on a worker
 	attemptSeenAt         map[string]clock.Micros // by attemptKey; when it was first seen; if nil, each runFor has its own map
 	everyFiveMS           func()                  // if not nil, called every five milliseconds of runFor
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,8 +73,8 @@
 	replicaLoaded chan struct{}
 	// replicaApply measures the time that apply takes for each batch of the replica's events.
 	replicaApply *telemetry.Duty
-	// storeContactMaxAge is the maximum time since the last confirmation of a controller lease for which the
-	// controller that holds it, this one or a peer, counts as reaching the key-value store.
+	// storeContactMaxAge is the age of the last confirmation of a controller's lease up to which that controller, this one
+	// or a peer, counts as reaching the key-value store.
 	storeContactMaxAge clock.Micros
 	// followsZoneStates is set if work returns to a zone in stages after the zone was lost.
 	followsZoneStates bool
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -204,7 +204,7 @@
 // leaderChanges is a cluster whose leaders change repeatedly while users submit, query and cancel jobs.
 type leaderChanges struct {
 	*cluster
-	submitted int // jobs of limitedTeam
+	submitted int // number of accepted jobs, all of limitedTeam
 	cancelled int // confirmed cancellations, including repeated ones
 }
 
--- a/internal/controller/failure_combinations_test.go
+++ b/internal/controller/failure_combinations_test.go
@@ -13,11 +13,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/fakes"
 )
 
-// Guards against rules that hold under each kind of fault but not under their combinations. From fixed seeds, controllers
-// pause, crash and restart, and lose the key-value store, their peers or their workers; the store is down; transactions are
-// carried out late; and users cancel and query jobs. No task may run twice, the limit must hold, and answers to users must
-// not contradict earlier ones. Within 75 s after the last fault every controller must answer for every job, and after
-// another 120 s every accepted job must have ended.
+// Guards against rules that hold under each kind of fault but not under their combinations. Random faults, drawn with fixed
+// seeds, coincide: controllers pause, crash and restart, and lose the key-value store, their peers or their workers; the store
+// is down; and transactions are carried out late. Meanwhile users cancel and query jobs. No task may run twice, the limit must
+// hold, and answers to users must not contradict earlier ones. Within 75 s after the last fault every controller must answer
+// for every job, and after another 120 s every accepted job must have ended.
 func TestRulesHoldUnderRandomFailureCombinations(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -98,7 +98,7 @@
 	ended     clock.Micros    // when the last task was done; zero until then
 }
 
-// burstLoad is the load of a run on its cluster.
+// burstLoad is the cluster of one run, with the jobs that the teams submit to it.
 type burstLoad struct {
 	*cluster
 	rng     *rand.Rand                 // chooses the hosts at which jobs are submitted
--- a/internal/controller/fleet_scale_test.go
+++ b/internal/controller/fleet_scale_test.go
@@ -33,7 +33,7 @@
 		c.runFleetFor(2*time.Second, 0)
 		c.start("b")
 		c.runFleetFor(25*time.Second, 0)
-		require.Equal(t, jobs*tasksPerJob, c.runningTasks(), "what ran before runs still")
+		require.Equal(t, jobs*tasksPerJob, c.runningTasks(), "running tasks must continue")
 		c.requireStartedOnce()
 		c.runFleetFor(15*time.Second, time.Second)
 		for i := range jobs {
@@ -77,7 +77,7 @@
 			}
 		}
 		c.runFleetFor(10*time.Second, 0)
-		require.Equal(t, tasks, c.runningTasks(), "what ran before runs still")
+		require.Equal(t, tasks, c.runningTasks(), "running tasks must continue")
 		c.requireStartedOnce()
 		c.runFleetFor(20*time.Second, time.Second)
 		for i := range jobs {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -118,7 +118,7 @@
 	return c.partitions.RecordedBefore(atMS)
 }
 
-// Drain asks all partition leaders to drain machines and returns those that are ready to be returned to the cloud.
+// Drain asks all partition leaders to drain machines and returns the drained ones, which can be returned to the cloud.
 func (c *Controller) Drain(_ context.Context, list []peer.MachineRef) []string {
 	out := c.partitions.Drain(list)
 	callPeers(c, methodDrain, peer.DrainRequest{Machines: list}, func(a peer.DrainResponse) { out = append(out, a.Ready...) })
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -79,9 +79,10 @@
 }
 
 // exchangeHeartbeats sends a heartbeat to a peer every peerHeartbeatInterval until ctx ends. The answer says when the peer last
-// reached the key-value store, which incarnation of the peer has resigned, and how many of the peer's machines have missed
-// heartbeats. If the peer reaches the store and this controller does not, the elector resigns this controller's leaderships.
-// The method runDuties starts one goroutine for each peer, which calls exchangeHeartbeats.
+// reached the key-value store, which incarnation of the peer has resigned, how many of this controller's machines send their
+// heartbeats to the peer, and how many of the peer's own machines have missed heartbeats. If the peer has contact with the
+// store and this controller has had none for the time resign_after_s of the policy, the elector resigns this controller's
+// leaderships. The method runDuties calls exchangeHeartbeats in one goroutine for each peer.
 func (c *Controller) exchangeHeartbeats(ctx context.Context, host string, client PeerClient) error {
 	tick := time.NewTicker(peerHeartbeatInterval)
 	defer tick.Stop()
--- a/internal/controller/rpc.go
+++ b/internal/controller/rpc.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Drain drains those of the listed machines that are in this controller's partitions. It returns the ones that are ready
-// to be returned to the cloud.
+// Drain drains those of the listed machines that are in this controller's partitions. It returns the drained
+// machines, which can be returned to the cloud.
 func (s *rpcService) Drain(in peer.DrainRequest, out *peer.DrainResponse) error {
 	out.Ready = s.controller.partitions.Drain(in.Machines)
 	return nil
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// HoldZone holds or resumes the return of work to a zone if this controller leads the fleet.
+// HoldZone holds the return of a zone at its present stage, or resumes it, if this controller leads the fleet.
 func (s *rpcService) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
 	*out = s.controller.holdZone(in)
 	return nil
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -126,7 +126,8 @@
 
 // requireDoneOnce requires that every controller reports the jobs as done, that at least one controller has recorded the end of
 // each job in its history, that none has recorded it twice, and that history.Check finds no violation. A controller that was
-// disconnected when a job ended need not have recorded the end, since it asks other controllers then.
+// disconnected when a job ended need not have recorded the end: it may answer with the state that the
+// leader of the job's team gives.
 func (c *cluster) requireDoneOnce(ids ...string) {
 	for _, id := range ids {
 		for _, h := range hosts {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -26,8 +26,9 @@
 	return zoneStates{records: map[string]autoscaler.ZoneRecord{}}
 }
 
-// apply applies an event if it concerns a zone, which changed reports. Then name is the zone and r its state, which is
-// healthy if the record was deleted or can't be decoded.
+// apply updates the records with an event, and returns the zone that the event concerns and the zone's new record. The
+// record is a healthy one if the event deletes the stored record or its value can't be decoded. changed is false if the
+// event concerns no zone.
 func (s *zoneStates) apply(e kvstore.Event) (name string, r zone.Record, changed bool) {
 	name, ok := strings.CutPrefix(e.Key, kvstore.ZonePrefix)
 	if !ok {
@@ -110,7 +111,7 @@
 	return status
 }
 
-// holdZone holds or resumes the return of work to a zone if this controller leads the fleet. Otherwise the response has
+// holdZone holds the return of a zone at its present stage, or resumes it, if this controller leads the fleet. Otherwise the response has
 // neither Done nor a refusal; it only names the fleet's leader, if there is one.
 func (c *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
 	if leader, ok := c.elector.Leader(autoscaler.Duty); ok {
