--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -52,7 +52,7 @@
 	return s.response, s.err
 }
 
-// peersStub is the other controllers. They answer forwarded submissions with response; while it has no status,
+// peersStub stands for the other controllers. They answer forwarded submissions with response; while it has no status,
 // none of them can be reached.
 type peersStub struct {
 	storeUnreachable bool // this controller has lost contact with the key-value store
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -43,7 +43,8 @@
 type Peers interface {
 	// StoreUnreachable reports whether this controller has no contact with the key-value store now.
 	StoreUnreachable() bool
-	// Submit forwards a submission to a controller that can reach the store; ok is false if none is known.
+	// Submit forwards a submission to a controller that can reach the store; ok is false if none is known or it
+	// does not answer.
 	Submit(body []byte) (r httpx.Response, ok bool)
 }
 
@@ -72,7 +73,7 @@
 	Jobs           *jobs.Cache
 	Limits         map[string]resources.Amounts // each team's limit; an amount of 0 means no limit
 	StartWithin    map[string]clock.Micros      // time within which tasks should start, for the job classes that have one
-	MaxRecordBytes int                          // maximum size of a value in the key-value store
+	MaxRecordBytes int                          // maximum size in bytes of a value in the key-value store
 	WallClock      func() time.Time
 	Log            *slog.Logger
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	Addr string `json:"addr"` // address for calls from other controllers
 }
 
-// Team has a team's guarantee and its quota, which is in the fields that end in Max. A quota of 0 means no quota.
+// Team has a team's guarantee and its limit, which is in the fields that end in Max. A limit of 0 means no limit.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// checkTeams rejects missing or repeated names of teams, negative amounts, and quotas below the guarantee.
+// checkTeams rejects missing or repeated names of teams, negative amounts, and limits below the guarantee.
 func (s *Settings) checkTeams() error {
 	names := map[string]bool{}
 	for i, t := range s.Params.Teams {
@@ -271,5 +271,5 @@
 	return nil
 }
 
-// exceeds reports whether a guarantee is above a quota. A quota of 0 means no quota.
+// exceeds reports whether a guarantee is above a team's limit. A limit of 0 means no limit.
 func exceeds(guarantee, quota float64) bool { return quota > 0 && quota < guarantee }
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// read reads from the connection into the buffer once. A full buffer grows first, up to the expected size of the
-// response if that is within limit.
+// read reads from the connection into the buffer once. A full buffer grows first, to at least twice its size. If the
+// size of the response is known, the buffer gets room for all of it, up to limit bytes.
 func (c *clientConnection) read(expected, limit int) error {
 	length := len(c.buffer)
 	if length == cap(c.buffer) {
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -4,7 +4,7 @@
 //
 // Invariants:
 //   - A server holds at most its limit of connections, and at most its budget of bytes of unanswered requests.
-//   - After an error of the parser nobody knows where the next message begins, so the connection is closed.
+//   - After an error of the parser the beginning of the next message is unknown, so the connection is closed.
 package httpx
 
 import (
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -71,7 +71,7 @@
 }
 
 // NewServer returns a server that holds at most limit connections and at most budget bytes of unanswered requests. It
-// closes a connection that has been idle for the time idle, or earlier if a new connection arrives at the limit. The
+// closes a connection that has been unused for the duration idle, or earlier if a new connection arrives at the limit. The
 // event loop itself answers the requests for which nonBlocking returns true.
 func NewServer(handler Handler, nonBlocking func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
 	return &Server{
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -1,7 +1,7 @@
 # The policy parameters and their defaults. The script that --policy names runs after this one
 # and may assign any of these parameters. Names that end in _s are in seconds. `economy` is True
-# if no objective asks for work without deadlines to finish within a short fixed time. Then work need
-# not finish before its deadline, and as few machines as possible are rented.
+# if no objective asks for work without deadlines to finish within a short fixed time. Then work
+# may take until its deadline, and as few machines as possible are rented.
 
 hold_ttl_s = 24        # a controller that gets no answer from the key-value store loses its leaderships after this time
 hold_renew_s = 1.5     # interval between renewals of the controller lease
@@ -18,7 +18,7 @@
 catchup_ordinary_s = 90 # the same for on-demand instances, which are rented once spot instances are refused
 spare_share = 0.0 if economy else 0.5   # capacity rented in advance, as a share of the capacity in use
 boot_patience = 3.0    # a machine that is not up after this multiple of its boot time is returned
-rental_backoff_s = 5   # an instance type that the cloud refused in a zone is not requested there for this long
+rental_backoff_s = 5   # a kind of instance (type, zone, spot or on-demand) that the cloud refused is not requested for this long
 sick_errors = 2        # a machine is quarantined when tasks of this many jobs have failed on it in a row
 
 # Fair shares: contended resources are divided among teams by weighted max-min fairness.
@@ -31,7 +31,7 @@
 placement_costs = False
 data_weight = 1        # weight of the seconds spent on fetching images, relative to all other seconds
 even_weight_s = 0      # a fully used machine costs this many seconds more than an empty one
-price_weight_s = 0     # a machine of the most expensive type costs this many seconds more than a free one
+price_weight_s = 0     # a machine of the most expensive type costs this many seconds more than one with the price 0
 image_wait_s = 8 if economy else 0   # a task leaves capacity to others for at most this long to get a machine with its image
 
 # Moves of running tasks off machines that the cloud takes back or that are quarantined as slow.
--- a/internal/policy/listing.go
+++ b/internal/policy/listing.go
@@ -63,7 +63,7 @@
 	return "{" + out.String() + "}"
 }
 
-// hookAddress returns the hookAddress of a hook's function, or "<nil>" if there is no hook.
+// hookAddress returns the address of a hook's function, or "<nil>" if there is no hook.
 func hookAddress[T any](hook *T) string {
 	if hook == nil {
 		return "<nil>"
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -52,7 +52,7 @@
 // SchedulingParameters has the sizes and times that schedulers and partition leaders use.
 type SchedulingParameters struct {
 	Sample           int          // machines drawn as candidates for each task
-	Batch            int          // tasks placed in one scheduling cycle, not counting a share of the waiting tasks
+	Batch            int          // tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
 	RoomLeaseTTL     clock.Micros // lease_ttl_s: time after which an unused resource lease expires
 	ProgressEvery    clock.Micros
 	PreemptAfter     clock.Micros
@@ -112,13 +112,13 @@
 // formerNames lists the former names of parameters that scripts may still use.
 var formerNames = []RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}
 
-// minLongFinishLeases is the number of worker leases that an objective's finishing time must last to be treated like a
-// deadline, even for work without deadlines. Such a time is long enough to wait for resources, to detect that a
-// machine is gone, and to start the work again.
+// minLongFinishLeases is the minimum length, in worker leases, of a finishing time that is treated like a deadline even
+// for work without deadlines. Such a time is long enough to wait for resources, to detect that a machine is gone, and
+// to start the work again.
 const minLongFinishLeases = 8
 
-// Economy reports whether scale-out may be economical, which means that work need not finish before its deadline. It
-// returns false if the settings have no objectives, or an objective asks for work without deadlines to finish within
+// Economy reports whether scale-out may be economical, which means that work may take until its deadline. It returns
+// false if the settings have no objectives, or an objective asks for work without deadlines to finish within
 // a short fixed time. A long fixed time, such as that of guests, does not prevent economy for everybody else. In a
 // class with deadlines, a fixed time is treated as one more deadline.
 func Economy(s *config.Settings) bool {
