--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -29,8 +29,8 @@
 	// overdueHeartbeats is the number of heartbeat intervals, plus one second of tolerance, after which a machine without
 	// an answered heartbeat is overdue and gets no new tasks.
 	overdueHeartbeats = 2.5
-	// shareOpenMultiple sets how long a machine is open to every team after its free resources were withheld for a team that
-	// did not take them: this many times as long as they were withheld.
+	// shareOpenMultiple is how many times as long as ShareWithhold a machine is open to every team, after its free resources
+	// were withheld for a team that did not take them.
 	shareOpenMultiple = 5
 	// maxZoneReturnAfter bounds how long a zone must be reachable before work returns to it. That time doubles each time
 	// the zone is lost again during its return.
--- a/wire/store.go
+++ b/wire/store.go
@@ -51,7 +51,7 @@
 
 // TxnResponse answers a transaction.
 type TxnResponse struct {
-	Revision uint64   `json:"ledger_rev"` // revision of all changes of the transaction, or of the store if a condition failed
+	Revision uint64   `json:"ledger_rev"` // revision that all its changes have; the store's present one if a condition failed
 	Failed   []string `json:"failed"`     // keys whose conditions did not hold; empty if the transaction was carried out
 }
 
