--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -38,7 +38,7 @@
 	return strings.Replace(validJob, part, replacement, 1)
 }
 
-// schedulerStub is the scheduler of the team; it answers queries and cancellations with a fixed response or error.
+// schedulerStub stands for the scheduler of the team. It answers queries and cancellations with a fixed response or error.
 type schedulerStub struct {
 	response peer.JobResponse
 	err      error
--- a/internal/api/queries_test.go
+++ b/internal/api/queries_test.go
@@ -11,8 +11,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// While the key-value store is down, a controller can't know whether a job exists. It must
-// answer 503. A 404 would tell the user that the job does not exist, although the store was not read.
+// While the key-value store is down, a controller can't know whether a job exists. It must answer 503: a
+// 404 would tell the user that the job does not exist, although the store was not read.
 func TestRequestsDuringStoreOutageAreUnavailable(t *testing.T) {
 	f := newAPIFixture(t)
 	f.store.SetDown(true)
--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// LargeFleet is a number of machines that every limit in the code allows. At the start the service logs whether the
+// LargeFleet is a number of machines that every limit in the code allows at least. At the start the service logs whether the
 // settings suffice for a fleet of this size.
 const LargeFleet = 4000
 
--- a/internal/policy/parameters_test.go
+++ b/internal/policy/parameters_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/config"
 )
 
-// settings returns settings with one objective of each kind.
+// settings returns settings with one objective of each given kind.
 func settings(kinds ...string) *config.Settings {
 	s := &config.Settings{}
 	for _, kind := range kinds {
--- a/wire/parse_test.go
+++ b/wire/parse_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// When several fields are missing, the error must name the first one. With any other choice the answer to the
+// When several fields are missing, the error must name the first one. If it named any of them, the answer to the
 // same submission could differ from one request to the next.
 func TestSubmissionWithoutSeveralFieldsNamesTheFirst(t *testing.T) {
 	for range 20 {
