--- a/wire/store.go
+++ b/wire/store.go
@@ -51,7 +51,7 @@
 
 // TxnResponse answers a transaction.
 type TxnResponse struct {
-	Revision uint64   `json:"ledger_rev"` // revision of all changes of the transaction, or of the store if a condition failed
+	Revision uint64   `json:"ledger_rev"` // revision that all its changes have; the store's present one if a condition failed
 	Failed   []string `json:"failed"`     // keys whose conditions did not hold; empty if the transaction was carried out
 }
 
@@ -65,7 +65,7 @@
 
 // WatchResponse answers a watch with all changes after the requested revision, in the order of their revisions.
 type WatchResponse struct {
-	Revision uint64   `json:"ledger_rev"` // revision from which the next watch continues
+	Revision uint64   `json:"ledger_rev"` // the next watch asks for changes after this revision
 	Changes  []Change `json:"log"`
 }
 
