--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -187,21 +187,21 @@
 	a.scaleIn(ctx, scaleIn)
 }
 
-// observe collects the input of a plan. Its fields Instances and Refused are the live maps, so that another
+// observe collects the input of a plan. Its fields Instances and RefusedUntil are the live maps, so that another
 // plan within the same step sees the responses to the requests sent before it.
 func (a *Autoscaler) observe(ctx context.Context, now clock.Micros) Input {
 	a.views = a.controllers.MachineViews(a.views[:0])
 	a.viewIndex = indexViews(a.viewIndex, a.views)
 	in := Input{
-		Now:        a.clock.Now(),
-		Types:      a.catalog.Types,
-		Instances:  a.instanceList.instances,
-		Views:      a.views,
-		Demands:    a.controllers.Demands(ctx),
-		Refused:    a.pacer.refusedUntil,
-		Parameters: a.parameters,
-		MaxCount:   wire.MaxScaleOut * a.pacer.maxRequests,
-		viewIndex:  a.viewIndex,
+		Now:          a.clock.Now(),
+		Types:        a.catalog.Types,
+		Instances:    a.instanceList.instances,
+		Views:        a.views,
+		Demands:      a.controllers.Demands(ctx),
+		RefusedUntil: a.pacer.refusedUntil,
+		Parameters:   a.parameters,
+		MaxPerKind:   wire.MaxScaleOut * a.pacer.maxRequests,
+		viewIndex:    a.viewIndex,
 	}
 	a.instanceList.observeViews(in.Views, in.viewIndex, now)
 	return in
@@ -211,7 +211,7 @@
 // machines.
 func (a *Autoscaler) decide(in *Input) ([]ScaleOut, []ScaleIn) {
 	closed, anyUnhealthy := a.zones.closedZones()
-	in.Closed = closed
+	in.ClosedZones = closed
 	scaleOut, scaleIn := Plan(*in)
 	if anyUnhealthy {
 		scaleIn = limitIdleScaleIn(scaleIn)
--- a/internal/autoscaler/cloud_client.go
+++ b/internal/autoscaler/cloud_client.go
@@ -49,7 +49,7 @@
 }
 
 // CountTraffic makes the client count its traffic in t.
-func (c *CloudClient) CountTraffic(t *telemetry.Traffic) { c.http.Count(t) }
+func (c *CloudClient) CountTraffic(t *telemetry.Traffic) { c.http.CountTraffic(t) }
 
 // call sends one request with body encoded as JSON, and decodes the response into the value that result points
 // to. Both body and result may be nil. The error is errNoCapacity if the cloud lacks capacity for the request.
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -68,18 +68,18 @@
 		if l.goneSince[listed.ID] != 0 {
 			continue
 		}
-		since := startedAt - clock.FromSeconds(listed.AgeS)
+		requestedAt := startedAt - clock.FromSeconds(listed.AgeS)
 		known, ok := l.instances[listed.ID]
 		if ok {
-			since = min(known.Since, since)
+			requestedAt = min(known.RequestedAt, requestedAt)
 		}
 		l.instances[listed.ID] = Instance{
-			InstanceKind: InstanceKind{listed.Type, listed.Zone, listed.Spot},
-			ID:           listed.ID,
-			Phase:        listed.Phase,
-			Since:        since,
-			Up:           known.Up,
-			Lost:         known.Lost,
+			InstanceKind:     InstanceKind{listed.Type, listed.Zone, listed.Spot},
+			ID:               listed.ID,
+			Phase:            listed.Phase,
+			RequestedAt:      requestedAt,
+			HeartbeatSeen:    known.HeartbeatSeen,
+			UnreachableSince: known.UnreachableSince,
 		}
 		l.lastSeen[listed.ID] = startedAt
 		if l.firstListed[listed.ID] == 0 {
@@ -143,12 +143,12 @@
 // addGranted adds the instances that the cloud granted for a request sent at sent.
 func (l *instanceList) addGranted(kind InstanceKind, ids []string, sent clock.Micros) {
 	for _, id := range ids {
-		l.instances[id] = Instance{InstanceKind: kind, ID: id, Phase: wire.MachineBooting, Since: sent}
+		l.instances[id] = Instance{InstanceKind: kind, ID: id, Phase: wire.MachineBooting, RequestedAt: sent}
 		l.lastSeen[id] = sent
 	}
 }
 
-// observeViews updates the fields Up and Lost of all instances from the machine views: whether their workers have
+// observeViews updates HeartbeatSeen and UnreachableSince of all instances from the machine views: whether their workers have
 // sent heartbeats, and since when those are silent or no longer in the views.
 func (l *instanceList) observeViews(views []peer.MachineView, viewIndex map[string]int, now clock.Micros) {
 	for id, instance := range l.instances {
@@ -156,13 +156,13 @@
 		reachable := false
 		if i, ok := viewIndex[id]; ok {
 			reachable = !views[i].Silent
-			instance.Up = instance.Up || views[i].Accounted
+			instance.HeartbeatSeen = instance.HeartbeatSeen || views[i].Accounted
 		}
 		switch {
 		case reachable:
-			instance.Lost = 0
-		case instance.Up && instance.Lost == 0:
-			instance.Lost = now
+			instance.UnreachableSince = 0
+		case instance.HeartbeatSeen && instance.UnreachableSince == 0:
+			instance.UnreachableSince = now
 		}
 		if instance != before {
 			l.instances[id] = instance
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -17,34 +17,34 @@
 // Instance is a machine that the cloud lists, or has just granted.
 type Instance struct {
 	InstanceKind
-	ID    string
-	Phase string
-	Since clock.Micros // time of the scale-out request, by this process's clock
-	Up    bool         // its worker has sent a heartbeat
-	Lost  clock.Micros // since when its worker is silent or no longer in the views; 0: the worker is reachable
+	ID               string
+	Phase            string
+	RequestedAt      clock.Micros // time of the scale-out request, by this process's clock
+	HeartbeatSeen    bool         // its worker has sent a heartbeat
+	UnreachableSince clock.Micros // since when its worker is silent or no longer in the views; 0: the worker is reachable
 }
 
 // Parameters are the operators' settings of the plan. Economy limits scale-out to what is needed to complete the
 // waiting work in time, and returns idle machines although other tasks wait.
 type Parameters struct {
-	Economy                  bool
-	SpareShare               float64      // without economy: spare capacity, as a share of the capacity in use
-	IdleScaleInDelay         clock.Micros // how long a machine is idle before it is returned
-	BootPatience             float64      // after how many boot times an instance counts as failed to start
-	Catchup, CatchupOrdinary clock.Micros // with economy: time in which waiting work is to be done, for spot and ordinary instances
+	Economy                      bool
+	SpareShare                   float64      // without economy: spare capacity, as a share of the capacity in use
+	IdleScaleInDelay             clock.Micros // how long a machine is idle before it is returned
+	BootPatience                 float64      // after how many boot times an instance counts as failed to start
+	CatchupSpot, CatchupOnDemand clock.Micros // with economy: time in which waiting work is to be done, for spot and on-demand instances
 }
 
 // Input is the state of the fleet from which a plan is made. Plan does not change it.
 type Input struct {
-	Now        clock.Micros
-	Types      []wire.MachineType
-	Instances  map[string]Instance
-	Views      []peer.MachineView
-	Demands    []peer.Demand
-	Refused    map[InstanceKind]clock.Micros // until when a kind is not requested, after a refusal
-	Parameters Parameters
-	MaxCount   int             // bound on the machines of one kind that one plan requests
-	Closed     map[string]bool // zones in which no instances are requested at present
+	Now          clock.Micros
+	Types        []wire.MachineType
+	Instances    map[string]Instance
+	Views        []peer.MachineView
+	Demands      []peer.Demand
+	RefusedUntil map[InstanceKind]clock.Micros // until when a kind is not requested, after a refusal
+	Parameters   Parameters
+	MaxPerKind   int             // bound on the machines of one kind that one plan requests
+	ClosedZones  map[string]bool // zones in which no instances are requested at present
 
 	// viewIndex maps machine ids to their positions in Views. Plan builds it if it is nil.
 	viewIndex map[string]int
--- a/internal/autoscaler/plan_packing.go
+++ b/internal/autoscaler/plan_packing.go
@@ -63,7 +63,7 @@
 	for _, instance := range p.Instances {
 		_, viewed := p.viewIndex[instance.ID]
 		_, known := p.types[instance.Type]
-		if !known || viewed || instance.Up || instance.Phase == wire.MachineFailed {
+		if !known || viewed || instance.HeartbeatSeen || instance.Phase == wire.MachineFailed {
 			continue
 		}
 		b := &bin{kind: instance.InstanceKind, free: p.capacityOf(instance.Type)}
@@ -114,12 +114,12 @@
 }
 
 // addInstanceFor adds an instance of the cheapest kind that a demand permits and its tasks fit, and returns its
-// bin. It returns nil if there is no such kind, or MaxCount instances of each are to be requested already.
+// bin. It returns nil if there is no such kind, or MaxPerKind instances of each are to be requested already.
 func (p *planner) addInstanceFor(d *peer.Demand) *bin {
 	var best *InstanceKind
 	for i := range p.available {
 		k := &p.available[i]
-		if !permits(d, *k) || !d.Need.Fits(p.capacityOf(k.Type)) || p.requested[*k] >= p.MaxCount {
+		if !permits(d, *k) || !d.Need.Fits(p.capacityOf(k.Type)) || p.requested[*k] >= p.MaxPerKind {
 			continue
 		}
 		if best == nil || p.cost(*k) < p.cost(*best) {
--- a/internal/autoscaler/plan_scale_in.go
+++ b/internal/autoscaler/plan_scale_in.go
@@ -74,11 +74,11 @@
 	switch {
 	case instance.Phase == wire.MachineFailed:
 		return reasonFailed
-	case instance.Up:
+	case instance.HeartbeatSeen:
 		if p.silentTooLong(instance) {
 			return reasonWorkerGone
 		}
-	case known && (p.Now-instance.Since).Seconds() > max(t.BootS, minBootS)*p.Parameters.BootPatience:
+	case known && (p.Now-instance.RequestedAt).Seconds() > max(t.BootS, minBootS)*p.Parameters.BootPatience:
 		return reasonNeverUp
 	}
 	return ""
@@ -88,7 +88,7 @@
 // machine that stopped is soon listed as failed. One that is still listed as running hangs or is cut off, and may
 // be reachable again sooner than a replacement would have booted, so it is kept for that time.
 func (p *planner) silentTooLong(instance Instance) bool {
-	return instance.Lost != 0 && p.Now >= instance.Lost+p.bootTime(instance.Type)
+	return instance.UnreachableSince != 0 && p.Now >= instance.UnreachableSince+p.bootTime(instance.Type)
 }
 
 // idleTooLong reports whether a machine has been without tasks for longer than IdleScaleInDelay. A machine that is
--- a/internal/autoscaler/plan_scale_out.go
+++ b/internal/autoscaler/plan_scale_out.go
@@ -42,7 +42,7 @@
 				if spot {
 					p = t.SpotPrice
 				}
-				if in.Now < in.Refused[k] || p <= 0 || in.Closed[zone] {
+				if in.Now < in.RefusedUntil[k] || p <= 0 || in.ClosedZones[zone] {
 					continue
 				}
 				price[k] = p/max(t.CPUs, 1) + spreadWeight*float64(instances[k])
@@ -60,7 +60,7 @@
 	spare := int64(p.Parameters.SpareShare*float64(p.usedCPU)) - (p.totalCPU - p.usedCPU)
 	for _, k := range p.available {
 		cpu := p.types[k.Type].CPUs
-		for spare > 0 && p.requested[k] < p.MaxCount && cpu > 0 {
+		for spare > 0 && p.requested[k] < p.MaxPerKind && cpu > 0 {
 			p.requested[k]++
 			spare -= int64(cpu * cpuUnit)
 		}
@@ -88,9 +88,9 @@
 // only if the work would take longer. The time for ordinary instances differs from that for spot instances.
 func (p *planner) catchupS(k InstanceKind) float64 {
 	if k.Spot {
-		return p.Parameters.Catchup.Seconds()
+		return p.Parameters.CatchupSpot.Seconds()
 	}
-	return p.Parameters.CatchupOrdinary.Seconds()
+	return p.Parameters.CatchupOnDemand.Seconds()
 }
 
 // requiredCPUs returns the number of CPUs that complete all running and waiting tasks within catchupS seconds. Tasks
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -14,12 +14,12 @@
 // testInput returns the input of a plan with one machine type in two zones, and no instances.
 func testInput() Input {
 	return Input{
-		Now:        1000 * sec,
-		Instances:  map[string]Instance{},
-		Refused:    map[InstanceKind]clock.Micros{},
-		MaxCount:   20,
-		Types:      []wire.MachineType{bigType("a", "b")},
-		Parameters: Parameters{IdleScaleInDelay: 60 * sec, BootPatience: 3, Catchup: 60 * sec, CatchupOrdinary: 150 * sec},
+		Now:          1000 * sec,
+		Instances:    map[string]Instance{},
+		RefusedUntil: map[InstanceKind]clock.Micros{},
+		MaxPerKind:   20,
+		Types:        []wire.MachineType{bigType("a", "b")},
+		Parameters:   Parameters{IdleScaleInDelay: 60 * sec, BootPatience: 3, CatchupSpot: 60 * sec, CatchupOnDemand: 150 * sec},
 	}
 }
 
@@ -40,7 +40,7 @@
 	in := testInput()
 	in.Demands = waitingDemand(8, nil)
 	in.Views = []peer.MachineView{{ID: "m-1", Type: "big", Zone: "a", Usable: true, Cap: bigCapacity(), Free: bigCapacity()}}
-	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, Since: in.Now}
+	in.Instances["m-2"] = Instance{InstanceKind: InstanceKind{"big", "a", true}, ID: "m-2", Phase: wire.MachineBooting, RequestedAt: in.Now}
 	scaleOut, scaleIn := Plan(in)
 	spot, ordinary := countBySpot(scaleOut)
 	require.Equal(t, 2, spot, "four machines are needed, of which one is up and one is booting")
@@ -54,8 +54,8 @@
 func TestPlanAvoidsRefusedAndForbiddenKinds(t *testing.T) {
 	in := testInput()
 	in.Demands = waitingDemand(4, nil)
-	in.Refused[InstanceKind{"big", "a", true}] = in.Now + sec
-	in.Refused[InstanceKind{"big", "b", true}] = in.Now + sec
+	in.RefusedUntil[InstanceKind{"big", "a", true}] = in.Now + sec
+	in.RefusedUntil[InstanceKind{"big", "b", true}] = in.Now + sec
 	spot, ordinary := countBySpot(scaleOutOf(Plan(in)))
 	require.Zero(t, spot)
 	require.Equal(t, 2, ordinary)
@@ -91,10 +91,10 @@
 // returned; those that are idle for a shorter time or still have tasks are not.
 func TestPlanReturnsMachinesNoLongerNeeded(t *testing.T) {
 	in := testInput()
-	old := Instance{InstanceKind: InstanceKind{"big", "a", true}, Phase: wire.MachineBooting, Since: in.Now - 91*sec}
+	old := Instance{InstanceKind: InstanceKind{"big", "a", true}, Phase: wire.MachineBooting, RequestedAt: in.Now - 91*sec}
 	in.Instances["m-5"], in.Instances["m-6"] = instanceAs(old, "m-5", ""), instanceAs(old, "m-6", wire.MachineFailed)
 	lost := instanceAs(old, "m-3", wire.MachineRunning)
-	lost.Lost = in.Now - 31*sec
+	lost.UnreachableSince = in.Now - 31*sec
 	in.Instances["m-3"] = lost
 	in.Views = []peer.MachineView{
 		{ID: "m-1", Accounted: true, Usable: true, Idle: 61 * sec},
@@ -104,7 +104,7 @@
 		{ID: "m-7", Accounted: true, Sick: true, Count: 1},
 		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // not usable now: kept for the boot time in addition
 	}
-	in.Instances["m-8"] = instanceAs(Instance{InstanceKind: InstanceKind{"big", "a", true}, Up: true}, "m-8", wire.MachineRunning)
+	in.Instances["m-8"] = instanceAs(Instance{InstanceKind: InstanceKind{"big", "a", true}, HeartbeatSeen: true}, "m-8", wire.MachineRunning)
 	_, scaleIn := Plan(in)
 	ids := []string{}
 	for _, r := range scaleIn {
--- a/internal/autoscaler/zone_states_test.go
+++ b/internal/autoscaler/zone_states_test.go
@@ -36,7 +36,7 @@
 
 func newZoneFixture() *zoneFixture {
 	f := &zoneFixture{
-		evidence:     map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, MissedHeartbeats: 10}},
+		evidence:     map[string]zone.Evidence{"a": {Machines: 10}, "b": {Machines: 10, Missing: 10}},
 		records:      map[string]ZoneRecord{},
 		modRevisions: map[string]uint64{kvstore.LeaderPrefix + Duty: leaderRevision},
 		revision:     10,
@@ -50,7 +50,7 @@
 		Zones: ZoneWatch{
 			Names:    []string{"a", "b"},
 			Source:   f,
-			Settings: zone.Settings{SuspectAfter: sec, LostAfter: 3 * sec, ReturnAfter: sec, ReturnMost: sec},
+			Settings: zone.Settings{SuspectAfter: sec, LostAfter: 3 * sec, ReturnDelay: sec, MaxReturnDelay: sec},
 		},
 	})
 	f.autoscaler.zones.startTerm(sec)
@@ -136,7 +136,7 @@
 	require.Equal(t, map[string]bool{"b": true}, closed)
 	require.True(t, anyUnhealthy)
 	types := []wire.MachineType{{Name: "big", CPUs: 8, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
-	list, _ := availableKinds(Input{Types: types, Closed: closed})
+	list, _ := availableKinds(Input{Types: types, ClosedZones: closed})
 	require.Len(t, list, 2)
 	for _, k := range list {
 		require.Equal(t, "a", k.Zone)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -48,11 +48,11 @@
 // Clock tells the monotonic time.
 type Clock interface{ Now() Micros }
 
-// Steady is the monotonic clock of the process. It is safe for concurrent use.
-type Steady struct{ start time.Time }
+// Monotonic is the monotonic clock of the process. It is safe for concurrent use.
+type Monotonic struct{ start time.Time }
 
 // NewSteady returns a monotonic clock that starts at one second, so that it never shows 0, which means "never".
-func NewSteady() *Steady { return &Steady{start: time.Now()} }
+func NewSteady() *Monotonic { return &Monotonic{start: time.Now()} }
 
 // Now returns the time since the clock was made, plus one second.
-func (s *Steady) Now() Micros { return FromDuration(time.Since(s.start)) + Second }
+func (m *Monotonic) Now() Micros { return FromDuration(time.Since(m.start)) + Second }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,7 +26,7 @@
 	require.GreaterOrEqual(t, float64(lease.PlusDrift())/fastest*1.000001, float64(lease)/slowest, "to a millionth")
 }
 
-func TestSteadyClockNeverShowsZero(t *testing.T) {
+func TestMonotonicClockNeverShowsZero(t *testing.T) {
 	c := NewSteady()
 	first := c.Now()
 	require.GreaterOrEqual(t, first, Second)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -272,4 +272,4 @@
 }
 
 // exceeds reports whether a guarantee is above a team's limit. A limit of 0 means no limit.
-func exceeds(guarantee, quota float64) bool { return quota > 0 && quota < guarantee }
+func exceeds(guarantee, limit float64) bool { return limit > 0 && limit < guarantee }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c *Controller) partitionOptions(w *wiring, l *layout, steady clock.Clock) partition.Options {
+func (c *Controller) partitionOptions(w *wiring, l *layout, monotonic clock.Clock) partition.Options {
 	_, workerConnections := w.settings.Sockets()
 	o := partition.Options{
 		Host:                 w.settings.Host,
@@ -72,7 +72,7 @@
 		Jobs:                 c.jobs,
 		Elections:            c.elector,
 		Store:                w.store,
-		Clock:                steady,
+		Clock:                monotonic,
 		WallClock:            time.Now,
 		Log:                  w.log,
 		History:              c.history,
@@ -98,10 +98,10 @@
 
 func fairShareSettings(parameters *policy.Parameters) fairshare.Settings {
 	return fairshare.Settings{
-		Weights:  parameters.TeamWeights,
-		Fresh:    parameters.ShareFresh,
-		Withhold: parameters.ShareWithhold,
-		Open:     shareOpenMultiple * parameters.ShareWithhold,
+		Weights:      parameters.TeamWeights,
+		MaxDemandAge: parameters.ShareFresh,
+		WithholdFor:  parameters.ShareWithhold,
+		OpenFor:      shareOpenMultiple * parameters.ShareWithhold,
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *Controller) schedulerOptions(w *wiring, l *layout, steady clock.Clock) scheduler.Options {
+func (c *Controller) schedulerOptions(w *wiring, l *layout, monotonic clock.Clock) scheduler.Options {
 	return scheduler.Options{
 		Teams:           l.teams,
 		PartitionDuties: l.partitionDuties,
@@ -129,7 +129,7 @@
 		Store:           w.store,
 		PriorityStore:   w.priorityStore,
 		Jobs:            c.jobs,
-		Clock:           steady,
+		Clock:           monotonic,
 		Log:             w.log,
 		Telemetry:       w.telemetry,
 	}
@@ -158,7 +158,7 @@
 	if !parameters.PlacementCosts {
 		return nil
 	}
-	weights := placement.Weights{Data: parameters.DataWeight, Even: parameters.EvenWeight, Price: parameters.PriceWeight}
+	weights := placement.Weights{ImageFetch: parameters.DataWeight, Utilization: parameters.EvenWeight, Price: parameters.PriceWeight}
 	return &scheduler.Costs{ImageWait: parameters.ImageWait, Weights: weights}
 }
 
@@ -191,14 +191,14 @@
 	}
 }
 
-func (c *Controller) autoscalerOptions(w *wiring, steady clock.Clock) autoscaler.Options {
+func (c *Controller) autoscalerOptions(w *wiring, monotonic clock.Clock) autoscaler.Options {
 	p := &w.settings.Params
 	return autoscaler.Options{
 		Cloud:         autoscaler.NewCloudClient(w.settings.Services.Cloud, p.Cloud.RPS, maxResponseBytes(p.Limits.MemoryMB)),
 		Elections:     c.elector,
 		Store:         w.store,
 		Controllers:   c,
-		Clock:         steady,
+		Clock:         monotonic,
 		WallClock:     time.Now,
 		Parameters:    autoscalerParameters(w.parameters),
 		Backoff:       w.parameters.ScaleOutBackoff,
@@ -217,8 +217,8 @@
 		SpareShare:       parameters.SpareShare,
 		IdleScaleInDelay: parameters.IdleScaleInDelay,
 		BootPatience:     parameters.BootPatience,
-		Catchup:          parameters.Catchup,
-		CatchupOrdinary:  parameters.CatchupOrdinary,
+		CatchupSpot:      parameters.Catchup,
+		CatchupOnDemand:  parameters.CatchupOrdinary,
 	}
 }
 
@@ -229,10 +229,10 @@
 		return autoscaler.ZoneWatch{}
 	}
 	return autoscaler.ZoneWatch{Names: c.settings.Params.Zones, Source: c, Settings: zone.Settings{
-		SuspectAfter: parameters.ZoneSuspectAfter,
-		LostAfter:    parameters.ZoneLostAfter,
-		ReturnAfter:  parameters.ZoneReturnAfter,
-		ReturnMost:   maxZoneReturnAfter,
+		SuspectAfter:   parameters.ZoneSuspectAfter,
+		LostAfter:      parameters.ZoneLostAfter,
+		ReturnDelay:    parameters.ZoneReturnAfter,
+		MaxReturnDelay: maxZoneReturnAfter,
 	}}
 }
 
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -38,7 +38,7 @@
 // query; then the partition server; then the scheduler, which calls the partition server; last the API handler and the
 // autoscaler, which call the controller itself.
 func assemble(w *wiring) *Controller {
-	steady, l := clock.NewSteady(), newLayout(w.settings)
+	monotonic, l := clock.NewSteady(), newLayout(w.settings)
 	c := &Controller{
 		settings:           w.settings,
 		log:                w.log,
@@ -55,12 +55,12 @@
 	}
 	c.jobs = newJobCache(c.history)
 	election := leaderelection.NewElection(w.settings.Host, l.hosts, l.duties(), len(l.partitionDuties))
-	c.elector = leaderelection.NewElector(election, w.priorityStore, steady, leaseTiming(w.parameters), w.log)
-	c.partitions = partition.New(c.partitionOptions(w, &l, steady))
+	c.elector = leaderelection.NewElector(election, w.priorityStore, monotonic, leaseTiming(w.parameters), w.log)
+	c.partitions = partition.New(c.partitionOptions(w, &l, monotonic))
 	core := scheduler.NewScheduler(schedulerConfig(w, &l))
-	c.scheduler = scheduler.New(core, c.schedulerOptions(w, &l, steady))
+	c.scheduler = scheduler.New(core, c.schedulerOptions(w, &l, monotonic))
 	c.api = api.New(c.apiOptions(w, &l))
-	c.autoscaler = autoscaler.New(c.autoscalerOptions(w, steady))
+	c.autoscaler = autoscaler.New(c.autoscalerOptions(w, monotonic))
 	return c
 }
 
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -98,7 +98,7 @@
 		r.State = zone.Healthy
 	}
 	status := peer.ZoneStatus{Zone: name, State: string(r.State), Held: r.Held, Flaps: r.Flaps, AtMS: r.AtMS, Why: r.Why,
-		Machines: evidence.Machines, Unheard: evidence.MissedHeartbeats, Unsettled: evidence.Unaccounted}
+		Machines: evidence.Machines, Unheard: evidence.Missing, Unsettled: evidence.Unaccounted}
 	if r.State != zone.Returning {
 		return status
 	}
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -11,13 +11,13 @@
 // Settings are the operators' settings of an Arbiter.
 type Settings struct {
 	Weights map[string]float64 // by team; a team without a weight has weight 1
-	// Fresh is the age up to which a demand counts. With an older one the team counts as if no task waited.
-	Fresh clock.Micros
-	// Withhold is how long the free resources of a machine are withheld from teams that exceed their shares. If a
+	// MaxDemandAge is the age up to which a demand counts. With an older one the team counts as if no task waited.
+	MaxDemandAge clock.Micros
+	// WithholdFor is how long the free resources of a machine are withheld from teams that exceed their shares. If a
 	// waiting team below its share could use them, its scheduler has requested them by then.
-	Withhold clock.Micros
-	// Open is how long a machine is open to every team after its resources were withheld and not requested.
-	Open clock.Micros
+	WithholdFor clock.Micros
+	// OpenFor is how long a machine is open to every team after its resources were withheld and not requested.
+	OpenFor clock.Micros
 }
 
 // receivedDemand is a team's demand with the time at which it arrived.
@@ -46,7 +46,7 @@
 		demands:  map[string]receivedDemand{},
 		used:     map[string]Use{},
 		shares:   map[string]float64{},
-		withheld: newWithholdings(s.Withhold, s.Open),
+		withheld: newWithholdings(s.WithholdFor, s.OpenFor),
 	}
 }
 
@@ -75,7 +75,7 @@
 // withholdings that have ended, and divides the capacity into shares.
 func (a *Arbiter) UpdateUsage(capacity resources.Amounts, used map[string]Use, now clock.Micros) {
 	a.capacity, a.used, a.countedAt = capacity, used, now
-	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.Fresh })
+	maps.DeleteFunc(a.demands, func(_ string, d receivedDemand) bool { return now > d.receivedAt+a.settings.MaxDemandAge })
 	a.withheld.forget(now)
 	a.shares = Divide(capacity, a.claimants())
 }
@@ -145,7 +145,7 @@
 	remaining.Free = machine.Free.Minus(assignment.Need)
 	for _, team := range slices.Sorted(maps.Keys(a.demands)) {
 		d := a.demands[team]
-		if team == assignment.Team || now > d.receivedAt+a.settings.Fresh || !a.belowShare(team) {
+		if team == assignment.Team || now > d.receivedAt+a.settings.MaxDemandAge || !a.belowShare(team) {
 			continue
 		}
 		for i := range d.Shapes {
@@ -210,7 +210,7 @@
 			Team: team, Weight: a.weight(team), Share: a.shares[team],
 			Taken: Dominant(a.used[team].All, a.capacity),
 		}
-		if d, ok := a.demands[team]; ok && now <= d.receivedAt+a.settings.Fresh {
+		if d, ok := a.demands[team]; ok && now <= d.receivedAt+a.settings.MaxDemandAge {
 			s.Waiting = all[team].Waiting
 		}
 		out = append(out, s)
--- a/internal/fairshare/arbiter_test.go
+++ b/internal/fairshare/arbiter_test.go
@@ -25,7 +25,7 @@
 // arbiterUnderContention returns an arbiter of 100 CPUs, of which team hot uses 96 and wants more, while the shape of
 // another team waits.
 func arbiterUnderContention(waiting Shape) *Arbiter {
-	a := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec, Open: 5 * sec})
+	a := NewArbiter(Settings{MaxDemandAge: 3 * sec, WithholdFor: sec, OpenFor: 5 * sec})
 	a.UpdateDemand([]Demand{
 		{Team: "hot", Term: 1, Shapes: []Shape{shapeOf(500)}},
 		{Team: "other", Term: 1, Shapes: []Shape{waiting}}}, 10*sec)
@@ -69,7 +69,7 @@
 	require.True(t, a.Yields(assignmentOf("hot", 1), machineForOneTask, 10*sec))
 	require.True(t, a.Yields(assignmentOf("hot", 1), machineForOneTask, 10*sec+900*clock.Millisecond))
 	require.False(t, a.Yields(assignmentOf("hot", 1), machineForOneTask, 11*sec), "the machine was not requested within the timeout")
-	require.False(t, a.Yields(assignmentOf("hot", 1), machineForOneTask, 12*sec), "the machine stays open for the time Open")
+	require.False(t, a.Yields(assignmentOf("hot", 1), machineForOneTask, 12*sec), "the machine stays open for OpenFor")
 	other := *machineForOneTask
 	other.Machine = "m-2"
 	require.True(t, a.Yields(assignmentOf("hot", 1), &other, 12*sec), "other machines are still withheld")
@@ -113,7 +113,7 @@
 	fresh := arbiterUnderContention(shapeOf(5))
 	fresh.UpdateDemand([]Demand{{Team: "other", Term: 1}}, 11*sec)
 	require.False(t, fresh.Yields(assignmentOf("hot", 1), machineForOneTask, 11*sec), "no task of the other team waits any more")
-	none := NewArbiter(Settings{Fresh: 3 * sec, Withhold: sec})
+	none := NewArbiter(Settings{MaxDemandAge: 3 * sec, WithholdFor: sec})
 	require.False(t, none.UsageDue(sec), "without demand usage is not counted")
 	require.False(t, none.Yields(assignmentOf("hot", 1), machineForOneTask, sec))
 }
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -18,7 +18,7 @@
 )
 
 // Client sends requests to one address and keeps idle connections open for later requests. It is safe for concurrent
-// use, except for Count.
+// use, except for CountTraffic.
 type Client struct {
 	addr        string
 	maxIdle     int // maximum number of idle connections
@@ -36,8 +36,8 @@
 	return &Client{addr: addr, maxIdle: keep, maxResponse: limit}
 }
 
-// Count makes the client count its traffic in t. It must be called before the first request.
-func (c *Client) Count(t *telemetry.Traffic) { c.traffic = t }
+// CountTraffic makes the client count its traffic in t. It must be called before the first request.
+func (c *Client) CountTraffic(t *telemetry.Traffic) { c.traffic = t }
 
 // Addr returns the address that the client calls.
 func (c *Client) Addr() string { return c.addr }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -36,7 +36,7 @@
 }
 
 // CountTraffic makes the client count its traffic in t. It is called before the first request.
-func (c *Client) CountTraffic(t *telemetry.Traffic) { c.http.Count(t) }
+func (c *Client) CountTraffic(t *telemetry.Traffic) { c.http.CountTraffic(t) }
 
 // request is a request to the store and how to send it.
 type request struct {
--- a/internal/partition/connections.go
+++ b/internal/partition/connections.go
@@ -54,7 +54,7 @@
 			c.close(c.idle.Front().Value.(string))
 		}
 		conn = &workerConnection{client: httpx.NewClient(addr, 1, maxWorkerResponse)}
-		conn.client.Count(c.traffic)
+		conn.client.CountTraffic(c.traffic)
 		c.byMachine[id] = conn
 	}
 	if conn.idle != nil {
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -36,7 +36,7 @@
 	}
 	m.worker.answeredAt = now
 	if gate := s.zoneGates[m.Zone]; gate != nil {
-		gate.HeartbeatSeen(now)
+		gate.RecordHeartbeat(now)
 	}
 	if m.worker.overdue {
 		m.worker.overdue = false
@@ -154,7 +154,7 @@
 			case wire.TaskExited:
 				s.recordExit(m, t, status.Cause, now)
 			case wire.TaskRunning:
-				s.markWarm(m)
+				s.markProven(m)
 			}
 		}
 		t.state, t.phase, t.cause = reportedState(status.Phase), status.Phase, status.Cause
--- a/internal/partition/machine.go
+++ b/internal/partition/machine.go
@@ -60,8 +60,8 @@
 	draining  bool
 	eviction  evictionNotice
 	idleSince clock.Micros
-	// warmIncarnation is the worker's incarnation in which a task was last seen running on the machine.
-	warmIncarnation uint64
+	// provenIncarnation is the worker's incarnation in which a task was last seen running on the machine.
+	provenIncarnation uint64
 
 	version       uint64 // version of the State at the machine's last change
 	removed       removedTasks
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -50,8 +50,8 @@
 	if a.Stage > 0 {
 		stage = recovery.Stage(a.Stage - 1)
 	}
-	warm := m.warmIncarnation == m.worker.incarnation
-	return gate.Admits(stage, recovery.Machine{Warm: warm, Pending: m.pendingStarts()}, gate.startsUnderWay, now)
+	proven := m.provenIncarnation == m.worker.incarnation
+	return gate.Admits(stage, recovery.Machine{Proven: proven, Pending: m.pendingStarts()}, gate.startsUnderWay, now)
 }
 
 // startsInZone counts the tasks in a zone that were accepted and have not been seen running yet.
@@ -64,11 +64,11 @@
 	return n
 }
 
-// markWarm records that a task was seen running on a machine: the machine works and has the task's image.
-func (s *State) markWarm(m *machine) {
-	m.warmIncarnation = m.worker.incarnation
+// markProven records that a task was seen running on a machine: the machine works and has the task's image.
+func (s *State) markProven(m *machine) {
+	m.provenIncarnation = m.worker.incarnation
 	if gate := s.zoneGates[m.Zone]; gate != nil {
-		gate.Succeeded()
+		gate.RecordSuccessfulStart()
 	}
 }
 
--- a/internal/partition/zones_test.go
+++ b/internal/partition/zones_test.go
@@ -24,7 +24,7 @@
 	s.heartbeat()
 	s.heartbeat()
 	require.True(t, s.worker.Running("job-1/0"))
-	require.True(t, s.assignAtStage(1, 5, recovery.Urgent), "the machine is warm once the trial task runs")
+	require.True(t, s.assignAtStage(1, 5, recovery.Urgent), "the machine is proven once the trial task runs")
 	require.False(t, s.assignAtStage(2, 6, recovery.Services))
 	s.state.SetZoneState("a", zone.Record{State: zone.Healthy}, s.now)
 	require.True(t, s.assignAtStage(2, 7, recovery.Cold))
--- a/internal/policy/hooks_test.go
+++ b/internal/policy/hooks_test.go
@@ -57,7 +57,7 @@
 
 // The stage hook chooses the stage of a zone's return that admits a job. A hook that fails or returns no valid stage must
 // not keep the job out of the zone: the error is logged, and the stage follows from priority and deadline.
-func TestStageHookNamesStageAndItsFailureGivesTheDefault(t *testing.T) {
+func TestStageHookChoosesStageAndFailureUsesDefault(t *testing.T) {
 	urgent := jobs.New(jobs.Record{Job: wire.Job{ID: "job-1", Team: "red", Priority: "high"}}, 1)
 	for _, test := range []struct {
 		script string
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -2,22 +2,22 @@
 
 import "github.com/merlinlatch/merlinlatch/internal/clock"
 
-// HoldFor is the longest time for which a resource lease is held at the destination. A move whose task is not gone from
+// HeldLeaseTTL is the longest time for which a resource lease is held at the destination. A move whose task is not gone from
 // the source by then is abandoned.
-const HoldFor = 30 * clock.Second
+const HeldLeaseTTL = 30 * clock.Second
 
 // Outcome says how a move ended. Its text is part of the operators' output.
 type Outcome string
 
 // Outcomes of moves.
 const (
-	UnderWay        Outcome = "under way"
-	Moved           Outcome = "moved"
-	NoLease         Outcome = "the destination refused"
-	DestinationGone Outcome = "the destination was lost"
-	SourceEnded     Outcome = "the task ended before it was stopped"
-	TaskOver        Outcome = "the task or its job is over"
-	TookTooLong     Outcome = "it took too long"
+	UnderWay           Outcome = "under way"
+	Moved              Outcome = "moved"
+	DestinationRefused Outcome = "the destination refused"
+	DestinationGone    Outcome = "the destination was lost"
+	SourceEnded        Outcome = "the task ended before it was stopped"
+	TaskOver           Outcome = "the task or its job is over"
+	TookTooLong        Outcome = "it took too long"
 )
 
 // moveState is the state of a move. Move documents the transitions.
@@ -46,7 +46,7 @@
 //	leaseRequested ------------------------> sourceStopping ------------------------> moveEnded (Moved)
 //	      |                                        |
 //	      | Refused / Nothing                      | Refused / Nothing
-//	      |      -> moveEnded (NoLease)            |      -> moveEnded (NoLease)
+//	      |      -> moveEnded (DestinationRefused) |      -> moveEnded (DestinationRefused)
 //	      | DestinationLost / Nothing              | DestinationLost / Nothing
 //	      |      -> moveEnded (DestinationGone)    |      -> moveEnded (DestinationGone)
 //	      | SourceGone(wanted) / Release           | SourceGone(not wanted), Abandon / Release
@@ -95,7 +95,7 @@
 // cool-down is dropped, and only the budgets delay the next move of it.
 func (m *Move) LeaseRejected() Action {
 	if m.state != moveEnded {
-		m.end(NoLease)
+		m.end(DestinationRefused)
 		delete(m.planner.lastMoved, m.Key)
 	}
 	return Nothing
@@ -135,7 +135,7 @@
 	return ReleaseDestination
 }
 
-// Expire ends a move that has taken longer than HoldFor, after which the lease may expire at any time.
+// Expire ends a move that has taken longer than HeldLeaseTTL, after which the lease may expire at any time.
 func (m *Move) Expire(now clock.Micros) Action {
 	if m.state == moveEnded || now < m.deadline {
 		return Nothing
--- a/internal/rebalance/move_test.go
+++ b/internal/rebalance/move_test.go
@@ -20,8 +20,8 @@
 	{"source gone", func(m *Move) Action { return m.SourceGone(true) }},
 	{"source done", func(m *Move) Action { return m.SourceGone(false) }},
 	{"abandoned", (*Move).Abandon},
-	{"expired", func(m *Move) Action { return m.Expire(100*sec + HoldFor) }},
-	{"time passes", func(m *Move) Action { return m.Expire(100*sec + HoldFor - 1) }},
+	{"expired", func(m *Move) Action { return m.Expire(100*sec + HeldLeaseTTL) }},
+	{"time passes", func(m *Move) Action { return m.Expire(100*sec + HeldLeaseTTL - 1) }},
 }
 
 // Messages and losses may arrive in any order. In every sequence of six events, the task is started at the destination
@@ -67,7 +67,7 @@
 		}
 		outcomes[m.Outcome]++
 	}
-	for _, o := range []Outcome{UnderWay, Moved, NoLease, DestinationGone, SourceEnded, TaskOver, TookTooLong} {
+	for _, o := range []Outcome{UnderWay, Moved, DestinationRefused, DestinationGone, SourceEnded, TaskOver, TookTooLong} {
 		require.Positive(t, outcomes[o], fmt.Sprint(o))
 	}
 }
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -26,19 +26,19 @@
 
 // Reasons for which tasks are not moved.
 const (
-	NotDeclined   DeclineReason = ""
-	StaleView     DeclineReason = "the view of a machine is old"
-	CannotSave    DeclineReason = "it can't save its progress"
-	JustStarted   DeclineReason = "it has just started"
-	NearlyDone    DeclineReason = "it is nearly done"
-	MovedLately   DeclineReason = "it was moved lately"
-	TeamAtLimit   DeclineReason = "its team is at its limit"
-	TeamBudget    DeclineReason = "its team's moves of this minute are used up"
-	MachineBudget DeclineReason = "the machine's moves of this minute are used up"
-	NoRoom        DeclineReason = "no machine that fits has room"
-	NoGain        DeclineReason = "the gain does not exceed the cost"
-	NotCooler     DeclineReason = "the destination would be no cooler"
-	Vetoed        DeclineReason = "the policy script vetoed it"
+	NotDeclined      DeclineReason = ""
+	StaleView        DeclineReason = "the view of a machine is old"
+	CannotCheckpoint DeclineReason = "it can't save its progress"
+	JustStarted      DeclineReason = "it has just started"
+	NearlyDone       DeclineReason = "it is nearly done"
+	MovedLately      DeclineReason = "it was moved lately"
+	TeamAtLimit      DeclineReason = "its team is at its limit"
+	TeamBudget       DeclineReason = "its team's moves of this minute are used up"
+	MachineBudget    DeclineReason = "the machine's moves of this minute are used up"
+	NoCapacity       DeclineReason = "no machine that fits has room"
+	NoGain           DeclineReason = "the gain does not exceed the cost"
+	NotLessLoaded    DeclineReason = "the destination would be no cooler"
+	Vetoed           DeclineReason = "the policy script vetoed it"
 )
 
 // Key identifies a task across its attempts.
@@ -49,28 +49,28 @@
 
 // Candidate is a running task on a machine that is to be drained.
 type Candidate struct {
-	Key        Key
-	Team       string
-	Machine    string
-	Reason     Reason
-	Ran        clock.Micros // run time so far
-	Left       clock.Micros // estimated remaining run time on this machine
-	Unsaved    clock.Micros // run time since the last checkpoint, on average: lost if the machine is lost
-	CanSave    bool         // the task writes checkpoints
-	SaveFor    clock.Micros // duration of a checkpoint
-	NoticeLeft clock.Micros // with an eviction notice: time until the machine is taken
-	Pace       float64      // run times on the machine relative to those on other machines; 0: unknown
-	Heat       float64      // CPU utilization of the machine, scaled by Pace; very large under an eviction notice
-	ViewAge    clock.Micros // age of the scheduler's view of the machine
+	Key                Key
+	Team               string
+	Machine            string
+	Reason             Reason
+	RunTime            clock.Micros // run time so far
+	TimeLeft           clock.Micros // estimated remaining run time on this machine
+	Uncheckpointed     clock.Micros // run time since the last checkpoint, on average: lost if the machine is lost
+	CanCheckpoint      bool         // the task writes checkpoints
+	CheckpointDuration clock.Micros // duration of a checkpoint
+	NoticeLeft         clock.Micros // with an eviction notice: time until the machine is taken
+	Slowdown           float64      // run times on the machine relative to those on other machines; 0: unknown
+	Load               float64      // CPU utilization of the machine, scaled by Slowdown; very large under an eviction notice
+	ViewAge            clock.Micros // age of the scheduler's view of the machine
 }
 
 // Destination is a machine that has free capacity for a candidate.
 type Destination struct {
-	Machine string
-	Fetch   clock.Micros // time to fetch the task's image; 0 if the machine has it
-	Pace    float64      // as in Candidate
-	Heat    float64      // as in Candidate, with the task on the machine
-	ViewAge clock.Micros // age of the scheduler's view of the machine
+	Machine  string
+	Fetch    clock.Micros // time to fetch the task's image; 0 if the machine has it
+	Slowdown float64      // as in Candidate
+	Load     float64      // as in Candidate, with the task on the machine
+	ViewAge  clock.Micros // age of the scheduler's view of the machine
 }
 
 // Limits are the operators' limits on moves.
@@ -138,11 +138,11 @@
 	switch {
 	case c.ViewAge > maxViewAge:
 		return StaleView
-	case !c.CanSave:
-		return CannotSave
-	case c.Ran < minRunTime:
+	case !c.CanCheckpoint:
+		return CannotCheckpoint
+	case c.RunTime < minRunTime:
 		return JustStarted
-	case c.Left < minTimeLeft:
+	case c.TimeLeft < minTimeLeft:
 		return NearlyDone
 	case moved && now < movedAt+p.limits.CoolDown:
 		return MovedLately
@@ -154,49 +154,49 @@
 	return NotDeclined
 }
 
-// Weigh returns the gain and the cost of a move to a destination, and why the task is not moved there. why is
-// NotDeclined if the gain exceeds the cost by the margin, and the Heat of the destination with the task is lower than
-// the present Heat of the source.
-func (p *Planner) Weigh(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
+// EvaluateDestination returns the gain and the cost of a move to a destination, and why the task is not moved there. why is
+// NotDeclined if the gain exceeds the cost by the margin, and the Load of the destination with the task is lower than
+// the present Load of the source.
+func (p *Planner) EvaluateDestination(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > maxViewAge {
 		return 0, 0, StaleView
 	}
 	if movesInLastMinute(p.machineMoves, to.Machine, now) >= p.limits.PerMachine {
 		return 0, 0, MachineBudget
 	}
-	cost = c.SaveFor + to.Fetch + messageOverhead
+	cost = c.CheckpointDuration + to.Fetch + messageOverhead
 	gain = p.gain(c, to)
 	if gain.Seconds() <= cost.Seconds()*p.limits.Margin {
 		return gain, cost, NoGain
 	}
-	if to.Heat >= c.Heat {
-		return gain, cost, NotCooler
+	if to.Load >= c.Load {
+		return gain, cost, NotLessLoaded
 	}
 	return gain, cost, NotDeclined
 }
 
 // gain returns how much earlier a task completes if it is moved, before the cost of the move is subtracted.
 func (p *Planner) gain(c *Candidate, to *Destination) clock.Micros {
-	leftAtDestination := clock.Micros(float64(c.Left) / paceOrDefault(c.Pace) * paceOrDefault(to.Pace))
+	leftAtDestination := clock.Micros(float64(c.TimeLeft) / slowdownOrDefault(c.Slowdown) * slowdownOrDefault(to.Slowdown))
 	switch c.Reason {
 	case SlowMachine:
-		return c.Left - leftAtDestination
+		return c.TimeLeft - leftAtDestination
 	case SpotNotice:
 		reliable := clock.Micros(float64(c.NoticeLeft) * reliableNoticeShare)
-		if c.Left <= reliable || c.SaveFor >= reliable {
+		if c.TimeLeft <= reliable || c.CheckpointDuration >= reliable {
 			return 0 // the task completes before the machine is taken, or can't checkpoint in time
 		}
-		return c.Unsaved + p.limits.Detect + c.Left - leftAtDestination
+		return c.Uncheckpointed + p.limits.Detect + c.TimeLeft - leftAtDestination
 	}
 	return 0
 }
 
-// paceOrDefault returns a machine's Pace, or 1 if it is unknown.
-func paceOrDefault(pace float64) float64 {
-	if pace <= 0 {
+// slowdownOrDefault returns a machine's Slowdown, or 1 if it is unknown.
+func slowdownOrDefault(slowdown float64) float64 {
+	if slowdown <= 0 {
 		return 1
 	}
-	return pace
+	return slowdown
 }
 
 // Decline counts a task of a team that was not moved, by the reason.
@@ -222,11 +222,11 @@
 	if len(p.recent) > maxRecentMoves {
 		p.recent = slices.Delete(p.recent, 0, 1)
 	}
-	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HoldFor}
+	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HeldLeaseTTL}
 }
 
-// Forget drops the starts of moves that are too old to count for a budget or a cool-down.
-func (p *Planner) Forget(now clock.Micros) {
+// DropExpired drops the starts of moves that are too old to count for a budget or a cool-down.
+func (p *Planner) DropExpired(now clock.Micros) {
 	for key, movedAt := range p.lastMoved {
 		if now >= movedAt+p.limits.CoolDown {
 			delete(p.lastMoved, key)
@@ -262,5 +262,5 @@
 	return out
 }
 
-// DeclinedOf returns how often tasks of a team were not moved, by the reason.
-func (p *Planner) DeclinedOf(team string) map[DeclineReason]int { return p.declines[team] }
+// DeclineCounts returns how often tasks of a team were not moved, by the reason.
+func (p *Planner) DeclineCounts(team string) map[DeclineReason]int { return p.declines[team] }
--- a/internal/rebalance/planner_test.go
+++ b/internal/rebalance/planner_test.go
@@ -14,12 +14,12 @@
 
 // slowMachineCandidate returns a task with 60 s left to run, on a machine where tasks take twice as long as elsewhere.
 func slowMachineCandidate() *Candidate {
-	return &Candidate{Key: Key{"job-1", 0}, Team: "red", Machine: "m-1", Reason: SlowMachine, Ran: 40 * sec, Left: 60 * sec,
-		Unsaved: 5 * sec, CanSave: true, SaveFor: 2 * sec, Pace: 2, Heat: 1}
+	return &Candidate{Key: Key{"job-1", 0}, Team: "red", Machine: "m-1", Reason: SlowMachine, RunTime: 40 * sec, TimeLeft: 60 * sec,
+		Uncheckpointed: 5 * sec, CanCheckpoint: true, CheckpointDuration: 2 * sec, Slowdown: 2, Load: 1}
 }
 
 func lessLoadedDestination() *Destination {
-	return &Destination{Machine: "m-2", Fetch: 4 * sec, Heat: 0.5}
+	return &Destination{Machine: "m-2", Fetch: 4 * sec, Load: 0.5}
 }
 
 func TestTaskThatMeetsALimitIsDeclinedWithReason(t *testing.T) {
@@ -30,21 +30,21 @@
 		{NotDeclined, func(*Candidate, *Destination) {}},
 		{StaleView, func(c *Candidate, _ *Destination) { c.ViewAge = 6 * sec }},
 		{StaleView, func(_ *Candidate, to *Destination) { to.ViewAge = 6 * sec }},
-		{CannotSave, func(c *Candidate, _ *Destination) { c.CanSave = false }},
-		{JustStarted, func(c *Candidate, _ *Destination) { c.Ran = 29 * sec }},
-		{NearlyDone, func(c *Candidate, _ *Destination) { c.Left = 9 * sec }},
-		{NoGain, func(c *Candidate, _ *Destination) { c.Left = 24 * sec }}, // a gain of 12 s for a cost of 8 s
+		{CannotCheckpoint, func(c *Candidate, _ *Destination) { c.CanCheckpoint = false }},
+		{JustStarted, func(c *Candidate, _ *Destination) { c.RunTime = 29 * sec }},
+		{NearlyDone, func(c *Candidate, _ *Destination) { c.TimeLeft = 9 * sec }},
+		{NoGain, func(c *Candidate, _ *Destination) { c.TimeLeft = 24 * sec }}, // a gain of 12 s for a cost of 8 s
 		{NoGain, func(_ *Candidate, to *Destination) { to.Fetch = 17 * sec }},
-		{NoGain, func(_ *Candidate, to *Destination) { to.Pace = 1.9 }},
-		{NoGain, func(c *Candidate, _ *Destination) { c.Pace = 0 }},
-		{NotCooler, func(_ *Candidate, to *Destination) { to.Heat = 1 }},
+		{NoGain, func(_ *Candidate, to *Destination) { to.Slowdown = 1.9 }},
+		{NoGain, func(c *Candidate, _ *Destination) { c.Slowdown = 0 }},
+		{NotLessLoaded, func(_ *Candidate, to *Destination) { to.Load = 1 }},
 	} {
 		c, to := slowMachineCandidate(), lessLoadedDestination()
 		test.change(c, to)
 		p := NewPlanner(limits)
 		why := p.Evaluate(c, 100*sec)
 		if why == NotDeclined {
-			_, _, why = p.Weigh(c, to, 100*sec)
+			_, _, why = p.EvaluateDestination(c, to, 100*sec)
 		}
 		require.Equal(t, test.why, why, "%+v to %+v", c, to)
 	}
@@ -63,8 +63,8 @@
 		{60 * sec, 0, 2 * sec, NoGain},
 	} {
 		c := slowMachineCandidate()
-		c.Reason, c.Left, c.NoticeLeft, c.SaveFor, c.Pace = SpotNotice, test.left, test.notice, test.save, 0
-		_, _, why := NewPlanner(limits).Weigh(c, lessLoadedDestination(), 100*sec)
+		c.Reason, c.TimeLeft, c.NoticeLeft, c.CheckpointDuration, c.Slowdown = SpotNotice, test.left, test.notice, test.save, 0
+		_, _, why := NewPlanner(limits).EvaluateDestination(c, lessLoadedDestination(), 100*sec)
 		require.Equal(t, test.want, why, "%+v", test)
 	}
 }
@@ -96,12 +96,12 @@
 	other := task(4, "m-6")
 	other.Team = "blue"
 	require.Equal(t, NotDeclined, p.Evaluate(other, now))
-	_, _, why := p.Weigh(other, lessLoadedDestination(), now)
+	_, _, why := p.EvaluateDestination(other, lessLoadedDestination(), now)
 	require.Equal(t, MachineBudget, why, "two moves to m-2 have started within the minute")
 	require.Equal(t, NotDeclined, p.Evaluate(task(3, "m-1"), now+budgetPeriod))
 	require.Equal(t, MovedLately, p.Evaluate(task(0, "m-2"), now+119*sec))
 	require.Equal(t, NotDeclined, p.Evaluate(task(0, "m-2"), now+120*sec))
-	p.Forget(now + 120*sec)
+	p.DropExpired(now + 120*sec)
 	require.Empty(t, p.lastMoved)
 	require.Empty(t, p.teamMoves)
 	require.Empty(t, p.machineMoves)
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -4,7 +4,7 @@
 
 // Machine is the state of a machine by which a gate admits tasks to it.
 type Machine struct {
-	Warm    bool // a task has been seen running on it in the present incarnation of its worker
+	Proven  bool // a task has been seen running on it in the present incarnation of its worker
 	Pending int  // number of tasks that were accepted for it and have not been seen running yet
 }
 
@@ -54,8 +54,8 @@
 // again would get tasks of any priority before the return begins.
 func NewLostGate() *Gate { return &Gate{stage: Reconcile, lost: true, maxInFlight: initialStarts} }
 
-// HeartbeatSeen records that a machine of the zone has sent a heartbeat, from which maxLostWait is counted.
-func (g *Gate) HeartbeatSeen(now clock.Micros) {
+// RecordHeartbeat records that a machine of the zone has sent a heartbeat, from which maxLostWait is counted.
+func (g *Gate) RecordHeartbeat(now clock.Micros) {
 	if g.lost && g.heartbeatSince == 0 {
 		g.heartbeatSince = now
 	}
@@ -88,11 +88,13 @@
 	return now > g.since+g.stage.MaxDuration()+stageEndMargin
 }
 
-// Succeeded records that a started task was seen running, and raises the bound on concurrent starts.
-func (g *Gate) Succeeded() { g.maxInFlight = min(g.maxInFlight+startsPerSuccess, maxStarts) }
+// RecordSuccessfulStart records that a started task was seen running, and raises the bound on concurrent starts.
+func (g *Gate) RecordSuccessfulStart() {
+	g.maxInFlight = min(g.maxInFlight+startsPerSuccess, maxStarts)
+}
 
-// Starts returns the bound on concurrent starts.
-func (g *Gate) Starts() int { return g.maxInFlight }
+// MaxStartsInFlight returns the bound on concurrent starts.
+func (g *Gate) MaxStartsInFlight() int { return g.maxInFlight }
 
 // Admits reports whether a task of a stage may be assigned to a machine while inFlight starts are under way in the
 // zone. A machine on which no task has been seen running gets one trial task, of any admitted stage, before it gets
@@ -106,5 +108,5 @@
 	if task > stage || inFlight >= g.maxInFlight {
 		return false
 	}
-	return m.Warm || m.Pending == 0
+	return m.Proven || m.Pending == 0
 }
--- a/internal/recovery/gate_test.go
+++ b/internal/recovery/gate_test.go
@@ -8,25 +8,25 @@
 
 // A gate admits a task only if the stage admits it, fewer starts are in flight than the bound, and the machine has had a
 // running task or no start is pending on it. An open gate admits every task.
-func TestGateAdmitsByStageWarmthAndStartsInFlight(t *testing.T) {
-	warm, cold := Machine{Warm: true}, Machine{}
+func TestGateAdmitsByStageProvenMachineAndStartsInFlight(t *testing.T) {
+	proven, unproven := Machine{Proven: true}, Machine{}
 	for _, x := range []struct {
 		stage, task Stage
 		machine     Machine
 		inFlight    int
 		want        bool
 	}{
-		{Reconcile, Urgent, warm, 0, false},
-		{Urgent, Urgent, warm, 0, true},
-		{Urgent, Services, warm, 0, false},
-		{Services, Urgent, warm, 3, true},
-		{Services, Urgent, warm, 4, false}, // the bound on starts in flight is reached
-		{Urgent, Urgent, cold, 0, true},    // one trial task
+		{Reconcile, Urgent, proven, 0, false},
+		{Urgent, Urgent, proven, 0, true},
+		{Urgent, Services, proven, 0, false},
+		{Services, Urgent, proven, 3, true},
+		{Services, Urgent, proven, 4, false}, // the bound on starts in flight is reached
+		{Urgent, Urgent, unproven, 0, true},  // one trial task
 		{Services, Urgent, Machine{Pending: 1}, 1, false},
-		{Cold, Services, cold, 0, true},
+		{Cold, Services, unproven, 0, true},
 		{Cold, Services, Machine{Pending: 1}, 1, false},
-		{Cold, Cold, warm, 0, true},
-		{Open, Cold, cold, 1000, true},
+		{Cold, Cold, proven, 0, true},
+		{Open, Cold, unproven, 1000, true},
 	} {
 		require.Equal(t, x.want, NewGate(x.stage, false, sec).Admits(x.task, x.machine, x.inFlight, sec), "%+v", x)
 	}
@@ -36,11 +36,11 @@
 // the gate opens maxLostWait after the first heartbeat, so that the zone does not stay closed for ever.
 func TestLostZoneGateOpensAfterMaximumWait(t *testing.T) {
 	g := NewLostGate()
-	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1000*sec))
-	g.HeartbeatSeen(1000 * sec)
-	g.HeartbeatSeen(1050 * sec)
-	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec))
-	require.True(t, g.Admits(Urgent, Machine{Warm: true}, 0, 1065*sec+1))
+	require.False(t, g.Admits(Urgent, Machine{Proven: true}, 0, 1000*sec))
+	g.RecordHeartbeat(1000 * sec)
+	g.RecordHeartbeat(1050 * sec)
+	require.False(t, g.Admits(Urgent, Machine{Proven: true}, 0, 1065*sec))
+	require.True(t, g.Admits(Urgent, Machine{Proven: true}, 0, 1065*sec+1))
 	g.SetStage(Reconcile, false, 1070*sec)
 	require.Equal(t, Reconcile, g.Stage(1071*sec), "the zone returns")
 	require.Equal(t, Open, g.Stage(1070*sec+Reconcile.MaxDuration()+stageEndMargin+1))
@@ -49,13 +49,13 @@
 // Each successful start raises the bound on concurrent starts by one, up to maxStarts.
 func TestGateLimitGrowsWithSuccessfulStarts(t *testing.T) {
 	g := NewGate(Urgent, false, sec)
-	require.False(t, g.Admits(Urgent, Machine{Warm: true}, 4, sec))
-	g.Succeeded()
-	require.True(t, g.Admits(Urgent, Machine{Warm: true}, 4, sec))
+	require.False(t, g.Admits(Urgent, Machine{Proven: true}, 4, sec))
+	g.RecordSuccessfulStart()
+	require.True(t, g.Admits(Urgent, Machine{Proven: true}, 4, sec))
 	for range 1000 {
-		g.Succeeded()
+		g.RecordSuccessfulStart()
 	}
-	require.Equal(t, maxStarts, g.Starts())
+	require.Equal(t, maxStarts, g.MaxStartsInFlight())
 }
 
 // A gate that is not notified of a stage's end opens stageEndMargin after the stage's bound, so that the zone does not
--- a/internal/recovery/stages.go
+++ b/internal/recovery/stages.go
@@ -97,14 +97,14 @@
 	return maxDurations[s]
 }
 
-// Facts is the state of the fleet by which Advance decides whether a stage is over.
-type Facts struct {
-	Unsettled int           // number of reachable machines in the zone that are not accounted for
-	Waiting   map[Stage]int // number of waiting tasks, by the stage that admits them
+// Progress is the state of the fleet by which Advance decides whether a stage is over.
+type Progress struct {
+	Unaccounted int           // number of reachable machines in the zone that are not accounted for
+	Waiting     map[Stage]int // number of waiting tasks, by the stage that admits them
 }
 
 // Advance returns the next stage if stage s, which has lasted for the given time, is over, and s otherwise.
-func Advance(s Stage, lasted clock.Micros, f Facts) Stage {
+func Advance(s Stage, lasted clock.Micros, p Progress) Stage {
 	switch {
 	case s >= Open:
 		return Open
@@ -112,19 +112,19 @@
 		return s + 1
 	case lasted < minStageDuration:
 		return s
-	case s.done(f):
+	case s.done(p):
 		return s + 1
 	}
 	return s
 }
 
 // done reports whether a stage's purpose is met: all machines are accounted for, or no task of the stage waits.
-func (s Stage) done(f Facts) bool {
+func (s Stage) done(p Progress) bool {
 	switch s {
 	case Reconcile:
-		return f.Unsettled == 0
+		return p.Unaccounted == 0
 	case Urgent, Services:
-		return f.Waiting[s] == 0
+		return p.Waiting[s] == 0
 	case Cold, Open:
 		return false // Cold always lasts until its bound, so that trial tasks run on further machines
 	}
--- a/internal/recovery/stages_test.go
+++ b/internal/recovery/stages_test.go
@@ -33,7 +33,7 @@
 // A stage ends when its purpose is met, but not before two seconds, and at its bound at the latest. All bounds with their
 // margins stay below 90 s, the longest that work may wait while a suitable machine has free capacity.
 func TestStageEndsWhenDoneOrAtItsBound(t *testing.T) {
-	busy := Facts{Unsettled: 1, Waiting: map[Stage]int{Urgent: 1, Services: 1, Cold: 1}}
+	busy := Progress{Unaccounted: 1, Waiting: map[Stage]int{Urgent: 1, Services: 1, Cold: 1}}
 	total := clock.Micros(0)
 	for s := Reconcile; s < Open; s++ {
 		require.Equal(t, s, Advance(s, s.MaxDuration()-1, busy))
@@ -41,9 +41,9 @@
 		total += s.MaxDuration() + stageEndMargin
 	}
 	require.Less(t, total, 90*sec)
-	require.Equal(t, Reconcile, Advance(Reconcile, sec, Facts{}), "the waiting tasks may not have been reported yet")
-	require.Equal(t, Urgent, Advance(Reconcile, 2*sec, Facts{}))
-	require.Equal(t, Services, Advance(Urgent, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
-	require.Equal(t, Services, Advance(Services, 2*sec, Facts{Waiting: map[Stage]int{Services: 1}}))
+	require.Equal(t, Reconcile, Advance(Reconcile, sec, Progress{}), "the waiting tasks may not have been reported yet")
+	require.Equal(t, Urgent, Advance(Reconcile, 2*sec, Progress{}))
+	require.Equal(t, Services, Advance(Urgent, 2*sec, Progress{Waiting: map[Stage]int{Services: 1}}))
+	require.Equal(t, Services, Advance(Services, 2*sec, Progress{Waiting: map[Stage]int{Services: 1}}))
 	require.Equal(t, Open, Advance(Open, sec, busy))
 }
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -47,20 +47,20 @@
 // costInputs collects what the cost of placing a task of a job on a machine depends on.
 func (s *selector) costInputs(j *job, m *machineState, now clock.Micros) placement.Machine {
 	inputs := placement.Machine{
-		HasImage:  m.hasImage(j),
-		Fetching:  m.fetchingJobs[j.ID] > 0,
-		Others:    len(m.fetchingJobs),
-		PricePart: s.prices.of(m),
-		Pace:      m.knownPace(),
+		HasImage:      m.hasImage(j),
+		Fetching:      m.fetchingJobs[j.ID] > 0,
+		OtherFetches:  len(m.fetchingJobs),
+		RelativePrice: s.prices.of(m),
+		Slowdown:      m.knownPace(),
 	}
 	if inputs.Fetching {
-		inputs.Others--
+		inputs.OtherFetches--
 	}
-	if now < m.assignedFetchUntil && m.assignedFetchImage != j.Image && inputs.Others == 0 {
-		inputs.Others = 1 // the view does not show the fetch for a recent assignment of this scheduler yet
+	if now < m.assignedFetchUntil && m.assignedFetchImage != j.Image && inputs.OtherFetches == 0 {
+		inputs.OtherFetches = 1 // the view does not show the fetch for a recent assignment of this scheduler yet
 	}
 	if m.Cap.CPU > 0 {
-		inputs.InUse = 1 - float64(m.available.Minus(j.Need).CPU)/float64(m.Cap.CPU)
+		inputs.Utilization = 1 - float64(m.available.Minus(j.Need).CPU)/float64(m.Cap.CPU)
 	}
 	// A machine may list an image that it is still fetching for a task of the same job.
 	inputs.HasImage = inputs.HasImage && !inputs.Fetching
@@ -74,7 +74,7 @@
 func (s *selector) selectByCost(j *job, now clock.Micros) (best *machineState, decided bool) {
 	fetch, _ := s.fetchRates.slowestFetchTime(j)
 	task := placement.Task{Estimate: clock.FromSeconds(j.RuntimeEstimateS), Fetch: fetch}
-	if !task.Known() {
+	if !task.FetchTimeKnown() {
 		return nil, false
 	}
 	candidates := s.findCapacityAnyImage(j, now)
@@ -94,7 +94,7 @@
 	return s.bestOfSample(j, cheapest), true
 }
 
-// cheapest returns the machines whose estimated cost is the lowest, or above it by placement.Tie at most.
+// cheapest returns the machines whose estimated cost is the lowest, or above it by placement.TieThreshold at most.
 func (s *selector) cheapest(j *job, task *placement.Task, candidates []*machineState, now clock.Micros) (out []*machineState) {
 	least := 0.0
 	costs := make([]float64, len(candidates))
@@ -106,7 +106,7 @@
 		}
 	}
 	for i, m := range candidates {
-		if costs[i] <= least+placement.Tie {
+		if costs[i] <= least+placement.TieThreshold {
 			out = append(out, m)
 		}
 	}
@@ -116,7 +116,7 @@
 // waitsForImageByCost reports whether a job leaves capacity to others for a short time because machines with its image
 // exist and may get capacity. It does not wait so long that a task would miss its start objective.
 func (s *selector) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
-	wait := placement.WaitFor(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
+	wait := placement.MaxImageWait(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
 	if wait == 0 || !s.capacity.withImage(j.Image).hasMachines() {
 		return false
 	}
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -13,7 +13,7 @@
 func simulationWithCosts(t *testing.T) *simulation {
 	t.Helper()
 	sim := newSimulationWithLimit(t, 1, 3, 0)
-	sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 2 * sec}
+	sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 2 * sec}
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, withImage)
@@ -73,7 +73,7 @@
 	chosenMachines := func(costs, rates bool, size float64) []string {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		if costs {
-			sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{Data: 1}, ImageWait: 60 * sec}
+			sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 60 * sec}
 		}
 		if rates {
 			sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -76,7 +76,7 @@
 	for _, mv := range s.moves.underWay() {
 		s.applyMoveAction(mv, mv.Expire(now))
 	}
-	s.moves.planner.Forget(now)
+	s.moves.planner.DropExpired(now)
 	for _, m := range s.machines {
 		if reason, ok := s.drainReason(m); ok {
 			s.moveTasksOff(m, reason, now)
@@ -123,22 +123,22 @@
 func (s *Scheduler) moveCandidate(a *assignment, m *machineState, reason rebalance.Reason, now clock.Micros) *rebalance.Candidate {
 	j, age := a.job, now-m.updatedAt
 	c := &rebalance.Candidate{
-		Key:        rebalance.Key{Job: j.ID, N: a.id.N},
-		Team:       j.team.Name,
-		Machine:    m.ID,
-		Reason:     reason,
-		CanSave:    j.CheckpointIntervalS > 0,
-		SaveFor:    clock.FromSeconds(j.CheckpointDurationS),
-		NoticeLeft: max(0, m.NoticeLeft-age),
-		Pace:       m.knownPace(),
-		ViewAge:    s.viewAge(m, now),
-		Heat:       m.heat(m.available.CPU),
+		Key:                rebalance.Key{Job: j.ID, N: a.id.N},
+		Team:               j.team.Name,
+		Machine:            m.ID,
+		Reason:             reason,
+		CanCheckpoint:      j.CheckpointIntervalS > 0,
+		CheckpointDuration: clock.FromSeconds(j.CheckpointDurationS),
+		NoticeLeft:         max(0, m.NoticeLeft-age),
+		Slowdown:           m.knownPace(),
+		ViewAge:            s.viewAge(m, now),
+		Load:               m.heat(m.available.CPU),
 	}
 	if a.runningSince != 0 {
-		c.Ran = now - a.runningSince
+		c.RunTime = now - a.runningSince
 	}
-	c.Left = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Pace, 1))-c.Ran)
-	c.Unsaved = min(clock.FromSeconds(j.CheckpointIntervalS), c.Ran) / 2
+	c.TimeLeft = max(0, clock.Micros(float64(clock.FromSeconds(j.RuntimeEstimateS))*max(c.Slowdown, 1))-c.RunTime)
+	c.Uncheckpointed = min(clock.FromSeconds(j.CheckpointIntervalS), c.RunTime) / 2
 	return c
 }
 
@@ -152,10 +152,10 @@
 	if !j.team.withinLimit(j.Need) {
 		return rebalance.TeamAtLimit
 	}
-	reason := rebalance.NoRoom
+	reason := rebalance.NoCapacity
 	for _, to := range s.machinesForMove(j, a.machine, now) {
 		destination := s.moveDestination(j, to, now)
-		gain, cost, declined := planner.Weigh(c, destination, now)
+		gain, cost, declined := planner.EvaluateDestination(c, destination, now)
 		if reason = declined; declined != rebalance.NotDeclined {
 			continue
 		}
@@ -186,10 +186,10 @@
 // moveDestination returns what the planner needs to know of a machine to which a task may move.
 func (s *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
 	to := &rebalance.Destination{
-		Machine: m.ID,
-		Pace:    m.knownPace(),
-		Heat:    m.heat(m.available.Minus(j.Need).CPU),
-		ViewAge: s.viewAge(m, now),
+		Machine:  m.ID,
+		Slowdown: m.knownPace(),
+		Load:     m.heat(m.available.Minus(j.Need).CPU),
+		ViewAge:  s.viewAge(m, now),
 	}
 	if !m.hasImage(j) {
 		to.Fetch, _ = s.fetchRates.fetchTime(j, m)
@@ -207,7 +207,7 @@
 	s.moves.add(&move{plan, source, a})
 	s.counters.Moves++
 	message := a.message()
-	message.Hold = rebalance.HoldFor
+	message.Hold = rebalance.HeldLeaseTTL
 	session := s.sessions[to.leader]
 	session.pending.Asks = append(session.pending.Asks, message)
 }
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -247,7 +247,7 @@
 		"no machine has capacity": {func(sim *simulation, from string) {
 			sim.machineIDs = []string{from}
 			sim.runSteps(60)
-		}, rebalance.NoRoom},
+		}, rebalance.NoCapacity},
 		"the script vetoes it": {func(sim *simulation, _ string) {
 			moves := *testMoves
 			moves.Veto = func(rebalance.Record) bool { return true }
@@ -255,7 +255,7 @@
 		}, rebalance.Vetoed},
 		"partition leaders of an earlier version hold no leases": {func(sim *simulation, _ string) {
 			sim.leadersWithoutReservations = true
-		}, rebalance.NoRoom},
+		}, rebalance.NoCapacity},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulationWithLimit(t, 1, 4, limitCPU)
@@ -269,7 +269,7 @@
 			sim.sendEvictionNotice(from)
 			sim.runSteps(12)
 			require.True(t, sim.workers[from].Running("job-1/0"))
-			require.Positive(t, sim.scheduler.moves.planner.DeclinedOf(red)[tc.reason], "%v", sim.scheduler.moves.planner.DeclinedOf(red))
+			require.Positive(t, sim.scheduler.moves.planner.DeclineCounts(red)[tc.reason], "%v", sim.scheduler.moves.planner.DeclineCounts(red))
 			require.Zero(t, sim.scheduler.counters.Moves)
 		})
 	}
@@ -381,7 +381,7 @@
 	nextBegan := map[rebalance.Key]clock.Micros{}
 	for _, r := range s.scheduler.moves.planner.Recent(red) { // the latest one first
 		require.NotEqual(s.t, r.From, r.To)
-		if r.Outcome == rebalance.NoLease {
+		if r.Outcome == rebalance.DestinationRefused {
 			continue
 		}
 		if next, movedAgain := nextBegan[r.Key]; movedAgain {
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -69,7 +69,7 @@
 		status.Moves = append(status.Moves, peer.MoveRecord{Task: wire.TaskName(r.Key.Job, r.Key.N), From: r.From, To: r.To,
 			Reason: string(r.Reason), Outcome: string(r.Outcome), Gain: r.Gain, Cost: r.Cost, Ago: now - r.Began})
 	}
-	declined := s.moves.planner.DeclinedOf(status.Team)
+	declined := s.moves.planner.DeclineCounts(status.Team)
 	for _, why := range slices.Sorted(maps.Keys(declined)) {
 		status.Unmoved = append(status.Unmoved, peer.DeclinedMoves{Why: string(why), Count: declined[why]})
 	}
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -55,7 +55,7 @@
 		switch {
 		case m.Silent || m.Overdue || !s.isCurrent(m):
 			if !misdirected[m.ID] {
-				e.MissedHeartbeats++
+				e.Missing++
 			}
 		case !m.Accounted:
 			e.Unaccounted++
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -5,7 +5,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// maxDoublings bounds how often ReturnAfter is doubled, so that the result cannot overflow.
+// maxDoublings bounds how often ReturnDelay is doubled, so that the result cannot overflow.
 const maxDoublings = 10
 
 // Decider decides the states of all zones from the evidence. Each new leader of the fleet makes one from the records.
@@ -44,14 +44,14 @@
 	return d
 }
 
-// Several reports whether there is more than one zone. A zone that is the only one never changes its state.
-func (d *Decider) Several() bool { return len(d.zones) > 1 }
+// HasSeveralZones reports whether there is more than one zone. A zone that is the only one never changes its state.
+func (d *Decider) HasSeveralZones() bool { return len(d.zones) > 1 }
 
 // Step decides the states of all zones from the evidence and the waiting tasks, and returns the records that changed.
 // The monotonic time now decides; wallMS, in Unix milliseconds, is only written to the records.
 func (d *Decider) Step(evidence map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros, wallMS int64) map[string]Record {
 	changed := map[string]Record{}
-	if !d.Several() {
+	if !d.HasSeveralZones() {
 		return changed
 	}
 	o := observation{evidence: evidence, waiting: waiting, now: now}
@@ -127,7 +127,7 @@
 	if z.Held {
 		return
 	}
-	z.Stage = recovery.Advance(z.Stage, o.now-z.since, recovery.Facts{Unsettled: e.Unaccounted, Waiting: o.waiting})
+	z.Stage = recovery.Advance(z.Stage, o.now-z.since, recovery.Progress{Unaccounted: e.Unaccounted, Waiting: o.waiting})
 	if z.Stage == recovery.Open {
 		z.State, z.Stage, z.Flaps = Healthy, recovery.Reconcile, 0
 	}
@@ -135,7 +135,7 @@
 
 // returnDelay returns how long a lost zone must be reachable before it returns, after the given number of flaps.
 func (d *Decider) returnDelay(flaps int) clock.Micros {
-	return min(d.settings.ReturnAfter<<min(flaps, maxDoublings), d.settings.ReturnMost)
+	return min(d.settings.ReturnDelay<<min(flaps, maxDoublings), d.settings.MaxReturnDelay)
 }
 
 // otherZoneReachable reports whether at least half the machines of some other zone are reachable. If those of no zone
--- a/internal/zone/decider_test.go
+++ b/internal/zone/decider_test.go
@@ -11,7 +11,7 @@
 
 const sec = clock.Second
 
-var settings = Settings{SuspectAfter: 4 * sec, LostAfter: 12 * sec, ReturnAfter: 3 * sec, ReturnMost: 60 * sec}
+var settings = Settings{SuspectAfter: 4 * sec, LostAfter: 12 * sec, ReturnDelay: 3 * sec, MaxReturnDelay: 60 * sec}
 
 // scenario is a decider of two zones with the evidence and the waiting tasks that the test sets.
 type scenario struct {
@@ -24,7 +24,7 @@
 
 var (
 	allReachable = Evidence{Machines: 10}
-	allMissing   = Evidence{Machines: 10, MissedHeartbeats: 10}
+	allMissing   = Evidence{Machines: 10, Missing: 10}
 )
 
 func newScenario(t *testing.T) *scenario {
@@ -87,9 +87,9 @@
 // other zone is reachable, so that the deciding controller itself may be cut off.
 func TestZoneStaysHealthyWithoutEvidenceOfZoneLoss(t *testing.T) {
 	for name, x := range map[string]struct{ a, b Evidence }{
-		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, MissedHeartbeats: 5}},
+		"just over half of the machines are missing":      {allReachable, Evidence{Machines: 9, Missing: 5}},
 		"no zone is reachable: the controller is cut off": {allMissing, allMissing},
-		"two machines fail":                               {allReachable, Evidence{Machines: 2, MissedHeartbeats: 2}},
+		"two machines fail":                               {allReachable, Evidence{Machines: 2, Missing: 2}},
 		"the other zone has no machines":                  {Evidence{}, allMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 		})
 	}
 	only := NewDecider(settings, []string{"a"}, nil, sec)
-	require.False(t, only.Several())
+	require.False(t, only.HasSeveralZones())
 	require.Empty(t, only.Step(map[string]Evidence{"a": allMissing}, nil, 100*sec, 0))
 }
 
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -7,7 +7,7 @@
 //	Healthy ----------------------> Suspect -------------> Lost <-----------------+
 //	 ^   ^                             |                    |                     |
 //	 |   +-----------------------------+                    | half reachable for  | most machines
-//	 |            half reachable                            | ReturnAfter, which  | missing again:
+//	 |            half reachable                            | ReturnDelay, which  | missing again:
 //	 |                                                      | doubles with each   | Flaps is
 //	 |                                                      v flap                | incremented
 //	 +-------------------------------------------------- Returning ---------------+
@@ -57,29 +57,29 @@
 
 // Evidence counts the machines of a zone by what is known of them.
 type Evidence struct {
-	Machines         int // all known machines of the zone
-	MissedHeartbeats int // missing machines: heartbeats are overdue, or the partition leader can't be reached
-	Unaccounted      int // reachable machines whose partition leader has not accounted for their tasks yet
+	Machines    int // all known machines of the zone
+	Missing     int // missing machines: heartbeats are overdue, or the partition leader can't be reached
+	Unaccounted int // reachable machines whose partition leader has not accounted for their tasks yet
 }
 
 // String returns the evidence as it is shown in records and logs.
 func (e Evidence) String() string {
-	return fmt.Sprintf("%d of %d machines not heard", e.MissedHeartbeats, e.Machines)
+	return fmt.Sprintf("%d of %d machines not heard", e.Missing, e.Machines)
 }
 
 // mostMissing reports whether at least two thirds of the machines are missing. With so many, the zone is assumed to
 // have failed, and not the machines one by one.
 func (e Evidence) mostMissing() bool {
-	return e.Machines >= minMachines && 3*e.MissedHeartbeats >= 2*e.Machines
+	return e.Machines >= minMachines && 3*e.Missing >= 2*e.Machines
 }
 
 // halfReachable reports whether at least half of the zone's machines are reachable. It is false without machines.
-func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.MissedHeartbeats <= e.Machines }
+func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.Missing <= e.Machines }
 
 // Settings are the durations after which a Decider changes a zone's state.
 type Settings struct {
-	SuspectAfter clock.Micros // how long most machines must be missing before a healthy zone is suspect
-	LostAfter    clock.Micros // how long most machines must be missing before a suspect zone is lost
-	ReturnAfter  clock.Micros // how long half the machines must be reachable before a lost zone returns; doubles with each flap
-	ReturnMost   clock.Micros // upper bound on the doubled ReturnAfter
+	SuspectAfter   clock.Micros // how long most machines must be missing before a healthy zone is suspect
+	LostAfter      clock.Micros // how long most machines must be missing before a suspect zone is lost
+	ReturnDelay    clock.Micros // how long half the machines must be reachable before a lost zone returns; doubles with each flap
+	MaxReturnDelay clock.Micros // upper bound on the doubled ReturnDelay
 }
