--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,10 +1,11 @@
-// Package console carries out the operators' commands: what they ask of the controllers over their
-// cluster ports, and how the responses are written.
+// Package console implements the operators' commands: it calls the controllers over their cluster ports and
+// formats the responses.
 //
-// Teams (teams.go) and Zones (zones.go) show the state as all controllers that answer know it, HoldZone
-// stops and resumes the return of a zone, ExportHistory and CheckHistory (history.go) gather and check what
-// the controllers have seen. A controller that does not answer is named in the output; only when none
-// does a command fail. The output is part of the interface to operators and kept by golden tests.
+// Teams (teams.go) and Zones (zones.go) print the state that the reachable controllers report. HoldZone stops
+// or resumes the staged return of work to a zone. ExportHistory and CheckHistory (history.go) collect the
+// controllers' events and check them for violations of the invariants. A command that calls all controllers
+// names those that do not answer in its output, and fails only when none answers. Operators and their scripts
+// depend on the output, so golden tests fix its text.
 package console
 
 import (
@@ -18,26 +19,27 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// ErrUnreachable means that no controller has answered.
+// ErrUnreachable means that none of the controllers answered.
 var ErrUnreachable = errors.New("no controller can be reached")
 
-// UnknownError means that the settings have no team or zone of the name that the operator gave.
+// UnknownError means that the settings contain no team or zone with the name that the operator gave.
 type UnknownError struct{ Kind, Name string }
 
-// Error says what is not known.
+// Error names the team or zone that the settings lack.
 func (e UnknownError) Error() string { return fmt.Sprintf("there is no %s %q", e.Kind, e.Name) }
 
-// callTimeout bounds how long a command waits for a controller: long enough for a busy one to answer, and
-// short enough for an operator when one is down.
+// callTimeout is how long a command waits for a controller's response. A busy controller answers within it, and
+// an operator does not wait long for a controller that is down.
 const callTimeout = 3 * time.Second
 
-// Controller is the connection to one controller. Call has the contract of peer.Client.Call.
+// Controller is one controller that a command can call. Call behaves as peer.Client.Call does.
 type Controller struct {
 	Host string
 	Call func(method string, in, out any, timeout time.Duration) error
 }
 
-// Controllers returns all controllers that the settings name, this one's first. Nothing is dialled yet.
+// Controllers returns all controllers that the settings name, beginning with the one that the settings belong to.
+// It opens no connection; the first call to a controller does.
 func Controllers(set *config.Settings) []Controller {
 	out := []Controller{{set.Host, peer.NewClient(set.PeerListen, nil).Call}}
 	for _, p := range set.Peers {
@@ -46,9 +48,9 @@
 	return out
 }
 
-// callAll calls a method of all controllers concurrently, and gives the responses in the
-// controllers' order with the hosts of those that gave none. It fails with ErrUnreachable when none has
-// answered.
+// callAll calls a method of all controllers concurrently. It returns the responses in the order of the
+// controllers, and the hosts of the controllers whose call failed. It fails with ErrUnreachable when all calls
+// failed.
 func callAll[Out any](controllers []Controller, method string, in any) (responses []Out, missing []string, err error) {
 	type result struct {
 		out Out
@@ -77,14 +79,15 @@
 	return responses, missing, nil
 }
 
-// writeMissing names the controllers that have not answered, if any, with what that means for the output.
+// writeMissing prints the controllers that did not answer, if any. The consequence follows their names and says
+// what the output lacks without them.
 func writeMissing(out io.Writer, missing []string, consequence string) {
 	if len(missing) > 0 {
 		fmt.Fprintf(out, "not reached: %s%s\n", strings.Join(missing, ", "), consequence)
 	}
 }
 
-// orDash returns "-" for an empty cell of a table.
+// orDash returns a table cell's text, or "-" if it is empty.
 func orDash(cell string) string {
 	if cell == "" {
 		return "-"
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -7,10 +7,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// responder writes the response of one method.
+// responder handles a call of one method: it reads the request in and writes the response to out.
 type responder func(in, out any)
 
-// controllerStub is a controller that answers by method; for all other methods it can't be reached.
+// controllerStub returns a controller that answers the methods in responders. Calls of any other method fail
+// with peer.ErrUnavailable.
 func controllerStub(host string, responders map[string]responder) Controller {
 	return Controller{host, func(method string, in, out any, _ time.Duration) error {
 		respond, ok := responders[method]
@@ -22,10 +23,10 @@
 	}}
 }
 
-// controllerDown is a controller that can't be reached.
+// controllerDown returns a controller that is unreachable.
 func controllerDown(host string) Controller { return controllerStub(host, nil) }
 
-// controllerWith is a controller that answers one method with one response.
+// controllerWith returns a controller that answers every call of one method with the same response.
 func controllerWith[Out any](host, method string, response Out) Controller {
 	return controllerStub(host, map[string]responder{method: func(_, out any) { *out.(*Out) = response }})
 }
--- a/internal/console/history.go
+++ b/internal/console/history.go
@@ -10,26 +10,26 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// historyPage is how many events are read at a time, so that a page is sent and read well within the time of
-// a call.
-const historyPage = 2000
+// historyPageSize is how many events a call requests at most, so that the controller can send a page well within
+// callTimeout.
+const historyPageSize = 2000
 
-// ExportHistory gathers the history of all controllers that answer into one Parquet file, in the order of
-// the times of day that they noted.
+// ExportHistory writes the events of all controllers that answer to one Parquet file, sorted by the wall-clock
+// time that each controller recorded.
 func ExportHistory(out io.Writer, controllers []Controller, path string) error {
 	var events []history.Event
 	var missing []string
 	reached := 0
 	for _, c := range controllers {
-		own, lost, err := fetchHistory(c)
+		fetched, lost, err := fetchHistory(c)
 		if err != nil {
 			missing = append(missing, c.Host)
 			continue
 		}
 		reached++
-		events = append(events, own...)
+		events = append(events, fetched...)
 		if lost > 0 {
-			fmt.Fprintf(out, "%s keeps its latest %d events; %d earlier ones are gone\n", c.Host, len(own), lost)
+			fmt.Fprintf(out, "%s keeps its latest %d events; %d earlier ones are gone\n", c.Host, len(fetched), lost)
 		}
 	}
 	if reached == 0 {
@@ -44,9 +44,10 @@
 	return nil
 }
 
-// fetchHistory reads a controller's history page by page; lost is how many events it had to forget.
+// fetchHistory reads a controller's history page by page. It returns in lost how many older events the
+// controller's bounded history no longer holds.
 func fetchHistory(c Controller) (events []history.Event, lost uint64, err error) {
-	in := peer.HistoryRequest{Most: historyPage}
+	in := peer.HistoryRequest{Most: historyPageSize}
 	for {
 		var page history.Page
 		if err := c.Call("History", in, &page, callTimeout); err != nil {
@@ -61,15 +62,15 @@
 	}
 }
 
-// ViolationsError is how many violations of the rules a history shows.
+// ViolationsError is the number of violations that CheckHistory found.
 type ViolationsError int
 
-// Error says how many there are.
+// Error states the number of violations.
 func (e ViolationsError) Error() string { return fmt.Sprintf("%d rules are broken", int(e)) }
 
-// CheckHistory checks the rules against an exported file: no task on two machines, no job with two final
-// states. skewMS is by how many milliseconds the controllers' clocks may differ. It writes the violations and fails
-// with ViolationsError where there are any.
+// CheckHistory checks two invariants on an exported history: no task runs on two machines at a time, and no job
+// has two final states. It prints the violations, and fails with ViolationsError if there are any. skewMS is by
+// how many milliseconds the controllers' clocks may differ.
 func CheckHistory(out io.Writer, path string, skewMS int64) error {
 	events, err := history.Read(path)
 	if err != nil {
--- a/internal/console/history_test.go
+++ b/internal/console/history_test.go
@@ -11,9 +11,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// The history of all controllers that answer is in one file, page after page, and the checker
-// reads the same file.
-func TestExportedHistoryOfSeveralPagesIsChecked(t *testing.T) {
+// An export that stops after the first page, hides the events that a full ring has dropped or fails because one
+// controller is down would leave operators with an incomplete history. The file that the export writes must also
+// be the one that the check reads.
+func TestExportHistoryCollectsAllPagesAndCanBeChecked(t *testing.T) {
 	now := int64(0)
 	ring := history.NewRing("a", 5000, func() int64 { now++; return now })
 	for i := range 6000 {
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -14,23 +14,23 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// teamRow is what the controllers know of one team, joined.
+// teamRow is one team's row of the table, merged from the responses of all controllers.
 type teamRow struct {
 	status    peer.TeamStatus
-	scheduler string  // host of the team's leader; empty where none of the controllers that answered is
-	share     float64 // CPUs, summed over the controllers that answered
-	taken     float64 // CPUs, likewise
+	scheduler string  // host of the team's leader; empty when none of the controllers that answered leads the team
+	share     float64 // fair share in CPUs, summed over the controllers that answered
+	taken     float64 // what the team's tasks take, in CPUs, summed over the controllers that answered
 	weight    float64
 }
 
-// fleetShares is what the controllers know of the shares of all teams.
+// fleetShares is the state of fair sharing, merged from the responses of all controllers.
 type fleetShares struct {
 	enabled  bool    // fair shares are on
 	capacity float64 // CPUs of the machines of all partitions whose leader answered
-	yielded  uint64  // assignments that were rejected in favour of other teams
+	yielded  uint64  // assignments that partition leaders rejected in favour of other teams
 }
 
-// Teams writes the state of the teams; of one team only, with its moves, where it is named.
+// Teams prints the state of all teams. If team is not empty, it prints only that team, with its moves.
 func Teams(out io.Writer, set *config.Settings, controllers []Controller, team string) error {
 	rows := map[string]*teamRow{}
 	for _, t := range set.Params.Teams {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// sortedRows lists the rows by team; only that of one team where it is named.
+// sortedRows returns the rows in the order of the teams' names. If team is not empty, it returns only that team's
+// row.
 func sortedRows(rows map[string]*teamRow, team string) []*teamRow {
 	if team != "" {
 		return []*teamRow{rows[team]}
@@ -65,8 +66,8 @@
 	return slices.SortedFunc(maps.Values(rows), func(a, b *teamRow) int { return cmp.Compare(a.status.Team, b.status.Team) })
 }
 
-// mergeTeams joins the controllers' responses into the rows: a team's numbers are those of its leader of the
-// latest term, its shares are summed over the partition leaders.
+// mergeTeams merges the controllers' responses into the rows. Two controllers may report the same team while its
+// leadership changes, so the status with the latest term counts. Shares are summed over the partition leaders.
 func mergeTeams(rows map[string]*teamRow, responses []peer.TeamsResponse) (shares fleetShares) {
 	for i := range responses {
 		response := &responses[i]
@@ -90,7 +91,7 @@
 	return shares
 }
 
-// writeTeams writes the table of teams, with the columns of the shares where they are on.
+// writeTeams prints the table of teams. withShares adds the columns of the fair shares.
 func writeTeams(out io.Writer, rows []*teamRow, withShares bool) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "TEAM\tPLACER\tCPUS\tGUARANTEE\tLIMIT\tJOBS\tRUNNING\tWAITING\tWAIT p50/p95/p99\tLATE p50/p95/p99")
@@ -111,7 +112,7 @@
 	w.Flush()
 }
 
-// writeMoves writes a team's latest moves, and why others were not made.
+// writeMoves prints a team's latest moves, and for each reason how many moves were declined.
 func writeMoves(out io.Writer, s *peer.TeamStatus) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i := range s.Moves {
@@ -125,7 +126,7 @@
 	w.Flush()
 }
 
-// formatCPUs writes an formatCPUs of CPUs of which 0 means none.
+// formatCPUs formats a number of CPUs, or "none" for 0, which means that the team has no guarantee or limit.
 func formatCPUs(a resources.Amounts) string {
 	if a.CPU == 0 {
 		return "none"
@@ -133,7 +134,7 @@
 	return fmt.Sprintf("%.1f", a.CPUs())
 }
 
-// formatQuantiles writes the median, the 95th and the 99th percentile in seconds.
+// formatQuantiles formats the median, the 95th and the 99th percentile in seconds, or "-" without any sample.
 func formatQuantiles(q telemetry.Quantiles) string {
 	if q.Count == 0 {
 		return "-"
@@ -141,8 +142,8 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// SchedulerOf returns the host that leads a team under the latest term, empty where none of the controllers
-// that answered does.
+// SchedulerOf returns the host of the controller that leads a team. If several say so, the one with the latest
+// term counts. It returns "" when none of the controllers that answer leads the team.
 func SchedulerOf(controllers []Controller, team string) (host string) {
 	responses, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
--- a/internal/console/teams_test.go
+++ b/internal/console/teams_test.go
@@ -16,9 +16,10 @@
 	return controllerWith(host, "Teams", response)
 }
 
-// The table joins what the controllers know: a team's numbers come from its scheduler of the
-// latest term, its shares are of all partition leaders' machines. Who did not answer is named.
-func TestTeamsOfSeveralControllersAreJoined(t *testing.T) {
+// Each controller knows a part of the table only, and a former leader may still report a team. The table must
+// take a team's numbers from the leader of the latest term, sum its shares over all partition leaders, and name
+// the controllers that did not answer.
+func TestTeamsMergesResponsesOfSeveralControllers(t *testing.T) {
 	red := peer.TeamStatus{
 		Team: "red", Term: 7, Used: resources.Capacity(12, 0, 0), Limit: resources.Capacity(40, 0, 0),
 		Jobs: 2, Running: 6, Waiting: 9,
@@ -48,7 +49,7 @@
 `, out.String())
 }
 
-func TestTeamsFailOnlyWithoutAnswerOrForUnknownTeam(t *testing.T) {
+func TestTeamsFailsOnlyWithoutResponseOrForUnknownTeam(t *testing.T) {
 	set := settingsOfTeams("red", "blue")
 	var out bytes.Buffer
 	require.ErrorIs(t, Teams(&out, set, []Controller{controllerDown("a")}, ""), ErrUnreachable)
@@ -59,11 +60,11 @@
 	require.NotContains(t, out.String(), "blue")
 }
 
-func TestSchedulerOfTeamIsThatOfLatestTerm(t *testing.T) {
-	at := func(host string, term uint64) Controller {
+func TestSchedulerOfReturnsLeaderOfLatestTerm(t *testing.T) {
+	leaderWithTerm := func(host string, term uint64) Controller {
 		return teamsController(host, peer.TeamsResponse{Host: host, Teams: []peer.TeamStatus{{Team: "red", Term: term}}})
 	}
-	require.Equal(t, "b", SchedulerOf([]Controller{at("a", 6), at("b", 7), controllerDown("c")}, "red"))
-	require.Empty(t, SchedulerOf([]Controller{at("a", 6)}, "blue"))
+	require.Equal(t, "b", SchedulerOf([]Controller{leaderWithTerm("a", 6), leaderWithTerm("b", 7), controllerDown("c")}, "red"))
+	require.Empty(t, SchedulerOf([]Controller{leaderWithTerm("a", 6)}, "blue"))
 	require.Empty(t, SchedulerOf([]Controller{controllerDown("c")}, "red"))
 }
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -12,11 +12,11 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// ErrNoLeader means that no controller that answered leads the fleet.
+// ErrNoLeader means that none of the controllers that answered leads the fleet.
 var ErrNoLeader = errors.New("no controller is known to decide on zones now; try again in a moment")
 
-// Zones writes the state of the zones as the leader of the fleet knows it, or the first controller
-// that answers where the leader doesn't.
+// Zones prints the state of the zones as the fleet's leader reports it. If the leader does not answer, it prints
+// the report of the first controller that does, and says so.
 func Zones(out io.Writer, controllers []Controller) error {
 	responses, missing, err := callAll[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
 	if err != nil {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// writeZones writes the table of zones; waiting is the tasks that wait for a later stage, by zone.
+// writeZones prints the table of zones. waiting is, by zone, the number of tasks that wait for a later stage of the
+// return.
 func writeZones(out io.Writer, zones []peer.ZoneStatus, waiting map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ZONE\tSTATE\tSTAGE\tMACHINES\tNOT HEARD\tNOT SETTLED\tWAITS FOR A LATER STAGE\tSINCE\tEVIDENCE")
@@ -58,7 +59,7 @@
 	w.Flush()
 }
 
-// waitingTasks sums over all schedulers the tasks that wait for a later stage, by zone.
+// waitingTasks counts, by zone, the tasks of all schedulers that wait for a later stage of the return.
 func waitingTasks(responses []peer.ZonesResponse) map[string]int {
 	waiting := map[string]int{}
 	for _, r := range responses {
@@ -69,9 +70,9 @@
 	return waiting
 }
 
-// HoldZone stops a zone's return at its stage, or resumes it. All controllers are asked, since which one
-// leads the fleet may change meanwhile; only that one acts. Where none does it fails with ErrNoLeader, or with
-// the leader's reason.
+// HoldZone stops the return of work to a zone at its present stage, or resumes it. It calls all controllers, since
+// the fleet's leadership may change meanwhile; only the fleet's leader acts. If no controller acted, HoldZone fails
+// with the reason that the leader gave, or with ErrNoLeader.
 func HoldZone(out io.Writer, set *config.Settings, controllers []Controller, zone string, held bool) error {
 	if !slices.Contains(set.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// holdFailure says why no controller has stopped or resumed the return.
+// holdFailure returns the reason why no controller stopped or resumed the return.
 func holdFailure(responses []peer.ZoneHoldResponse) error {
 	for _, r := range responses {
 		if r.Refusal != "" {
--- a/internal/console/zones_test.go
+++ b/internal/console/zones_test.go
@@ -13,8 +13,9 @@
 	return controllerWith(host, "Zones", response)
 }
 
-// The leader of the fleet decides, so its view is shown; what waits is summed over all schedulers.
-func TestZonesAreShownAsLeaderOfFleetKnowsThem(t *testing.T) {
+// Only the fleet's leader decides on the states of zones, and other controllers' views may differ from its view. The
+// table must show the leader's view, add up the waiting tasks of all schedulers, and say when the leader is missing.
+func TestZonesShowsViewOfFleetLeader(t *testing.T) {
 	a := peer.ZonesResponse{Host: "a", On: true, Zones: []peer.ZoneStatus{{Zone: "z", State: "healthy", Machines: 99, Waiting: 2}}}
 	b := peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{{
 		Zone: "z", State: "returning", Stage: "urgent", Held: true,
@@ -33,7 +34,7 @@
 	require.ErrorIs(t, Zones(&out, []Controller{controllerDown("c")}), ErrUnreachable)
 }
 
-func TestZoneHoldFailsUnlessSomeControllerDoesIt(t *testing.T) {
+func TestHoldZoneFailsUnlessOneControllerActs(t *testing.T) {
 	set := settingsOfZone("z")
 	responding := func(r peer.ZoneHoldResponse) Controller { return controllerWith("a", "HoldZone", r) }
 	notLeader := responding(peer.ZoneHoldResponse{})
