--- a/internal/telemetry/distribution.go
+++ b/internal/telemetry/distribution.go
@@ -6,41 +6,43 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// Resolution of a distribution: from a millisecond to six hours, two significant digits.
+// A distribution covers durations from a millisecond to six hours with a precision of two significant digits.
 const (
-	spanUnit          = clock.Millisecond
-	maxSpan           = 6 * 3600 * clock.Second
+	resolution        = clock.Millisecond
+	maxDuration       = 6 * 3600 * clock.Second
 	significantDigits = 2
 )
 
-// Distribution counts durations in a histogram of some 20 kB. It is not safe for concurrent use. A nil
-// distribution counts nothing.
+// Distribution counts durations in a histogram, which takes some 20 kB of memory. It is not safe for concurrent
+// use. A nil Distribution counts nothing.
 type Distribution struct{ histogram *hdrhistogram.Histogram }
 
-// NewDistribution makes an empty distribution.
+// NewDistribution returns an empty distribution.
 func NewDistribution() *Distribution {
-	return &Distribution{hdrhistogram.New(1, int64(maxSpan/spanUnit), significantDigits)}
+	return &Distribution{hdrhistogram.New(1, int64(maxDuration/resolution), significantDigits)}
 }
 
-// Record counts a duration. Below a millisecond it counts as 0, above six hours as six hours.
-func (d *Distribution) Record(span clock.Micros) {
+// Record counts a duration. It counts a duration of less than a millisecond as 0, and one of more than six hours
+// as six hours.
+func (d *Distribution) Record(duration clock.Micros) {
 	if d == nil {
 		return
 	}
-	span = min(max(span, 0), maxSpan)
-	if err := d.histogram.RecordValue(int64(span / spanUnit)); err != nil {
-		panic(err) // impossible: the bounds above are the histogram's own
+	duration = min(max(duration, 0), maxDuration)
+	if err := d.histogram.RecordValue(int64(duration / resolution)); err != nil {
+		panic(err) // impossible: the duration was limited to the histogram's bounds above
 	}
 }
 
-// Add counts all that another distribution has counted.
+// Add adds the durations that another distribution has counted.
 func (d *Distribution) Add(other *Distribution) {
 	if d != nil && other != nil {
 		d.histogram.Merge(other.histogram)
 	}
 }
 
-// Quantiles summarizes a distribution. The fields are wire format.
+// Quantiles summarizes a distribution. Controllers send it to each other, so the names and the order of its fields
+// must not change.
 type Quantiles struct {
 	Count              int64
 	P50, P95, P99, Max clock.Micros
@@ -56,11 +58,11 @@
 		P50:   d.quantile(50),
 		P95:   d.quantile(95),
 		P99:   d.quantile(99),
-		Max:   clock.Micros(d.histogram.Max()) * spanUnit,
+		Max:   clock.Micros(d.histogram.Max()) * resolution,
 	}
 }
 
-// quantile returns one quantile, in percent.
+// quantile returns the duration at a percentile.
 func (d *Distribution) quantile(percent float64) clock.Micros {
-	return clock.Micros(d.histogram.ValueAtQuantile(percent)) * spanUnit
+	return clock.Micros(d.histogram.ValueAtQuantile(percent)) * resolution
 }
--- a/internal/telemetry/distribution_test.go
+++ b/internal/telemetry/distribution_test.go
@@ -8,10 +8,10 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-func TestDistributionGivesQuantilesWithinItsResolution(t *testing.T) {
-	var none *Distribution
-	none.Record(clock.Second)
-	require.Zero(t, none.Quantiles())
+func TestDistributionQuantilesAreWithinResolution(t *testing.T) {
+	var nilDistribution *Distribution
+	nilDistribution.Record(clock.Second)
+	require.Zero(t, nilDistribution.Quantiles())
 	d := NewDistribution()
 	require.Zero(t, d.Quantiles())
 	for i := range 1000 {
@@ -25,10 +25,10 @@
 	sum := NewDistribution()
 	sum.Add(d)
 	sum.Add(d)
-	sum.Add(none)
+	sum.Add(nilDistribution)
 	require.EqualValues(t, 2000, sum.Quantiles().Count)
 	require.Equal(t, q.P95, sum.Quantiles().P95)
 	d.Record(-clock.Second)
 	d.Record(1000 * 3600 * clock.Second)
-	require.InEpsilon(t, float64(maxSpan), float64(d.Quantiles().Max), 0.01, "what is out of bounds is counted at them")
+	require.InEpsilon(t, float64(maxDuration), float64(d.Quantiles().Max), 0.01, "a duration out of bounds counts as the bound")
 }
--- a/internal/telemetry/duty.go
+++ b/internal/telemetry/duty.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Duty counts the rounds of a long-lived loop, how long they took and how late its timer fired. It is safe
-// for concurrent use; a nil duty counts nothing.
+// Duty counts the rounds of a long-lived loop or of a request handler, and records their durations and the delay
+// of the loop's timer. It is safe for concurrent use; a nil Duty counts nothing.
 type Duty struct {
 	roundCount atomic.Int64
 	busyNS     atomic.Int64
 	longestNS  atomic.Int64
-	latestNS   atomic.Int64
+	maxLateNS  atomic.Int64
 }
 
-// Round counts a round and its duration.
-func (d *Duty) Round(took time.Duration) {
+// Round counts one round and adds its duration.
+func (d *Duty) Round(duration time.Duration) {
 	if d == nil {
 		return
 	}
 	d.roundCount.Add(1)
-	d.busyNS.Add(int64(took))
-	storeMax(&d.longestNS, int64(took))
+	d.busyNS.Add(int64(duration))
+	storeMax(&d.longestNS, int64(duration))
 }
 
-// Late records by how much a timer fired later than it was set for.
-func (d *Duty) Late(by time.Duration) {
+// Late records how long after its due time the loop's timer fired.
+func (d *Duty) Late(delay time.Duration) {
 	if d != nil {
-		storeMax(&d.latestNS, int64(by))
+		storeMax(&d.maxLateNS, int64(delay))
 	}
 }
 
-// storeMax raises a maximum to a value.
+// storeMax sets maximum to value if value is larger.
 func storeMax(maximum *atomic.Int64, value int64) {
 	for {
 		old := maximum.Load()
@@ -41,19 +41,19 @@
 	}
 }
 
-// dutyStats is what a duty did since its counters were last read.
+// dutyStats holds a duty's counters since they were last read.
 type dutyStats struct {
 	rounds        int64
 	busy          time.Duration
 	longest, late time.Duration
 }
 
-// readAndReset reads the counters and sets them to 0.
+// readAndReset returns the counters and sets them to 0.
 func (d *Duty) readAndReset() dutyStats {
 	return dutyStats{
 		rounds:  d.roundCount.Swap(0),
 		busy:    time.Duration(d.busyNS.Swap(0)),
 		longest: time.Duration(d.longestNS.Swap(0)),
-		late:    time.Duration(d.latestNS.Swap(0)),
+		late:    time.Duration(d.maxLateNS.Swap(0)),
 	}
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Interval is how often a process logs its counters.
+// Interval is the time between two log events with the counters.
 const Interval = 10 * time.Second
 
-// Reporter holds a process's counters and logs them. It is safe for concurrent use, Run by one goroutine.
-// The zero value is not usable; a nil reporter counts nothing.
+// Reporter holds a process's counters and logs them. It is safe for concurrent use, but only one goroutine may call
+// Run. The zero value is not usable; a nil Reporter counts nothing.
 type Reporter struct {
 	log     *slog.Logger
 	runtime *runtimeReader
@@ -23,12 +23,12 @@
 	duties map[string]*Duty
 }
 
-// NewReporter makes a reporter that logs to log.
+// NewReporter returns a reporter that logs to log.
 func NewReporter(log *slog.Logger) *Reporter {
 	return &Reporter{log: log, runtime: newRuntimeReader(), duties: map[string]*Duty{}}
 }
 
-// Traffic returns the counters of one kind.
+// Traffic returns the counters of one kind of traffic, nil for a nil Reporter.
 func (r *Reporter) Traffic(k Kind) *Traffic {
 	if r == nil {
 		return nil
@@ -36,7 +36,8 @@
 	return &r.traffic[k]
 }
 
-// Duty returns the counters of a duty by its name; the first call makes them.
+// Duty returns the counters of the duty with a name, and creates them on the first call. It returns nil for a nil
+// Reporter.
 func (r *Reporter) Duty(name string) *Duty {
 	if r == nil {
 		return nil
@@ -51,7 +52,7 @@
 	return d
 }
 
-// snapshot is a reading of all counters.
+// snapshot holds the values of all counters, except the duties', at one moment.
 type snapshot struct {
 	takenAt time.Time
 	runtime Runtime
@@ -67,7 +68,8 @@
 	return out
 }
 
-// processTime is the processor time of this process by the operating system's account, 0 if it gives none.
+// processTime returns the processor time that the operating system has accounted to this process, or 0 if it can't
+// be read.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -76,7 +78,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Run logs one line every Interval until ctx ends.
+// Run logs the counters every Interval until ctx ends.
 func (r *Reporter) Run(ctx context.Context) error {
 	tick := time.NewTicker(Interval)
 	defer tick.Stop()
@@ -93,7 +95,7 @@
 	}
 }
 
-// logProcess logs the difference of two snapshots.
+// logProcess logs the difference between two snapshots, and at the debug level the duties.
 func (r *Reporter) logProcess(ctx context.Context, last, now snapshot) {
 	const mb = 1 << 20
 	span := now.takenAt.Sub(last.takenAt).Seconds()
@@ -124,7 +126,7 @@
 	}
 }
 
-// logDuties logs one line with all duties that did something.
+// logDuties logs all duties that had a round since the last call as one event.
 func (r *Reporter) logDuties(ctx context.Context) {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.duties))
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The line of an interval has what happened in it, and nothing of what was before.
-func TestReporterLogsEachIntervalByItself(t *testing.T) {
+// A log event must hold the counts of the last interval only. If the reporter did not subtract the previous values
+// of its counters, or did not reset the duties, earlier counts would be logged again.
+func TestReporterLogsOnlyCountsOfLastInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		r := NewReporter(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})))
@@ -41,7 +42,8 @@
 	})
 }
 
-// What is not measured costs no checks at the places that count.
+// Callers pass nil counters where nothing is measured, and do not check for nil themselves. Counting with a nil
+// Reporter, Traffic or Duty must not panic, and a connection must stay as it is.
 func TestNilCountersCountNothing(t *testing.T) {
 	var r *Reporter
 	r.Traffic(Peers).Message(1, 1)
@@ -52,7 +54,7 @@
 	require.Equal(t, a, r.Traffic(Peers).Conn(a))
 }
 
-// Counting must cost next to nothing: it is done for every message.
+// The counters are updated for every message, so an allocation in them would slow down all traffic.
 func TestCountingDoesNotAllocate(t *testing.T) {
 	r := NewReporter(slog.New(slog.DiscardHandler))
 	traffic, duty := r.Traffic(Users), r.Duty("d")
--- a/internal/telemetry/runtime.go
+++ b/internal/telemetry/runtime.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Names of the Go runtime's metrics that are read.
+// Names of the metrics that are read from the Go runtime.
 const (
 	metricTotalCPU   = "/cpu/classes/total:cpu-seconds"
 	metricIdleCPU    = "/cpu/classes/idle:cpu-seconds"
@@ -23,36 +23,36 @@
 
 // Runtime is a reading of the Go runtime's metrics of this process.
 type Runtime struct {
-	BusyCPU, GCCPU time.Duration // since the start, as of the last collection
+	BusyCPU, GCCPU time.Duration // since the start; the Go runtime updates them at each garbage collection
 	GCCycles       uint64
 	AllocBytes     uint64
 	Allocs         uint64
 	HeapLive       uint64
 	HeapGoal       uint64
-	Held           uint64 // bytes mapped by the runtime and not released
+	Held           uint64 // bytes that the runtime has mapped and not released to the operating system
 	Stacks         uint64
 	Goroutines     uint64
 }
 
-// runtimeReader reads the runtime's metrics into the same samples each time.
+// runtimeReader reads the Go runtime's metrics. It reuses its samples, so that a reading does not allocate them.
 type runtimeReader struct {
-	samples []metrics.Sample
-	index   map[string]int
+	samples  []metrics.Sample
+	position map[string]int
 }
 
 func newRuntimeReader() *runtimeReader {
 	names := []string{metricTotalCPU, metricIdleCPU, metricGCCPU, metricGCCycles, metricAllocBytes, metricAllocs,
 		metricHeapLive, metricHeapGoal, metricMapped, metricReleased, metricStacks, metricGoroutines}
-	r := &runtimeReader{samples: make([]metrics.Sample, len(names)), index: make(map[string]int, len(names))}
+	r := &runtimeReader{samples: make([]metrics.Sample, len(names)), position: make(map[string]int, len(names))}
 	for i, name := range names {
 		r.samples[i].Name = name
-		r.index[name] = i
+		r.position[name] = i
 	}
 	return r
 }
 
 func (r *runtimeReader) readUint(name string) uint64 {
-	v := r.samples[r.index[name]].Value
+	v := r.samples[r.position[name]].Value
 	if v.Kind() != metrics.KindUint64 {
 		return 0
 	}
@@ -60,7 +60,7 @@
 }
 
 func (r *runtimeReader) readDuration(name string) time.Duration {
-	v := r.samples[r.index[name]].Value
+	v := r.samples[r.position[name]].Value
 	if v.Kind() != metrics.KindFloat64 {
 		return 0
 	}
--- a/internal/telemetry/traffic.go
+++ b/internal/telemetry/traffic.go
@@ -1,7 +1,7 @@
-// Package telemetry counts what a controller process does and logs it at intervals: traffic by kind
-// (Traffic), rounds of its loops (Duty), and the Go runtime's processor time and memory (Runtime). Reporter
-// holds the counters and logs them; Distribution summarizes durations. Counting is a few atomic additions
-// and does not allocate; nothing here decides anything.
+// Package telemetry counts what a controller process does: traffic by kind (Traffic), rounds of its loops (Duty),
+// and the Go runtime's processor time and memory (Runtime). Reporter holds the counters and logs them at intervals;
+// Distribution summarizes durations. To count is a few atomic additions without an allocation. The counters are for
+// the log only: no decision of the scheduler depends on them.
 package telemetry
 
 import (
@@ -9,7 +9,7 @@
 	"sync/atomic"
 )
 
-// Kind is a kind of traffic, by the other end of the connection.
+// Kind is a kind of traffic, named after the other end of the connection.
 type Kind int
 
 // Kinds of traffic.
@@ -25,18 +25,17 @@
 
 var kindNames = [kindCount]string{"users", "workers", "worker_orders", "peers", "state_service", "cloud"}
 
-// String names a kind as the log does.
+// String returns the kind's name in the log.
 func (k Kind) String() string { return kindNames[k] }
 
-// Traffic counts the messages and bytes of one kind. A message is a request with its response. It is safe
-// for concurrent use; a nil Traffic counts nothing.
+// Traffic counts the messages and bytes of one kind. It is safe for concurrent use; a nil Traffic counts nothing.
 type Traffic struct {
 	messages atomic.Int64
 	received atomic.Int64
 	sent     atomic.Int64
 }
 
-// Message counts one exchange and the bytes of both directions.
+// Message counts a request with its response as one message, and adds the bytes received and sent.
 func (t *Traffic) Message(received, sent int) {
 	if t == nil {
 		return
@@ -46,7 +45,8 @@
 	t.sent.Add(int64(sent))
 }
 
-// Conn counts the bytes that pass through a connection, one message for each write.
+// Conn wraps a connection so that its bytes are counted, and each write as one message. A nil Traffic returns the
+// connection as it is.
 func (t *Traffic) Conn(c net.Conn) net.Conn {
 	if t == nil {
 		return c
@@ -54,7 +54,7 @@
 	return &countedConn{Conn: c, traffic: t}
 }
 
-// countedConn is a connection whose bytes are counted.
+// countedConn is a connection that adds its messages and bytes to traffic.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
@@ -73,7 +73,7 @@
 	return n, err
 }
 
-// trafficTotals is a reading of one kind's counters.
+// trafficTotals holds the counters of one kind at one moment, summed since the start of the process.
 type trafficTotals struct{ messages, received, sent int64 }
 
 func (t *Traffic) readTotals() trafficTotals {
