--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// Violation is an invariant that a history violates.
+// Violation is a violation of an invariant that a history shows.
 type Violation struct {
 	Job  string
 	Task int32
 	What string
 }
 
-// String names the task and what is wrong.
+// String returns the task and the description of the violation.
 func (v Violation) String() string { return fmt.Sprintf("%s/%d: %s", v.Job, v.Task, v.What) }
 
-// Check finds violations of two invariants: no task runs on two machines at a time, and every job that is over
-// has one final state. Clocks of different controllers may differ by skewMS milliseconds: shorter overlaps are
-// not reported. A history that begins late or lacks a controller shows less.
+// Check returns the violations of two invariants: no task runs on two machines at a time, and a finished job has
+// one final state. The clocks of two controllers may differ by skewMS milliseconds, so Check does not report runs
+// that overlap by no more than that. It can't find violations whose events the history lacks, for example because a
+// controller's events are missing or its oldest ones were overwritten.
 func Check(events []Event, skewMS int64) []Violation {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return append(checkFinalStates(ordered), checkConcurrentRuns(ordered, skewMS)...)
 }
 
-// checkFinalStates finds jobs with more than one final state.
+// checkFinalStates returns the jobs for which different final states were recorded.
 func checkFinalStates(ordered []Event) (out []Violation) {
 	phases := map[string]string{}
 	for _, e := range ordered {
@@ -46,20 +47,20 @@
 	task int32
 }
 
-// attemptKey identifies an attempt on a machine.
+// attemptKey identifies an attempt of a task on a machine.
 type attemptKey struct {
 	taskKey
 	attempt uint64
 	machine string
 }
 
-// attemptRun is when an attempt ran on a machine.
+// attemptRun holds the start and the end of an attempt on a machine.
 type attemptRun struct {
 	attemptKey
-	startedMS, endedMS int64 // time of day; 0: not seen
+	startedMS, endedMS int64 // milliseconds since the Unix epoch; 0: the history has no such event
 }
 
-// checkConcurrentRuns finds tasks that ran on two machines at a time.
+// checkConcurrentRuns returns the tasks of which two attempts ran on different machines at a time.
 func checkConcurrentRuns(ordered []Event, skewMS int64) (out []Violation) {
 	for task, runs := range collectRuns(ordered) {
 		for i, a := range runs {
@@ -78,8 +79,8 @@
 	return out
 }
 
-// collectRuns gathers the attempts of each task, in the order in which they were first seen. An attempt's start
-// is its first running event, its end its last ended event.
+// collectRuns returns the attempts of each task in the order of their first events. Several leaders may record the
+// same attempt: its start is its first running event, and its end is its last ended event.
 func collectRuns(ordered []Event) map[taskKey][]*attemptRun {
 	runs := map[attemptKey]*attemptRun{}
 	byTask := map[taskKey][]*attemptRun{}
@@ -105,8 +106,9 @@
 	return byTask
 }
 
-// overlaps reports whether two attempts on different machines ran at the same time for longer than the clocks may
-// differ. An attempt without a start or an end is left out: its machine's loss may not have been seen.
+// overlaps reports whether two attempts ran on different machines at the same time for longer than skewMS. It is
+// false for an attempt without a start or an end, because no controller may have recorded that the attempt ended with
+// the loss of its machine.
 func (r *attemptRun) overlaps(other *attemptRun, skewMS int64) bool {
 	if r.machine == other.machine || r.startedMS == 0 || other.startedMS == 0 || r.endedMS == 0 || other.endedMS == 0 {
 		return false
--- a/internal/history/parquet.go
+++ b/internal/history/parquet.go
@@ -7,10 +7,11 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// temporarySuffix names the file that is written before it replaces the one asked for.
+// temporarySuffix is appended to the name of the file that Write writes and then renames to the requested name.
 const temporarySuffix = ".part"
 
-// Write writes a history to a file in the Parquet format, whole or not at all.
+// Write writes events to a file in the Parquet format. It writes a temporary file first and renames it, so that
+// path never holds a part of the events.
 func Write(path string, events []Event) error {
 	temporary := path + temporarySuffix
 	if err := parquet.WriteFile(temporary, events, parquet.Compression(&parquet.Zstd)); err != nil {
@@ -20,7 +21,7 @@
 	return os.Rename(temporary, path)
 }
 
-// Read reads a history that Write has written.
+// Read reads the events from a file that Write has written.
 func Read(path string) ([]Event, error) {
 	events, err := parquet.ReadFile[Event](path)
 	if err != nil {
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -1,25 +1,26 @@
-// Package history keeps a bounded record of what a controller has observed: tasks that run and end, jobs that
-// are over, zones that change. Ring holds the latest events in memory; Write and Read are the columnar file into
-// which operators gather the events of all controllers; Check finds violations of the invariants in them: no
-// task runs on two machines at a time, and every job has one final state.
+// Package history keeps a bounded record of the events that a controller observes: tasks that run or end, jobs that
+// reach a final state, zones that change their state. Ring holds the latest events in memory. Write and Read store
+// the events that operators have collected from all controllers in a Parquet file. Check finds violations of two
+// invariants in them: no task runs on two machines at a time, and every job has one final state.
 package history
 
 import "sync"
 
-// Kind of an event.
+// Kind is the kind of an event.
 type Kind string
 
 // Kinds of events.
 const (
-	TaskRunning Kind = "running" // a partition leader has seen the task run
-	TaskEnded   Kind = "ended"   // a partition leader has seen it end, or knows that it is gone; Note is the cause
-	JobOver     Kind = "over"    // the controller has seen its final state; Note is the phase
-	ZoneChanged Kind = "zone"    // Note is the state and stage
+	TaskRunning Kind = "running" // a partition leader observed that the task runs
+	TaskEnded   Kind = "ended"   // a partition leader observed that the task ended, or knows that it is gone; Note is the cause
+	JobOver     Kind = "over"    // the controller observed the job's final state; Note is the phase
+	ZoneChanged Kind = "zone"    // the zone's state or stage changed; Note is both
 )
 
-// Event is something that a controller has observed. The fields are the columns of the file, and wire format.
+// Event is one observation of a controller. Its fields are the columns of the Parquet file, and controllers send
+// them in a Page, so their names and their order must not change.
 type Event struct {
-	AtMS       int64  `parquet:"at_ms,delta"` // time of day at the controller
+	AtMS       int64  `parquet:"at_ms,delta"` // by the controller's clock, in milliseconds since the Unix epoch
 	Controller string `parquet:"controller,dict"`
 	Kind       Kind   `parquet:"kind,dict"`
 	Job        string `parquet:"job,dict"`
@@ -30,33 +31,35 @@
 	Note       string `parquet:"note,dict"`
 }
 
-// Ring keeps the latest events. It is safe for concurrent use; a nil ring keeps none.
+// Ring keeps a controller's latest events and overwrites the oldest. It is safe for concurrent use; a nil Ring keeps
+// no events.
 type Ring struct {
-	now      func() int64 // time of day in ms
-	host     string       // the controller
+	now      func() int64 // milliseconds since the Unix epoch
+	host     string       // of the controller
 	capacity int
 
 	mu         sync.Mutex // guards the fields below
-	events     []Event    // event number n is at n modulo capacity
+	events     []Event    // the event with number n is at index n modulo capacity
 	nextNumber uint64     // number of the next event; the ring holds the last len(events) before it
 }
 
 const (
-	// approxEventBytes is about how much memory an event takes, its strings shared.
+	// approxEventBytes is the approximate memory of one event; events share most of their strings.
 	approxEventBytes = 200
-	// minEntries is how many events a ring keeps at least.
-	minEntries = 64
+	// minCapacity is the smallest number of events that Entries returns.
+	minCapacity = 64
 )
 
-// Entries is how many events a ring keeps that may take so many bytes of memory.
-func Entries(bytes int) int { return max(minEntries, bytes/approxEventBytes) }
+// Entries returns the number of events that fit into so many bytes of memory, but at least minCapacity.
+func Entries(bytes int) int { return max(minCapacity, bytes/approxEventBytes) }
 
-// NewRing makes a ring of so many events for a controller; now is the time of day in ms.
+// NewRing returns an empty ring that keeps at most capacity events of the controller host. now returns the time in
+// milliseconds since the Unix epoch.
 func NewRing(host string, capacity int, now func() int64) *Ring {
 	return &Ring{host: host, capacity: capacity, now: now}
 }
 
-// Add adds an event; its time and controller are filled in.
+// Add stores an event, and sets its time and controller. A full ring overwrites its oldest event.
 func (r *Ring) Add(e Event) {
 	if r == nil {
 		return
@@ -72,16 +75,17 @@
 	r.nextNumber++
 }
 
-// Page is a part of a controller's history. The fields are wire format.
+// Page is a part of a controller's history. Controllers send it to operators' commands, so the names and the order of
+// its fields must not change.
 type Page struct {
 	Host   string
 	Events []Event
-	Next   uint64 // number to ask for what follows
-	Lost   uint64 // events before these, since the number asked for, that are not kept any more
-	More   bool
+	Next   uint64 // number of the event that the next request begins with
+	Lost   uint64 // requested events that the ring has overwritten
+	More   bool   // the ring holds further events
 }
 
-// Page returns at most so many events from a number on.
+// Page returns at most limit events, beginning with number from, or with the oldest that the ring still holds.
 func (r *Ring) Page(from uint64, limit int) Page {
 	if r == nil {
 		return Page{}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop holds what the long-lived loops of a controller share: a signal that wakes a loop, a pause that its
-// context ends, and how often a failure that repeats is logged.
+// Package loop contains helpers for the long-lived loops of a controller: a signal that wakes a loop, a pause that
+// ends early with the context, and a limit on how often a repeated failure is logged.
 package loop
 
 import (
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Signal wakes the one goroutine that receives from it. Notifications that come before it has received count as one.
+// Signal wakes the one goroutine that receives from it. Several notifications before a receive wake the goroutine
+// only once.
 type Signal chan struct{}
 
-// NewSignal makes a signal without a notification.
+// NewSignal returns a signal without a pending notification.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Notify wakes the receiver. It never blocks.
+// Notify wakes the receiver, now or when it receives next. It never blocks.
 func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
@@ -21,11 +22,11 @@
 	}
 }
 
-// Pause waits for a duration. It reports whether the context went on for all of it.
+// Pause waits for a duration and returns true, or returns false as soon as ctx ends.
 func Pause(ctx context.Context, d time.Duration) bool { return PauseOrWake(ctx, d, nil) }
 
-// PauseOrWake waits for a duration or, if that is sooner, for a notification; a nil signal has none. It returns false at once
-// when the context ends.
+// PauseOrWake waits for a duration, or until wake is notified if that is sooner, and returns true. It returns false as
+// soon as ctx ends. A nil signal never wakes it.
 func PauseOrWake(ctx context.Context, d time.Duration, wake Signal) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -39,8 +40,9 @@
 	}
 }
 
-// failureLogInterval is how many failures in a row go with one log event: an outage lasts many attempts.
+// failureLogInterval is the number of consecutive failures of which only the first is logged. An outage causes many
+// failed attempts, and to log each would flood the log.
 const failureLogInterval = 32
 
-// LogsFailure reports whether the failure with this number, counted in a row from 1, is to be logged.
+// LogsFailure reports whether the n-th consecutive failure is to be logged. n counts from 1.
 func LogsFailure(n int) bool { return n%failureLogInterval == 1 }
