--- a/cmd/merlinlatch/golden_test.go
+++ b/cmd/merlinlatch/golden_test.go
@@ -50,7 +50,7 @@
 	for _, c := range goldenCommands {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			cmd := root()
+			cmd := rootCommand()
 			cmd.SetOut(&out)
 			cmd.SetErr(&out)
 			cmd.SetArgs(c.args)
--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -37,7 +37,7 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "merlinlatch:", strings.TrimSuffix(err.Error(), "\n"))
 		if errors.Is(err, errUsage) {
 			os.Exit(exitUsage)
@@ -52,8 +52,8 @@
 	policyPath   string
 }
 
-// root is the command that runs a controller, with the operators' commands below it.
-func root() *cobra.Command {
+// rootCommand is the command that runs a controller, with the operators' commands below it.
+func rootCommand() *cobra.Command {
 	var opts options
 	cmd := &cobra.Command{
 		Use:           "merlinlatch --config FILE",
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(cmd.Context(), settings, parameters)
+			return runController(cmd.Context(), settings, parameters)
 		},
 	}
 	cmd.PersistentFlags().StringVar(&opts.settingsPath, "config", "", "settings file of the platform (JSON)")
@@ -147,8 +147,8 @@
 	maxProcs = 1
 )
 
-// serve runs a controller until ctx ends or the process is interrupted or terminated by a signal.
-func serve(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
+// runController runs a controller until ctx ends or the process is interrupted or terminated by a signal.
+func runController(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
 	log, err := newLogger()
 	if err != nil {
 		return err
--- a/cmd/merlinlatch/operators.go
+++ b/cmd/merlinlatch/operators.go
@@ -34,7 +34,7 @@
 		Short: "Tell how the teams stand: shares, use, what waits and for how long",
 		Long: "Asks all controllers that the settings name, over their cluster ports. Waits and lateness are\n" +
 			"counted since the team's placer started.",
-		Args: arguments(0, 1),
+		Args: argumentCount(0, 1),
 		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
 			team := ""
 			if len(args) == 1 {
@@ -49,7 +49,7 @@
 	zones := &cobra.Command{
 		Use:   "zones",
 		Short: "Tell in which state the zones are, and what waits while work returns to one",
-		Args:  arguments(0, 0),
+		Args:  argumentCount(0, 0),
 		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, _ []string) error {
 			return console.Zones(out, console.Controllers(settings))
 		}),
@@ -66,7 +66,7 @@
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
-		Args:  arguments(1, 1),
+		Args:  argumentCount(1, 1),
 		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
 			return console.HoldZone(out, settings, console.Controllers(settings), args[0], held)
 		}),
@@ -86,7 +86,7 @@
 	return &cobra.Command{
 		Use:   "export FILE",
 		Short: "Gather the history of all controllers that are reached into one Parquet file",
-		Args:  arguments(1, 1),
+		Args:  argumentCount(1, 1),
 		RunE: opts.withSettings(func(out io.Writer, settings *config.Settings, args []string) error {
 			return console.ExportHistory(out, console.Controllers(settings), args[0])
 		}),
@@ -95,20 +95,20 @@
 
 func historyCheckCommand() *cobra.Command {
 	skewMS := int64(0)
-	check := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Hold the rules against an exported history: no task on two machines, one end for each job",
-		Args:  arguments(1, 1),
+		Args:  argumentCount(1, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return console.CheckHistory(cmd.OutOrStdout(), args[0], skewMS)
 		},
 	}
-	check.Flags().Int64Var(&skewMS, "skew-ms", defaultSkewMS, "by how much the controllers' clocks may differ")
-	return check
+	cmd.Flags().Int64Var(&skewMS, "skew-ms", defaultSkewMS, "by how much the controllers' clocks may differ")
+	return cmd
 }
 
-// arguments checks how many arguments a command is given.
-func arguments(minimum, maximum int) cobra.PositionalArgs {
+// argumentCount checks how many argumentCount a command is given.
+func argumentCount(minimum, maximum int) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < minimum || len(args) > maximum {
 			return fmt.Errorf("%wwrong number of arguments; see --help", errUsage)
