--- a/cmd/merlinlatch/golden_test.go
+++ b/cmd/merlinlatch/golden_test.go
@@ -15,10 +15,10 @@
 
 var writeGolden = flag.Bool("update", false, "write the golden files that do not exist yet")
 
-// goldenSettings are the settings of the golden tests.
+// goldenSettings is the path of the settings that the command lines use.
 const goldenSettings = "../../internal/golden/testdata/settings/full.json"
 
-// goldenCommands are the command lines.
+// goldenCommands lists the command lines, each with the name of its golden file.
 var goldenCommands = []struct {
 	name string
 	args []string
@@ -44,8 +44,8 @@
 	{"zones_hold_without_zone", []string{"zones", "hold"}},
 }
 
-// Operators and the platform read the commands' help, answers, errors and exit codes. The text of
-// an error and the code are found as main does it.
+// Operators and the platform that starts controllers depend on the commands' help, output, errors and exit codes, so
+// a change of any of these must be deliberate. The test prints an error and derives the exit code as main does.
 func TestCommandsOutputMatchesGoldenFiles(t *testing.T) {
 	for _, c := range goldenCommands {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -1,7 +1,8 @@
-// Command merlinlatch is a controller of a merlinlatch cluster, and the operators' commands.
+// Command merlinlatch runs a controller of a merlinlatch cluster, and provides the operators' commands.
 //
-// root is the controller itself, operatorCommands are the commands that ask running controllers. Exit codes:
-// 0 for success, 1 for a failure, 2 for a mistake of the operator or the settings (errUsage).
+// Without a subcommand it runs a controller (rootCommand). The operators' commands (operatorCommands) call running
+// controllers. Exit codes: 0 for success, 1 for a failure, 2 for invalid flags, arguments, settings or policy script
+// (errUsage).
 package main
 
 import (
@@ -23,14 +24,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/policy"
 )
 
-// version is the release; see CHANGELOG.md.
+// version is the number of this release; CHANGELOG.md lists the releases.
 const version = "0.1.0"
 
-// errUsage marks mistakes of the operator or the settings, which end the program with code 2. Its text is
-// empty, so that wrapping it leaves the message as it is.
+// errUsage marks errors that the operator has to correct: invalid flags, arguments, settings or policy script. The
+// program then exits with exitUsage. Its text is empty, so that wrapping it does not change an error's message.
 var errUsage = errors.New("")
 
-// Exit codes.
+// Exit codes of a program that did not succeed.
 const (
 	exitFailure = 1
 	exitUsage   = 2
@@ -46,13 +47,13 @@
 	}
 }
 
-// options are the flags of all commands.
+// options holds the flags that all commands accept.
 type options struct {
 	settingsPath string
 	policyPath   string
 }
 
-// rootCommand is the command that runs a controller, with the operators' commands below it.
+// rootCommand returns the command that runs a controller. All other commands are its subcommands.
 func rootCommand() *cobra.Command {
 	var opts options
 	cmd := &cobra.Command{
@@ -78,7 +79,7 @@
 	return cmd
 }
 
-// checkCommand checks what a controller would be started with.
+// checkCommand returns the command that checks the settings and the policy script without starting a controller.
 func checkCommand(opts *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
@@ -96,7 +97,7 @@
 	}
 }
 
-// load reads the settings and the policy script.
+// load reads and checks the settings and the policy script. Its errors wrap errUsage.
 func (o *options) load() (*config.Settings, *policy.Parameters, error) {
 	settings, err := o.loadSettings()
 	if err != nil {
@@ -109,7 +110,7 @@
 	return settings, parameters, nil
 }
 
-// loadSettings reads the settings.
+// loadSettings reads and checks the settings. Its errors wrap errUsage.
 func (o *options) loadSettings() (*config.Settings, error) {
 	if o.settingsPath == "" {
 		return nil, fmt.Errorf("%w--config FILE is needed; see --help", errUsage)
@@ -121,7 +122,8 @@
 	return settings, nil
 }
 
-// newLogger logs to standard error at the level that the environment's LOG_LEVEL names.
+// newLogger returns a logger that writes to standard error. The environment variable LOG_LEVEL sets its level, info
+// by default.
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch v := os.Getenv("LOG_LEVEL"); v {
@@ -137,17 +139,18 @@
 }
 
 const (
-	// gcPercent makes the collector run seldom, which costs less time: live data are a small part of
-	// the memory, and the memory limit makes it run more often when there is need.
+	// gcPercent lets the heap grow to five times the live data before a garbage collection, which saves processor
+	// time. Live data take a small part of the memory, and the runtime's memory limit makes the collector run more
+	// often when the memory becomes scarce.
 	gcPercent = 400
-	// memoryLimitShare is the part of the process's memory limit that the Go runtime is to stay below.
+	// memoryLimitShare is the part of the process's memory limit that is set as the Go runtime's soft memory limit.
 	memoryLimitShare = 0.6
-	// maxProcs is how many threads run Go code: a controller has a small share of one core, more threads
-	// only cost switches.
+	// maxProcs is the number of threads that run Go code at a time. A controller gets a small share of one core only,
+	// so more threads would only add context switches.
 	maxProcs = 1
 )
 
-// runController runs a controller until ctx ends or the process is interrupted or terminated by a signal.
+// runController runs a controller until ctx ends or the process receives SIGINT or SIGTERM.
 func runController(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
 	log, err := newLogger()
 	if err != nil {
--- a/cmd/merlinlatch/operators.go
+++ b/cmd/merlinlatch/operators.go
@@ -10,12 +10,12 @@
 	"github.com/merlinlatch/merlinlatch/internal/console"
 )
 
-// operatorCommands are the commands that ask running controllers over their cluster ports.
+// operatorCommands returns the commands that call running controllers over their cluster ports.
 func operatorCommands(opts *options) []*cobra.Command {
 	return []*cobra.Command{teamsCommand(opts), zonesCommand(opts), historyCommand(opts)}
 }
 
-// withSettings is a command that needs the settings: run is called with them.
+// withSettings returns a function for a command's RunE that loads the settings and passes them to run.
 func (o *options) withSettings(
 	run func(out io.Writer, settings *config.Settings, args []string) error,
 ) func(cmd *cobra.Command, args []string) error {
@@ -61,7 +61,8 @@
 	return zones
 }
 
-// zoneHoldCommand holds the return of work to a zone, or lets it go on.
+// zoneHoldCommand returns the command that stops the return of work to a zone at its present stage (held), or the
+// one that resumes it.
 func zoneHoldCommand(opts *options, use, short string, held bool) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -73,7 +74,7 @@
 	}
 }
 
-// defaultSkewMS is by how many milliseconds the clocks of controllers are assumed to differ at most.
+// defaultSkewMS is the assumed maximum difference between the controllers' clocks, in milliseconds.
 const defaultSkewMS = 1000
 
 func historyCommand(opts *options) *cobra.Command {
@@ -107,7 +108,7 @@
 	return cmd
 }
 
-// argumentCount checks how many argumentCount a command is given.
+// argumentCount returns a check that a command gets from minimum to maximum arguments.
 func argumentCount(minimum, maximum int) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < minimum || len(args) > maximum {
