--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -1,6 +1,6 @@
-// Package fakes holds in-memory fakes of the key-value store (KVStore, KVClient) and of workers (Worker), for
-// tests and for the runs of package loopback. They keep to the protocol's pages. They do no I/O; the key-value
-// store takes its time from package time, so that it runs by the clock of a synctest bubble.
+// Package fakes provides in-memory fakes of the key-value store (KVStore, KVClient) and of workers (Worker), for
+// tests and for the runs of package loopback. The fakes follow the documented protocols and do no I/O. The key-value
+// store reads the time from package time, so that in a synctest bubble it follows the bubble's clock.
 package fakes
 
 import (
@@ -17,135 +17,142 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// ErrNoSuchLease means that a transaction puts a key with a lease that has ended.
+// ErrNoSuchLease means that a transaction attaches a key to a lease that does not exist or has ended.
 var ErrNoSuchLease = errors.New("no such lease")
 
-// conditionsPerOperation is how many conditions a transaction may have for each operation that it may have.
+// conditionsPerOperation is the limit of a transaction's conditions, as a multiple of the limit of its operations.
 const conditionsPerOperation = 4
 
-// watchRetry is how often a watch looks for changes without being notified: leases expire without a request.
+// watchRetry is how often a watch looks for changes without a notification. Nothing notifies a watch when a lease
+// expires, because leases are checked only when a request arrives.
 const watchRetry = 100 * time.Millisecond
 
-// lease is a controller lease: keys put with it are deleted when it expires.
+// lease is a lease that a controller was granted. The keys attached to it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// KVStore is a key-value store in memory. It is safe for concurrent use.
+// KVStore is an in-memory key-value store. It is safe for concurrent use.
 type KVStore struct {
 	mu        sync.Mutex // guards all fields, and those of the store's KVClients
 	keys      map[string]wire.Item
-	changes   []wire.Change // all since the start
+	changes   []wire.Change // every change since the store was created
 	revision  uint64
 	leases    map[uint64]*lease
-	nextLease uint64        // the latest lease's id
+	nextLease uint64        // id of the latest lease
 	changed   chan struct{} // closed and replaced with each change
 
-	maxOperations int // operations of a transaction; 0: any
-	maxValueBytes int // bytes of a value; 0: any
+	maxOperations int // limit of a transaction's operations; 0: no limit
+	maxValueBytes int // limit of a value's size; 0: no limit
 
-	down     bool       // an outage: all requests are answered 503
-	mute     bool       // executes transactions without an answer
-	capture  bool       // captures transactions without an answer
-	captured []wire.Txn // not executed until Release
+	down          bool       // an outage: every request fails as with status 503
+	dropResponses bool       // transactions are executed, but their callers get no response
+	capture       bool       // transactions are captured, not executed, and their callers get no response
+	captured      []wire.Txn // transactions that Release executes
 }
 
-// NewKVStore makes an empty store.
+// NewKVStore returns an empty store.
 func NewKVStore() *KVStore {
 	return &KVStore{keys: map[string]wire.Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-// KVClient is one controller's client of the store; it can be cut off alone.
+// KVClient is one controller's client of the store. It can be disconnected while the other clients still reach the
+// store.
 type KVClient struct {
 	*KVStore
-	cut bool // guarded by the store's mu
+	disconnected bool // guarded by the store's mu
 }
 
-// SetCut has the store answer 503 to this controller alone, or ends that.
-func (c *KVClient) SetCut(cut bool) {
+// SetCut disconnects this client, so that its requests fail as with status 503, or reconnects it.
+func (c *KVClient) SetCut(disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.disconnected = disconnected
 }
 
-// SetLimits limits the operations of a transaction, its conditions (conditionsPerOperation) and the bytes of a value.
-func (s *KVStore) SetLimits(ops, bytes int) {
+// SetLimits sets the largest number of a transaction's operations and the largest size of a value; 0 means no limit.
+// The limit of a transaction's conditions is conditionsPerOperation times that of its operations.
+func (s *KVStore) SetLimits(maxOperations, maxValueBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxOperations, s.maxValueBytes = ops, bytes
+	s.maxOperations, s.maxValueBytes = maxOperations, maxValueBytes
 }
 
-// SetMute has transactions executed without an answer, or ends that.
-func (s *KVStore) SetMute(mute bool) {
+// SetMute makes the store execute transactions but drop the responses, so that Commit fails with
+// kvstore.ErrOutcomeUnknown; false restores the responses.
+func (s *KVStore) SetMute(drop bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = mute
+	s.dropResponses = drop
 }
 
-// SetCapture has transactions captured without an answer until Release, or ends that.
+// SetCapture makes the store keep transactions without executing them until Release, so that Commit fails with
+// kvstore.ErrOutcomeUnknown; false makes the store execute later transactions again.
 func (s *KVStore) SetCapture(capture bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capture = capture
 }
 
-// expireLeases ends the leases whose time is over. The lock is held, as for all unexported methods.
+// expireLeases ends the leases whose time to live has passed. The caller holds mu, as it does for all unexported
+// methods of KVStore.
 func (s *KVStore) expireLeases() {
-	for id, h := range s.leases {
-		if time.Now().After(h.expiresAt) {
+	for id, expiring := range s.leases {
+		if time.Now().After(expiring.expiresAt) {
 			s.endLease(id)
 		}
 	}
 }
 
-// endLease ends a lease and deletes its keys.
+// endLease ends a lease and deletes the keys attached to it.
 func (s *KVStore) endLease(id uint64) {
 	delete(s.leases, id)
-	for k, it := range s.keys {
-		if it.LeaseID == id {
+	for key, item := range s.keys {
+		if item.LeaseID == id {
 			s.revision++
-			s.deleteKey(k)
+			s.deleteKey(key)
 		}
 	}
 }
 
-// deleteKey deletes a key at the present revision.
-func (s *KVStore) deleteKey(k string) {
-	if _, ok := s.keys[k]; ok {
-		delete(s.keys, k)
-		s.changes = append(s.changes, wire.Change{Drop: k, ModRevision: s.revision})
+// deleteKey deletes a key if it exists, and records the change at the present revision.
+func (s *KVStore) deleteKey(key string) {
+	if _, ok := s.keys[key]; ok {
+		delete(s.keys, key)
+		s.changes = append(s.changes, wire.Change{Drop: key, ModRevision: s.revision})
 	}
 	s.notifyWatchers()
 }
 
-// notifyWatchers wakes all watches.
+// notifyWatchers wakes all watches, which then look for changes.
 func (s *KVStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetDown starts or ends an outage. Once it is over every lease has its full time again.
+// SetDown starts or ends an outage. At the end of an outage every lease gets its full time to live again, because no
+// controller could renew its lease meanwhile.
 func (s *KVStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		for _, h := range s.leases {
-			h.expiresAt = time.Now().Add(h.ttl)
+		for _, renewed := range s.leases {
+			renewed.expiresAt = time.Now().Add(renewed.ttl)
 		}
 	}
 	s.down = down
 }
 
-// checkAvailable rejects a request during an outage or while this controller is cut off.
+// checkAvailable fails during an outage, or while this client is disconnected.
 func (c *KVClient) checkAvailable() error {
-	if c.cut || c.down {
+	if c.disconnected || c.down {
 		return fmt.Errorf("%w: status 503", kvstore.ErrRefused)
 	}
 	return nil
 }
 
-// Get reads a key.
+// Get returns the value of a key, and whether the key exists.
 func (c *KVClient) Get(_ context.Context, key string) (wire.Item, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,11 +160,11 @@
 		return wire.Item{}, false, err
 	}
 	c.expireLeases()
-	it, ok := c.keys[key]
-	return it, ok, nil
+	item, ok := c.keys[key]
+	return item, ok, nil
 }
 
-// List reads all keys with a prefix.
+// List returns all keys with a prefix in their order, and the store's revision.
 func (c *KVClient) List(_ context.Context, prefix string) ([]wire.Item, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,18 +173,19 @@
 	}
 	c.expireLeases()
 	var out []wire.Item
-	for k, it := range c.keys {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, it)
+	for key, item := range c.keys {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, item)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Key < out[b].Key })
 	return out, c.revision, nil
 }
 
-// Watch waits for changes. During an outage it stays open.
-func (c *KVClient) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
-	deadline := time.Now().Add(block)
+// Watch returns the changes after a revision to keys with a prefix. If there are none, it waits for the next change
+// until timeout. During an outage, or while the client is disconnected, it keeps waiting and returns no changes.
+func (c *KVClient) Watch(ctx context.Context, prefix string, after uint64, timeout time.Duration) (wire.WatchResponse, error) {
+	deadline := time.Now().Add(timeout)
 	for {
 		c.mu.Lock()
 		var out wire.WatchResponse
@@ -185,7 +193,7 @@
 			c.expireLeases()
 			out.Revision = c.revision
 			for _, change := range c.changes {
-				if change.ModRevision > rev && strings.HasPrefix(change.Put+change.Drop, prefix) {
+				if change.ModRevision > after && strings.HasPrefix(change.Put+change.Drop, prefix) {
 					out.Changes = append(out.Changes, change)
 				}
 			}
@@ -193,7 +201,7 @@
 		changed := c.changed
 		c.mu.Unlock()
 		if len(out.Changes) > 0 || !time.Now().Before(deadline) {
-			out.Revision = max(out.Revision, rev)
+			out.Revision = max(out.Revision, after)
 			return out, nil
 		}
 		select {
@@ -205,38 +213,39 @@
 	}
 }
 
-// Commit executes a transaction.
-func (c *KVClient) Commit(_ context.Context, m wire.Txn) (uint64, error) {
+// Commit executes a transaction and returns its revision.
+func (c *KVClient) Commit(_ context.Context, txn wire.Txn) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.checkAvailable(); err != nil {
 		return 0, err
 	}
 	if c.capture {
-		c.captured = append(c.captured, m)
+		c.captured = append(c.captured, txn)
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	rev, err := c.apply(m)
-	if c.mute {
+	revision, err := c.apply(txn)
+	if c.dropResponses {
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	return rev, err
+	return revision, err
 }
 
-// CommitWithCheck calls sending right before Commit; an error of it means that nothing was sent.
-func (c *KVClient) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
-	if err := sending(); err != nil {
+// CommitWithCheck calls beforeSend and then Commit. If beforeSend fails, the transaction is not sent and the error
+// wraps kvstore.ErrRefused.
+func (c *KVClient) CommitWithCheck(ctx context.Context, txn wire.Txn, beforeSend func() error) (uint64, error) {
+	if err := beforeSend(); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
-	return c.Commit(ctx, m)
+	return c.Commit(ctx, txn)
 }
 
-// Release executes the captured transactions, and returns how many were applied.
+// Release executes the captured transactions in the order of their arrival, and returns how many were applied.
 func (s *KVStore) Release() (applied int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, m := range s.captured {
-		if _, err := s.apply(m); err == nil {
+	for _, txn := range s.captured {
+		if _, err := s.apply(txn); err == nil {
 			applied++
 		}
 	}
@@ -244,14 +253,14 @@
 	return applied
 }
 
-// apply executes a transaction whose conditions hold, and returns the revision.
-func (s *KVStore) apply(m wire.Txn) (uint64, error) {
+// apply executes a transaction if checkTransaction accepts it. It returns the store's revision.
+func (s *KVStore) apply(txn wire.Txn) (uint64, error) {
 	s.expireLeases()
-	if err := s.checkTransaction(m); err != nil {
+	if err := s.checkTransaction(txn); err != nil {
 		return s.revision, err
 	}
 	s.revision++
-	for _, op := range m.Operations {
+	for _, op := range txn.Operations {
 		if op.Drop != "" {
 			s.deleteKey(op.Drop)
 			continue
@@ -267,36 +276,37 @@
 	return s.revision, nil
 }
 
-// checkTransaction checks a transaction's conditions, leases and limits, in this order.
-func (s *KVStore) checkTransaction(m wire.Txn) error {
-	for _, condition := range m.Conditions {
+// checkTransaction checks a transaction's conditions, then its leases, then its limits. The first check that fails
+// determines the error.
+func (s *KVStore) checkTransaction(txn wire.Txn) error {
+	for _, condition := range txn.Conditions {
 		if s.keys[condition.Key].ModRevision != condition.ModRevision {
 			return fmt.Errorf("%w: %s", kvstore.ErrConflict, condition.Key)
 		}
 	}
-	for _, op := range m.Operations {
+	for _, op := range txn.Operations {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
 			return fmt.Errorf("%w: %w", kvstore.ErrRefused, ErrNoSuchLease)
 		}
 	}
-	if s.maxOperations > 0 && len(m.Operations) > s.maxOperations {
-		return fmt.Errorf("%w: too many changes", kvstore.ErrRefused)
+	if s.maxOperations > 0 && len(txn.Operations) > s.maxOperations {
+		return fmt.Errorf("%w: transaction has too many operations", kvstore.ErrRefused)
 	}
-	if s.maxOperations > 0 && len(m.Conditions) > conditionsPerOperation*s.maxOperations {
-		return fmt.Errorf("%w: too many conditions", kvstore.ErrRefused)
+	if s.maxOperations > 0 && len(txn.Conditions) > conditionsPerOperation*s.maxOperations {
+		return fmt.Errorf("%w: transaction has too many conditions", kvstore.ErrRefused)
 	}
-	for _, op := range m.Operations {
+	for _, op := range txn.Operations {
 		if b, err := json.Marshal(op.Value); s.maxValueBytes > 0 && (err != nil || len(b) > s.maxValueBytes) {
-			return fmt.Errorf("%w: a value of %d bytes", kvstore.ErrRefused, len(b))
+			return fmt.Errorf("%w: value of %d bytes is not accepted", kvstore.ErrRefused, len(b))
 		}
 	}
 	return nil
 }
 
-// HasSpareWrites is always true: the fake has no limit of requests.
+// HasSpareWrites always returns true, because the fake does not limit the rate of requests.
 func (*KVClient) HasSpareWrites(int) bool { return true }
 
-// GrantLease makes a lease and returns its id.
+// GrantLease creates a lease with a time to live and returns its id.
 func (c *KVClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,7 +318,7 @@
 	return c.nextLease, nil
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease for its full time to live.
 func (c *KVClient) KeepAlive(_ context.Context, id uint64, _ time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -316,10 +326,10 @@
 		return err
 	}
 	c.expireLeases()
-	h := c.leases[id]
-	if h == nil {
+	renewed := c.leases[id]
+	if renewed == nil {
 		return kvstore.ErrLeaseNotFound
 	}
-	h.expiresAt = time.Now().Add(h.ttl)
+	renewed.expiresAt = time.Now().Add(renewed.ttl)
 	return nil
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -8,29 +8,30 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Worker is a machine's worker, by the protocol's page. Images take no time. It is not safe for concurrent use.
+// Worker is a fake of the worker on one machine. It follows the documented protocol, but starts a task without
+// fetching its image. It is not safe for concurrent use.
 type Worker struct {
 	ID           string
 	Type         string
 	Zone         string
 	Spot         bool
 	Lease        clock.Micros
-	Incarnation  uint64 // incarnation
-	Tick         uint64
-	FencingToken uint64                      // highest fencing token seen
-	Tasks        map[string]*wire.TaskStatus // by name and attempt
-	Starts       map[string]int              // how often each task has started
-	NoticeS      *float64                    // eviction notice that its heartbeats carry
-	renewedAt    clock.Micros                // start of the worker lease
+	Incarnation  uint64                      // grows when the worker's lease expires
+	Tick         uint64                      // number of the latest heartbeat
+	FencingToken uint64                      // highest that the worker has seen
+	Tasks        map[string]*wire.TaskStatus // by task and attempt (attemptName)
+	Starts       map[string]int              // number of starts by task, over all attempts
+	NoticeS      *float64                    // seconds until eviction, as in its heartbeats; nil: no notice
+	renewedAt    clock.Micros                // last renewal of the worker's lease
 }
 
-// NewWorker makes a worker whose lease starts now.
+// NewWorker returns a worker without tasks, of type "big" in zone "a", whose lease starts now.
 func NewWorker(id string, lease, now clock.Micros) *Worker {
 	return &Worker{ID: id, Type: "big", Zone: "a", Lease: lease, Incarnation: 1, Tasks: map[string]*wire.TaskStatus{},
 		Starts: map[string]int{}, renewedAt: now}
 }
 
-// Check ends all tasks, and begins a new incarnation, if the worker lease has expired.
+// Check drops all tasks and begins a new incarnation if the worker's lease has expired.
 func (w *Worker) Check(now clock.Micros) {
 	if now > w.renewedAt+w.Lease {
 		clear(w.Tasks)
@@ -39,22 +40,22 @@
 	}
 }
 
-// Renew starts the worker's lease anew.
+// Renew renews the worker's lease, which then lasts for its full duration from now.
 func (w *Worker) Renew(now clock.Micros) { w.renewedAt = now }
 
-// Heartbeat makes the worker's next heartbeat.
+// Heartbeat returns the worker's next heartbeat, after it has checked the worker's lease.
 func (w *Worker) Heartbeat(now clock.Micros) wire.Heartbeat {
 	w.Check(now)
 	w.Tick++
-	r := wire.Heartbeat{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+	heartbeat := wire.Heartbeat{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: w.Incarnation, Tick: w.Tick, FencingToken: w.FencingToken, EvictionNoticeS: w.NoticeS}
 	for _, t := range w.InOrder() {
-		r.Tasks = append(r.Tasks, *t)
+		heartbeat.Tasks = append(heartbeat.Tasks, *t)
 	}
-	return r
+	return heartbeat
 }
 
-// InOrder lists the worker's tasks in a fixed order.
+// InOrder returns the worker's tasks sorted by name and attempt, so that tests do not depend on the order of a map.
 func (w *Worker) InOrder() []*wire.TaskStatus {
 	keys := slices.Sorted(maps.Keys(w.Tasks))
 	out := make([]*wire.TaskStatus, 0, len(keys))
@@ -64,35 +65,37 @@
 	return out
 }
 
-// HandleHeartbeatResponse handles the response to a heartbeat that was sent at a time; false for a fencing token that is too low.
-func (w *Worker) HandleHeartbeatResponse(a wire.HeartbeatResponse, sent clock.Micros) bool {
-	if a.FencingToken < w.FencingToken {
+// HandleHeartbeatResponse renews the worker's lease as of sentAt, when the heartbeat was sent, and executes the
+// response's commands. It ignores a response with a lower fencing token than the highest seen, and returns false.
+func (w *Worker) HandleHeartbeatResponse(response wire.HeartbeatResponse, sentAt clock.Micros) bool {
+	if response.FencingToken < w.FencingToken {
 		return false
 	}
-	w.FencingToken = a.FencingToken
-	w.renewedAt = sent
-	w.execute(a.Orders)
+	w.FencingToken = response.FencingToken
+	w.renewedAt = sentAt
+	w.executeCommands(response.Orders)
 	return true
 }
 
-// HandleCommands handles a delivery of commands; ok is false for a 409: its fencing token is too low, or it is meant for
-// another incarnation.
-func (w *Worker) HandleCommands(o wire.Orders, now clock.Micros) (r wire.Heartbeat, ok bool) {
+// HandleCommands executes the commands of a delivery and returns the worker's heartbeat. It ignores a delivery with a
+// lower fencing token than the highest seen, or for another incarnation; ok is then false, which is status 409 in the
+// protocol.
+func (w *Worker) HandleCommands(delivery wire.Orders, now clock.Micros) (heartbeat wire.Heartbeat, ok bool) {
 	w.Check(now)
-	if ok = o.FencingToken >= w.FencingToken && o.Incarnation == w.Incarnation; ok {
-		w.FencingToken = o.FencingToken
-		w.execute(o.Orders)
+	if ok = delivery.FencingToken >= w.FencingToken && delivery.Incarnation == w.Incarnation; ok {
+		w.FencingToken = delivery.FencingToken
+		w.executeCommands(delivery.Orders)
 	}
 	return w.Heartbeat(now), ok
 }
 
-// attemptName is the key of an attempt in Tasks.
+// attemptName returns the key of an attempt in Tasks.
 func attemptName(task string, attempt uint64) string {
 	return wire.TaskName(task, int(attempt))
 }
 
-// execute carries out commands; repeated ones change nothing.
-func (w *Worker) execute(orders []wire.Order) {
+// executeCommands executes commands in their order. A repeated command has no effect.
+func (w *Worker) executeCommands(orders []wire.Order) {
 	for _, order := range orders {
 		name := attemptName(order.Task, order.Attempt)
 		t := w.Tasks[name]
@@ -114,7 +117,7 @@
 	}
 }
 
-// Running reports whether an attempt of a task runs here.
+// Running reports whether the worker has an attempt of a task that has not exited.
 func (w *Worker) Running(task string) bool {
 	for _, t := range w.Tasks {
 		if t.Task == task && t.Phase != wire.TaskExited {
@@ -124,7 +127,7 @@
 	return false
 }
 
-// Finish ends a task with a cause.
+// Finish makes all running attempts of a task exit with a cause.
 func (w *Worker) Finish(task, cause string) {
 	for _, t := range w.Tasks {
 		if t.Task == task && t.Phase != wire.TaskExited {
