--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -1,5 +1,5 @@
-// Command loopback plays bounded runs of the built program on this machine's loopback addresses, with fakes for
-// the services, the workers and the users.
+// Command loopback runs the built program for a limited time on this machine's loopback addresses, for measurements.
+// The services, the workers and the users are fakes; see package loopback.
 package main
 
 import (
@@ -17,16 +17,16 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "loopback:", err)
 		os.Exit(1)
 	}
 }
 
-// defaultProgram is where the build puts the program.
+// defaultProgram is the path at which the build puts the program.
 const defaultProgram = "target/merlinlatch"
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "loopback",
 		Short:         "Bounded runs of the real program on this machine",
@@ -51,7 +51,7 @@
 	}
 	cmd.Flags().StringVar(&run.Program, "program", defaultProgram, "the built program")
 	cmd.Flags().IntVar(&run.Seeds, "seeds", 1, "how many seeds; each takes some two minutes")
-	cmd.Flags().StringVar(&failure, "failure", string(loopback.NoFailure), "in the middle: none, placer or owner")
+	cmd.Flags().StringVar(&failure, "failure", string(loopback.NoFailure), "failure in the middle of each run: none, placer or owner")
 	return cmd
 }
 
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -6,13 +6,14 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cloud is a cloud that has rented the workers' machines and has no more.
+// cloud is a fake cloud whose instances are the workers' machines. It has no capacity for further ones, and ignores
+// requests to return instances.
 type cloud struct {
-	machines []wire.Instance // in order of their ids
+	machines []wire.Instance // sorted by id
 	types    []wire.MachineType
 }
 
-// handler answers the paths of the cloud.
+// handler returns the handler of the cloud's paths.
 func (c *cloud) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", c.getCatalog)
@@ -26,7 +27,7 @@
 	writeJSON(w, http.StatusOK, wire.Catalog{Types: c.types})
 }
 
-// listInstances answers all machines after the one that the client names, on one page.
+// listInstances answers with all instances after the one that the client names, on a single page.
 func (c *cloud) listInstances(w http.ResponseWriter, r *http.Request) {
 	page := wire.InstancePage{}
 	after := r.URL.Query().Get("after")
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -1,7 +1,7 @@
-// Package loopback plays bounded runs of the real program on this machine, for measurements; it is no part of
-// the service. Controllers are processes of their own (cluster); the key-value store (kvStoreServer), the cloud,
-// the workers (fleet, worker) and the users (load) are fakes on loopback addresses. HotTeams and ZoneReturn are
-// the runs.
+// Package loopback runs the real program for a limited time on this machine, for measurements; it is not part of the
+// service. Each controller is a process (cluster). The key-value store (kvStoreServer), the cloud (cloud), the workers
+// (fleet, worker) and the users (load) are fakes on loopback addresses. HotTeams and ZoneReturn are the two kinds of
+// runs.
 package loopback
 
 import (
@@ -23,21 +23,21 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Setup of a cluster.
+// Setup describes a cluster.
 type Setup struct {
 	Program string // path of the built program
 	Policy  string // text of the policy script
-	Workers int
+	Workers int    // number of workers, spread over the zones
 	Teams   []config.Team
-	RunFor  time.Duration     // of every task
-	LogDir  string            // for the controllers' logs and settings
-	Zones   map[string]string // by controller; defaultZone where none is given. Workers are spread over the zones
+	RunFor  time.Duration     // run time of every task
+	LogDir  string            // directory for the controllers' logs and settings
+	Zones   map[string]string // zone by controller; defaultZone for a controller without an entry
 }
 
-// defaultZone is the zone of controllers that are given none.
+// defaultZone is the zone of a controller that Setup.Zones does not contain.
 const defaultZone = "a"
 
-// allZones lists the zones, sorted.
+// allZones returns the names of all zones, sorted.
 func (s *Setup) allZones() []string {
 	names := []string{defaultZone}
 	for _, z := range s.Zones {
@@ -49,7 +49,7 @@
 	return names
 }
 
-// zoneOf is a controller's zone.
+// zoneOf returns a controller's zone.
 func (s *Setup) zoneOf(host string) string {
 	if z, ok := s.Zones[host]; ok {
 		return z
@@ -57,25 +57,26 @@
 	return defaultZone
 }
 
-// cluster is three controllers and what they need.
+// cluster holds three controllers, and the fake services and workers that they use.
 type cluster struct {
 	Setup
 	*fleet
-	settingsFiles map[string]string    // paths, by controller
+	settingsFiles map[string]string    // path by controller
 	processes     map[string]*exec.Cmd // by controller
 	kvStore       *fakes.KVStore
 	kvClients     map[string]*fakes.KVClient // by controller
-	links         []peerLink
+	peerLinks     []peerLink
 	workers       []*worker
 }
 
-// peerLink is the connection from one controller to another.
+// peerLink is the proxy through which the controller from calls the controller to.
 type peerLink struct {
 	*peerProxy
 	from, to string
 }
 
-// What the settings of a run say of workers, the services and the machine; see config.Settings.
+// Values of a run's settings for the workers, the services and the limits of a controller's machine; see
+// config.Settings.
 const (
 	workerLeaseS    = 16
 	workerCancelS   = 36
@@ -91,10 +92,10 @@
 	clockSkewMS     = 100
 )
 
-// machineTypeName is the only machine type of a run.
+// machineTypeName is the name of the only machine type of a run.
 const machineTypeName = "big"
 
-// newCluster starts a cluster, and returns it once it is ready. Processes and goroutines end with ctx.
+// newCluster starts a cluster and returns it once it is ready. Its processes and goroutines end when ctx ends.
 func newCluster(ctx context.Context, s Setup, taskDone func(task string)) (*cluster, error) {
 	c := &cluster{
 		Setup:         s,
@@ -125,7 +126,7 @@
 	return c, c.awaitReady(ctx)
 }
 
-// addWorkers makes the workers, spread over zones and controllers.
+// addWorkers creates the workers, spread evenly over the zones and the controllers.
 func (c *cluster) addWorkers() error {
 	zones := c.allZones()
 	for i := range c.Workers {
@@ -139,36 +140,37 @@
 	return nil
 }
 
-// newCloud makes the cloud that has rented the workers' machines.
+// newCloud returns a cloud whose instances are the workers' machines.
 func (c *cluster) newCloud() *cloud {
-	out := &cloud{types: []wire.MachineType{{
+	result := &cloud{types: []wire.MachineType{{
 		Name: machineTypeName, CPUs: 8, MemGB: 32, CacheGB: 100, FetchGBPS: 1,
 		Price: 1, SpotPrice: 0.3, BootS: 30, Zones: c.allZones(),
 	}}}
 	for _, w := range c.workers {
-		out.machines = append(out.machines, wire.Instance{
+		result.machines = append(result.machines, wire.Instance{
 			ID: w.ID, Addr: w.addr, Type: machineTypeName, Zone: w.Zone, Phase: wire.MachineRunning, AgeS: 60,
 		})
 	}
-	return out
+	return result
 }
 
-// clusterCount counts the clusters of this process.
+// clusterCount is the number of clusters that this process has started.
 var clusterCount atomic.Uint32
 
-// controllerIP assigns the i-th controller of the n-th cluster an address of its own in the loopback
-// range, so that clusters that run side by side don't take each other's ports.
+// controllerIP returns an address in the loopback range for the i-th controller of the n-th cluster. It differs
+// between controllers, clusters and (by the process id) processes, so that concurrent clusters do not take each
+// other's ports.
 func controllerIP(n uint32, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, n%250, i+1)
 }
 
-// Ports of the controllers.
+// Ports at which every controller listens on its own address.
 const (
 	apiPort     = 8080
 	clusterPort = 8081
 )
 
-// writeSettings writes the controllers' settings and the policy script.
+// writeSettings assigns the controllers' addresses, and writes their settings files and the policy script.
 func (c *cluster) writeSettings(cloudAddr string) error {
 	clusterAddrs := map[string]string{}
 	n := clusterCount.Add(1)
@@ -197,8 +199,8 @@
 
 func (c *cluster) policyFile() string { return filepath.Join(c.LogDir, "policy.star") }
 
-// newSettings makes a controller's settings: it has a client of the key-value store and proxies to the others of
-// its own, so that it can be cut off alone.
+// newSettings returns a controller's settings. The controller gets its own client of the key-value store and its own
+// proxies to the other controllers, so that setZoneIsolated can cut it off without affecting the others.
 func (c *cluster) newSettings(host string, clusterAddrs map[string]string) (*config.Settings, error) {
 	s := &config.Settings{Host: host, Zone: c.zoneOf(host), Listen: c.controllers[host], PeerListen: clusterAddrs[host]}
 	c.kvClients[host] = &fakes.KVClient{KVStore: c.kvStore}
@@ -214,7 +216,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.links = append(c.links, peerLink{proxy, host, other})
+		c.peerLinks = append(c.peerLinks, peerLink{proxy, host, other})
 		s.Peers = append(s.Peers, config.Peer{Host: other, Zone: c.zoneOf(other), Addr: addr})
 	}
 	p := &s.Params
@@ -227,36 +229,37 @@
 	return s, nil
 }
 
-// setZoneCut cuts a zone off, or reconnects it: its controllers reach neither the key-value store nor the
-// others, its workers reach its controllers only, and no deliveries reach them.
-func (c *cluster) setZoneCut(zone string, cut bool) {
+// setZoneIsolated cuts a zone off, or reconnects it. While it is cut off, its controllers reach neither the key-value
+// store nor controllers of other zones, its workers reach only its own controllers, and no delivery of commands
+// reaches its workers.
+func (c *cluster) setZoneIsolated(zone string, isolated bool) {
 	for _, host := range c.hosts {
 		if c.zoneOf(host) == zone {
-			c.kvClients[host].SetCut(cut)
+			c.kvClients[host].SetCut(isolated)
 		}
 	}
-	for _, l := range c.links {
+	for _, l := range c.peerLinks {
 		if (c.zoneOf(l.from) == zone) != (c.zoneOf(l.to) == zone) {
-			l.setCut(cut)
+			l.setDisconnected(isolated)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.workers {
 		if w.Zone == zone {
-			w.cut = cut
+			w.isolated = isolated
 		}
 	}
-	c.cutFrom = nil
-	if cut {
-		c.cutFrom = map[string]bool{}
+	c.unreachable = nil
+	if isolated {
+		c.unreachable = map[string]bool{}
 		for _, host := range c.hosts {
-			c.cutFrom[host] = c.zoneOf(host) != zone
+			c.unreachable[host] = c.zoneOf(host) != zone
 		}
 	}
 }
 
-// start starts a controller; its log is appended to a file of its own.
+// start starts a controller's process, whose log is appended to the controller's log file.
 func (c *cluster) start(ctx context.Context, host string) error {
 	log, err := os.OpenFile(filepath.Join(c.LogDir, host+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -273,13 +276,13 @@
 	return nil
 }
 
-// kill ends a controller by SIGKILL.
+// kill ends a controller's process by SIGKILL and waits for its end.
 func (c *cluster) kill(host string) {
 	c.processes[host].Process.Kill() //nolint:errcheck // it may have ended
 	c.processes[host].Wait()         //nolint:errcheck // killed
 }
 
-// pause stops a controller for a while and lets it go on.
+// pause stops a controller's process by SIGSTOP, and resumes it after d.
 func (c *cluster) pause(host string, d time.Duration) error {
 	p := c.processes[host].Process
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
@@ -289,7 +292,7 @@
 	return nil
 }
 
-// stop ends all controllers.
+// stop kills all controllers.
 func (c *cluster) stop() {
 	for _, h := range c.hosts {
 		c.kill(h)
@@ -297,18 +300,18 @@
 }
 
 const (
-	// readyTimeout is how long a cluster may take to be ready.
+	// readyTimeout is how long the controllers of a cluster may take until all are ready.
 	readyTimeout = 20 * time.Second
-	// readyPoll is how often controllers are asked whether they are ready.
-	readyPoll = 200 * time.Millisecond
-	// leadershipSettleTime is how long leaderships take to return to their preferred leaders.
+	// readyPollInterval is how often awaitReady asks the controllers whether they are ready.
+	readyPollInterval = 200 * time.Millisecond
+	// leadershipSettleTime is how long leaderships take after the start to move to their preferred leaders.
 	leadershipSettleTime = 5 * time.Second
 )
 
-// awaitReady waits until all controllers are ready and leaderships have settled.
+// awaitReady waits until all controllers are ready, and then until leaderships have moved to their preferred leaders.
 func (c *cluster) awaitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
-	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(readyPoll) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(readyPollInterval) {
 		ready := 0
 		for _, host := range c.hosts {
 			if c.isReady(client, host) {
@@ -323,7 +326,7 @@
 	return fmt.Errorf("the controllers are not ready; see their logs in %s", c.LogDir)
 }
 
-// isReady asks a controller whether it is ready.
+// isReady reports whether a controller answers that it is ready.
 func (c *cluster) isReady(client *http.Client, host string) bool {
 	resp, err := client.Get("http://" + c.controllers[host] + wire.PathReady)
 	if err != nil {
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -26,63 +26,64 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// The load of a run: as in the test of internal/controller, twenty workers run 80 tasks at a time.
+// The load of a run is that of the test of fair shares in internal/controller: twenty workers run 80 tasks at a time.
 const (
-	hotWorkers  = 20
-	hotTeams    = 5
-	hotTasks    = 6                // of each job
-	burstFactor = 10               // the hot team's rate during a burst, in multiples of hotRate
-	hotRunFor   = 4 * time.Second  // of each task
-	hotOnTime   = 10 * time.Second // a job that takes no longer is on time
-	hotBurst    = time.Minute      // how long jobs are submitted
-	hotDrain    = 75 * time.Second // until the last job is done, at most
-	hotRate     = 0.25             // jobs a second and team
-	hotTeam     = "team-0"
+	hotWorkers        = 20
+	hotTeamCount      = 5
+	hotTasksPerJob    = 6
+	burstFactor       = 10               // the hot team's job rate in a run with a burst, as a multiple of hotJobRate
+	hotRunFor         = 4 * time.Second  // run time of each task
+	hotOnTimeLimit    = 10 * time.Second // a job is on time if it takes no longer from submission to end
+	hotSubmitDuration = time.Minute      // how long users submit jobs
+	hotDrainTimeout   = 75 * time.Second // how long the jobs may take to end after the last submission
+	hotJobRate        = 0.25             // jobs that each team submits a second
+	hotTeam           = "team-0"         // the team whose load has a burst
 )
 
-// The failure in the middle of a run.
+// Times of the failure that is injected into a run.
 const (
-	failAfter    = hotBurst / 2
-	pauseFor     = 10 * time.Second
-	restartAfter = 3 * time.Second
+	failureDelay  = hotSubmitDuration / 2 // from the first submission to the failure
+	pauseDuration = 10 * time.Second      // how long PartitionLeaderPaused pauses a controller
+	restartDelay  = 3 * time.Second       // how long after SchedulerKilled the controller is started again
 )
 
-// runMargin is how much longer than its parts a run may take before it is ended.
+// runMargin is added to the sum of the timeouts of a run's parts. A run that takes longer is aborted.
 const runMargin = 30 * time.Second
 
-// submitRetry is how long a user waits before a submission that was not accepted is repeated.
-const submitRetry = time.Second
+// submitRetryInterval is how long a user waits before repeating a submission that was not accepted.
+const submitRetryInterval = time.Second
 
-// requestTimeout is how long users wait for an answer.
+// requestTimeout is how long a user waits for a controller's answer.
 const requestTimeout = 5 * time.Second
 
-// Failure is what fails in the middle of a run.
+// Failure is the kind of failure that is injected in the middle of a run.
 type Failure string
 
-// Failures.
+// Failures that can be injected.
 const (
 	NoFailure             Failure = "none"
-	SchedulerKilled       Failure = "placer" // the hot team's leader is killed, and started again after restartAfter
-	PartitionLeaderPaused Failure = "owner"  // a controller that leads partitions is paused for pauseFor
+	SchedulerKilled       Failure = "placer" // the hot team's leader is killed, and started again after restartDelay
+	PartitionLeaderPaused Failure = "owner"  // a controller that leads partitions is paused for pauseDuration
 )
 
-// ErrFailure means that a run has no such failure.
+// ErrFailure means that HotTeams.Failure is none of the failures above.
 var ErrFailure = errors.New("the failure must be none, placer or owner")
 
-// HotTeams plays pairs of runs, without and with one team's burst.
+// HotTeams compares runs without and with a burst of one team's jobs, with fair shares off and on. It measures how
+// much the burst delays the other teams' jobs.
 type HotTeams struct {
 	Program string
 	Seeds   int
 	Failure Failure
 }
 
-// runVariant is one of the four runs of a seed.
+// runVariant identifies one of the four runs of each seed.
 type runVariant struct{ fairShares, burst bool }
 
 var runVariants = []runVariant{{false, false}, {false, true}, {true, false}, {true, true}}
 
-// Run writes the results of the runs, fair shares off and on, with all seeds pooled. An error means that a run
-// failed or violated an invariant.
+// Run executes the runs of all seeds, pools their results, and writes them to out for fair shares off and on. It fails
+// if a run fails, for example because a job does not end in time or a task runs on two machines.
 func (h *HotTeams) Run(ctx context.Context, out io.Writer) error {
 	if !slices.Contains([]Failure{NoFailure, SchedulerKilled, PartitionLeaderPaused}, h.Failure) {
 		return ErrFailure
@@ -103,13 +104,13 @@
 	return nil
 }
 
-// runSeed plays the four runs of a seed concurrently, and adds them to the pooled results: their clusters share
-// nothing but this machine.
+// runSeed executes the four runs of a seed concurrently, and adds their results to pooled. The runs may be concurrent
+// because their clusters share only this machine's resources.
 func (h *HotTeams) runSeed(ctx context.Context, seed uint64, pooled map[runVariant]*hotTeamsResult) error {
 	var mu sync.Mutex // guards pooled
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	for _, variant := range runVariants {
-		g.Go(func() error {
+		group.Go(func() error {
 			result, err := h.runOnce(ctx, seed, variant)
 			if err != nil {
 				return err
@@ -120,51 +121,51 @@
 			return nil
 		})
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
-// writeResult writes the effect of the burst.
+// writeResult writes how the burst changes each team's share of jobs that end on time and the jobs' durations.
 func (h *HotTeams) writeResult(out io.Writer, fairShares bool, baseline, burst *hotTeamsResult) {
-	worst := 0.0
+	maxLoss := 0.0
 	for team := range baseline.submitted {
 		if team != hotTeam {
-			worst = max(worst, baseline.onTimeShare(team)-burst.onTimeShare(team))
+			maxLoss = max(maxLoss, baseline.onTimeShare(team)-burst.onTimeShare(team))
 		}
 	}
 	fmt.Fprintf(out, "fair shares %v, failure %s, %d seeds: worst loss of another team's on-time share %.3f\n",
-		fairShares, h.Failure, h.Seeds, worst)
+		fairShares, h.Failure, h.Seeds, maxLoss)
 	for _, team := range slices.Sorted(maps.Keys(baseline.submitted)) {
 		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n",
 			team, baseline.onTimeShare(team), baseline.submitted[team], burst.onTimeShare(team), burst.submitted[team],
-			quantiles(baseline.durations[team]), quantiles(burst.durations[team]))
+			formatQuantiles(baseline.durations[team]), formatQuantiles(burst.durations[team]))
 	}
 	fmt.Fprint(out, burst.teamsOutput)
 }
 
-// quantiles formats a distribution's quantiles in seconds.
-func quantiles(d *telemetry.Distribution) string {
+// formatQuantiles formats the median, the 95th and the 99th percentile of a distribution in seconds.
+func formatQuantiles(d *telemetry.Distribution) string {
 	q := d.Quantiles()
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// hotTeamsResult is the result of one run, or of several that are pooled.
+// hotTeamsResult is the result of one run, or the pooled result of several.
 type hotTeamsResult struct {
-	onTime      map[string]int                     // jobs, by team
-	submitted   map[string]int                     // jobs, by team
-	durations   map[string]*telemetry.Distribution // from submission to end, by team
-	teamsOutput string                             // merlinlatch teams at the end of the burst
+	onTime      map[string]int                     // jobs that ended on time, by team
+	submitted   map[string]int                     // submitted jobs, by team
+	durations   map[string]*telemetry.Distribution // of jobs from submission to end, by team
+	teamsOutput string                             // output of "merlinlatch teams" after the last submission
 }
 
 func newHotTeamsResult() *hotTeamsResult {
 	return &hotTeamsResult{onTime: map[string]int{}, submitted: map[string]int{}, durations: map[string]*telemetry.Distribution{}}
 }
 
-// onTimeShare is the share of a team's jobs that were on time.
+// onTimeShare returns the share of a team's jobs that ended on time, from 0 to 1.
 func (r *hotTeamsResult) onTimeShare(team string) float64 {
 	return float64(r.onTime[team]) / float64(max(r.submitted[team], 1))
 }
 
-// add pools another run.
+// add adds the jobs of another run, and replaces the output of "merlinlatch teams" by that run's.
 func (r *hotTeamsResult) add(other *hotTeamsResult) {
 	for team, n := range other.submitted {
 		r.submitted[team] += n
@@ -177,37 +178,37 @@
 	r.teamsOutput = other.teamsOutput
 }
 
-// runOnce plays one run.
+// runOnce executes one run. It keeps the directory with the controllers' logs if the run fails.
 func (h *HotTeams) runOnce(ctx context.Context, seed uint64, variant runVariant) (*hotTeamsResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTimeout+hotBurst+hotDrain+runMargin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout+hotSubmitDuration+hotDrainTimeout+runMargin)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "merlinlatch-loopback-")
 	if err != nil {
 		return nil, err
 	}
-	l := newLoad(hotTasks)
-	c, err := newCluster(ctx, h.setup(dir, variant), l.taskDone)
+	userLoad := newLoad(hotTasksPerJob)
+	c, err := newCluster(ctx, h.setup(dir, variant), userLoad.taskDone)
 	if err != nil {
 		return nil, err
 	}
 	defer c.stop()
 	var users sync.WaitGroup
 	for i, t := range c.Teams {
-		rate := hotRate
+		rate := hotJobRate
 		if variant.burst && t.Name == hotTeam {
 			rate *= burstFactor
 		}
-		users.Go(func() { l.submit(ctx, c, seed*100+uint64(i), i, t.Name, rate) })
+		users.Go(func() { userLoad.submit(ctx, c, seed*100+uint64(i), i, t.Name, rate) })
 	}
-	failed := make(chan error, 1)
-	time.AfterFunc(failAfter, func() { failed <- h.injectFailure(ctx, c) })
+	failureResult := make(chan error, 1)
+	time.AfterFunc(failureDelay, func() { failureResult <- h.injectFailure(ctx, c) })
 	users.Wait()
 	result := newHotTeamsResult()
-	result.teamsOutput = c.teams()
-	if err := <-failed; err != nil {
+	result.teamsOutput = c.teamsOutput()
+	if err := <-failureResult; err != nil {
 		return nil, err
 	}
-	if err := l.awaitFinished(ctx, hotDrain); err != nil {
+	if err := userLoad.awaitFinished(ctx, hotDrainTimeout); err != nil {
 		return nil, fmt.Errorf("%w; logs are in %s", err, dir)
 	}
 	c.mu.Lock()
@@ -215,23 +216,23 @@
 	if len(c.duplicates) > 0 {
 		return nil, fmt.Errorf("tasks ran on two machines: %v; logs are in %s", c.duplicates, dir)
 	}
-	l.summarize(result)
+	userLoad.summarize(result)
 	return result, os.RemoveAll(dir)
 }
 
-// setup is the cluster of a run.
+// setup returns the description of a run's cluster.
 func (h *HotTeams) setup(dir string, variant runVariant) Setup {
 	setup := Setup{Program: h.Program, Workers: hotWorkers, RunFor: hotRunFor, LogDir: dir, Policy: "fair_shares = False\n"}
 	if variant.fairShares {
 		setup.Policy = "fair_shares = True\n"
 	}
-	for i := range hotTeams {
+	for i := range hotTeamCount {
 		setup.Teams = append(setup.Teams, config.Team{Name: fmt.Sprintf("team-%d", i)})
 	}
 	return setup
 }
 
-// summarize adds the jobs of the load to a result.
+// summarize adds the load's jobs to a result.
 func (l *load) summarize(result *hotTeamsResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -242,15 +243,15 @@
 		took := j.ended.Sub(j.submitted)
 		result.durations[j.group].Record(clock.FromDuration(took))
 		result.submitted[j.group]++
-		if took <= hotOnTime {
+		if took <= hotOnTimeLimit {
 			result.onTime[j.group]++
 		}
 	}
 }
 
-var errNoLeader = errors.New("nobody places the hot team")
+var errNoLeader = errors.New("no controller leads the hot team")
 
-// injectFailure causes the failure of the run.
+// injectFailure injects the run's failure into the cluster.
 func (h *HotTeams) injectFailure(ctx context.Context, c *cluster) error {
 	switch h.Failure {
 	case SchedulerKilled:
@@ -259,28 +260,28 @@
 			return errNoLeader
 		}
 		c.kill(host)
-		time.Sleep(restartAfter)
+		time.Sleep(restartDelay)
 		return c.start(ctx, host)
 	case PartitionLeaderPaused:
-		return c.pause("b", pauseFor)
+		return c.pause("b", pauseDuration)
 	}
 	return nil
 }
 
-// submit submits jobs of one team until the burst is over.
+// submit submits jobs of one team at a rate a second, for hotSubmitDuration.
 func (l *load) submit(ctx context.Context, c *cluster, seed uint64, team int, name string, rate float64) {
 	rng := fakes.Rand(seed)
-	arrivals(ctx, rng, rate, hotBurst, func(n int) {
+	arrivals(ctx, rng, rate, hotSubmitDuration, func(n int) {
 		id := fmt.Sprintf("job-%d%05d", team, n)
 		l.addJob(id, name)
 		c.submitUntilAccepted(ctx, func() submission {
-			return submission{id: id, team: name, priority: "normal", tasks: hotTasks, host: c.hosts[rng.IntN(len(c.hosts))]}
+			return submission{id: id, team: name, priority: "normal", tasks: hotTasksPerJob, host: c.hosts[rng.IntN(len(c.hosts))]}
 		})
 	})
 }
 
-// arrivals calls a function with the number of each arrival, at a random rate a second, for a while or until
-// ctx ends.
+// arrivals calls arrive with the numbers 0, 1, 2 and so on at random intervals, rate times a second on average, until
+// duration has passed or ctx ends.
 func arrivals(ctx context.Context, rng *rand.Rand, rate float64, duration time.Duration, arrive func(n int)) {
 	start, at := time.Now(), time.Duration(0)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -293,22 +294,22 @@
 	}
 }
 
-// submission is what a user submits, and to which controller.
+// submission is a job that a user submits, and the controller that receives it.
 type submission struct {
 	id, team, priority, host string
 	tasks                    int
 }
 
-// submitUntilAccepted repeats a submission, each time to the controller that next picks, until it is accepted or
-// ctx ends.
+// submitUntilAccepted repeats a submission until it is accepted or ctx ends. It calls next before each attempt, so
+// that each may go to a different controller.
 func (c *cluster) submitUntilAccepted(ctx context.Context, next func() submission) {
 	client := &http.Client{Timeout: requestTimeout}
 	for !c.submit(ctx, client, next()) && ctx.Err() == nil {
-		time.Sleep(submitRetry)
+		time.Sleep(submitRetryInterval)
 	}
 }
 
-// submit sends a submission to a controller.
+// submit sends a submission to its controller, and reports whether the controller accepted it.
 func (c *cluster) submit(ctx context.Context, client *http.Client, s submission) (accepted bool) {
 	body, err := json.Marshal(map[string]any{
 		"id": s.id, "jobclass": "x", "owner": s.team, "shape": "array", "rank": s.priority, "shards": s.tasks,
@@ -331,13 +332,13 @@
 	return resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusCreated
 }
 
-// controllerSettings reads a controller's settings as the program does.
+// controllerSettings reads the first controller's settings as the program does.
 func (c *cluster) controllerSettings() (*config.Settings, error) {
 	return config.Load(filepath.Join(c.LogDir, c.hosts[0]+".json"))
 }
 
-// teams is the output of merlinlatch teams.
-func (c *cluster) teams() string {
+// teamsOutput returns the output of "merlinlatch teams", or the text of its error.
+func (c *cluster) teamsOutput() string {
 	set, err := c.controllerSettings()
 	if err != nil {
 		return err.Error()
@@ -349,7 +350,7 @@
 	return out.String()
 }
 
-// schedulerOf is the controller that leads a team, empty where none says so.
+// schedulerOf returns the controller that leads a team, or "" if none of the controllers that answer does.
 func (c *cluster) schedulerOf(team string) string {
 	set, err := c.controllerSettings()
 	if err != nil {
--- a/internal/loopback/http.go
+++ b/internal/loopback/http.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// writeJSON writes a value as the response.
+// writeJSON writes a response with a status and the JSON form of a value.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -17,7 +17,8 @@
 	w.Write(b) //nolint:errcheck // the client may be gone
 }
 
-// serve answers on a free port of the loopback address until the program ends.
+// serve starts an HTTP server on a free port of the loopback address, which runs until the program ends. It returns
+// the server's address.
 func serve(h http.Handler) (addr string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/loopback/kvstore.go
+++ b/internal/loopback/kvstore.go
@@ -12,13 +12,13 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// maxPageKeys is how many keys a page has at most.
+// maxPageKeys is the largest number of keys on a page.
 const maxPageKeys = 1000
 
-// kvStoreServer answers one controller as the key-value store, over a store in memory.
+// kvStoreServer serves the key-value store's HTTP interface to one controller, from the in-memory store.
 type kvStoreServer struct{ client *fakes.KVClient }
 
-// handler answers the paths of the key-value store.
+// handler returns the handler of the key-value store's paths.
 func (s *kvStoreServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys", s.listKeys)
@@ -30,7 +30,7 @@
 	return mux
 }
 
-// listKeys answers a page of the keys with a prefix, after a key.
+// listKeys answers with one page of the keys that have a prefix and come after a given key.
 func (s *kvStoreServer) listKeys(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	items, revision, err := s.client.List(r.Context(), query.Get("prefix"))
@@ -68,7 +68,8 @@
 	}
 }
 
-// commit executes a transaction.
+// commit executes a transaction. Its status is 400 for an unknown lease, 409 for a condition that does not hold, and
+// 503 for any other refusal of the store.
 func (s *kvStoreServer) commit(w http.ResponseWriter, r *http.Request) {
 	var txn wire.Txn
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
@@ -113,7 +114,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// watch answers the changes after a revision, and waits for them for block_ms at most.
+// watch answers with the changes after a revision. If there are none, it waits up to block_ms for a change.
 func (s *kvStoreServer) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/loopback/load.go
+++ b/internal/loopback/load.go
@@ -9,32 +9,32 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// jobProgress is a submitted job and which of its tasks are done.
+// jobProgress records when a job was submitted and ended, and which of its tasks are done.
 type jobProgress struct {
-	group     string // jobs are summarized by it
+	group     string // team or priority by which the run's result summarizes jobs
 	submitted time.Time
-	done      map[string]bool // tasks
-	ended     time.Time
+	done      map[string]bool // by task
+	ended     time.Time       // zero until all tasks are done
 }
 
-// load is the users' side of a run: the jobs that they have submitted. It is safe for concurrent use.
+// load records the jobs that the users of a run have submitted. It is safe for concurrent use.
 type load struct {
-	tasks int // of each job
+	tasksPerJob int // of each job
 
 	mu   sync.Mutex // guards jobs
 	jobs map[string]*jobProgress
 }
 
-func newLoad(tasks int) *load { return &load{tasks: tasks, jobs: map[string]*jobProgress{}} }
+func newLoad(tasks int) *load { return &load{tasksPerJob: tasks, jobs: map[string]*jobProgress{}} }
 
-// addJob records a job that is about to be submitted.
+// addJob records a job. It is called right before the submission, so that no task of the job can end before.
 func (l *load) addJob(id, group string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[id] = &jobProgress{group: group, submitted: time.Now(), done: map[string]bool{}}
 }
 
-// taskDone records that a task is done.
+// taskDone records that a task is done. The job ends with the last of its tasks.
 func (l *load) taskDone(task string) {
 	id, _, _ := wire.SplitTask(task)
 	l.mu.Lock()
@@ -43,12 +43,12 @@
 	if j == nil {
 		return
 	}
-	if j.done[task] = true; len(j.done) == l.tasks && j.ended.IsZero() {
+	if j.done[task] = true; len(j.done) == l.tasksPerJob && j.ended.IsZero() {
 		j.ended = time.Now()
 	}
 }
 
-// unfinished counts the jobs that are not done.
+// unfinished returns the number of jobs with a task that is not done.
 func (l *load) unfinished() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,13 +60,13 @@
 	return n
 }
 
-// finishedPoll is how often awaitFinished looks.
-const finishedPoll = 200 * time.Millisecond
+// finishedPollInterval is how often awaitFinished checks whether all jobs are done.
+const finishedPollInterval = 200 * time.Millisecond
 
-// awaitFinished waits until all jobs are done, until a timeout.
+// awaitFinished waits until all jobs are done. It fails if they are not when the timeout passes or ctx ends.
 func (l *load) awaitFinished(ctx context.Context, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); l.unfinished() > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
-		time.Sleep(finishedPoll)
+		time.Sleep(finishedPollInterval)
 	}
 	if n := l.unfinished(); n > 0 {
 		return fmt.Errorf("%d jobs are not done", n)
--- a/internal/loopback/peerlink.go
+++ b/internal/loopback/peerlink.go
@@ -6,77 +6,81 @@
 	"sync"
 )
 
-// peerProxy forwards connections to an address, and can be cut: then open ones are closed, and new ones hang
-// without an answer until it is reconnected.
+// peerProxy forwards TCP connections to a target address, and can simulate a network failure: setDisconnected closes
+// the open connections, and connections made afterwards get no answer until the proxy is reconnected.
 type peerProxy struct {
 	target string
 
-	mu    sync.Mutex // guards the fields below
-	cut   bool
-	conns map[net.Conn]bool
+	mu           sync.Mutex // guards the fields below
+	disconnected bool
+	conns        map[net.Conn]bool
 }
 
-// newPeerProxy makes a proxy that listens on a free port of the loopback address until the program ends.
-func newPeerProxy(to string) (p *peerProxy, addr string, err error) {
+// newPeerProxy starts a proxy, which listens on a free port of the loopback address until the program ends. It
+// returns the proxy and its address.
+func newPeerProxy(target string) (p *peerProxy, addr string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	p = &peerProxy{target: to, conns: map[net.Conn]bool{}}
+	p = &peerProxy{target: target, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.forward(c)
+			go p.forward(conn)
 		}
 	}()
 	return p, listener.Addr().String(), nil
 }
 
-// track adds a connection that is closed by the next setCut; cut means that it must not be forwarded.
-func (p *peerProxy) track(c net.Conn) (cut bool) {
+// track registers a connection, so that the next setDisconnected closes it. disconnected means that the connection
+// must not be forwarded.
+func (p *peerProxy) track(conn net.Conn) (disconnected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conns[c] = true
-	return p.cut
+	p.conns[conn] = true
+	return p.disconnected
 }
 
-// untrack closes a connection.
-func (p *peerProxy) untrack(c net.Conn) {
+// untrack removes a connection from the registered ones and closes it.
+func (p *peerProxy) untrack(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.conns, c)
-	c.Close()
+	delete(p.conns, conn)
+	conn.Close()
 }
 
-// forward serves one connection until either side ends.
-func (p *peerProxy) forward(c net.Conn) {
-	defer p.untrack(c)
-	if p.track(c) {
-		io.Copy(io.Discard, c) //nolint:errcheck // it hangs until it is closed
+// forward copies data between an accepted connection and the target until either side ends. While the proxy is
+// disconnected, it holds the connection open without an answer.
+func (p *peerProxy) forward(conn net.Conn) {
+	defer p.untrack(conn)
+	if p.track(conn) {
+		io.Copy(io.Discard, conn) //nolint:errcheck // returns when the connection is closed
 		return
 	}
-	out, err := net.Dial("tcp4", p.target)
+	upstream, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		return
 	}
-	defer p.untrack(out)
-	p.track(out)
+	defer p.untrack(upstream)
+	p.track(upstream)
 	go func() {
-		io.Copy(out, c) //nolint:errcheck // ends with either side
-		out.Close()
+		io.Copy(upstream, conn) //nolint:errcheck // ends with either side
+		upstream.Close()
 	}()
-	io.Copy(c, out) //nolint:errcheck // ends with either side
+	io.Copy(conn, upstream) //nolint:errcheck // ends with either side
 }
 
-// setCut cuts the proxy, or reconnects it; open connections are closed in both cases.
-func (p *peerProxy) setCut(cut bool) {
+// setDisconnected disconnects or reconnects the proxy. It closes all open connections in both cases: when it
+// reconnects, these are the ones that hang.
+func (p *peerProxy) setDisconnected(disconnected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = cut
-	for c := range p.conns {
-		c.Close()
+	p.disconnected = disconnected
+	for conn := range p.conns {
+		conn.Close()
 	}
 }
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	// heartbeatInterval is how often a worker sends a heartbeat, and how often it looks for the ends of its tasks.
+	// heartbeatInterval is how often a worker checks which of its tasks have ended, and sends a heartbeat.
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the response.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
 )
 
-// fleet is all workers of a run. Its lock guards what runs where, so that a task on two machines is seen.
+// fleet is the state that all workers of a run share. It records under one lock which worker runs which task, so that
+// it detects a task that runs on two machines at a time.
 type fleet struct {
 	clock       clock.Clock
-	runFor      time.Duration     // of every task
-	hosts       []string          // the controllers
+	runFor      time.Duration     // run time of every task
+	hosts       []string          // names of the controllers
 	controllers map[string]string // addresses for users and workers, by controller; set before the workers run
-	taskDone    func(task string)
-
-	mu         sync.Mutex              // guards the fields below and the workers
-	startedAt  map[string]clock.Micros // by attempt on its machine
-	machineOf  map[string]string       // by task: where it runs
-	duplicates []string                // tasks that ran on two machines
-	starts     []taskStart
-	cutFrom    map[string]bool // controllers that workers of a zone which is cut off don't reach
+	taskDone    func(task string) // called when a task is done
+
+	mu          sync.Mutex              // guards the fields below and the workers
+	startedAt   map[string]clock.Micros // start of each attempt, by machine, task, attempt and worker incarnation
+	machineOf   map[string]string       // machine that runs a task, by task
+	duplicates  []string                // tasks that ran on two machines at a time
+	starts      []taskStart
+	unreachable map[string]bool // controllers outside the zone that is cut off, which its workers don't reach
 }
 
-// newFleet makes a fleet of three controllers' workers, without workers.
+// newFleet returns the shared state for the workers of three controllers. It has no workers yet.
 func newFleet(runFor time.Duration, taskDone func(task string)) *fleet {
 	return &fleet{
 		clock:       clock.NewSteady(),
@@ -51,7 +52,7 @@
 	}
 }
 
-// taskStart is the start of a task on a machine.
+// taskStart records in which zone and when a task started.
 type taskStart struct {
 	task, zone string
 	at         clock.Micros
@@ -61,12 +62,12 @@
 type worker struct {
 	*fakes.Worker
 	fleet      *fleet
-	addr       string // for deliveries
-	cut        bool   // its zone is cut off
-	controller int    // index of the controller that it sends heartbeats to; only run uses it
+	addr       string // at which it accepts deliveries of commands
+	isolated   bool   // the worker's zone is cut off
+	controller int    // index in fleet.hosts of the controller that it sends heartbeats to; only run's goroutine uses it
 }
 
-// newWorker makes a worker that takes deliveries at an address of its own.
+// newWorker returns a worker that accepts deliveries of commands at its own address.
 func newWorker(f *fleet, id string, lease clock.Micros, controller int) (*worker, error) {
 	w := &worker{Worker: fakes.NewWorker(id, lease, f.clock.Now()), fleet: f, controller: controller}
 	mux := http.NewServeMux()
@@ -76,7 +77,7 @@
 	return w, err
 }
 
-// handleDelivery answers a delivery of commands with the worker's state.
+// handleDelivery passes a delivery of commands to the worker, and answers with the worker's heartbeat.
 func (w *worker) handleDelivery(rw http.ResponseWriter, r *http.Request) {
 	var delivery wire.Orders
 	if json.NewDecoder(r.Body).Decode(&delivery) != nil {
@@ -86,7 +87,7 @@
 	heartbeat, accepted, reached := w.deliver(delivery)
 	switch {
 	case !reached:
-		writeJSON(rw, http.StatusGatewayTimeout, nil) // what a proxy says: the worker was not reached
+		writeJSON(rw, http.StatusGatewayTimeout, nil) // as a proxy answers when it can't reach the worker
 	case !accepted:
 		writeJSON(rw, http.StatusConflict, heartbeat)
 	default:
@@ -94,12 +95,12 @@
 	}
 }
 
-// deliver hands a delivery to the worker; it does not reach a worker whose zone is cut off.
+// deliver executes a delivery's commands on the worker. reached is false while the worker's zone is cut off.
 func (w *worker) deliver(delivery wire.Orders) (heartbeat wire.Heartbeat, accepted, reached bool) {
 	f := w.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w.cut {
+	if w.isolated {
 		return wire.Heartbeat{}, false, false
 	}
 	heartbeat, accepted = w.HandleCommands(delivery, f.clock.Now())
@@ -108,7 +109,8 @@
 	return heartbeat, accepted, true
 }
 
-// updateTasks ends the worker's tasks whose run time is over, and records what runs. The lock is held.
+// updateTasks makes the worker's tasks exit whose run time has passed, and records which tasks start and run. The
+// caller holds mu.
 func (f *fleet) updateTasks(w *worker) {
 	now := f.clock.Now()
 	for task, machine := range f.machineOf {
@@ -138,7 +140,7 @@
 	}
 }
 
-// run sends heartbeats until ctx ends, which the caller of newCluster does at the end of a run.
+// run sends heartbeats until ctx ends. The caller of newCluster cancels ctx at the end of a run.
 func (w *worker) run(ctx context.Context) {
 	client := &http.Client{Timeout: heartbeatTimeout}
 	for ctx.Err() == nil {
@@ -150,8 +152,9 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to the worker's controller and handles the response. A worker whose controller
-// is not reached, or doesn't lead its partition, goes to another one.
+// sendHeartbeat sends a heartbeat to the worker's controller and handles the response. If the controller does not
+// lead the worker's partition, the worker changes to the leader that it names; if it is unreachable or names none, to
+// the next controller.
 func (w *worker) sendHeartbeat(client *http.Client) {
 	f := w.fleet
 	heartbeat, sentAt, reachable := w.nextHeartbeat()
@@ -189,7 +192,7 @@
 	w.nextController()
 }
 
-// nextHeartbeat makes a heartbeat; reachable is false when the worker is cut off from its controller.
+// nextHeartbeat returns the worker's next heartbeat. reachable is false if the worker is cut off from its controller.
 func (w *worker) nextHeartbeat() (heartbeat wire.Heartbeat, sentAt clock.Micros, reachable bool) {
 	f := w.fleet
 	f.mu.Lock()
@@ -199,10 +202,10 @@
 	f.updateTasks(w)
 	heartbeat = w.Heartbeat(sentAt)
 	heartbeat.Addr = w.addr
-	return heartbeat, sentAt, !w.cut || !f.cutFrom[f.hosts[w.controller]]
+	return heartbeat, sentAt, !w.isolated || !f.unreachable[f.hosts[w.controller]]
 }
 
-// handleResponse handles the response to a heartbeat.
+// handleResponse executes the commands in the response to a heartbeat and updates the worker's tasks.
 func (w *worker) handleResponse(response wire.HeartbeatResponse, sentAt clock.Micros) {
 	f := w.fleet
 	f.mu.Lock()
@@ -211,5 +214,5 @@
 	f.updateTasks(w)
 }
 
-// nextController has the worker send its heartbeats to the next controller.
+// nextController makes the worker send its following heartbeats to the next controller.
 func (w *worker) nextController() { w.controller = (w.controller + 1) % len(w.fleet.hosts) }
