--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -21,59 +21,60 @@
 	"github.com/merlinlatch/merlinlatch/internal/telemetry"
 )
 
-// cannedController answers the operators' calls over a real connection.
-type cannedController struct {
+// stubController answers the operators' calls with fixed responses, over a real connection.
+type stubController struct {
 	teams  peer.TeamsResponse
 	zones  peer.ZonesResponse
 	hold   peer.ZoneHoldResponse
 	events []history.Event
 }
 
-func (c *cannedController) Teams(_ peer.TeamsRequest, out *peer.TeamsResponse) error {
+func (c *stubController) Teams(_ peer.TeamsRequest, out *peer.TeamsResponse) error {
 	*out = c.teams
 	return nil
 }
 
-func (c *cannedController) Zones(_ peer.ZonesRequest, out *peer.ZonesResponse) error {
+func (c *stubController) Zones(_ peer.ZonesRequest, out *peer.ZonesResponse) error {
 	*out = c.zones
 	return nil
 }
 
-func (c *cannedController) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
+func (c *stubController) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
 	*out = c.hold
 	out.Done = out.Done && in.Zone == "north"
 	return nil
 }
 
-// History returns one event a page.
-func (c *cannedController) History(in peer.HistoryRequest, out *history.Page) error {
-	at := in.From
-	if at == 0 {
-		out.Lost, at = 2, 2
+// History returns one event on each page. The first page reports two lost events.
+func (c *stubController) History(in peer.HistoryRequest, out *history.Page) error {
+	number := in.From
+	if number == 0 {
+		out.Lost, number = 2, 2
 	}
-	out.Events, out.Next = c.events[at-2:at-1], at+1
+	out.Events, out.Next = c.events[number-2:number-1], number+1
 	out.More = int(out.Next-2) < len(c.events)
 	return nil
 }
 
-// commandsAddr returns an address on loopback at which nobody listens.
-func commandsAddr(t *testing.T) string {
+// freeAddr returns a loopback address at which nothing listens.
+func freeAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// serveCanned serves controllers a and b; c is named by the settings but not reached.
-func serveCanned(t *testing.T, a, b *cannedController) *config.Settings {
+// serveStubControllers starts servers for controllers a and b, and returns settings that name a, b and a third
+// controller c, which is unreachable.
+func serveStubControllers(t *testing.T, a, b *stubController) *config.Settings {
 	t.Helper()
-	s := fullSettings(t)
+	settings := fullSettings(t)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	s.PeerListen, s.Peers[0].Addr, s.Peers[1].Addr = commandsAddr(t), commandsAddr(t), commandsAddr(t)
-	for addr, c := range map[string]*cannedController{s.PeerListen: a, s.Peers[0].Addr: b} {
-		go peer.Serve(ctx, addr, c, nil) //nolint:errcheck // the calls tell
+	settings.PeerListen, settings.Peers[0].Addr, settings.Peers[1].Addr = freeAddr(t), freeAddr(t), freeAddr(t)
+	for addr, c := range map[string]*stubController{settings.PeerListen: a, settings.Peers[0].Addr: b} {
+		go peer.Serve(ctx, addr, c, nil) //nolint:errcheck // a failure shows in the calls
 		require.Eventually(t, func() bool {
 			conn, err := net.Dial("tcp4", addr)
 			if err == nil {
@@ -82,11 +83,11 @@
 			return err == nil
 		}, 5*time.Second, 2*time.Millisecond)
 	}
-	return s
+	return settings
 }
 
-func cannedPair() (a, b *cannedController) {
-	a = &cannedController{
+func newStubControllers() (a, b *stubController) {
+	a = &stubController{
 		teams: peer.TeamsResponse{Host: "a", Capacity: resources.Capacity(100, 8, 0), Yielded: 4,
 			Teams: []peer.TeamStatus{{Team: "red", Term: 7, Guarantee: resources.Capacity(10, 0, 0),
 				Limit: resources.Capacity(40, 0, 0), Used: resources.Capacity(12.5, 0, 0), Jobs: 2, Running: 6, Waiting: 9,
@@ -106,7 +107,7 @@
 			{AtMS: 9500, Controller: "a", Kind: history.JobOver, Job: "job-7", Note: "done"},
 		},
 	}
-	b = &cannedController{
+	b = &stubController{
 		teams: peer.TeamsResponse{Host: "b", Capacity: resources.Capacity(50, 0, 0), Yielded: 1,
 			Teams: []peer.TeamStatus{{Team: "red", Term: 6, Jobs: 99}}},
 		zones: peer.ZonesResponse{Host: "b", On: true, Fleet: true, Zones: []peer.ZoneStatus{
@@ -124,41 +125,41 @@
 	return a, b
 }
 
-// Operators and their scripts read these texts. The answers come through the real connection
-// between controllers, so methods and fields on both sides must fit.
-func TestOperatorsCommandsKeepOutput(t *testing.T) {
-	a, b := cannedPair()
-	s := serveCanned(t, a, b)
+// Operators and their scripts depend on the commands' output. The responses pass through a real connection between
+// controllers, so a method or field whose name differs between client and server also shows in the output.
+func TestCommandsOutputOfReachableControllersMatchesGoldenFile(t *testing.T) {
+	a, b := newStubControllers()
+	s := serveStubControllers(t, a, b)
 	all := console.Controllers(s)
 	var out bytes.Buffer
-	told := func(what string, err error) {
+	recordError := func(what string, err error) {
 		fmt.Fprintf(&out, "--- %s: error %v\n", what, err)
 	}
-	told("teams", console.Teams(&out, s, all, ""))
-	told("teams red", console.Teams(&out, s, all, "red"))
-	told("teams green", console.Teams(&out, s, all, "green"))
-	told("zones", console.Zones(&out, all))
-	told("zones of the first alone", console.Zones(&out, all[:1]))
-	told("hold", console.HoldZone(&out, s, all, "north", true))
-	told("resume", console.HoldZone(&out, s, all, "north", false))
-	told("hold where no return is", console.HoldZone(&out, s, all, "south", true))
-	told("hold unknown zone", console.HoldZone(&out, s, all, "west", true))
-	told("teams, nobody reached", console.Teams(&out, s, all[2:], ""))
+	recordError("teams", console.Teams(&out, s, all, ""))
+	recordError("teams red", console.Teams(&out, s, all, "red"))
+	recordError("teams green", console.Teams(&out, s, all, "green"))
+	recordError("zones", console.Zones(&out, all))
+	recordError("zones of the first alone", console.Zones(&out, all[:1]))
+	recordError("hold", console.HoldZone(&out, s, all, "north", true))
+	recordError("resume", console.HoldZone(&out, s, all, "north", false))
+	recordError("hold where no return is", console.HoldZone(&out, s, all, "south", true))
+	recordError("hold unknown zone", console.HoldZone(&out, s, all, "west", true))
+	recordError("teams, nobody reached", console.Teams(&out, s, all[2:], ""))
 	fmt.Fprintf(&out, "placer of red: %q, of blue: %q\n", console.SchedulerOf(all, "red"), console.SchedulerOf(all, "blue"))
 	file := filepath.Join(t.TempDir(), "h.parquet")
-	told("export", console.ExportHistory(&out, all, file))
-	told("check of two runs at once and two ends", console.CheckHistory(&out, file, 1000))
-	told("export of the first alone", console.ExportHistory(&out, all[:1], file))
-	told("check", console.CheckHistory(&out, file, 1000))
+	recordError("export", console.ExportHistory(&out, all, file))
+	recordError("check of two runs at once and two ends", console.CheckHistory(&out, file, 1000))
+	recordError("export of the first alone", console.ExportHistory(&out, all[:1], file))
+	recordError("check", console.CheckHistory(&out, file, 1000))
 	goldenFile(t, "commands/operators.txt", []byte(strings.ReplaceAll(out.String(), file, "FILE")))
 }
 
-// A refusal of the controllers reaches the operator word for word; without shares the table has
-// fewer columns.
-func TestOperatorsCommandsKeepOutputWithoutFeatures(t *testing.T) {
-	refusing := &cannedController{teams: peer.TeamsResponse{Host: "a"}, zones: peer.ZonesResponse{Host: "a"},
+// With fair shares and zone return off, the table of teams must lack the columns of the shares, and the operator must
+// see the reason for which the controllers reject a request word for word.
+func TestCommandsOutputWithFeaturesOffMatchesGoldenFile(t *testing.T) {
+	refusing := &stubController{teams: peer.TeamsResponse{Host: "a"}, zones: peer.ZonesResponse{Host: "a"},
 		hold: peer.ZoneHoldResponse{Refusal: "zone states are off"}}
-	s := serveCanned(t, refusing, refusing)
+	s := serveStubControllers(t, refusing, refusing)
 	all := console.Controllers(s)[:2]
 	var out bytes.Buffer
 	require.NoError(t, console.Teams(&out, s, all, ""))
--- a/internal/golden/doc.go
+++ b/internal/golden/doc.go
@@ -1,3 +1,3 @@
-// Package golden holds tests that compare what the service encodes, reads and prints with
-// files under testdata, so that renaming in the code can't change it.
+// Package golden contains tests that compare what the service encodes, reads and prints with golden files under
+// testdata. A renaming in the code that changes a format fails these tests.
 package golden
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -13,8 +13,8 @@
 
 var writeGolden = flag.Bool("update-texts", false, "write the golden texts that do not exist yet")
 
-// goldenFile compares got with a file under testdata. The file is written only with -update
-// and only where there is none: a golden file that exists is never replaced.
+// goldenFile fails unless got equals the content of a file under testdata. With -update-texts it writes the file if
+// there is none; it never replaces an existing file.
 func goldenFile(t *testing.T, path string, got []byte) {
 	t.Helper()
 	path = filepath.Join("testdata", path)
--- a/internal/golden/frozen_test.go
+++ b/internal/golden/frozen_test.go
@@ -1,8 +1,8 @@
 package golden
 
-// These are the messages between controllers as releases in use have them: copies that
-// use basic types and each other only. They are never changed. A release that adds fields
-// or messages gets further copies.
+// The Frozen types are copies of the messages between controllers, as the releases in use encode them. They use only
+// basic types and each other, so that no change in the code affects them, and they must not be changed. A release that
+// adds fields or messages gets further copies.
 
 type FrozenAmounts struct{ CPU, GPU, Mem int64 }
 
--- a/internal/golden/gob_test.go
+++ b/internal/golden/gob_test.go
@@ -12,35 +12,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A gob stream carries type ids, which depend on what the process has encoded before, and Go type
-// names with their packages, which no decoder looks at. What counts is the structure of
-// the types, the names and the order of their fields, and the bytes of the value. normalForm
-// gives these as text: a line for the type, one for the value in hex.
+// normalForm returns a text for a gob stream of one value that is the same for all compatible encodings: one line for
+// the structure of the type, with the names and the order of its fields, and one for the bytes of the value in hex. It
+// leaves out the type ids, which depend on what the process has encoded before, and the names of Go types and packages,
+// which decoders ignore.
 func normalForm(t *testing.T, stream []byte) string {
 	t.Helper()
 	r := &gobReader{b: stream}
 	types := map[int]gobType{}
 	for len(r.b) > 0 {
 		size := int(r.uint())
-		m := &gobReader{b: r.take(size)}
-		id := m.int()
+		messageReader := &gobReader{b: r.readBytes(size)}
+		id := messageReader.int()
 		if id >= 0 {
-			require.NoError(t, errors.Join(r.err, m.err))
+			require.NoError(t, errors.Join(r.err, messageReader.err))
 			require.Empty(t, r.b, "one value to a stream")
-			return describe(types, id) + "\n" + hex.EncodeToString(m.b) + "\n"
+			return formatType(types, id) + "\n" + hex.EncodeToString(messageReader.b) + "\n"
 		}
-		types[-id] = m.typeDefinition()
-		require.NoError(t, errors.Join(r.err, m.err))
+		types[-id] = messageReader.readTypeDefinition()
+		require.NoError(t, errors.Join(r.err, messageReader.err))
 	}
 	require.Fail(t, "no value in the stream")
 	return ""
 }
 
-// gobType is a type definition: of a struct, or of a container of other types.
+// gobType is the definition of a struct type, or of a container of other types.
 type gobType struct {
 	form   string // "struct", "slice", "map", "array"
 	fields []gobField
-	elems  []int // of a container: key and element, or element
+	elems  []int // type ids of a map's key and element, or of another container's element
 	length int
 }
 
@@ -49,37 +49,38 @@
 	id   int
 }
 
-// basicTypes are the ids that the gob format itself gives.
+// basicTypes names the types whose ids the gob format fixes.
 var basicTypes = map[int]string{1: "bool", 2: "int", 3: "uint", 4: "float", 5: "bytes", 6: "string", 7: "complex", 8: "interface"}
 
-func describe(types map[int]gobType, id int) string {
+func formatType(types map[int]gobType, id int) string {
 	if name, ok := basicTypes[id]; ok {
 		return name
 	}
-	d, ok := types[id]
+	definition, ok := types[id]
 	if !ok {
 		return fmt.Sprintf("undefined %d", id)
 	}
 	var parts []string
-	for _, f := range d.fields {
-		parts = append(parts, f.name+" "+describe(types, f.id))
+	for _, f := range definition.fields {
+		parts = append(parts, f.name+" "+formatType(types, f.id))
 	}
-	for _, e := range d.elems {
-		parts = append(parts, describe(types, e))
+	for _, e := range definition.elems {
+		parts = append(parts, formatType(types, e))
 	}
-	if d.form == "array" {
-		parts = append(parts, fmt.Sprint(d.length))
+	if definition.form == "array" {
+		parts = append(parts, fmt.Sprint(definition.length))
 	}
-	return d.form + "{" + strings.Join(parts, "; ") + "}"
+	return definition.form + "{" + strings.Join(parts, "; ") + "}"
 }
 
-// gobReader reads the numbers and strings of the gob format.
+// gobReader reads numbers, strings and type definitions in the gob format. After an error its methods return zero
+// values.
 type gobReader struct {
 	b   []byte
 	err error
 }
 
-func (r *gobReader) take(n int) []byte {
+func (r *gobReader) readBytes(n int) []byte {
 	if n < 0 || n > len(r.b) {
 		r.err, r.b = errors.New("gob stream is cut short"), nil
 		return nil
@@ -90,14 +91,14 @@
 }
 
 func (r *gobReader) uint() (v uint64) {
-	first := r.take(1)
+	first := r.readBytes(1)
 	if first == nil || first[0] < 128 {
 		if first != nil {
 			v = uint64(first[0])
 		}
 		return v
 	}
-	for _, c := range r.take(256 - int(first[0])) {
+	for _, c := range r.readBytes(256 - int(first[0])) {
 		v = v<<8 | uint64(c)
 	}
 	return v
@@ -111,10 +112,11 @@
 	return int(u >> 1)
 }
 
-func (r *gobReader) text() string { return string(r.take(int(r.uint()))) }
+func (r *gobReader) readString() string { return string(r.readBytes(int(r.uint()))) }
 
-// each visits the fields of a struct value that are set, by their numbers from 1 on.
-func (r *gobReader) each(visit func(field int)) {
+// eachField calls visit for each field of an encoded struct, with the field's number, which counts from 1. The
+// encoding omits fields with a zero value.
+func (r *gobReader) eachField(visit func(field int)) {
 	for field := 0; r.err == nil; {
 		delta := int(r.uint())
 		if delta == 0 {
@@ -125,45 +127,45 @@
 	}
 }
 
-// typeDefinition reads gob's wireType: one of ArrayType, SliceType, StructType and MapType, each
-// of which begins with its name and id.
-func (r *gobReader) typeDefinition() (d gobType) {
-	r.each(func(kind int) {
-		d.form = map[int]string{1: "array", 2: "slice", 3: "struct", 4: "map"}[kind]
-		if d.form == "" {
+// readTypeDefinition reads a type definition, which is gob's wireType: an ArrayType, a SliceType, a StructType or a
+// MapType. Each of these begins with the type's name and id, which are skipped.
+func (r *gobReader) readTypeDefinition() (definition gobType) {
+	r.eachField(func(kind int) {
+		definition.form = map[int]string{1: "array", 2: "slice", 3: "struct", 4: "map"}[kind]
+		if definition.form == "" {
 			r.err = fmt.Errorf("type definition of kind %d", kind)
 			return
 		}
-		r.each(func(field int) {
+		r.eachField(func(field int) {
 			switch {
 			case field == 1:
-				r.each(func(common int) {
+				r.eachField(func(common int) {
 					if common == 1 {
-						r.text()
+						r.readString()
 					} else {
 						r.int()
 					}
 				})
-			case d.form == "struct":
+			case definition.form == "struct":
 				for range r.uint() {
 					var f gobField
-					r.each(func(part int) {
+					r.eachField(func(part int) {
 						if part == 1 {
-							f.name = r.text()
+							f.name = r.readString()
 						} else {
 							f.id = r.int()
 						}
 					})
-					d.fields = append(d.fields, f)
+					definition.fields = append(definition.fields, f)
 				}
-			case d.form == "array" && field == 3:
-				d.length = r.int()
+			case definition.form == "array" && field == 3:
+				definition.length = r.int()
 			default:
-				d.elems = append(d.elems, r.int())
+				definition.elems = append(definition.elems, r.int())
 			}
 		})
 	})
-	return d
+	return definition
 }
 
 func encodeGob(t *testing.T, v any) []byte {
@@ -173,14 +175,15 @@
 	return buf.Bytes()
 }
 
-func decodeGob(t *testing.T, b []byte, into any) {
+func decodeGob(t *testing.T, b []byte, out any) {
 	t.Helper()
-	require.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(into))
+	require.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(out))
 }
 
-// The normal form must tell types apart by their fields' names, order and kinds, else the golden
-// tests could not fail; and it must not depend on type names and ids.
-func TestNormalFormTellsWhatIsOnTheWire(t *testing.T) {
+// The normal form must change with the names, the order, the kinds and the values of fields; otherwise the tests of
+// messages would miss such a change. It must not change with type names and ids; otherwise they would fail after a
+// renaming that does no harm.
+func TestNormalFormDependsOnFieldsOnly(t *testing.T) {
 	type A struct {
 		X int
 		Y []string
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -18,8 +18,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// knobBounds are the knobs that take a number, with their bounds.
-var knobBounds = []struct {
+// parameterBounds lists the numeric parameters of the policy script with their bounds.
+var parameterBounds = []struct {
 	name        string
 	least, most float64
 }{
@@ -33,10 +33,10 @@
 	{"moves_per_machine", 0, 10000}, {"zone_suspect_s", 1, 600}, {"zone_lost_s", 1, 600}, {"zone_back_s", 0, 600}, {"sick_errors", 1, 1000},
 }
 
-// knobFlags are the knobs that are True or False.
-var knobFlags = []string{"fair_shares", "placement_costs", "moves", "zone_return", "history"}
+// booleanParameters lists the parameters of the policy script that are True or False.
+var booleanParameters = []string{"fair_shares", "placement_costs", "moves", "zone_return", "history"}
 
-func knobsDump(k *policy.Parameters) []byte {
+func formatParameters(parameters *policy.Parameters) []byte {
 	var out strings.Builder
 	line := func(name string, value any) {
 		if m, ok := value.(clock.Micros); ok {
@@ -44,55 +44,56 @@
 		}
 		fmt.Fprintln(&out, name, value)
 	}
-	line("economy", k.Economy)
-	line("hold_ttl_s", k.LeaderLeaseTTL)
-	line("hold_renew_s", k.LeaderRenewInterval)
-	line("resign_after_s", k.ResignAfter)
-	line("hold_grace_s", k.TakeoverGrace)
-	line("hand_over_s", k.TransferDelay)
-	line("sample", k.Sample)
-	line("batch", k.Batch)
-	line("lease_ttl_s", k.RoomLeaseTTL)
-	line("progress_every_s", k.ProgressEvery)
-	line("preempt_after_s", k.PreemptAfter)
-	line("idle_return_s", k.IdleScaleInDelay)
-	line("catchup_s", k.Catchup)
-	line("catchup_ordinary_s", k.CatchupOrdinary)
-	line("spare_share", k.SpareShare)
-	line("boot_patience", k.BootPatience)
-	line("rental_backoff_s", k.ScaleOutBackoff)
-	line("sick_errors", k.QuarantineErrors)
-	line("fair_shares", k.FairShares)
-	line("team_weights", k.TeamWeights) // printed in the order of the names
-	line("share_fresh_s", k.ShareFresh)
-	line("share_withhold_s", k.ShareWithhold)
-	line("placement_costs", k.PlacementCosts)
-	line("data_weight", k.DataWeight)
-	line("even_weight_s", k.EvenWeight)
-	line("price_weight_s", k.PriceWeight)
-	line("image_wait_s", k.ImageWait)
-	line("moves", k.Moves)
-	line("move_margin", k.MoveMargin)
-	line("move_cool_down_s", k.MoveCoolDown)
-	line("moves_per_team", k.TeamMoves)
-	line("moves_per_machine", k.MachineMoves)
-	line("zone_return", k.ZoneReturn)
-	line("zone_suspect_s", k.ZoneSuspectAfter)
-	line("zone_lost_s", k.ZoneLostAfter)
-	line("zone_back_s", k.ZoneReturnAfter)
-	line("history", k.History)
-	for _, r := range k.Renamed {
+	line("economy", parameters.Economy)
+	line("hold_ttl_s", parameters.LeaderLeaseTTL)
+	line("hold_renew_s", parameters.LeaderRenewInterval)
+	line("resign_after_s", parameters.ResignAfter)
+	line("hold_grace_s", parameters.TakeoverGrace)
+	line("hand_over_s", parameters.TransferDelay)
+	line("sample", parameters.Sample)
+	line("batch", parameters.Batch)
+	line("lease_ttl_s", parameters.RoomLeaseTTL)
+	line("progress_every_s", parameters.ProgressEvery)
+	line("preempt_after_s", parameters.PreemptAfter)
+	line("idle_return_s", parameters.IdleScaleInDelay)
+	line("catchup_s", parameters.Catchup)
+	line("catchup_ordinary_s", parameters.CatchupOrdinary)
+	line("spare_share", parameters.SpareShare)
+	line("boot_patience", parameters.BootPatience)
+	line("rental_backoff_s", parameters.ScaleOutBackoff)
+	line("sick_errors", parameters.QuarantineErrors)
+	line("fair_shares", parameters.FairShares)
+	line("team_weights", parameters.TeamWeights) // fmt prints a map in the order of its keys
+	line("share_fresh_s", parameters.ShareFresh)
+	line("share_withhold_s", parameters.ShareWithhold)
+	line("placement_costs", parameters.PlacementCosts)
+	line("data_weight", parameters.DataWeight)
+	line("even_weight_s", parameters.EvenWeight)
+	line("price_weight_s", parameters.PriceWeight)
+	line("image_wait_s", parameters.ImageWait)
+	line("moves", parameters.Moves)
+	line("move_margin", parameters.MoveMargin)
+	line("move_cool_down_s", parameters.MoveCoolDown)
+	line("moves_per_team", parameters.TeamMoves)
+	line("moves_per_machine", parameters.MachineMoves)
+	line("zone_return", parameters.ZoneReturn)
+	line("zone_suspect_s", parameters.ZoneSuspectAfter)
+	line("zone_lost_s", parameters.ZoneLostAfter)
+	line("zone_back_s", parameters.ZoneReturnAfter)
+	line("history", parameters.History)
+	for _, r := range parameters.Renamed {
 		line("renamed "+r.Old, r.New)
 	}
 	return []byte(out.String())
 }
 
-// The operators' script sets knobs by name; each must reach its own value and no other. The
-// script sets all of them, each to a value of its own.
-func TestPolicyScriptSetsEveryKnob(t *testing.T) {
+// The policy script sets parameters by name. If a name is mapped to the wrong field, an operator changes a different
+// parameter than the one that the script names. The test sets every parameter to a different value, so that a swap
+// shows in the golden file.
+func TestPolicyScriptSetsEveryParameter(t *testing.T) {
 	var script strings.Builder
-	for i, b := range knobBounds {
-		value := 2.0 + float64(i) // differs from the default, and from all others
+	for i, b := range parameterBounds {
+		value := 2.0 + float64(i) // different for each parameter, and different from its default
 		if b.name == "hold_ttl_s" {
 			value = 100
 		}
@@ -102,54 +103,58 @@
 		require.True(t, value >= b.least && value <= b.most, b.name)
 		fmt.Fprintf(&script, "%s = %g\n", b.name, value)
 	}
-	for _, f := range knobFlags {
+	for _, f := range booleanParameters {
 		fmt.Fprintf(&script, "%s = True\n", f)
 	}
 	script.WriteString("team_weights = {\"red\": 2.5, \"blue\": 0.5}\n")
-	k, err := policy.Parse(script.String(), fullSettings(t))
+	parameters, err := policy.Parse(script.String(), fullSettings(t))
 	require.NoError(t, err)
-	goldenFile(t, "knobs/every.txt", knobsDump(k))
+	goldenFile(t, "knobs/every.txt", formatParameters(parameters))
 }
 
-// The five flags are read from a map: setting one alone shows that each reaches its own value.
+// The test of all parameters sets every boolean parameter to True, so it can't detect that two of them are swapped.
+// Setting each one alone does.
 func TestPolicyScriptSetsEachFlagAlone(t *testing.T) {
 	var out strings.Builder
-	for _, f := range knobFlags {
-		k, err := policy.Parse(f+" = True", fullSettings(t))
+	for _, f := range booleanParameters {
+		parameters, err := policy.Parse(f+" = True", fullSettings(t))
 		require.NoError(t, err)
-		fmt.Fprintln(&out, f, k.FairShares, k.PlacementCosts, k.Moves, k.ZoneReturn, k.History)
+		fmt.Fprintln(&out, f, parameters.FairShares, parameters.PlacementCosts, parameters.Moves, parameters.ZoneReturn, parameters.History)
 	}
 	goldenFile(t, "knobs/flags.txt", []byte(out.String()))
 }
 
-// A deployment that sets nothing has these values, with and without economy.
-func TestDefaultKnobsKeepValues(t *testing.T) {
-	k, err := policy.Parse("", fullSettings(t))
+// A deployment whose policy script sets nothing runs with the default values, which differ with and without economy. A
+// changed default would change the behaviour of such a deployment.
+func TestDefaultParametersKeepValues(t *testing.T) {
+	parameters, err := policy.Parse("", fullSettings(t))
 	require.NoError(t, err)
-	goldenFile(t, "knobs/defaults_plain.txt", knobsDump(k))
-	thrift := fullSettings(t)
-	thrift.Params.Objectives = thrift.Params.Objectives[1:]
-	k, err = policy.Parse("", thrift)
+	goldenFile(t, "knobs/defaults_plain.txt", formatParameters(parameters))
+	economySettings := fullSettings(t)
+	economySettings.Params.Objectives = economySettings.Params.Objectives[1:]
+	parameters, err = policy.Parse("", economySettings)
 	require.NoError(t, err)
-	goldenFile(t, "knobs/defaults_economy.txt", knobsDump(k))
+	goldenFile(t, "knobs/defaults_economy.txt", formatParameters(parameters))
 }
 
-// A script may use what it is given: `economy` and `controllers`.
-func TestPolicyScriptIsGivenNames(t *testing.T) {
-	k, err := policy.Parse("sample = 100 + controllers + (50 if economy else 0)", fullSettings(t))
+// Operators' scripts may read the predeclared names `economy` and `controllers`. A script that does would be rejected
+// if one were renamed.
+func TestPolicyScriptReadsPredeclaredNames(t *testing.T) {
+	parameters, err := policy.Parse("sample = 100 + controllers + (50 if economy else 0)", fullSettings(t))
 	require.NoError(t, err)
-	require.Equal(t, 104, k.Sample)
+	require.Equal(t, 104, parameters.Sample)
 }
 
-// Bounds are part of what operators rely on: a knob takes both, and nothing beyond them.
-func TestKnobBoundsKeepValues(t *testing.T) {
+// Operators' scripts may set a parameter to either of its bounds. A narrower bound would reject such a script, and a
+// wider one would accept a value that the code is not prepared for.
+func TestParameterBoundsKeepValues(t *testing.T) {
 	var out strings.Builder
-	for _, b := range knobBounds {
+	for _, b := range parameterBounds {
 		for _, v := range []float64{b.least, b.most} {
 			script := fmt.Sprintf("%s = %g", b.name, v)
 			switch {
 			case b.name == "hold_ttl_s" && v < 2:
-				script += "\nhold_renew_s = 0.1" // at most a third of it
+				script += "\nhold_renew_s = 0.1" // must not exceed a third of hold_ttl_s
 			case b.name == "hold_renew_s":
 				script += "\nhold_ttl_s = 600"
 			}
@@ -165,8 +170,8 @@
 	goldenFile(t, "knobs/bounds.txt", []byte(out.String()))
 }
 
-// Operators find a mistake in their script by these texts.
-func TestPolicyRefusalsKeepTexts(t *testing.T) {
+// Operators locate a mistake in their policy script by these error texts, which must name the parameter or the line.
+func TestPolicyErrorsKeepTexts(t *testing.T) {
 	var out strings.Builder
 	scripts := []string{
 		"unknown = 1", "hold_ttl_s = 3", "team_weights = 1", `team_weights = {"green": 1}`, `team_weights = {"red": 0}`,
@@ -174,7 +179,7 @@
 		"veto_move = 1", "def veto_move(): return True", "recovery_stage = True", "def recovery_stage(a, b): return \"urgent\"",
 		"sample = ", "sample = absent", "sample = 1 // 0", "def f(n):\n  for i in range(n): pass\nf(10000000)",
 	}
-	for _, f := range knobFlags {
+	for _, f := range booleanParameters {
 		scripts = append(scripts, f+" = 1")
 	}
 	for _, s := range scripts {
@@ -185,22 +190,23 @@
 	goldenFile(t, "knobs/refusals.txt", []byte(out.String()))
 }
 
-// Scripts that set a knob by its former name are accepted; the present name goes first.
-func TestFormerKnobNamesAreAccepted(t *testing.T) {
-	k, err := policy.Parse("hire_backoff_s = 17", fullSettings(t))
+// A policy script written for an earlier release may set a parameter by its former name. It must still take effect,
+// unless the script also sets the parameter by its present name, which takes precedence.
+func TestFormerParameterNamesAreAccepted(t *testing.T) {
+	parameters, err := policy.Parse("hire_backoff_s = 17", fullSettings(t))
 	require.NoError(t, err)
-	require.EqualValues(t, 17_000_000, k.ScaleOutBackoff)
-	require.Equal(t, []policy.RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}, k.Renamed)
-	k, err = policy.Parse("hire_backoff_s = 17\nrental_backoff_s = 18", fullSettings(t))
+	require.EqualValues(t, 17_000_000, parameters.ScaleOutBackoff)
+	require.Equal(t, []policy.RenamedParameter{{Old: "hire_backoff_s", New: "rental_backoff_s"}}, parameters.Renamed)
+	parameters, err = policy.Parse("hire_backoff_s = 17\nrental_backoff_s = 18", fullSettings(t))
 	require.NoError(t, err)
-	require.EqualValues(t, 18_000_000, k.ScaleOutBackoff)
+	require.EqualValues(t, 18_000_000, parameters.ScaleOutBackoff)
 }
 
-func knobsLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// The hook on moves sees these attributes, with these values. A hook that fails vetoes, so the
-// answer False shows that every attribute was as compared.
-func TestVetoHookIsGivenAttributes(t *testing.T) {
+// Operators' veto_move hooks read these attributes of a move. A hook that raises an error counts as a veto, so only a
+// hook that returns False shows that all attributes exist and have the expected values.
+func TestVetoMoveHookReceivesAttributes(t *testing.T) {
 	move := rebalance.Record{Team: "red", From: "m-1", To: "m-2", Key: rebalance.Key{Job: "job-7", N: 3}, Reason: rebalance.Reason("slow"),
 		Gain: 2_500_000, Cost: 1_250_000}
 	const equal = `
@@ -210,21 +216,22 @@
     return (m.team, m.job, m.task, m.source, m.destination, m.reason, m.gain_s, m.cost_s) != (
         "red", "job-7", 3, "m-1", "m-2", "slow", 2.5, 1.25)
 `
-	k, err := policy.Parse(equal, fullSettings(t))
+	parameters, err := policy.Parse(equal, fullSettings(t))
 	require.NoError(t, err)
-	require.False(t, k.Veto(knobsLog())(move))
+	require.False(t, parameters.Veto(discardLogger())(move))
 	for _, other := range []string{"veto_move = lambda m: True", "veto_move = lambda m: 1", "veto_move = lambda m: m.absent"} {
-		k, err = policy.Parse(other, fullSettings(t))
+		parameters, err = policy.Parse(other, fullSettings(t))
 		require.NoError(t, err)
-		require.True(t, k.Veto(knobsLog())(move), other)
+		require.True(t, parameters.Veto(discardLogger())(move), other)
 	}
-	k, err = policy.Parse("", fullSettings(t))
+	parameters, err = policy.Parse("", fullSettings(t))
 	require.NoError(t, err)
-	require.Nil(t, k.Veto(knobsLog()))
+	require.Nil(t, parameters.Veto(discardLogger()))
 }
 
-// The hook on stages sees these attributes, and names a stage.
-func TestStageHookIsGivenAttributes(t *testing.T) {
+// Operators' recovery_stage hooks read these attributes of a job and return the name of a stage. For a name that is
+// not known, the default stage of the job applies.
+func TestRecoveryStageHookReceivesAttributes(t *testing.T) {
 	due := 900.0
 	job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-7", Team: "red", Class: "train", Priority: "high", Tasks: 16, DeadlineS: &due}}, 1)
 	const equal = `
@@ -236,36 +243,38 @@
     return "%s"
 `
 	for _, name := range []string{"urgent", "services", "cold"} {
-		k, err := policy.Parse(fmt.Sprintf(equal, name), fullSettings(t))
+		parameters, err := policy.Parse(fmt.Sprintf(equal, name), fullSettings(t))
 		require.NoError(t, err)
-		require.Equal(t, name, k.Stages(knobsLog())(job).String())
+		require.Equal(t, name, parameters.Stages(discardLogger())(job).String())
 	}
-	for _, answer := range []string{"urgent", "services", "cold", "soon"} { // of another rank, so that the default differs from some
+	for _, answer := range []string{"urgent", "services", "cold", "soon"} { // by its priority, the job's default stage is "cold"
 		job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-8", Team: "red", Class: "train", Priority: "idle", Tasks: 1}}, 1)
-		k, err := policy.Parse(fmt.Sprintf("recovery_stage = lambda j: %q", answer), fullSettings(t))
+		parameters, err := policy.Parse(fmt.Sprintf("recovery_stage = lambda j: %q", answer), fullSettings(t))
 		require.NoError(t, err)
 		want := answer
 		if answer == "soon" {
-			want = "cold" // by its rank
+			want = "cold" // the default stage for the job's priority
 		}
-		require.Equal(t, want, k.Stages(knobsLog())(job).String())
+		require.Equal(t, want, parameters.Stages(discardLogger())(job).String())
 	}
 }
 
-// The deployment's files are used by those who deploy the service: a renaming in the code must
-// not touch them, and the script must be accepted as it is.
-func TestDeploymentFilesStay(t *testing.T) {
+// Those who deploy the service use the files under deploy as they are. A renaming in the code must not change them, and
+// the policy script must be accepted unchanged.
+func TestDeploymentFilesMatchGoldenFiles(t *testing.T) {
 	for _, name := range []string{"policy.star", "service.toml"} {
 		b, err := os.ReadFile("../../deploy/" + name)
 		require.NoError(t, err)
 		goldenFile(t, "knobs/deploy."+name, b)
 	}
-	k, err := policy.Load("../../deploy/policy.star", fullSettings(t))
+	parameters, err := policy.Load("../../deploy/policy.star", fullSettings(t))
 	require.NoError(t, err)
-	goldenFile(t, "knobs/deploy.txt", knobsDump(k))
+	goldenFile(t, "knobs/deploy.txt", formatParameters(parameters))
 }
 
-// Economy is in order where no objective asks for work without deadlines to be finished soon.
+// Scale-out may be economical if there are objectives and none of them asks for work without a deadline to finish
+// within less than eight worker leases, which are 128 seconds in these settings. A mistake in this rule would either
+// rent more machines than necessary, or delay work that an objective wants soon.
 func TestEconomyFollowsObjectives(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -21,7 +21,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// record is the value of a key of the state service.
+// record is a test case for one kind of value in the key-value store.
 type record struct {
 	name  string
 	check func(t *testing.T, path string)
@@ -32,8 +32,8 @@
 		t.Helper()
 		encoded, err := json.Marshal(value)
 		require.NoError(t, err)
-		// The file ends with a line break, the value does not.
-		want := bytes.TrimSuffix(golden(t, path, func() []byte { return append(encoded, '\n') }), []byte("\n"))
+		// The golden file ends with a line break, which is not part of the stored value.
+		want := bytes.TrimSuffix(readGolden(t, path, func() []byte { return append(encoded, '\n') }), []byte("\n"))
 		require.Equal(t, string(want), string(encoded))
 		var decoded T
 		require.NoError(t, json.Unmarshal(want, &decoded))
@@ -58,29 +58,31 @@
 	recordOf("catalog_zero", wire.Catalog{Types: []wire.MachineType{{}}}),
 }
 
-// Controllers of two releases read each other's records, and a release reads those that were written
-// before it was installed.
+// During an upgrade, controllers of two releases read each other's records, and a new release reads the records that
+// an earlier one wrote. A changed encoding would make these records unreadable.
 func TestStoredRecordsKeepEncodedForm(t *testing.T) {
 	for _, r := range records {
 		t.Run(r.name, func(t *testing.T) { r.check(t, "records/"+r.name+".json") })
 	}
 }
 
-// The release before machines shared keys left records of one machine to a key, which are read
-// until their machines are gone.
-func TestMachineRecordOfItsOwnKeyIsRead(t *testing.T) {
-	b := inventory.NewRecords()
-	value := golden(t, "records/machine_of_own_key.json", func() []byte {
+// An earlier release stored each machine's record under a key of its own, whereas several machines now share a key.
+// Records in the earlier form remain until their machines are gone, and must still be read; otherwise a controller would
+// not know these machines.
+func TestMachineRecordWithOwnKeyIsRead(t *testing.T) {
+	inventoryRecords := inventory.NewRecords()
+	value := readGolden(t, "records/machine_of_own_key.json", func() []byte {
 		return []byte(`{"addr":"10.0.0.1:7000","type":"large","zone":"a","spot":true}` + "\n")
 	})
-	came, went := b.Apply(kvstore.Event{Key: "ml/m/m-1", Value: value, ModRevision: 7})
-	require.Empty(t, went)
-	require.Equal(t, inventory.Group{"m-1": {Addr: "10.0.0.1:7000", Type: "large", Zone: "a", Spot: true}}, came)
-	require.True(t, b.HasLegacy())
+	added, removed := inventoryRecords.Apply(kvstore.Event{Key: "ml/m/m-1", Value: value, ModRevision: 7})
+	require.Empty(t, removed)
+	require.Equal(t, inventory.Group{"m-1": {Addr: "10.0.0.1:7000", Type: "large", Zone: "a", Spot: true}}, added)
+	require.True(t, inventoryRecords.HasLegacy())
 }
 
-// Keys are found by their prefixes and names: a key of another form would be a record lost.
-func TestKeysKeepTheirForm(t *testing.T) {
+// Controllers find records by their keys' prefixes and names. A key in a changed form would make the records of an
+// earlier release invisible.
+func TestKeysKeepForm(t *testing.T) {
 	keys := map[string]string{
 		"root": kvstore.RootPrefix, "claims": kvstore.LeaderPrefix, "nodes": kvstore.ControllerPrefix, "active": kvstore.ActiveJobPrefix,
 		"final": kvstore.FinalJobPrefix, "machines": kvstore.MachinePrefix, "progress": kvstore.ProgressPrefix,
@@ -99,20 +101,21 @@
 	require.Len(t, plan, 2)
 	keys["machines of group 1"] = plan[1].Key
 
-	// The writes of a controller that registers itself as cut off, and takes a claim.
-	b := leaderelection.NewElection("host-1", []string{"host-1"}, []string{"fleet"}, 0)
-	b.StartIncarnation("host-1#1", 5, 1<<40)
-	b.Apply(kvstore.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), ModRevision: 3})
-	note, ok := b.ReachabilityUpdate(true)
+	// The writes of a controller that publishes in its registration that its workers don't reach it, and that campaigns
+	// for a leadership.
+	election := leaderelection.NewElection("host-1", []string{"host-1"}, []string{"fleet"}, 0)
+	election.StartIncarnation("host-1#1", 5, 1<<40)
+	election.Apply(kvstore.Event{Key: "ml/n/host-1", Value: []byte(`{"incarnation":"host-1#1"}`), ModRevision: 3})
+	update, ok := election.ReachabilityUpdate(true)
 	require.True(t, ok)
-	keys["registration"] = note.Operations[0].Put
-	wanted := b.Campaign(1<<30, 0)
-	require.Len(t, wanted, 1)
-	keys["claim"] = wanted[0].Txn.Operations[0].Put
+	keys["registration"] = update.Operations[0].Put
+	campaigns := election.Campaign(1<<30, 0)
+	require.Len(t, campaigns, 1)
+	keys["claim"] = campaigns[0].Txn.Operations[0].Put
 
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
 		text.WriteString(name + ": " + keys[name] + "\n")
 	}
-	require.Equal(t, string(golden(t, "records/keys.txt", func() []byte { return []byte(text.String()) })), text.String())
+	require.Equal(t, string(readGolden(t, "records/keys.txt", func() []byte { return []byte(text.String()) })), text.String())
 }
--- a/internal/golden/rpc_test.go
+++ b/internal/golden/rpc_test.go
@@ -15,37 +15,37 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// message is one type that controllers send each other.
+// message is a test case for one type that controllers send each other.
 type message struct {
 	name  string
 	check func(t *testing.T, name string)
 }
 
-// messageOf makes the check of a message: Now is its present type, Frozen the copy of the type that
-// releases in use have.
+// messageOf returns the test case of a message. Now is the message's type in this release, Frozen the copy of its type
+// in the releases in use.
 func messageOf[Now, Frozen any](name string) message {
 	return message{name, func(t *testing.T, name string) {
 		t.Helper()
 		now := sample[Now]()
-		old := fromHex(t, golden(t, "rpc/"+name+".hex", func() []byte { return toHex(encodeGob(t, now)) }))
+		old := fromHex(t, readGolden(t, "rpc/"+name+".hex", func() []byte { return toHex(encodeGob(t, now)) }))
 
 		var decoded Now
 		decodeGob(t, old, &decoded)
-		require.Equal(t, now, decoded, "this release understands the earlier one")
+		require.Equal(t, now, decoded, "this release must decode the earlier release's message")
 
 		encoded := encodeGob(t, now)
-		require.Equal(t, normalForm(t, old), normalForm(t, encoded), "fields and values on the wire")
+		require.Equal(t, normalForm(t, old), normalForm(t, encoded), "this release must encode the same fields and values")
 
 		var want, got Frozen
 		decodeGob(t, old, &want)
 		decodeGob(t, encoded, &got)
-		require.Equal(t, want, got, "the earlier release understands this one")
-		require.Equal(t, sample[Frozen](), want, "the frozen copy has the fields of the release")
-		require.Equal(t, normalForm(t, old), normalForm(t, encodeGob(t, got)), "the frozen copy sends what the release sends")
+		require.Equal(t, want, got, "the earlier release must decode this release's message")
+		require.Equal(t, sample[Frozen](), want, "the frozen copy must have the fields of the earlier release's type")
+		require.Equal(t, normalForm(t, old), normalForm(t, encodeGob(t, got)), "the frozen copy must encode as the earlier release does")
 	}}
 }
 
-// messages are named as their golden files: a name here stays when its type is renamed.
+// messages lists the messages. Each name is that of a golden file, so it stays when the Go type is renamed.
 var messages = []message{
 	messageOf[peer.Batch, FrozenRound]("Round"),
 	messageOf[peer.BatchResponse, FrozenRoundAnswer]("RoundAnswer"),
@@ -84,113 +84,137 @@
 	messageOf[peer.ZoneStatus, FrozenZoneStatus]("ZoneStatus"),
 }
 
-// Controllers of two releases work together while they are restarted one by one. What one sends, the
-// other must understand to the last field, whatever the types are called in its code.
+// During an upgrade, controllers of two releases call each other, since they are restarted one by one. gob matches
+// fields by name and silently ignores unknown ones, so a renamed field would be lost without an error.
 func TestRPCMessagesKeepEncodedForm(t *testing.T) {
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) { m.check(t, m.name) })
 	}
 }
 
-// stub answers each call with a sample, and keeps what it was asked.
-type stub struct {
-	mu    sync.Mutex
-	asked any
+// stubService answers each call with a sample response, and records the last request.
+type stubService struct {
+	mu          sync.Mutex
+	lastRequest any
 }
 
-func answer[In, Out any](s *stub, in In, out *Out) error {
+func respond[In, Out any](s *stubService, in In, out *Out) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked, *out = in, sample[Out]()
+	s.lastRequest, *out = in, sample[Out]()
 	return nil
 }
 
-func (s *stub) lastAsked() any {
+func (s *stubService) request() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.lastRequest
 }
 
-var _ peer.Service = (*stub)(nil)
+var _ peer.Service = (*stubService)(nil)
 
-func (s *stub) Round(in peer.Batch, out *peer.BatchResponse) error       { return answer(s, in, out) }
-func (s *stub) Poll(in peer.PollRequest, out *peer.PollResponse) error   { return answer(s, in, out) }
-func (s *stub) Hello(in peer.Heartbeat, out *peer.Heartbeat) error       { return answer(s, in, out) }
-func (s *stub) Demand(in peer.Heartbeat, out *peer.DemandResponse) error { return answer(s, in, out) }
-func (s *stub) Status(in peer.JobRequest, out *peer.JobResponse) error   { return answer(s, in, out) }
-func (s *stub) Withdraw(in peer.JobRequest, out *peer.JobResponse) error { return answer(s, in, out) }
-func (s *stub) Submit(in peer.SubmitRequest, out *peer.SubmitResponse) error {
-	return answer(s, in, out)
-}
-func (s *stub) Drain(in peer.DrainRequest, out *peer.DrainResponse) error { return answer(s, in, out) }
-func (s *stub) Gone(in peer.MachinesGone, out *peer.DrainResponse) error  { return answer(s, in, out) }
-func (s *stub) Teams(in peer.TeamsRequest, out *peer.TeamsResponse) error { return answer(s, in, out) }
-func (s *stub) Zones(in peer.ZonesRequest, out *peer.ZonesResponse) error { return answer(s, in, out) }
-func (s *stub) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
-	return answer(s, in, out)
-}
-func (s *stub) History(in peer.HistoryRequest, out *history.Page) error { return answer(s, in, out) }
+func (s *stubService) Round(in peer.Batch, out *peer.BatchResponse) error { return respond(s, in, out) }
+func (s *stubService) Poll(in peer.PollRequest, out *peer.PollResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Hello(in peer.Heartbeat, out *peer.Heartbeat) error { return respond(s, in, out) }
+func (s *stubService) Demand(in peer.Heartbeat, out *peer.DemandResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Status(in peer.JobRequest, out *peer.JobResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Withdraw(in peer.JobRequest, out *peer.JobResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Submit(in peer.SubmitRequest, out *peer.SubmitResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Drain(in peer.DrainRequest, out *peer.DrainResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Gone(in peer.MachinesGone, out *peer.DrainResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Teams(in peer.TeamsRequest, out *peer.TeamsResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) Zones(in peer.ZonesRequest, out *peer.ZonesResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) HoldZone(in peer.ZoneHoldRequest, out *peer.ZoneHoldResponse) error {
+	return respond(s, in, out)
+}
+func (s *stubService) History(in peer.HistoryRequest, out *history.Page) error {
+	return respond(s, in, out)
+}
 
-// earlier is the service of a release in use, with the frozen types and method names.
-type earlier struct{ *stub }
+// earlierService is the service of an earlier release: it has the frozen types and method names.
+type earlierService struct{ *stubService }
 
-func (s *earlier) Round(in FrozenRound, out *FrozenRoundAnswer) error { return answer(s.stub, in, out) }
-func (s *earlier) Poll(in FrozenPoll, out *FrozenPollAnswer) error    { return answer(s.stub, in, out) }
-func (s *earlier) Hello(in FrozenHello, out *FrozenHello) error       { return answer(s.stub, in, out) }
-func (s *earlier) Demand(in FrozenHello, out *FrozenDemandAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Round(in FrozenRound, out *FrozenRoundAnswer) error {
+	return respond(s.stubService, in, out)
+}
+func (s *earlierService) Poll(in FrozenPoll, out *FrozenPollAnswer) error {
+	return respond(s.stubService, in, out)
+}
+func (s *earlierService) Hello(in FrozenHello, out *FrozenHello) error {
+	return respond(s.stubService, in, out)
+}
+func (s *earlierService) Demand(in FrozenHello, out *FrozenDemandAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Status(in FrozenJobQuery, out *FrozenJobAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Status(in FrozenJobQuery, out *FrozenJobAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Withdraw(in FrozenJobQuery, out *FrozenJobAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Withdraw(in FrozenJobQuery, out *FrozenJobAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Submit(in FrozenSubmitQuery, out *FrozenSubmitAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Submit(in FrozenSubmitQuery, out *FrozenSubmitAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Drain(in FrozenDrainQuery, out *FrozenDrainAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Drain(in FrozenDrainQuery, out *FrozenDrainAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Gone(in FrozenGoneNote, out *FrozenDrainAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Gone(in FrozenGoneNote, out *FrozenDrainAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Teams(in FrozenTeamsQuery, out *FrozenTeamsAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Teams(in FrozenTeamsQuery, out *FrozenTeamsAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) Zones(in FrozenZonesQuery, out *FrozenZonesAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) Zones(in FrozenZonesQuery, out *FrozenZonesAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) HoldZone(in FrozenZoneHold, out *FrozenZoneHoldAnswer) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) HoldZone(in FrozenZoneHold, out *FrozenZoneHoldAnswer) error {
+	return respond(s.stubService, in, out)
 }
-func (s *earlier) History(in FrozenHistoryQuery, out *FrozenPage) error {
-	return answer(s.stub, in, out)
+func (s *earlierService) History(in FrozenHistoryQuery, out *FrozenPage) error {
+	return respond(s.stubService, in, out)
 }
 
-// method is one method of the service, with its present and its frozen types.
+// method is a test case for one method of the service, between this release and an earlier one.
 type method struct {
 	name string
-	// fromEarlier has a client of an earlier release call this release's service.
-	fromEarlier func(t *testing.T, c *rpc.Client, method string, s *stub)
-	// toEarlier has this release's client call an earlier release's service.
-	toEarlier func(t *testing.T, c *peer.Client, method string, s *stub)
+	// fromEarlier calls this release's service as a client of an earlier release does.
+	fromEarlier func(t *testing.T, c *rpc.Client, method string, s *stubService)
+	// toEarlier calls an earlier release's service with this release's client.
+	toEarlier func(t *testing.T, c *peer.Client, method string, s *stubService)
 }
 
 func methodOf[In, Out, FrozenIn, FrozenOut any](name string) method {
 	return method{name: name,
-		fromEarlier: func(t *testing.T, c *rpc.Client, method string, s *stub) {
+		fromEarlier: func(t *testing.T, c *rpc.Client, method string, s *stubService) {
 			t.Helper()
 			var out FrozenOut
 			require.NoError(t, c.Call("Merlinlatch."+method, sample[FrozenIn](), &out))
-			require.Equal(t, sample[In](), s.lastAsked())
+			require.Equal(t, sample[In](), s.request())
 			require.Equal(t, sample[FrozenOut](), out)
 		},
-		toEarlier: func(t *testing.T, c *peer.Client, method string, s *stub) {
+		toEarlier: func(t *testing.T, c *peer.Client, method string, s *stubService) {
 			t.Helper()
 			var out Out
 			require.NoError(t, c.Call(method, sample[In](), &out, 10*time.Second))
-			require.Equal(t, sample[FrozenIn](), s.lastAsked())
+			require.Equal(t, sample[FrozenIn](), s.request())
 			require.Equal(t, sample[Out](), out)
 		}}
 }
@@ -211,9 +235,9 @@
 	methodOf[peer.HistoryRequest, history.Page, FrozenHistoryQuery, FrozenPage]("History"),
 }
 
-// serve has the real server answer with a service on a free port of the loopback, and
-// gives its address.
-func serve(t *testing.T, svc any) string {
+// startServer starts the real server for a service on a free port of the loopback address, and returns the server's
+// address.
+func startServer(t *testing.T, service any) string {
 	t.Helper()
 	for range 10 {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -223,14 +247,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		t.Cleanup(cancel)
 		failed := make(chan error, 1)
-		go func() { failed <- peer.Serve(ctx, addr, svc, nil) }()
+		go func() { failed <- peer.Serve(ctx, addr, service, nil) }()
 		for {
 			conn, err := net.Dial("tcp4", addr)
 			if err == nil {
 				conn.Close()
 			}
 			select {
-			case <-failed: // another process took the port
+			case <-failed: // another process took the port before the server listened
 			default:
 				if err != nil {
 					time.Sleep(time.Millisecond)
@@ -246,10 +270,11 @@
 	return ""
 }
 
-// An earlier release calls the service by these names, with its own types.
+// During an upgrade a controller of an earlier release calls this release's service, by the earlier method names and
+// with the earlier types. A renamed method would make these calls fail.
 func TestRPCServerAnswersEarlierRelease(t *testing.T) {
-	s := &stub{}
-	c, err := rpc.Dial("tcp4", serve(t, s))
+	s := &stubService{}
+	c, err := rpc.Dial("tcp4", startServer(t, s))
 	require.NoError(t, err)
 	defer c.Close()
 	for _, m := range methods {
@@ -257,11 +282,12 @@
 	}
 }
 
-// An earlier release offers the service by these names, and this release's client reaches it.
+// During an upgrade this release's client calls the service of an earlier release, which knows only the earlier method
+// names and types.
 func TestRPCClientReachesEarlierRelease(t *testing.T) {
-	s := &stub{}
+	s := &stubService{}
 	srv := rpc.NewServer()
-	require.NoError(t, srv.RegisterName("Merlinlatch", &earlier{s}))
+	require.NoError(t, srv.RegisterName("Merlinlatch", &earlierService{s}))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -272,14 +298,14 @@
 	}
 }
 
-// A method that is added to the service gets a line in the table of methods.
+// A method that is added to peer.Service but not to the table above would not be tested against earlier releases.
 func TestRPCMethodsAllHaveGoldenForm(t *testing.T) {
-	var have, want []string
+	var implemented, want []string
 	for m := range reflect.TypeFor[peer.Service]().Methods() {
-		have = append(have, m.Name)
+		implemented = append(implemented, m.Name)
 	}
 	for _, m := range methods {
 		want = append(want, m.name)
 	}
-	require.ElementsMatch(t, want, have)
+	require.ElementsMatch(t, want, implemented)
 }
--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -14,11 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// update writes golden files that are not there. A file that is there is never overwritten.
+// update makes the tests write golden files that are missing. Existing files are never overwritten.
 var update = flag.Bool("update", false, "write missing golden files")
 
-// sample returns a value of a type with every field set, nested ones too. The values differ from
-// each other and follow from the order of the fields, not from their names; a map has one entry.
+// sample returns a value of a type with every field set, also in nested types. A slice has two elements, a map one
+// entry. The values depend on the order of the fields, not on their names, so that a type with renamed fields gets the
+// same sample, and they differ between fields.
 func sample[T any]() T {
 	var v T
 	n := 0
@@ -26,51 +27,51 @@
 	return v
 }
 
-func fill(v reflect.Value, n *int) {
-	*n++
+func fill(v reflect.Value, counter *int) {
+	*counter++
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.String:
-		v.SetString("text-" + strings.Repeat("x", *n%7) + string(rune('a'+*n%26)) + string(rune('a'+*n/26%26)))
+		v.SetString("text-" + strings.Repeat("x", *counter%7) + string(rune('a'+*counter%26)) + string(rune('a'+*counter/26%26)))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(*n))
+		v.SetInt(int64(*counter))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*n))
+		v.SetUint(uint64(*counter))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(*n) + 0.5)
+		v.SetFloat(float64(*counter) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fill(v.Elem(), counter)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fill(v.Index(i), counter)
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		key, elem := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(elem, n)
+		fill(key, counter)
+		fill(elem, counter)
 		v.SetMapIndex(key, elem)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fill(v.Field(i), counter)
 		}
 	default:
 		panic("no sample for " + v.Type().String())
 	}
 }
 
-// golden returns the content of a golden file. With -update a missing one is written first.
-func golden(t *testing.T, path string, now func() []byte) []byte {
+// readGolden returns the content of a golden file. With -update it first writes the file if it is missing.
+func readGolden(t *testing.T, path string, encode func() []byte) []byte {
 	t.Helper()
 	path = filepath.Join("testdata", path)
 	if *update {
 		f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if !errors.Is(err, fs.ErrExist) {
 			require.NoError(t, err)
-			_, err = f.Write(now())
+			_, err = f.Write(encode())
 			require.NoError(t, err)
 			require.NoError(t, f.Close())
 		}
@@ -80,7 +81,7 @@
 	return b
 }
 
-// toHex writes bytes as hex text in lines of 32 bytes.
+// toHex returns bytes as hexadecimal text, with 32 bytes on a line.
 func toHex(b []byte) []byte {
 	var out strings.Builder
 	for len(b) > 0 {
@@ -98,7 +99,7 @@
 	return b
 }
 
-// A golden file without a test guards nothing: a line that is lost from a table must be seen.
+// If a test case is deleted from a table by mistake, its golden file remains but is no longer compared with anything.
 func TestGoldenFilesAllHaveATest(t *testing.T) {
 	want := []string{"testdata/records/keys.txt", "testdata/records/machine_of_own_key.json"}
 	for _, m := range messages {
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -19,8 +19,8 @@
 	return s
 }
 
-// settingsWith returns the full settings with the field at a path of JSON names set, or left out
-// where value is nil.
+// settingsWith returns the full settings with the field at a path of JSON names set to value, or without the field if
+// value is nil.
 func settingsWith(t *testing.T, path string, value any) []byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/settings/full.json")
@@ -28,25 +28,25 @@
 	var all map[string]any
 	require.NoError(t, json.Unmarshal(b, &all))
 	names := strings.Split(path, ".")
-	at := all
+	parent := all
 	for _, n := range names[:len(names)-1] {
-		switch next := at[n].(type) {
+		switch next := parent[n].(type) {
 		case map[string]any:
-			at = next
+			parent = next
 		case []any:
-			at = next[len(next)-1].(map[string]any)
+			parent = next[len(next)-1].(map[string]any)
 		}
 	}
-	at[names[len(names)-1]] = value
+	parent[names[len(names)-1]] = value
 	if value == nil {
-		delete(at, names[len(names)-1])
+		delete(parent, names[len(names)-1])
 	}
 	b, err = json.Marshal(all)
 	require.NoError(t, err)
 	return b
 }
 
-func settingsDump(s *config.Settings) []byte {
+func formatSettings(s *config.Settings) []byte {
 	var out strings.Builder
 	line := func(name string, values ...any) { fmt.Fprintln(&out, append([]any{name}, values...)...) }
 	p := &s.Params
@@ -95,12 +95,14 @@
 	return []byte(out.String())
 }
 
-// The platform hands the settings over by their JSON names; each must reach its value.
-func TestSettingsFileGivesEveryValue(t *testing.T) {
-	goldenFile(t, "settings/full.txt", settingsDump(fullSettings(t)))
+// The platform writes the settings file by JSON names. If a name is mapped to the wrong field, a controller runs with a
+// wrong setting.
+func TestSettingsFileSetsEveryValue(t *testing.T) {
+	goldenFile(t, "settings/full.txt", formatSettings(fullSettings(t)))
 }
 
-// Operators read in the log what is assumed, done without and too small.
+// Operators read these texts in the log: which limits are assumed, what the controller does without, and which limits
+// are too small for a large fleet.
 func TestSmallSettingsKeepTexts(t *testing.T) {
 	for name, limits := range map[string]string{
 		"none":  `{}`,
@@ -111,13 +113,13 @@
 				"services":{"cloud":"127.0.0.1:3","state":"127.0.0.1:4"},"params":{"workers":{"report_s":1,"lease_s":8,"cancel_s":1},
 				"state":{"rps":2,"write_rps":0.5,"value_kb":1,"txn_ops":1},"cloud":{"rps":0.5},"machine_limits":` + limits + `}}`))
 			require.NoError(t, err)
-			goldenFile(t, "settings/"+name+".txt", settingsDump(s))
+			goldenFile(t, "settings/"+name+".txt", formatSettings(s))
 		})
 	}
 }
 
-// Operators find a mistake in the settings by these texts.
-func TestSettingsRefusalsKeepTexts(t *testing.T) {
+// Operators locate a mistake in the settings by these error texts.
+func TestSettingsErrorsKeepTexts(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct {
 		path  string
@@ -147,8 +149,9 @@
 	goldenFile(t, "settings/refusals.txt", []byte(out.String()))
 }
 
-// Without a count the controllers that are named are counted.
-func TestSettingsWithoutCountCountControllers(t *testing.T) {
+// The settings may omit the number of controllers. It is then the number of controllers that they name, this one
+// included.
+func TestSettingsWithoutCountUseNumberOfControllers(t *testing.T) {
 	s, err := config.Parse(settingsWith(t, "params.count", nil))
 	require.NoError(t, err)
 	require.Equal(t, 3, s.Params.Count)
