--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -42,7 +42,7 @@
 
 // Times of the failure that is injected into a run.
 const (
-	failureDelay  = hotSubmitDuration / 2 // from the first submission to the failure
+	failureDelay  = hotSubmitDuration / 2 // from the start of the users' submissions to the failure
 	pauseDuration = 10 * time.Second      // how long PartitionLeaderPaused pauses a controller
 	restartDelay  = 3 * time.Second       // how long after SchedulerKilled the controller is started again
 )
@@ -249,6 +249,7 @@
 	}
 }
 
+// errNoLeader means that SchedulerKilled found no controller to kill.
 var errNoLeader = errors.New("no controller leads the hot team")
 
 // injectFailure injects the run's failure into the cluster.
--- a/internal/loopback/zonereturn.go
+++ b/internal/loopback/zonereturn.go
@@ -28,7 +28,7 @@
 	zoneWorkers       = 12
 	zoneRunFor        = 5 * time.Second // run time of each task
 	zoneTasksPerJob   = 6
-	beforeIsolation   = 15 * time.Second  // from the first submission until the zone is cut off
+	beforeIsolation   = 15 * time.Second  // from the start of the users' submissions until the zone is cut off
 	isolationDuration = 40 * time.Second  // how long the zone is cut off
 	afterIsolation    = 45 * time.Second  // how long users submit jobs after the zone is reconnected
 	zoneDrainTimeout  = 120 * time.Second // how long the jobs may take to end after the last submission
--- a/internal/telemetry/runtime.go
+++ b/internal/telemetry/runtime.go
@@ -21,7 +21,7 @@
 	metricGoroutines = "/sched/goroutines:goroutines"
 )
 
-// Runtime is a reading of the Go runtime's metrics of this process.
+// Runtime holds the Go runtime's metrics of this process at one moment. Amounts of memory are in bytes.
 type Runtime struct {
 	BusyCPU, GCCPU time.Duration // since the start; the Go runtime updates them at each garbage collection
 	GCCycles       uint64
