--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -312,10 +312,9 @@
 
 // submit sends a submission to its controller, and reports whether the controller accepted it.
 func (c *cluster) submit(ctx context.Context, client *http.Client, s submission) (accepted bool) {
-	body, err := json.Marshal(map[string]any{
-		"id": s.id, "jobclass": "x", "owner": s.team, "shape": "array", "rank": s.priority, "shards": s.tasks,
-		"cpus": 2, "accelerators": 0, "mem_gb": 1, "bundle": "img", "size_gb": 1, "one_zone": false, "spread": false,
-		"loaners": true, "guess_s": c.RunFor.Seconds(), "snap_every_s": 0, "snap_s": 0,
+	body, err := json.Marshal(wire.Job{
+		ID: s.id, Class: "x", Team: s.team, Shape: "array", Priority: s.priority, Tasks: s.tasks,
+		CPUs: 2, MemGB: 1, Image: "img", ImageGB: 1, Spot: true, RuntimeEstimateS: c.RunFor.Seconds(),
 	})
 	if err != nil {
 		return false
