--- a/internal/autoscaler/fixtures_test.go
+++ b/internal/autoscaler/fixtures_test.go
@@ -160,7 +160,7 @@
 		Elections:     s.elections,
 		Store:         &fakes.KVClient{KVStore: fakes.NewKVStore()},
 		Controllers:   s.controllers,
-		Clock:         clock.NewSteady(),
+		Clock:         clock.NewMonotonic(),
 		WallClock:     time.Now,
 		Parameters:    Parameters{IdleScaleInDelay: 60 * sec, BootPatience: 3},
 		Backoff:       12 * sec,
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -51,8 +51,8 @@
 // Monotonic is the monotonic clock of the process. It is safe for concurrent use.
 type Monotonic struct{ start time.Time }
 
-// NewSteady returns a monotonic clock that starts at one second, so that it never shows 0, which means "never".
-func NewSteady() *Monotonic { return &Monotonic{start: time.Now()} }
+// NewMonotonic returns a monotonic clock that starts at one second, so that it never shows 0, which means "never".
+func NewMonotonic() *Monotonic { return &Monotonic{start: time.Now()} }
 
 // Now returns the time since the clock was made, plus one second.
 func (m *Monotonic) Now() Micros { return FromDuration(time.Since(m.start)) + Second }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestMonotonicClockNeverShowsZero(t *testing.T) {
-	c := NewSteady()
+	c := NewMonotonic()
 	first := c.Now()
 	require.GreaterOrEqual(t, first, Second)
 	require.GreaterOrEqual(t, c.Now(), first)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,7 +53,7 @@
 	Peers      []Peer `json:"others"`
 	Services   struct {
 		Cloud string `json:"cloud"` // address of the cloud's API
-		State string `json:"state"` // address of the key-value store
+		Store string `json:"state"` // address of the key-value store
 	} `json:"services"`
 	Params struct {
 		Count      int         `json:"count"` // number of controllers; 0: this one and Peers
@@ -65,7 +65,7 @@
 			LeaseS  float64 `json:"lease_s"`  // worker lease in seconds; see Lease
 			CancelS float64 `json:"cancel_s"`
 		} `json:"workers"`
-		State struct {
+		Store struct {
 			RPS      float64 `json:"rps"`       // requests per second of all controllers together
 			WriteRPS float64 `json:"write_rps"` // writes per second of all controllers together
 			ValueKB  float64 `json:"value_kb"`  // maximum size of a value
@@ -76,9 +76,9 @@
 			ListLagS float64 `json:"list_lag_s"` // how many seconds the list of instances may lag behind
 		} `json:"cloud"`
 		Limits struct {
-			CoreShare float64 `json:"core_share"` // share of one core
-			MemoryMB  float64 `json:"memory_mb"`
-			Sockets   int     `json:"fd_limit"` // file descriptors
+			CoreShare       float64 `json:"core_share"` // share of one core
+			MemoryMB        float64 `json:"memory_mb"`
+			FileDescriptors int     `json:"fd_limit"`
 		} `json:"machine_limits"` // limits of the controller's process; 0: not given
 		SkewMS float64 `json:"skew_ms"` // maximum difference between two hosts' times of day, in milliseconds
 	} `json:"params"`
@@ -105,7 +105,7 @@
 // Sockets divides the limit of file descriptors and returns the number for inbound connections of users and workers
 // and the number for connections to workers, over which commands are delivered. The other sockets are reserved.
 func (s *Settings) Sockets() (inbound, deliveries int) {
-	available := s.Params.Limits.Sockets - s.reservedSockets()
+	available := s.Params.Limits.FileDescriptors - s.reservedSockets()
 	return max(minInboundSockets, available*(deliveryDivisor-1)/deliveryDivisor), max(minDeliverySockets, available/deliveryDivisor)
 }
 
@@ -121,8 +121,8 @@
 // assumeLimits fills in the limits that are not given and adds a message for each to Assumed.
 func (s *Settings) assumeLimits() {
 	limits := &s.Params.Limits
-	if limits.Sockets == 0 {
-		limits.Sockets = assumedSockets
+	if limits.FileDescriptors == 0 {
+		limits.FileDescriptors = assumedSockets
 		s.Assumed = append(s.Assumed, fmt.Sprintf("params.machine_limits.fd_limit is not given: %d are assumed", assumedSockets))
 	}
 	if limits.MemoryMB == 0 {
@@ -204,7 +204,7 @@
 		"listen":         s.Listen,
 		"cluster_listen": s.PeerListen,
 		"services.cloud": s.Services.Cloud,
-		"services.state": s.Services.State,
+		"services.state": s.Services.Store,
 	}
 	for i, p := range s.Peers {
 		addresses[fmt.Sprintf("others[%d].addr", i)] = p.Addr
@@ -223,7 +223,7 @@
 	for field, v := range map[string]float64{
 		"core_share": limits.CoreShare,
 		"memory_mb":  limits.MemoryMB,
-		"fd_limit":   float64(limits.Sockets),
+		"fd_limit":   float64(limits.FileDescriptors),
 	} {
 		if v < 0 {
 			return fmt.Errorf("field params.machine_limits.%s must not be below 0", field)
@@ -240,10 +240,10 @@
 		"params.workers.report_s": params.Workers.ReportS,
 		"params.workers.lease_s":  params.Workers.LeaseS,
 		"params.workers.cancel_s": params.Workers.CancelS,
-		"params.state.rps":        params.State.RPS,
-		"params.state.write_rps":  params.State.WriteRPS,
-		"params.state.value_kb":   params.State.ValueKB,
-		"params.state.txn_ops":    float64(params.State.TxnOps),
+		"params.state.rps":        params.Store.RPS,
+		"params.state.write_rps":  params.Store.WriteRPS,
+		"params.state.value_kb":   params.Store.ValueKB,
+		"params.state.txn_ops":    float64(params.Store.TxnOps),
 		"params.cloud.rps":        params.Cloud.RPS,
 	} {
 		if !(v > 0) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -77,7 +77,7 @@
 func TestSocketsAreDividedWithinLimit(t *testing.T) {
 	for limit, minInbound := range map[int]int{2993: 1800 + 600, 4190: 1800, 1200: 800} {
 		s := Settings{}
-		s.Params.Count, s.Params.Limits.Sockets = 3, limit
+		s.Params.Count, s.Params.Limits.FileDescriptors = 3, limit
 		in, deliveries := s.Sockets()
 		require.LessOrEqual(t, in+deliveries+24, limit)
 		require.GreaterOrEqual(t, in, minInbound)
--- a/internal/config/degradation.go
+++ b/internal/config/degradation.go
@@ -17,7 +17,7 @@
 func (s *Settings) Degradations() []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	state, limits := &s.Params.State, &s.Params.Limits
+	state, limits := &s.Params.Store, &s.Params.Limits
 	if state.TxnOps < minTxnOps {
 		add("params.state.txn_ops is %d: ends of jobs stay in their own records, which are read at every start", state.TxnOps)
 	}
@@ -32,9 +32,9 @@
 			"take-overs and submissions are slow", requests, writes)
 	}
 	inbound, deliveries := s.Sockets()
-	if inbound+deliveries+s.reservedSockets() > limits.Sockets {
+	if inbound+deliveries+s.reservedSockets() > limits.FileDescriptors {
 		add("params.machine_limits.fd_limit is %d: fewer than the peers, the services and %d other connections take",
-			limits.Sockets, inbound+deliveries)
+			limits.FileDescriptors, inbound+deliveries)
 	}
 	if limits.MemoryMB < minMemoryMB {
 		add("params.machine_limits.memory_mb is %g: the collector runs often, long requests are cut off", limits.MemoryMB)
--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -33,7 +33,7 @@
 	if inbound, _ := s.Sockets(); inbound < workersPerController {
 		out = append(out, fmt.Sprintf("params.machine_limits.fd_limit is %d: "+
 			"of the %d workers that report to each controller %d keep their connections",
-			p.Limits.Sockets, workersPerController, inbound))
+			p.Limits.FileDescriptors, workersPerController, inbound))
 	}
 	if neededMB := float64(machines) * machineBytes / (1 << 20); neededMB > maxLiveShare*p.Limits.MemoryMB {
 		out = append(out, fmt.Sprintf("params.machine_limits.memory_mb is %g: %d machines take %.0f of it, the collector runs often",
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -10,9 +10,9 @@
 func TestInsufficientSettingsForLargeFleetAreReportedOneByOne(t *testing.T) {
 	s := &Settings{}
 	s.Params.Count = 5
-	s.Params.Limits.Sockets, s.Params.Limits.MemoryMB, s.Params.Cloud.RPS = 1200, 120, 3
+	s.Params.Limits.FileDescriptors, s.Params.Limits.MemoryMB, s.Params.Cloud.RPS = 1200, 120, 3
 	require.Empty(t, s.Insufficient(LargeFleet))
-	s.Params.Limits.Sockets = 800
+	s.Params.Limits.FileDescriptors = 800
 	require.Len(t, s.Insufficient(LargeFleet), 1)
 	require.Contains(t, s.Insufficient(LargeFleet)[0], "fd_limit is 800: of the 800 workers")
 	s.Params.Limits.MemoryMB, s.Params.Cloud.RPS = 81, 1
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -148,7 +148,7 @@
 		t:                     t,
 		options:               options.withDefaults(),
 		store:                 fakes.NewKVStore(),
-		clock:                 clock.NewSteady(),
+		clock:                 clock.NewMonotonic(),
 		reportsTo:             map[string]string{},
 		pinnedTo:              map[string]string{},
 		hungWorkers:           map[string]bool{},
@@ -202,8 +202,8 @@
 	p.Teams = o.teams
 	p.Workers.LeaseS = workerLease.Seconds()
 	p.Workers.ReportS = o.heartbeatS
-	p.State.TxnOps = o.txnOps
-	p.State.ValueKB = o.valueKB
+	p.Store.TxnOps = o.txnOps
+	p.Store.ValueKB = o.valueKB
 	p.Cloud.RPS = 1
 	for _, zone := range o.hostZones {
 		if !slices.Contains(p.Zones, zone) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,7 +92,7 @@
 	for _, other := range settings.Peers {
 		peers[other.Host] = peer.NewClient(other.Addr, reporter.Traffic(telemetry.Peers))
 	}
-	client := kvstore.NewClient(settings.Services.State, p.State.RPS, p.State.WriteRPS, p.Count, maxResponseBytes(p.Limits.MemoryMB))
+	client := kvstore.NewClient(settings.Services.Store, p.Store.RPS, p.Store.WriteRPS, p.Count, maxResponseBytes(p.Limits.MemoryMB))
 	client.CountTraffic(reporter.Traffic(telemetry.StateService))
 	priority := kvstore.PriorityClient{Client: client}
 	return assemble(&wiring{
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -39,7 +39,7 @@
 		zoneOf[other.Host] = other.Zone
 	}
 	slices.Sort(l.hosts)
-	for i := range min(partitionsPerController*p.Count, scheduler.MaxPartitions(p.State.TxnOps)) {
+	for i := range min(partitionsPerController*p.Count, scheduler.MaxPartitions(p.Store.TxnOps)) {
 		l.partitionDuties = append(l.partitionDuties, partition.Duty(i))
 		l.partitionZones = append(l.partitionZones, zoneOf[leaderelection.PreferredLeader(l.hosts, i, 0)])
 	}
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -29,7 +29,7 @@
 	// overdueHeartbeats is the number of heartbeat intervals, plus one second of tolerance, after which a machine without
 	// an answered heartbeat is overdue and gets no new tasks.
 	overdueHeartbeats = 2.5
-	// shareOpenMultiple is how many times as long as ShareWithhold a machine is open to every team, after its free resources
+	// shareOpenMultiple is how many times as long as ShareWithholdFor a machine is open to every team, after its free resources
 	// were withheld for a team that did not take them.
 	shareOpenMultiple = 5
 	// maxZoneReturnAfter bounds how long a zone must be reachable before work returns to it. That time doubles each time
@@ -46,7 +46,7 @@
 
 // maxRecordBytes returns the size limit for a record, which leaves room in a value for the data that the record is wrapped in.
 func maxRecordBytes(settings *config.Settings) int {
-	return int(settings.Params.State.ValueKB * bytesPerKB * recordShare)
+	return int(settings.Params.Store.ValueKB * bytesPerKB * recordShare)
 }
 
 func leaseTiming(parameters *policy.Parameters) leaderelection.Timing {
@@ -65,7 +65,7 @@
 		Host:                 w.settings.Host,
 		Instance:             l.instanceID,
 		Partitioning:         partition.NewPartitioning(l.partitionZones),
-		TxnOps:               w.settings.Params.State.TxnOps,
+		TxnOps:               w.settings.Params.Store.TxnOps,
 		MaxRecordBytes:       maxRecordBytes(w.settings),
 		MaxWorkerConnections: workerConnections,
 		Timing:               partitionTiming(w.settings, w.parameters),
@@ -91,17 +91,17 @@
 	return partition.Timing{
 		Lease:            settings.Lease(),
 		HeartbeatOverdue: overdue,
-		RoomLeaseTTL:     parameters.RoomLeaseTTL,
-		QuarantineErrors: parameters.QuarantineErrors,
+		RoomLeaseTTL:     parameters.ResourceLeaseTTL,
+		QuarantineErrors: parameters.QuarantineFailedJobs,
 	}
 }
 
 func fairShareSettings(parameters *policy.Parameters) fairshare.Settings {
 	return fairshare.Settings{
 		Weights:      parameters.TeamWeights,
-		MaxDemandAge: parameters.ShareFresh,
-		WithholdFor:  parameters.ShareWithhold,
-		OpenFor:      shareOpenMultiple * parameters.ShareWithhold,
+		MaxDemandAge: parameters.ShareMaxDemandAge,
+		WithholdFor:  parameters.ShareWithholdFor,
+		OpenFor:      shareOpenMultiple * parameters.ShareWithholdFor,
 	}
 }
 
@@ -121,9 +121,9 @@
 		Teams:           l.teams,
 		PartitionDuties: l.partitionDuties,
 		Partitions:      c.partitionClients(),
-		TxnOps:          w.settings.Params.State.TxnOps,
+		TxnOps:          w.settings.Params.Store.TxnOps,
 		MaxRecordBytes:  maxRecordBytes(w.settings),
-		ProgressEvery:   w.parameters.ProgressEvery,
+		ProgressEvery:   w.parameters.ProgressInterval,
 		FairShares:      w.parameters.FairShares,
 		Elections:       c.elector,
 		Store:           w.store,
@@ -138,12 +138,12 @@
 func schedulerTiming(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) scheduler.Timing {
 	objectives := settings.Params.Objectives
 	return scheduler.Timing{
-		Stages:       parameters.Stages(log),
+		Stages:       parameters.StageHook(log),
 		Costs:        placementCosts(parameters),
 		Moves:        moveSettings(settings, parameters, log),
 		Lease:        settings.Lease(),
-		Sample:       parameters.Sample,
-		Batch:        parameters.Batch,
+		Sample:       parameters.SampleSize,
+		Batch:        parameters.BaseAssignmentsPerCycle,
 		PreemptAfter: parameters.PreemptAfter,
 		Economy:      parameters.Economy,
 		Waits:        shortestByClass(objectives, objectiveWait),
@@ -167,7 +167,7 @@
 	if !parameters.Moves {
 		return nil
 	}
-	return &scheduler.Moves{Veto: parameters.Veto(log), Limits: rebalance.Limits{
+	return &scheduler.Moves{Veto: parameters.VetoHook(log), Limits: rebalance.Limits{
 		Margin:     parameters.MoveMargin,
 		CoolDown:   parameters.MoveCoolDown,
 		PerTeam:    parameters.TeamMoves,
@@ -185,7 +185,7 @@
 		Jobs:           c.jobs,
 		Limits:         l.limits,
 		StartWithin:    shortestByClass(p.Objectives, objectiveWait),
-		MaxRecordBytes: int(p.State.ValueKB * bytesPerKB),
+		MaxRecordBytes: int(p.Store.ValueKB * bytesPerKB),
 		WallClock:      time.Now,
 		Log:            w.log,
 	}
@@ -217,8 +217,8 @@
 		SpareShare:       parameters.SpareShare,
 		IdleScaleInDelay: parameters.IdleScaleInDelay,
 		BootPatience:     parameters.BootPatience,
-		CatchupSpot:      parameters.Catchup,
-		CatchupOnDemand:  parameters.CatchupOrdinary,
+		CatchupSpot:      parameters.CatchupSpot,
+		CatchupOnDemand:  parameters.CatchupOnDemand,
 	}
 }
 
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -38,7 +38,7 @@
 // query; then the partition server; then the scheduler, which calls the partition server; last the API handler and the
 // autoscaler, which call the controller itself.
 func assemble(w *wiring) *Controller {
-	monotonic, l := clock.NewSteady(), newLayout(w.settings)
+	monotonic, l := clock.NewMonotonic(), newLayout(w.settings)
 	c := &Controller{
 		settings:           w.settings,
 		log:                w.log,
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -50,22 +50,22 @@
 	line("resign_after_s", parameters.ResignAfter)
 	line("hold_grace_s", parameters.TakeoverGrace)
 	line("hand_over_s", parameters.TransferDelay)
-	line("sample", parameters.Sample)
-	line("batch", parameters.Batch)
-	line("lease_ttl_s", parameters.RoomLeaseTTL)
-	line("progress_every_s", parameters.ProgressEvery)
+	line("sample", parameters.SampleSize)
+	line("batch", parameters.BaseAssignmentsPerCycle)
+	line("lease_ttl_s", parameters.ResourceLeaseTTL)
+	line("progress_every_s", parameters.ProgressInterval)
 	line("preempt_after_s", parameters.PreemptAfter)
 	line("idle_return_s", parameters.IdleScaleInDelay)
-	line("catchup_s", parameters.Catchup)
-	line("catchup_ordinary_s", parameters.CatchupOrdinary)
+	line("catchup_s", parameters.CatchupSpot)
+	line("catchup_ordinary_s", parameters.CatchupOnDemand)
 	line("spare_share", parameters.SpareShare)
 	line("boot_patience", parameters.BootPatience)
 	line("rental_backoff_s", parameters.ScaleOutBackoff)
-	line("sick_errors", parameters.QuarantineErrors)
+	line("sick_errors", parameters.QuarantineFailedJobs)
 	line("fair_shares", parameters.FairShares)
 	line("team_weights", parameters.TeamWeights) // fmt prints a map in the order of its keys
-	line("share_fresh_s", parameters.ShareFresh)
-	line("share_withhold_s", parameters.ShareWithhold)
+	line("share_fresh_s", parameters.ShareMaxDemandAge)
+	line("share_withhold_s", parameters.ShareWithholdFor)
 	line("placement_costs", parameters.PlacementCosts)
 	line("data_weight", parameters.DataWeight)
 	line("even_weight_s", parameters.EvenWeight)
@@ -142,7 +142,7 @@
 func TestPolicyScriptReadsPredeclaredNames(t *testing.T) {
 	parameters, err := policy.Parse("sample = 100 + controllers + (50 if economy else 0)", fullSettings(t))
 	require.NoError(t, err)
-	require.Equal(t, 104, parameters.Sample)
+	require.Equal(t, 104, parameters.SampleSize)
 }
 
 // Operators' scripts may set a parameter to either of its bounds. A narrower bound would reject such a script, and a
@@ -218,15 +218,15 @@
 `
 	parameters, err := policy.Parse(equal, fullSettings(t))
 	require.NoError(t, err)
-	require.False(t, parameters.Veto(discardLogger())(move))
+	require.False(t, parameters.VetoHook(discardLogger())(move))
 	for _, other := range []string{"veto_move = lambda m: True", "veto_move = lambda m: 1", "veto_move = lambda m: m.absent"} {
 		parameters, err = policy.Parse(other, fullSettings(t))
 		require.NoError(t, err)
-		require.True(t, parameters.Veto(discardLogger())(move), other)
+		require.True(t, parameters.VetoHook(discardLogger())(move), other)
 	}
 	parameters, err = policy.Parse("", fullSettings(t))
 	require.NoError(t, err)
-	require.Nil(t, parameters.Veto(discardLogger()))
+	require.Nil(t, parameters.VetoHook(discardLogger()))
 }
 
 // Operators' recovery_stage hooks read these attributes of a job and return the name of a stage. For a name that is
@@ -245,7 +245,7 @@
 	for _, name := range []string{"urgent", "services", "cold"} {
 		parameters, err := policy.Parse(fmt.Sprintf(equal, name), fullSettings(t))
 		require.NoError(t, err)
-		require.Equal(t, name, parameters.Stages(discardLogger())(job).String())
+		require.Equal(t, name, parameters.StageHook(discardLogger())(job).String())
 	}
 	for _, answer := range []string{"urgent", "services", "cold", "soon"} { // by its priority, the job's default stage is "cold"
 		job := jobs.New(jobs.Record{Job: wire.Job{ID: "job-8", Team: "red", Class: "train", Priority: "idle", Tasks: 1}}, 1)
@@ -255,7 +255,7 @@
 		if answer == "soon" {
 			want = "cold" // the default stage for the job's priority
 		}
-		require.Equal(t, want, parameters.Stages(discardLogger())(job).String())
+		require.Equal(t, want, parameters.StageHook(discardLogger())(job).String())
 	}
 }
 
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -123,7 +123,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			store.KVClient = &fakes.KVClient{KVStore: fakes.NewKVStore()}
-			e := NewElector(NewElection("a", []string{"a"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+			e := NewElector(NewElection("a", []string{"a"}, duties, 2), store, clock.NewMonotonic(), timing, discardLog)
 			err := e.register(t.Context())
 			require.ErrorIs(t, err, cause)
 			require.ErrorContains(t, err, want)
@@ -137,7 +137,7 @@
 func TestPassWithoutIncarnationKeepsResignedName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		e := NewElector(NewElection("a", []string{"a", "b"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+		e := NewElector(NewElection("a", []string{"a", "b"}, duties, 2), store, clock.NewMonotonic(), timing, discardLog)
 		require.NoError(t, e.register(t.Context()))
 		incarnation, _ := e.election.Incarnation()
 		time.Sleep(timing.ResignAfter.Duration() + time.Second)
--- a/internal/leaderelection/helpers_test.go
+++ b/internal/leaderelection/helpers_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	store := &fakes.KVClient{KVStore: kv}
-	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, log)
+	e := NewElector(NewElection(controller, []string{"a", "b", "c"}, duties, 2), store, clock.NewMonotonic(), timing, log)
 	r := kvstore.NewReplica(store, e.Apply, discardLog)
 	go e.Run(ctx)                      //nolint:errcheck // ends with the context
 	go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
--- a/internal/leaderelection/lease_scenario_test.go
+++ b/internal/leaderelection/lease_scenario_test.go
@@ -19,7 +19,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		store := slowStore{&fakes.KVClient{KVStore: fakes.NewKVStore()}, 2 * time.Second}
-		e := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+		e := NewElector(NewElection("a", []string{"a", "b", "c"}, duties, 2), store, clock.NewMonotonic(), timing, discardLog)
 		r := kvstore.NewReplica(store, e.Apply, discardLog)
 		go e.Run(ctx)                      //nolint:errcheck // ends with the context
 		go r.Run(ctx, make(chan struct{})) //nolint:errcheck // ends with the context
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -205,7 +205,7 @@
 	s := &config.Settings{Host: host, Zone: c.zoneOf(host), Listen: c.controllers[host], PeerListen: clusterAddrs[host]}
 	c.kvClients[host] = &fakes.KVClient{KVStore: c.kvStore}
 	var err error
-	if s.Services.State, err = serve((&kvStoreServer{c.kvClients[host]}).handler()); err != nil {
+	if s.Services.Store, err = serve((&kvStoreServer{c.kvClients[host]}).handler()); err != nil {
 		return nil, err
 	}
 	for _, other := range c.hosts {
@@ -222,9 +222,9 @@
 	p := &s.Params
 	p.Count, p.Zones, p.Teams = len(c.hosts), c.allZones(), c.Teams
 	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = heartbeatInterval.Seconds(), workerLeaseS, workerCancelS
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = storeRPS, storeWriteRPS, storeValueKB, storeTxnOps
+	p.Store.RPS, p.Store.WriteRPS, p.Store.ValueKB, p.Store.TxnOps = storeRPS, storeWriteRPS, storeValueKB, storeTxnOps
 	p.Cloud.RPS, p.Cloud.ListLagS = cloudRPS, cloudListLagS
-	p.Limits.CoreShare, p.Limits.MemoryMB, p.Limits.Sockets = machineCores, machineMemoryMB, machineSockets
+	p.Limits.CoreShare, p.Limits.MemoryMB, p.Limits.FileDescriptors = machineCores, machineMemoryMB, machineSockets
 	p.SkewMS = clockSkewMS
 	return s, nil
 }
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -42,7 +42,7 @@
 // newFleet returns the shared state for the workers of three controllers. It has no workers yet.
 func newFleet(runFor time.Duration, taskDone func(task string)) *fleet {
 	return &fleet{
-		clock:       clock.NewSteady(),
+		clock:       clock.NewMonotonic(),
 		runFor:      runFor,
 		hosts:       []string{"a", "b", "c"},
 		controllers: map[string]string{},
--- a/internal/partition/loaded_server_test.go
+++ b/internal/partition/loaded_server_test.go
@@ -50,7 +50,7 @@
 		Timing:               Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2},
 		Jobs:                 newFakeJobLookup(spec),
 		Elections:            allLeaderships{},
-		Clock:                clock.NewSteady(),
+		Clock:                clock.NewMonotonic(),
 		WallClock:            time.Now,
 		Log:                  slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -73,10 +73,10 @@
 	errUnknownStage = errors.New("the answer must be urgent, services or cold")
 )
 
-// Veto returns a function that asks the script's veto hook whether a move must not be made, or nil if the script
+// VetoHook returns a function that asks the script's veto hook whether a move must not be made, or nil if the script
 // defines no such hook. When the hook fails or takes too many steps, the function logs the error and vetoes the
 // move, since a mistake in the script must not stop the service.
-func (p *Parameters) Veto(log *slog.Logger) func(rebalance.Record) bool {
+func (p *Parameters) VetoHook(log *slog.Logger) func(rebalance.Record) bool {
 	if p.vetoHook == nil {
 		return nil
 	}
@@ -108,10 +108,10 @@
 	return bool(answer), nil
 }
 
-// Stages returns a function that asks the script's stage hook for the stage that admits a job, or nil if the script
+// StageHook returns a function that asks the script's stage hook for the stage that admits a job, or nil if the script
 // defines no such hook. When the hook fails, the function logs the error and returns the default stage for the
 // job's priority and deadline.
-func (p *Parameters) Stages(log *slog.Logger) func(*jobs.Job) recovery.Stage {
+func (p *Parameters) StageHook(log *slog.Logger) func(*jobs.Job) recovery.Stage {
 	if p.stageHook == nil {
 		return nil
 	}
--- a/internal/policy/hooks_test.go
+++ b/internal/policy/hooks_test.go
@@ -42,7 +42,7 @@
 			p, err := Parse(test.script, settings())
 			require.NoError(t, err)
 			var out bytes.Buffer
-			require.Equal(t, test.veto, p.Veto(slog.New(slog.NewTextHandler(&out, nil)))(sampleMove))
+			require.Equal(t, test.veto, p.VetoHook(slog.New(slog.NewTextHandler(&out, nil)))(sampleMove))
 			if test.logged == "" {
 				require.Empty(t, out.String())
 			} else {
@@ -52,7 +52,7 @@
 	}
 	p, err := Parse("", settings())
 	require.NoError(t, err)
-	require.Nil(t, p.Veto(nil), "without a hook there is no function to call")
+	require.Nil(t, p.VetoHook(nil), "without a hook there is no function to call")
 }
 
 // The stage hook chooses the stage of a zone's return that admits a job. A hook that fails or returns no valid stage must
@@ -72,10 +72,10 @@
 		p, err := Parse(test.script, settings())
 		require.NoError(t, err)
 		var out bytes.Buffer
-		require.Equal(t, test.stage, p.Stages(slog.New(slog.NewTextHandler(&out, nil)))(urgent), test.script)
+		require.Equal(t, test.stage, p.StageHook(slog.New(slog.NewTextHandler(&out, nil)))(urgent), test.script)
 		require.Contains(t, out.String(), test.logged)
 	}
 	p, err := Parse("", settings())
 	require.NoError(t, err)
-	require.Nil(t, p.Stages(nil))
+	require.Nil(t, p.StageHook(nil))
 }
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -51,12 +51,12 @@
 
 // SchedulingParameters has the sizes and times that schedulers and partition leaders use.
 type SchedulingParameters struct {
-	Sample           int          // machines drawn as candidates for each task
-	Batch            int          // tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
-	RoomLeaseTTL     clock.Micros // lease_ttl_s: time after which an unused resource lease expires
-	ProgressEvery    clock.Micros
-	PreemptAfter     clock.Micros
-	QuarantineErrors int // sick_errors: number of jobs that fail on a machine in a row before it is quarantined
+	SampleSize              int          // sample: machines drawn as candidates for each task
+	BaseAssignmentsPerCycle int          // batch: tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
+	ResourceLeaseTTL        clock.Micros // lease_ttl_s: time after which an unused resource lease expires
+	ProgressInterval        clock.Micros // progress_every_s
+	PreemptAfter            clock.Micros
+	QuarantineFailedJobs    int // sick_errors: number of jobs that fail on a machine in a row before it is quarantined
 }
 
 // ScalingParameters controls scale-out and scale-in.
@@ -64,18 +64,18 @@
 	Economy          bool         // rent no more machines than needed to finish waiting work in time; set by the function Economy
 	IdleScaleInDelay clock.Micros // idle_return_s
 	ScaleOutBackoff  clock.Micros // rental_backoff_s
-	Catchup          clock.Micros
-	CatchupOrdinary  clock.Micros
+	CatchupSpot      clock.Micros // catchup_s
+	CatchupOnDemand  clock.Micros // catchup_ordinary_s
 	SpareShare       float64
 	BootPatience     float64 // multiple of a machine's boot time
 }
 
 // ShareParameters controls fair shares.
 type ShareParameters struct {
-	FairShares    bool // partition leaders divide contended resources among teams
-	ShareFresh    clock.Micros
-	ShareWithhold clock.Micros
-	TeamWeights   map[string]float64
+	FairShares        bool         // partition leaders divide contended resources among teams
+	ShareMaxDemandAge clock.Micros // share_fresh_s
+	ShareWithholdFor  clock.Micros // share_withhold_s
+	TeamWeights       map[string]float64
 }
 
 // CostParameters controls placement by costs.
--- a/internal/policy/parameters_test.go
+++ b/internal/policy/parameters_test.go
@@ -47,8 +47,8 @@
 func TestScriptOverridesDefaultsAndMistakesAreRejected(t *testing.T) {
 	p, err := Parse("_x = 4\nsample = _x * 2\nif economy:\n    batch = 7\n", settings("deadline"))
 	require.NoError(t, err)
-	require.Equal(t, 8, p.Sample)
-	require.Equal(t, 7, p.Batch)
+	require.Equal(t, 8, p.SampleSize)
+	require.Equal(t, 7, p.BaseAssignmentsPerCycle)
 	require.Equal(t, 24*clock.Second, p.LeaderLeaseTTL)
 	for script, want := range map[string]string{
 		"sampel = 3":                          "sampel",
--- a/internal/policy/specification.go
+++ b/internal/policy/specification.go
@@ -26,21 +26,21 @@
 	{"hold_grace_s", 0, 60, func(p *Parameters, v float64) { p.TakeoverGrace = clock.FromSeconds(v) }},
 	{"hand_over_s", 0, 86400, func(p *Parameters, v float64) { p.TransferDelay = clock.FromSeconds(v) }},
 	// Scheduling.
-	{"sample", 1, 1000, func(p *Parameters, v float64) { p.Sample = int(v) }},
-	{"batch", 1, 10000, func(p *Parameters, v float64) { p.Batch = int(v) }},
-	{"lease_ttl_s", 1, 600, func(p *Parameters, v float64) { p.RoomLeaseTTL = clock.FromSeconds(v) }},
-	{"progress_every_s", 0.1, 60, func(p *Parameters, v float64) { p.ProgressEvery = clock.FromSeconds(v) }},
+	{"sample", 1, 1000, func(p *Parameters, v float64) { p.SampleSize = int(v) }},
+	{"batch", 1, 10000, func(p *Parameters, v float64) { p.BaseAssignmentsPerCycle = int(v) }},
+	{"lease_ttl_s", 1, 600, func(p *Parameters, v float64) { p.ResourceLeaseTTL = clock.FromSeconds(v) }},
+	{"progress_every_s", 0.1, 60, func(p *Parameters, v float64) { p.ProgressInterval = clock.FromSeconds(v) }},
 	{"preempt_after_s", 0, 3600, func(p *Parameters, v float64) { p.PreemptAfter = clock.FromSeconds(v) }},
 	// Autoscaling.
 	{"idle_return_s", 0, 86400, func(p *Parameters, v float64) { p.IdleScaleInDelay = clock.FromSeconds(v) }},
 	{"spare_share", 0, 10, func(p *Parameters, v float64) { p.SpareShare = v }},
 	{"boot_patience", 1, 100, func(p *Parameters, v float64) { p.BootPatience = v }},
-	{"catchup_s", 1, 3600, func(p *Parameters, v float64) { p.Catchup = clock.FromSeconds(v) }},
-	{"catchup_ordinary_s", 1, 3600, func(p *Parameters, v float64) { p.CatchupOrdinary = clock.FromSeconds(v) }},
+	{"catchup_s", 1, 3600, func(p *Parameters, v float64) { p.CatchupSpot = clock.FromSeconds(v) }},
+	{"catchup_ordinary_s", 1, 3600, func(p *Parameters, v float64) { p.CatchupOnDemand = clock.FromSeconds(v) }},
 	{"rental_backoff_s", 0, 3600, func(p *Parameters, v float64) { p.ScaleOutBackoff = clock.FromSeconds(v) }},
 	// Fair shares.
-	{"share_fresh_s", 1.5, 60, func(p *Parameters, v float64) { p.ShareFresh = clock.FromSeconds(v) }},
-	{"share_withhold_s", 0, 30, func(p *Parameters, v float64) { p.ShareWithhold = clock.FromSeconds(v) }},
+	{"share_fresh_s", 1.5, 60, func(p *Parameters, v float64) { p.ShareMaxDemandAge = clock.FromSeconds(v) }},
+	{"share_withhold_s", 0, 30, func(p *Parameters, v float64) { p.ShareWithholdFor = clock.FromSeconds(v) }},
 	// Placement costs.
 	{"data_weight", 0, 100, func(p *Parameters, v float64) { p.DataWeight = v }},
 	{"even_weight_s", 0, 3600, func(p *Parameters, v float64) { p.EvenWeight = v }},
@@ -55,7 +55,7 @@
 	{"zone_suspect_s", 1, 600, func(p *Parameters, v float64) { p.ZoneSuspectAfter = clock.FromSeconds(v) }},
 	{"zone_lost_s", 1, 600, func(p *Parameters, v float64) { p.ZoneLostAfter = clock.FromSeconds(v) }},
 	{"zone_back_s", 0, 600, func(p *Parameters, v float64) { p.ZoneReturnAfter = clock.FromSeconds(v) }},
-	{"sick_errors", 1, 1000, func(p *Parameters, v float64) { p.QuarantineErrors = int(v) }},
+	{"sick_errors", 1, 1000, func(p *Parameters, v float64) { p.QuarantineFailedJobs = int(v) }},
 }
 
 // flagSpec specifies a parameter that is True or False.
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -64,7 +64,7 @@
 
 	// The records are applied through a server as well.
 	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: "red"}}, Seed: 1, WallMS: func() int64 { return 0 }})
-	server := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewSteady(), Log: slog.New(slog.DiscardHandler)})
+	server := New(scheduler, Options{Jobs: jobs.NewCache(), Clock: clock.NewMonotonic(), Log: slog.New(slog.DiscardHandler)})
 	server.Apply([]kvstore.Event{
 		{Key: "ml/p/job-1/3.64", Value: []byte(lines[0]), ModRevision: 5},
 		{Key: "ml/w/red/0", Value: []byte(lines[1]), ModRevision: 6},
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -63,7 +63,7 @@
 	server := New(scheduler, Options{
 		TxnOps: 12, MaxRecordBytes: 4000,
 		Elections: alwaysLeading{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: rev}},
-		Store:     store, PriorityStore: store, Jobs: jobs.NewCache(), Clock: clock.NewSteady(),
+		Store:     store, PriorityStore: store, Jobs: jobs.NewCache(), Clock: clock.NewMonotonic(),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	return &serverFixture{server, t, kv}
