--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -98,7 +98,7 @@
 		WallClock:      func() time.Time { return time.UnixMilli(f.nowMS) },
 		Log:            slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	f.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
+	f.SetMachineTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	return f
 }
 
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -78,7 +78,7 @@
 	Log            *slog.Logger
 }
 
-// New returns a Handler. It accepts no jobs until SetTypes is called, since it could not check whether their tasks
+// New returns a Handler. It accepts no jobs until SetMachineTypes is called, since it could not check whether their tasks
 // fit any machine.
 func New(o Options) *Handler {
 	return &Handler{
@@ -94,14 +94,14 @@
 	}
 }
 
-// SetTypes sets the machine types of the catalog.
-func (h *Handler) SetTypes(types []wire.MachineType) {
+// SetMachineTypes sets the machine types of the catalog.
+func (h *Handler) SetMachineTypes(types []wire.MachineType) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.machineTypes = types
 }
 
-// KnowsMachineTypes reports whether SetTypes was called with a machine type.
+// KnowsMachineTypes reports whether SetMachineTypes was called with a machine type.
 func (h *Handler) KnowsMachineTypes() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -57,7 +57,7 @@
 		return nil, nil, err
 	}
 	if found {
-		if end, ended := record.End(); ended {
+		if end, ended := record.FinalState(); ended {
 			h.jobs.AddFinal(id, end)
 			return &end, nil, nil
 		}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -69,25 +69,25 @@
 // must end soon, and those that are cancelled immediately must end as cancelled.
 func TestSingleTaskJobsCancelledInBurstsAllEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &burstUsers{cluster: newSettledCluster(t, 6), responses: make(chan cancelResponse, 100)}
-		u.began = time.Now()
-		u.runForEach(120*time.Second, time.Second, u.act)
-		u.runFor(15*time.Second, time.Second)
-		require.GreaterOrEqual(t, u.submitted, 470, "fewer than four jobs a second")
-		require.Greater(t, u.occurrenceCount(occurrenceCancelledUnstarted), 40)
+		users := &burstUsers{cluster: newSettledCluster(t, 6), responses: make(chan cancelResponse, 100)}
+		users.began = time.Now()
+		users.runForEach(120*time.Second, time.Second, users.act)
+		users.runFor(15*time.Second, time.Second)
+		require.GreaterOrEqual(t, users.submitted, 470, "fewer than four jobs a second")
+		require.Greater(t, users.occurrenceCount(occurrenceCancelledUnstarted), 40)
 		cancelled := 0
-		for i := range u.submitted {
+		for i := range users.submitted {
 			id := jobName(i)
 			for _, h := range hosts {
-				require.Contains(t, []string{wire.Done, wire.Cancelled}, u.queryJob(h, id), id)
+				require.Contains(t, []string{wire.Done, wire.Cancelled}, users.queryJob(h, id), id)
 			}
 			if cancelledConcurrently(i) {
-				require.Equal(t, wire.Cancelled, u.finalAnswers[id], id)
+				require.Equal(t, wire.Cancelled, users.finalAnswers[id], id)
 				cancelled++
 			}
 		}
-		require.GreaterOrEqual(t, cancelled, u.submitted/8)
-		require.Zero(t, u.runningTasks())
+		require.GreaterOrEqual(t, cancelled, users.submitted/8)
+		require.Zero(t, users.runningTasks())
 	})
 }
 
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -42,8 +42,8 @@
 		fetchRates[t.Name] = t.FetchGBPS
 		capacities[t.Name] = resources.Capacity(t.CPUs, t.GPUs, t.MemGB)
 	}
-	c.partitions.SetTypes(capacities, cacheSizes)
+	c.partitions.SetMachineTypes(capacities, cacheSizes)
 	c.scheduler.SetFetchRates(fetchRates)
 	c.scheduler.SetPrices(catalog.Types)
-	c.api.SetTypes(catalog.Types)
+	c.api.SetMachineTypes(catalog.Types)
 }
--- a/internal/controller/cluster_faulty_store_test.go
+++ b/internal/controller/cluster_faulty_store_test.go
@@ -158,8 +158,8 @@
 }
 
 // CommitWithCheck refuses the transaction if sending fails, and otherwise does what Commit does.
-func (s faultyStore) CommitWithCheck(ctx context.Context, m wire.Txn, sending func() error) (uint64, error) {
-	if err := sending(); err != nil {
+func (s faultyStore) CommitWithCheck(ctx context.Context, m wire.Txn, beforeSend func() error) (uint64, error) {
+	if err := beforeSend(); err != nil {
 		return 0, fmt.Errorf("%w: %w", kvstore.ErrRefused, err)
 	}
 	return s.Commit(ctx, m)
--- a/internal/controller/cluster_store_test.go
+++ b/internal/controller/cluster_store_test.go
@@ -47,14 +47,14 @@
 
 // teamLeader returns the host of the controller that leads a team according to the key-value store.
 func (c *cluster) teamLeader(team string) string {
-	r, ok := c.leaderships()[scheduler.Duty(team)]
+	r, ok := c.leaderships()[scheduler.TeamDuty(team)]
 	require.True(c.t, ok)
 	return r.Leader
 }
 
 // unlimitedTeamTerm returns the term of the leadership of unlimitedTeam.
 func (c *cluster) unlimitedTeamTerm() uint64 {
-	return c.leaderships()[scheduler.Duty(unlimitedTeam)].Term
+	return c.leaderships()[scheduler.TeamDuty(unlimitedTeam)].Term
 }
 
 // recordedMachines returns the machines that have a record in the key-value store.
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -101,17 +101,17 @@
 // burstLoad is the cluster of one run, with the jobs that the teams submit to it.
 type burstLoad struct {
 	*cluster
-	rng     *rand.Rand                 // chooses the hosts at which jobs are submitted
-	pending map[string][]time.Duration // by team; when its next jobs are due, from the start of the load
-	jobs    map[string]*jobProgress    // by job
-	seenAt  map[string]clock.Micros    // by attemptKey; when it was first seen
+	rng             *rand.Rand                 // chooses the hosts at which jobs are submitted
+	submissionTimes map[string][]time.Duration // by team; when its next jobs are due, from the start of the load
+	jobs            map[string]*jobProgress    // by job
+	seenAt          map[string]clock.Micros    // by attemptKey; when it was first seen
 }
 
 func newBurstLoad(t *testing.T, r *burstRun) *burstLoad {
-	l := &burstLoad{rng: fakes.Rand(r.seed), pending: map[string][]time.Duration{}, jobs: map[string]*jobProgress{},
+	l := &burstLoad{rng: fakes.Rand(r.seed), submissionTimes: map[string][]time.Duration{}, jobs: map[string]*jobProgress{},
 		seenAt: map[string]clock.Micros{}}
 	for i := range teamCount {
-		l.pending[teamName(i)] = arrivals(r.seed, i, r.rate(teamName(i)))
+		l.submissionTimes[teamName(i)] = arrivals(r.seed, i, r.rate(teamName(i)))
 	}
 	l.cluster = newClusterWithOptions(t, burstWorkers, r.options())
 	return l
@@ -139,13 +139,13 @@
 func (l *burstLoad) submitDue(elapsed time.Duration) {
 	for i := range teamCount {
 		team := teamName(i)
-		for len(l.pending[team]) > 0 && l.pending[team][0] <= elapsed {
-			id := fmt.Sprintf("job-%d%05d", i, len(l.pending[team]))
+		for len(l.submissionTimes[team]) > 0 && l.submissionTimes[team][0] <= elapsed {
+			id := fmt.Sprintf("job-%d%05d", i, len(l.submissionTimes[team]))
 			if !l.submitForTeam(id, team) {
 				break
 			}
 			l.jobs[id] = &jobProgress{team: team, submitted: l.clock.Now(), done: map[string]bool{}}
-			l.pending[team] = l.pending[team][1:]
+			l.submissionTimes[team] = l.submissionTimes[team][1:]
 		}
 	}
 }
@@ -249,7 +249,7 @@
 // leadingProcess returns the host whose process considers itself the leader of a team.
 func (c *cluster) leadingProcess(t *testing.T, team string) string {
 	for _, h := range hosts {
-		if _, leading := c.process(h).elector.Leading(scheduler.Duty(team)); leading {
+		if _, leading := c.process(h).elector.Leading(scheduler.TeamDuty(team)); leading {
 			return h
 		}
 	}
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -68,7 +68,7 @@
 
 // askTeamLeader passes a request about a job to the leader of the job's team, which may be this controller.
 func (c *Controller) askTeamLeader(call jobCall, q peer.JobRequest) (peer.JobResponse, error) {
-	host, ok := c.elector.Leader(scheduler.Duty(q.Team))
+	host, ok := c.elector.Leader(scheduler.TeamDuty(q.Team))
 	if !ok {
 		return peer.JobResponse{}, fmt.Errorf("team %s: %w", q.Team, errNoTeamLeader)
 	}
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -20,9 +20,9 @@
 const partitionsPerController = 4
 
 // layout has the controllers, duties and teams that the settings define. All controllers derive the same layout from their
-// settings, except for instanceID.
+// settings, except for processID.
 type layout struct {
-	instanceID      string   // identifies this process
+	processID       string   // identifies this process
 	hosts           []string // all controllers, sorted
 	partitionDuties []string // by partition
 	partitionZones  []string // by partition; the zone of its preferred leader
@@ -32,7 +32,7 @@
 
 func newLayout(settings *config.Settings) layout {
 	p := &settings.Params
-	l := layout{instanceID: uuid.NewString(), hosts: []string{settings.Host}, limits: map[string]resources.Amounts{}}
+	l := layout{processID: uuid.NewString(), hosts: []string{settings.Host}, limits: map[string]resources.Amounts{}}
 	zoneOf := map[string]string{settings.Host: settings.Zone}
 	for _, other := range settings.Peers {
 		l.hosts = append(l.hosts, other.Host)
@@ -59,7 +59,7 @@
 func (l *layout) duties() []string {
 	out := slices.Clone(l.partitionDuties)
 	for _, t := range l.teams {
-		out = append(out, scheduler.Duty(t.Name))
+		out = append(out, scheduler.TeamDuty(t.Name))
 	}
 	return append(out, autoscaler.Duty)
 }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -62,8 +62,8 @@
 func (c *Controller) partitionOptions(w *wiring, l *layout, monotonic clock.Clock) partition.Options {
 	_, workerConnections := w.settings.Sockets()
 	o := partition.Options{
-		Host:                 w.settings.Host,
-		Instance:             l.instanceID,
+		Controller:           w.settings.Host,
+		ProcessID:            l.processID,
 		Partitioning:         partition.NewPartitioning(l.partitionZones),
 		TxnOps:               w.settings.Params.Store.TxnOps,
 		MaxRecordBytes:       maxRecordBytes(w.settings),
@@ -89,10 +89,10 @@
 func partitionTiming(settings *config.Settings, parameters *policy.Parameters) partition.Timing {
 	overdue := min(clock.FromSeconds(overdueHeartbeats*settings.Params.Workers.ReportS+1), settings.Lease()*2/3)
 	return partition.Timing{
-		Lease:            settings.Lease(),
-		HeartbeatOverdue: overdue,
-		RoomLeaseTTL:     parameters.ResourceLeaseTTL,
-		QuarantineErrors: parameters.QuarantineFailedJobs,
+		WorkerLease:          settings.Lease(),
+		HeartbeatOverdue:     overdue,
+		ResourceLeaseTTL:     parameters.ResourceLeaseTTL,
+		QuarantineFailedJobs: parameters.QuarantineFailedJobs,
 	}
 }
 
@@ -107,49 +107,49 @@
 
 func schedulerConfig(w *wiring, l *layout) scheduler.Config {
 	return scheduler.Config{
-		Timing:   schedulerTiming(w.settings, w.parameters, w.log),
-		Instance: l.instanceID,
-		Teams:    l.teams,
-		Hosts:    l.hosts,
-		Seed:     w.seed,
-		WallMS:   wallMS,
+		Parameters:  schedulerParameters(w.settings, w.parameters, w.log),
+		ProcessID:   l.processID,
+		Teams:       l.teams,
+		Hosts:       l.hosts,
+		Seed:        w.seed,
+		WallClockMS: wallClockMS,
 	}
 }
 
 func (c *Controller) schedulerOptions(w *wiring, l *layout, monotonic clock.Clock) scheduler.Options {
 	return scheduler.Options{
-		Teams:           l.teams,
-		PartitionDuties: l.partitionDuties,
-		Partitions:      c.partitionClients(),
-		TxnOps:          w.settings.Params.Store.TxnOps,
-		MaxRecordBytes:  maxRecordBytes(w.settings),
-		ProgressEvery:   w.parameters.ProgressInterval,
-		FairShares:      w.parameters.FairShares,
-		Elections:       c.elector,
-		Store:           w.store,
-		PriorityStore:   w.priorityStore,
-		Jobs:            c.jobs,
-		Clock:           monotonic,
-		Log:             w.log,
-		Telemetry:       w.telemetry,
+		Teams:            l.teams,
+		PartitionDuties:  l.partitionDuties,
+		Partitions:       c.partitionClients(),
+		MaxTxnOps:        w.settings.Params.Store.TxnOps,
+		MaxRecordBytes:   maxRecordBytes(w.settings),
+		ProgressInterval: w.parameters.ProgressInterval,
+		FairShares:       w.parameters.FairShares,
+		Elections:        c.elector,
+		Store:            w.store,
+		PriorityStore:    w.priorityStore,
+		Jobs:             c.jobs,
+		Clock:            monotonic,
+		Log:              w.log,
+		Telemetry:        w.telemetry,
 	}
 }
 
-func schedulerTiming(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) scheduler.Timing {
+func schedulerParameters(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) scheduler.Parameters {
 	objectives := settings.Params.Objectives
-	return scheduler.Timing{
-		Stages:       parameters.StageHook(log),
-		Costs:        placementCosts(parameters),
-		Moves:        moveSettings(settings, parameters, log),
-		Lease:        settings.Lease(),
-		Sample:       parameters.SampleSize,
-		Batch:        parameters.BaseAssignmentsPerCycle,
-		PreemptAfter: parameters.PreemptAfter,
-		Economy:      parameters.Economy,
-		Waits:        shortestByClass(objectives, objectiveWait),
-		Finishes:     shortestByClass(objectives, objectiveFinished),
-		Times:        deadlineMultiples(objectives),
-		Guarantee:    shortestByClass(objectives, objectiveGuarantee)[anyClass],
+	return scheduler.Parameters{
+		Stages:                  parameters.StageHook(log),
+		Costs:                   placementCosts(parameters),
+		Moves:                   moveSettings(settings, parameters, log),
+		WorkerLease:             settings.Lease(),
+		SampleSize:              parameters.SampleSize,
+		BaseAssignmentsPerCycle: parameters.BaseAssignmentsPerCycle,
+		PreemptAfter:            parameters.PreemptAfter,
+		Economy:                 parameters.Economy,
+		StartObjectives:         shortestByClass(objectives, objectiveWait),
+		FinishObjectives:        shortestByClass(objectives, objectiveFinished),
+		MaxDeadlineMultiples:    deadlineMultiples(objectives),
+		GuaranteeObjective:      shortestByClass(objectives, objectiveGuarantee)[anyClass],
 	}
 }
 
@@ -163,11 +163,11 @@
 }
 
 // moveSettings returns the limits for moving running tasks, or nil if the policy disables moves.
-func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.Moves {
+func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.MoveSettings {
 	if !parameters.Moves {
 		return nil
 	}
-	return &scheduler.Moves{Veto: parameters.VetoHook(log), Limits: rebalance.Limits{
+	return &scheduler.MoveSettings{Veto: parameters.VetoHook(log), Limits: rebalance.Limits{
 		Margin:     parameters.MoveMargin,
 		CoolDown:   parameters.MoveCoolDown,
 		PerTeam:    parameters.TeamMoves,
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -97,7 +97,7 @@
 			c.log.Debug("peer heartbeat failed", "peer", host, "error", err)
 			continue
 		}
-		c.elector.ObservePeer(out.Contact)
+		c.elector.RecordPeerContact(out.Contact)
 		c.peerStates.record(host, out, out.Contact < c.storeContactMaxAge, time.Now())
 		if out.Resigned != "" {
 			c.elector.RemoveResigned(ctx, host, out.Resigned)
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -8,18 +8,18 @@
 
 func TestReachabilityChangesAfterConsecutiveObservations(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		contradicts []bool
-		wantChanged []bool
-		wantAssumed bool // unreachable at the end
+		name            string
+		contradicts     []bool
+		wantChanged     []bool
+		wantUnreachable bool // unreachable at the end
 	}{
 		{name: "fewer than three", contradicts: []bool{true, true}, wantChanged: []bool{false, false}},
-		{name: "three", contradicts: []bool{true, true, true}, wantChanged: []bool{false, false, true}, wantAssumed: true},
+		{name: "three", contradicts: []bool{true, true, true}, wantChanged: []bool{false, false, true}, wantUnreachable: true},
 		{name: "interrupted", contradicts: []bool{true, true, false, true, true}, wantChanged: []bool{false, false, false, false, false}},
 		{name: "three, then three more", contradicts: []bool{true, true, true, true, true, true},
 			wantChanged: []bool{false, false, true, false, false, true}},
 		{name: "not back after an interruption", contradicts: []bool{true, true, true, true, true, false, true, true},
-			wantChanged: []bool{false, false, true, false, false, false, false, false}, wantAssumed: true},
+			wantChanged: []bool{false, false, true, false, false, false, false, false}, wantUnreachable: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var r reachability
@@ -28,7 +28,7 @@
 				changed = append(changed, r.observe(contradicts))
 			}
 			require.Equal(t, tc.wantChanged, changed)
-			require.Equal(t, tc.wantAssumed, r.unreachable)
+			require.Equal(t, tc.wantUnreachable, r.unreachable)
 		})
 	}
 }
--- a/internal/controller/rpc.go
+++ b/internal/controller/rpc.go
@@ -44,7 +44,7 @@
 // their heartbeats here, the number of this controller's machines, and how many of those have missed heartbeats.
 func (s *rpcService) Hello(in peer.Heartbeat, out *peer.Heartbeat) error {
 	*out = s.controller.heartbeat()
-	out.Strays = s.controller.partitions.Misdirected(in.From)
+	out.Strays = s.controller.partitions.MisdirectedCount(in.From)
 	out.Machines, out.Unheard = s.controller.partitions.MissedHeartbeats()
 	return nil
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -58,7 +58,7 @@
 	c.elector = leaderelection.NewElector(election, w.priorityStore, monotonic, leaseTiming(w.parameters), w.log)
 	c.partitions = partition.New(c.partitionOptions(w, &l, monotonic))
 	core := scheduler.NewScheduler(schedulerConfig(w, &l))
-	c.scheduler = scheduler.New(core, c.schedulerOptions(w, &l, monotonic))
+	c.scheduler = scheduler.NewServer(core, c.schedulerOptions(w, &l, monotonic))
 	c.api = api.New(c.apiOptions(w, &l))
 	c.autoscaler = autoscaler.New(c.autoscalerOptions(w, monotonic))
 	return c
@@ -88,7 +88,7 @@
 		return nil
 	}
 	entries := history.Entries(int(w.settings.Params.Limits.MemoryMB * historyShare * (1 << 20)))
-	return history.NewRing(w.settings.Host, entries, wallMS)
+	return history.NewRing(w.settings.Host, entries, wallClockMS)
 }
 
 // newJobCache creates the cache of jobs. If a history is kept, the cache adds an event to it when a job ends.
@@ -101,5 +101,5 @@
 	}))
 }
 
-// wallMS returns the wall-clock time in milliseconds since the Unix epoch.
-func wallMS() int64 { return time.Now().UnixMilli() }
+// wallClockMS returns the wall-clock time in milliseconds since the Unix epoch.
+func wallClockMS() int64 { return time.Now().UnixMilli() }
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -87,7 +87,7 @@
 		"root": kvstore.RootPrefix, "claims": kvstore.LeaderPrefix, "nodes": kvstore.ControllerPrefix, "active": kvstore.ActiveJobPrefix,
 		"final": kvstore.FinalJobPrefix, "machines": kvstore.MachinePrefix, "progress": kvstore.ProgressPrefix,
 		"watermarks": kvstore.WatermarkPrefix, "catalog": kvstore.CatalogKey, "zones": kvstore.ZonePrefix,
-		"claim of a team":            kvstore.LeaderPrefix + scheduler.Duty("team/ü 1"),
+		"claim of a team":            kvstore.LeaderPrefix + scheduler.TeamDuty("team/ü 1"),
 		"claim of a partition":       kvstore.LeaderPrefix + partition.Duty(7),
 		"claim of the fleet":         kvstore.LeaderPrefix + autoscaler.Duty,
 		"machines of group 0":        inventory.NewRecords().PlanWrites(7, inventory.Group{"m-1": {}}, nil, 1<<16)[0].Key,
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -317,7 +317,7 @@
 		fmt.Fprintf(&out, "--- %s\n%s\n", what, answer)
 	}
 	record("types not known", "POST", "", wireJob)
-	handler.SetTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
+	handler.SetMachineTypes([]wire.MachineType{{Name: "big", CPUs: 32, MemGB: 128, Zones: []string{"a"}}})
 	record("unknown job", "GET", "/job-1", "")
 	record("unknown job cancelled", "POST", "/job-1/withdraw", "")
 	record("accepted", "POST", "", wireJob)
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -74,7 +74,7 @@
 	if json.Unmarshal(e.Value, &record) != nil {
 		return
 	}
-	if f, ended := record.End(); ended {
+	if f, ended := record.FinalState(); ended {
 		delete(c.active, id)
 		c.addFinal(id, f)
 		return
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -17,8 +17,8 @@
 	EndPhase string `json:"over,omitempty"`
 }
 
-// End returns the final state of a job, and whether its record says that the job has ended.
-func (r *Record) End() (f Final, ended bool) {
+// FinalState returns the final state of a job, and whether its record says that the job has ended.
+func (r *Record) FinalState() (f Final, ended bool) {
 	return Final{Phase: r.EndPhase, Team: r.Team, Tasks: r.Tasks}, r.EndPhase != ""
 }
 
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -32,10 +32,10 @@
 
 func TestRecordWithEndPhaseHasEnded(t *testing.T) {
 	r := Record{Job: wire.Job{Team: "red", Tasks: 16}}
-	_, ended := r.End()
+	_, ended := r.FinalState()
 	require.False(t, ended)
 	r.EndPhase = wire.Done
-	f, ended := r.End()
+	f, ended := r.FinalState()
 	require.True(t, ended)
 	require.Equal(t, Final{Phase: wire.Done, Team: "red", Tasks: 16}, f)
 }
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -23,11 +23,11 @@
 	return e.clock.Now() - e.lastRenewal, e.lastResigned
 }
 
-// ObservePeer records a peer's heartbeat, which gives the age of the peer's last contact with the key-value store. If the peer
-// has contact and this process has had none for Timing.ResignAfter, this process resigns its incarnation, so that peers can
-// remove the registration and acquire the leaderships before the lease expires. They rely on the incarnation never acting
-// again.
-func (e *Elector) ObservePeer(peerContactAge clock.Micros) {
+// RecordPeerContact records a peer's heartbeat, which gives the age of the peer's last contact with the key-value store. If
+// the peer has contact and this process has had none for Timing.ResignAfter, this process resigns its incarnation, so that
+// peers can remove the registration and acquire the leaderships before the lease expires. They rely on the incarnation never
+// acting again.
+func (e *Elector) RecordPeerContact(peerContactAge clock.Micros) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
--- a/internal/leaderelection/contact_scenario_test.go
+++ b/internal/leaderelection/contact_scenario_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(10 * time.Second)
 		a.store.SetCut(true)
 		time.Sleep(6 * time.Second)
-		a.ObservePeer(0)
+		a.RecordPeerContact(0)
 		require.False(t, a.leads("one"))
 		_, resigned := a.StoreContact()
 		b.RemoveResigned(t.Context(), "a", resigned)
@@ -46,7 +46,7 @@
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			ago, _ := b.StoreContact()
-			a.ObservePeer(ago)
+			a.RecordPeerContact(ago)
 			require.True(t, a.leads("one"), "a shared outage must not end leaderships")
 		}
 		kv.SetDown(false)
@@ -66,9 +66,9 @@
 		kv.SetDown(true)
 		time.Sleep(6 * time.Second)
 		require.False(t, a.SharedOutage(), "without a peer's heartbeat the process counts as isolated")
-		a.ObservePeer(6 * clock.Second)
+		a.RecordPeerContact(6 * clock.Second)
 		require.True(t, a.SharedOutage())
-		a.ObservePeer(clock.Second)
+		a.RecordPeerContact(clock.Second)
 		require.False(t, a.SharedOutage(), "a peer has contact")
 	})
 }
--- a/internal/leaderelection/doc.go
+++ b/internal/leaderelection/doc.go
@@ -59,7 +59,7 @@
 //   - At most one controller acts on a leadership at any time ("Leadership"). A leader acts only while its lease is valid by
 //     its own monotonic clock, and no other controller can acquire the leadership before the store has dropped the leader's
 //     registration, which lasts longer than that. The one exception is a leader that resigns or transfers the leadership: it
-//     stops acting on it for good, and only then lets another acquire it (Elector.ObservePeer, Election.TransferLeadership).
+//     stops acting on it for good, and only then lets another acquire it (Elector.RecordPeerContact, Election.TransferLeadership).
 //   - A leadership takes effect only when the replica shows it, so that the new leader has applied every record written before
 //     it (5, 6, 7).
 //   - Terms grow over all leaderships, including those of duties that no longer exist. Fencing tokens (1), attempt numbers (3)
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -190,14 +190,15 @@
 	return l.Leader, true
 }
 
-// Current returns a leadership as the replica last showed it; live reports whether the incarnation that it names is registered.
-func (e *Election) Current(duty string) (l Leadership, live bool) {
+// CurrentLeadership returns a leadership as the replica last showed it; live reports whether the incarnation that it names
+// is registered.
+func (e *Election) CurrentLeadership(duty string) (l Leadership, live bool) {
 	_, live = e.Leader(duty)
 	return e.leaderships[duty], live
 }
 
-// Registered returns the registered incarnation of a controller and the registration's mod revision.
-func (e *Election) Registered(controller string) (string, uint64) {
+// RegisteredIncarnation returns the registered incarnation of a controller and the registration's mod revision.
+func (e *Election) RegisteredIncarnation(controller string) (string, uint64) {
 	r := e.registrations[controller]
 	return r.Incarnation, r.modRevision
 }
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -88,12 +88,12 @@
 	return e.election.Leader(duty)
 }
 
-// Current returns a leadership as the replica last showed it, and whether the incarnation that it names is registered. An
-// incarnation that is not registered never acts again.
-func (e *Elector) Current(duty string) (Leadership, bool) {
+// CurrentLeadership returns a leadership as the replica last showed it, and whether the incarnation that it names is
+// registered. An incarnation that is not registered never acts again.
+func (e *Elector) CurrentLeadership(duty string) (Leadership, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.election.Current(duty)
+	return e.election.CurrentLeadership(duty)
 }
 
 // LeaseValid reports whether this process may act at all.
--- a/internal/leaderelection/registration.go
+++ b/internal/leaderelection/registration.go
@@ -64,7 +64,7 @@
 // its lease expires. It does nothing if the peer has registered another incarnation since.
 func (e *Elector) RemoveResigned(ctx context.Context, peer, incarnation string) {
 	e.mu.Lock()
-	registered, modRevision := e.election.Registered(peer)
+	registered, modRevision := e.election.RegisteredIncarnation(peer)
 	e.mu.Unlock()
 	if incarnation == "" || registered != incarnation {
 		return
--- a/internal/partition/batches.go
+++ b/internal/partition/batches.go
@@ -16,7 +16,7 @@
 	handledAt clock.Micros
 }
 
-// batchResponses holds the last batch of each scheduler process, by the incarnation of the process. A repeated batch
+// batchResponses holds the last batch of each scheduler process, by the ID of the process. A repeated batch
 // gets the same response and changes nothing; a batch older than the last one is rejected.
 type batchResponses map[string]lastBatch
 
@@ -30,12 +30,12 @@
 
 // HandleBatch carries out a scheduler's batch: cancellations, stops, starts, acknowledgements and slow machines
 // first, then the assignments.
-func (s *State) HandleBatch(in peer.Batch, incarnation string, now clock.Micros) peer.BatchResponse {
+func (s *State) HandleBatch(in peer.Batch, processID string, now clock.Micros) peer.BatchResponse {
 	last := s.batches[in.From]
 	if in.Seq == last.seq && in.Seq != 0 {
 		return last.response
 	}
-	response := peer.BatchResponse{Incarnation: incarnation, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
+	response := peer.BatchResponse{Incarnation: processID, Refused: make([]bool, len(in.Asks)), Versions: make([]uint64, len(in.Asks))}
 	if in.Seq < last.seq {
 		for i := range response.Refused {
 			response.Refused[i] = true
@@ -46,7 +46,7 @@
 	s.applyCancellations(in.Cancels, in.Terms, now)
 	s.applyStops(in.Stops)
 	for i := range in.Starts {
-		s.startReservedTask(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
+		s.startHeldLease(&in.Starts[i], in.Terms[in.Starts[i].Team], now)
 	}
 	s.applyAcknowledgements(in.Settles)
 	s.quarantineSlow(in.Slow)
--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -82,7 +82,7 @@
 		if len(out) >= maxCommands {
 			return out
 		}
-		if t.state >= taskReported || t.stopping || t.reserved {
+		if t.state >= taskReported || t.stopping || t.held {
 			continue
 		}
 		if t.state == taskLeased {
--- a/internal/partition/delivery_state.go
+++ b/internal/partition/delivery_state.go
@@ -55,7 +55,7 @@
 		return true
 	}
 	for _, t := range m.tasks {
-		if t.reserved {
+		if t.held {
 			continue
 		}
 		if t.state < taskReported || t.stopping && !t.exited() && t.phase != wire.TaskCheckpointing {
@@ -158,7 +158,7 @@
 // answered. The machine gets no deliveries and no tasks for that long.
 func (s *State) handleUnannouncedRestart(m *machine, now clock.Micros) {
 	m.worker.answeredAt, m.delivery.unconfirmed = now, true
-	m.delivery.pausedUntil = now + s.timing.Lease.PlusDrift() + restartPauseMargin
+	m.delivery.pausedUntil = now + s.timing.WorkerLease.PlusDrift() + restartPauseMargin
 	s.markChanged(m)
 }
 
--- a/internal/partition/expiry.go
+++ b/internal/partition/expiry.go
@@ -34,7 +34,7 @@
 // with 200 for a whole worker lease: the worker has then killed and forgotten all of its tasks (docs/design.md,
 // "Why the rules hold", number 4).
 func (s *State) expireWorkerLease(m *machine, now clock.Micros) {
-	if m.worker.lost() || now <= m.worker.answeredAt+s.timing.Lease.PlusDrift()+silenceMargin {
+	if m.worker.lost() || now <= m.worker.answeredAt+s.timing.WorkerLease.PlusDrift()+silenceMargin {
 		return
 	}
 	m.worker.silent, m.accounted = true, m.accounted && m.worker.contacted
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -99,7 +99,7 @@
 	s.Reconcile()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	response := s.state.HandleBatch(in, s.incarnation, s.clock.Now())
+	response := s.state.HandleBatch(in, s.processID, s.clock.Now())
 	s.notifyChange()
 	return response
 }
@@ -123,12 +123,12 @@
 	s.notifyChange()
 }
 
-// SetTypes sets the capacity and the image cache size, in GB, of each machine type.
-func (s *Server) SetTypes(types map[string]resources.Amounts, caches map[string]float64) {
+// SetMachineTypes sets the capacity and the image cache size, in GB, of each machine type.
+func (s *Server) SetMachineTypes(types map[string]resources.Amounts, caches map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.SetCaches(caches)
-	s.state.SetTypes(types)
+	s.state.SetImageCacheSizes(caches)
+	s.state.SetMachineTypes(types)
 	s.notifyChange()
 }
 
--- a/internal/partition/images.go
+++ b/internal/partition/images.go
@@ -37,8 +37,8 @@
 	return used, true
 }
 
-// SetCaches sets the size of the image cache of each machine type, in GB.
-func (s *State) SetCaches(gb map[string]float64) { s.images.cacheGB = gb }
+// SetImageCacheSizes sets the size of the image cache of each machine type, in GB.
+func (s *State) SetImageCacheSizes(gb map[string]float64) { s.images.cacheGB = gb }
 
 // recordImage records that a machine has an image in its cache, or will fetch it for a task.
 func (s *State) recordImage(m *machine, image string, gb float64) {
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -6,9 +6,9 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// maxReservation is the longest time that a held lease lasts. A held lease is a resource lease that is granted for a
+// maxHeldLeaseDuration is the longest time that a held lease lasts. A held lease is a resource lease that is granted for a
 // task that is to move to the machine; the task starts only by a StartTask.
-const maxReservation = 60 * clock.Second
+const maxHeldLeaseDuration = 60 * clock.Second
 
 // decision is the outcome of an assignment.
 type decision int
@@ -26,7 +26,7 @@
 	if !s.mayAccept(m, a, term, now) {
 		return rejected
 	}
-	if a.Hold > 0 && m.hasReservation() || !s.zoneAdmits(m, a, now) {
+	if a.Hold > 0 && m.hasHeldLease() || !s.zoneAdmits(m, a, now) {
 		return rejected
 	}
 	_, leased := m.resourcesInUse()
@@ -94,8 +94,8 @@
 		need:            a.Need,
 		withinGuarantee: a.Covered,
 		addedAt:         now,
-		reserved:        a.Hold > 0,
-		reservedFor:     min(a.Hold, maxReservation),
+		held:            a.Hold > 0,
+		heldFor:         min(a.Hold, maxHeldLeaseDuration),
 	}
 	m.tasks[a.ID] = t
 	s.recordImage(m, a.Image, a.ImageGB)
@@ -105,39 +105,39 @@
 		s.arbiter.RecordAccepted(fairShareAssignment(a), m.id)
 	}
 	if gate := s.zoneGates[m.Zone]; gate != nil {
-		gate.startsUnderWay++
+		gate.startsInFlight++
 	}
 }
 
 // leaseExpiry returns when a lease expires for which no run command has been sent.
 func (s *State) leaseExpiry(t *task) clock.Micros {
-	if t.reserved {
-		return t.addedAt + t.reservedFor
+	if t.held {
+		return t.addedAt + t.heldFor
 	}
-	return t.addedAt + s.timing.RoomLeaseTTL
+	return t.addedAt + s.timing.ResourceLeaseTTL
 }
 
-// hasReservation reports whether the machine has a held lease. A machine has at most one, so that moves that several
+// hasHeldLease reports whether the machine has a held lease. A machine has at most one, so that moves that several
 // schedulers decide on at the same time do not meet on it.
-func (m *machine) hasReservation() bool {
+func (m *machine) hasHeldLease() bool {
 	for _, t := range m.tasks {
-		if t.reserved && !t.exited() {
+		if t.held && !t.exited() {
 			return true
 		}
 	}
 	return false
 }
 
-// startReservedTask turns a held lease into an ordinary one, so that the task's run command is sent. The current leader
+// startHeldLease turns a held lease into an ordinary one, so that the task's run command is sent. The current leader
 // of the task's team requests this once the task is gone from its previous machine; without the request the held lease
 // expires. The held lease is removed instead if the job has ended or the machine has become unusable.
-func (s *State) startReservedTask(start *peer.StartTask, term uint64, now clock.Micros) {
+func (s *State) startHeldLease(start *peer.StartTask, term uint64, now clock.Micros) {
 	m := s.machines[start.Machine]
 	if m == nil {
 		return
 	}
 	t := m.tasks[start.ID]
-	if t == nil || !t.reserved || t.team != start.Team {
+	if t == nil || !t.held || t.team != start.Team {
 		return
 	}
 	if !s.teamTerms.isCurrent(start.Team, term) || start.ID.Attempt>>attemptTermShift != term {
@@ -147,7 +147,7 @@
 		s.removeTask(m, t)
 		return
 	}
-	t.reserved, t.addedAt = false, now
+	t.held, t.addedAt = false, now
 	s.markTaskChanged(m, t)
 }
 
--- a/internal/partition/leases_test.go
+++ b/internal/partition/leases_test.go
@@ -64,9 +64,9 @@
 
 // A held lease takes resources of the machine for a task that is to move there. The task must not start before its
 // scheduler reports that it is gone from its previous machine, or it would run twice.
-func TestReservationStartsOnlyByStartTask(t *testing.T) {
+func TestHeldLeaseStartsOnlyByStartTask(t *testing.T) {
 	s := newFixture(t)
-	require.True(t, s.reserve(0, 1))
+	require.True(t, s.assignWithHeldLease(0, 1))
 	for range 3 {
 		s.heartbeat()
 		_, orders := s.state.NextDelivery("m-1", s.now)
@@ -83,19 +83,19 @@
 }
 
 // Several schedulers decide at the same time to move tasks to one machine. Only one of them may get a held lease.
-func TestMachineHasOneReservationAtATime(t *testing.T) {
+func TestMachineHasOneHeldLeaseAtATime(t *testing.T) {
 	s := newFixture(t)
-	require.True(t, s.reserve(0, 1))
-	require.False(t, s.reserve(1, 2))
+	require.True(t, s.assignWithHeldLease(0, 1))
+	require.False(t, s.assignWithHeldLease(1, 2))
 	require.True(t, s.assign(2, 3), "a task that does not move is still accepted")
 	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
-	require.True(t, s.reserve(1, 4))
+	require.True(t, s.assignWithHeldLease(1, 4))
 }
 
-func TestUnusedReservationEnds(t *testing.T) {
+func TestUnusedHeldLeaseEnds(t *testing.T) {
 	t.Run("expires", func(t *testing.T) {
 		s := newFixture(t)
-		s.reserve(0, 1)
+		s.assignWithHeldLease(0, 1)
 		for range 19 {
 			s.heartbeat()
 			s.state.Tick(s.now)
@@ -110,13 +110,13 @@
 	})
 	t.Run("is stopped", func(t *testing.T) {
 		s := newFixture(t)
-		s.reserve(0, 1)
+		s.assignWithHeldLease(0, 1)
 		s.sendBatch(peer.Batch{Stops: []peer.StopTask{{ID: assignment(0, 1).ID, Machine: "m-1"}}})
 		require.Empty(t, s.tasks())
 	})
 	t.Run("ends with its job", func(t *testing.T) {
 		s := newFixture(t)
-		s.reserve(0, 1)
+		s.assignWithHeldLease(0, 1)
 		s.sendBatch(peer.Batch{Cancels: []peer.CancelJob{{Job: "job-1", Team: team}}, Starts: []peer.StartTask{startFirstTask()}})
 		s.heartbeat()
 		require.Empty(t, s.tasks())
@@ -125,9 +125,9 @@
 }
 
 // A StartTask of a former team leader must start nothing: the present leader may have assigned the task again.
-func TestReservedStartOfFormerTeamLeaderIsRejected(t *testing.T) {
+func TestHeldLeaseStartOfFormerTeamLeaderIsRejected(t *testing.T) {
 	s := newFixture(t)
-	s.reserve(0, 1)
+	s.assignWithHeldLease(0, 1)
 	s.state.teamTerms.fence(map[string]uint64{team: 2})
 	s.sendBatch(peer.Batch{Starts: []peer.StartTask{startFirstTask()}})
 	s.heartbeat()
@@ -136,9 +136,9 @@
 }
 
 // A machine receives an eviction notice while it has a held lease. The task must not start there.
-func TestReservedStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
+func TestHeldLeaseStartOnMachineWithEvictionNoticeIsRejected(t *testing.T) {
 	s := newFixture(t)
-	s.reserve(0, 1)
+	s.assignWithHeldLease(0, 1)
 	notice := 30.0
 	s.worker.NoticeS = &notice
 	s.heartbeat()
--- a/internal/partition/loaded_server_test.go
+++ b/internal/partition/loaded_server_test.go
@@ -41,20 +41,20 @@
 	tb.Helper()
 	spec := wire.Job{ID: "job-000001", Team: team, Priority: "normal", Tasks: count * tasksPerMachine, CPUs: 1, MemGB: 1}
 	s := New(Options{
-		Host:                 "me",
-		Instance:             "incarnation",
+		Controller:           "me",
+		ProcessID:            "incarnation",
 		Partitioning:         NewPartitioning([]string{"a"}),
 		TxnOps:               12,
 		MaxRecordBytes:       7000,
 		MaxWorkerConnections: 100,
-		Timing:               Timing{Lease: 3600 * sec, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2},
+		Timing:               Timing{WorkerLease: 3600 * sec, ResourceLeaseTTL: 5 * sec, QuarantineFailedJobs: 2},
 		Jobs:                 newFakeJobLookup(spec),
 		Elections:            allLeaderships{},
 		Clock:                clock.NewMonotonic(),
 		WallClock:            time.Now,
 		Log:                  slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	s.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
+	s.SetMachineTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)}, nil)
 	s.Reconcile()
 	l := &loadedServer{tb: tb, server: s}
 	for i := range count {
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -10,17 +10,19 @@
 
 // These intervals control how soon changes of the State are published to waiting polls.
 const (
-	publicationDelay           = 12 * clock.Millisecond // from a change to its publication, to include changes that follow at once
-	minPublicationInterval     = 25 * clock.Millisecond
-	maxPublicationInterval     = 120 * clock.Millisecond
-	publicationIntervalPerPoll = clock.Millisecond / 8 // times the known machines, times the waiting polls; added to minPublicationInterval
+	// publicationDelay is the time from a change to its publication, to include changes that follow at once.
+	publicationDelay       = 12 * clock.Millisecond
+	minPublicationInterval = 25 * clock.Millisecond
+	maxPublicationInterval = 120 * clock.Millisecond
+	// publicationIntervalPerMachineAndPoll times the known machines, times the waiting polls, is added to minPublicationInterval.
+	publicationIntervalPerMachineAndPoll = clock.Millisecond / 8
 )
 
 // publicationInterval returns the shortest time between two publications. It grows with the number of known machines
 // and with that of waiting polls, because each response costs both sides, and every controller polls every other one.
 // Most of the cost of a process comes from how often it is woken, not from how much it does then.
 func publicationInterval(machines, waitingPolls int) clock.Micros {
-	return min(minPublicationInterval+clock.Micros(machines*waitingPolls)*publicationIntervalPerPoll, maxPublicationInterval)
+	return min(minPublicationInterval+clock.Micros(machines*waitingPolls)*publicationIntervalPerMachineAndPoll, maxPublicationInterval)
 }
 
 // publisher announces new versions of the State to waiting polls. One timer answers all polls at the same time. The
@@ -72,11 +74,11 @@
 	s.Reconcile() // so that partitions that this process no longer leads are not shown
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.HandlePoll(in, s.incarnation, s.clock.Now())
+	return s.state.HandlePoll(in, s.processID, s.clock.Now())
 }
 
 // awaitPublication waits until a poll is to be answered: a version after its cursor is published, its time is over,
-// or the server stops. A poll that names another incarnation is answered at once, since its cursor has no meaning
+// or the server stops. A poll that names another process is answered at once, since its cursor has no meaning
 // here.
 func (s *Server) awaitPublication(in peer.PollRequest) {
 	deadline := time.NewTimer(in.Wait.Duration())
@@ -85,7 +87,7 @@
 	defer s.mu.Unlock()
 	s.publisher.waitingPolls++
 	defer func() { s.publisher.waitingPolls-- }()
-	for in.Incarnation == s.incarnation && s.publisher.published <= in.Cursor {
+	for in.Incarnation == s.processID && s.publisher.published <= in.Cursor {
 		next := s.publisher.next
 		s.mu.Unlock()
 		done := false
--- a/internal/partition/quarantine.go
+++ b/internal/partition/quarantine.go
@@ -63,7 +63,7 @@
 		delete(s.failingJobs, t.id.Job)
 	case wire.CauseError:
 		if s.failingJobs.add(t.id.Job, m.id) <= jobFaultThreshold {
-			m.failures.add(t.id.Job, s.timing.QuarantineErrors, now)
+			m.failures.add(t.id.Job, s.timing.QuarantineFailedJobs, now)
 		}
 	}
 }
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -67,8 +67,10 @@
 // MisdirectedMachines returns the machines of other controllers that recently sent heartbeats to this one.
 func (s *Server) MisdirectedMachines() map[string]bool { return s.misdirected.all(s.clock.Now()) }
 
-// Misdirected returns how many machines of another controller recently sent heartbeats to this one.
-func (s *Server) Misdirected(leader string) int { return s.misdirected.count(leader, s.clock.Now()) }
+// MisdirectedCount returns how many machines of another controller recently sent heartbeats to this one.
+func (s *Server) MisdirectedCount(leader string) int {
+	return s.misdirected.count(leader, s.clock.Now())
+}
 
 // MissedHeartbeats counts the machines that should be sending heartbeats to this process, and those of them that have
 // missed one.
--- a/internal/partition/scene_test.go
+++ b/internal/partition/scene_test.go
@@ -54,8 +54,8 @@
 
 // newTestState returns a state that leads no partition and knows one machine type.
 func newTestState(lookup *fakeJobLookup) *State {
-	s := NewState(Timing{Lease: workerLease, RoomLeaseTTL: 5 * sec, QuarantineErrors: 2}, lookup)
-	s.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
+	s := NewState(Timing{WorkerLease: workerLease, ResourceLeaseTTL: 5 * sec, QuarantineFailedJobs: 2}, lookup)
+	s.SetMachineTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 	return s
 }
 
@@ -113,8 +113,8 @@
 	return s.state.view(s.state.machines["m-1"], 0, s.now).Tasks
 }
 
-// reserve sends an assignment with a held lease and reports whether it was accepted.
-func (s *fixture) reserve(n int, attempt uint64) bool {
+// assignWithHeldLease sends an assignment with a held lease and reports whether it was accepted.
+func (s *fixture) assignWithHeldLease(n int, attempt uint64) bool {
 	a := assignment(n, attempt)
 	a.Hold = 20 * sec
 	return !s.sendBatch(peer.Batch{Asks: []peer.Assignment{a}}).Refused[0]
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -34,7 +34,7 @@
 // more.
 type Server struct {
 	controller     string
-	incarnation    string // of this process
+	processID      string // identifies this process
 	partitioning   Partitioning
 	txnOps         int
 	maxRecordBytes int
@@ -65,8 +65,8 @@
 
 // Options configures a Server.
 type Options struct {
-	Host                 string // name of this controller
-	Instance             string // incarnation of this process
+	Controller           string // name of this controller
+	ProcessID            string // identifies this process
 	Partitioning         Partitioning
 	TxnOps               int // largest number of operations in a transaction
 	MaxRecordBytes       int // largest value of a key with machine records, in bytes
@@ -87,8 +87,8 @@
 // New returns a server that leads no partition yet.
 func New(opts Options) *Server {
 	s := &Server{
-		controller:     opts.Host,
-		incarnation:    opts.Instance,
+		controller:     opts.Controller,
+		processID:      opts.ProcessID,
 		partitioning:   opts.Partitioning,
 		txnOps:         opts.TxnOps,
 		maxRecordBytes: opts.MaxRecordBytes,
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -49,10 +49,10 @@
 
 // Timing holds the intervals and limits that State's decisions use.
 type Timing struct {
-	Lease            clock.Micros // duration of the worker lease
-	HeartbeatOverdue clock.Micros // a machine gets no tasks after this long without an answered heartbeat; 0: no limit
-	RoomLeaseTTL     clock.Micros // how long a resource lease lasts while no run command has been sent for it
-	QuarantineErrors int          // number of different jobs that fail on a machine, with no success in between, to quarantine it
+	WorkerLease          clock.Micros // duration of the worker lease
+	HeartbeatOverdue     clock.Micros // a machine gets no tasks after this long without an answered heartbeat; 0: no limit
+	ResourceLeaseTTL     clock.Micros // how long a resource lease lasts while no run command has been sent for it
+	QuarantineFailedJobs int          // number of different jobs that fail on a machine, with no success in between, to quarantine it
 }
 
 // State is the decision logic of a partition leader, with the machines of all partitions that this process leads. It
@@ -96,8 +96,8 @@
 	}
 }
 
-// SetTypes sets the capacity of each machine type.
-func (s *State) SetTypes(types map[string]resources.Amounts) {
+// SetMachineTypes sets the capacity of each machine type.
+func (s *State) SetMachineTypes(types map[string]resources.Amounts) {
 	s.capacities = types
 	for _, m := range s.machines {
 		m.capacity = types[m.Type]
--- a/internal/partition/tasks.go
+++ b/internal/partition/tasks.go
@@ -49,13 +49,13 @@
 
 	state           taskState
 	withinGuarantee bool // its job is within its team's guarantee
-	reserved        bool // it has a held lease: no run command is sent before a peer.StartTask
+	held            bool // it has a held lease: no run command is sent before a peer.StartTask
 	stopping        bool // it is to stop, with stopGraceS to checkpoint
 	acknowledged    bool // its exit is recorded, or its job has ended: the worker may forget it
 
-	addedAt     clock.Micros // when the lease was accepted, the held lease was started, or the attempt was found
-	reservedFor clock.Micros // the longest time that the held lease lasts
-	stopGraceS  float64
+	addedAt    clock.Micros // when the lease was accepted, the held lease was started, or the attempt was found
+	heldFor    clock.Micros // the longest time that the held lease lasts
+	stopGraceS float64
 
 	runTick         uint64       // tick of the heartbeat whose response carried the last run command
 	unansweredToken uint64       // fencing token of an unanswered delivery that carried a run command; 0: none
--- a/internal/partition/views.go
+++ b/internal/partition/views.go
@@ -61,7 +61,7 @@
 			Stopping: t.stopping,
 			Covered:  t.withinGuarantee,
 			Since:    now - t.addedAt,
-			Held:     t.reserved,
+			Held:     t.held,
 		})
 	}
 	if v.Whole {
@@ -75,12 +75,12 @@
 }
 
 // HandlePoll returns the machines that changed after a scheduler's cursor, in the order of their ids.
-func (s *State) HandlePoll(in peer.PollRequest, incarnation string, now clock.Micros) peer.PollResponse {
+func (s *State) HandlePoll(in peer.PollRequest, processID string, now clock.Micros) peer.PollResponse {
 	s.teamTerms.fence(in.Terms)
 	s.updateDemands(in.Demands, now)
-	out := peer.PollResponse{Incarnation: incarnation, Cursor: s.changes.version, Parts: s.PartitionTerms(), Holds: true}
+	out := peer.PollResponse{Incarnation: processID, Cursor: s.changes.version, Parts: s.PartitionTerms(), Holds: true}
 	after := in.Cursor
-	if in.Incarnation != incarnation {
+	if in.Incarnation != processID {
 		after, out.Full = 0, true
 	}
 	changed := s.changes.since(after, in.AfterID)
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -13,7 +13,7 @@
 // zoneGate limits the tasks that this leader admits to a zone that is lost, or to which work returns in stages.
 type zoneGate struct {
 	*recovery.Gate
-	startsUnderWay int // at the last count, plus the tasks accepted since
+	startsInFlight int // at the last count, plus the tasks accepted since
 	countedAt      clock.Micros
 }
 
@@ -44,14 +44,14 @@
 		return true
 	}
 	if now >= gate.countedAt+startCountInterval {
-		gate.countedAt, gate.startsUnderWay = now, s.startsInZone(m.Zone)
+		gate.countedAt, gate.startsInFlight = now, s.startsInZone(m.Zone)
 	}
 	stage := recovery.DefaultStage(a.Rank, false) // for schedulers that send no stage
 	if a.Stage > 0 {
 		stage = recovery.Stage(a.Stage - 1)
 	}
 	proven := m.provenIncarnation == m.worker.incarnation
-	return gate.Admits(stage, recovery.Machine{Proven: proven, Pending: m.pendingStarts()}, gate.startsUnderWay, now)
+	return gate.Admits(stage, recovery.Machine{Proven: proven, Pending: m.pendingStarts()}, gate.startsInFlight, now)
 }
 
 // startsInZone counts the tasks in a zone that were accepted and have not been seen running yet.
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -20,9 +20,9 @@
 	term         uint64 // of the machine's partition at the time of the assignment
 	unanswered   bool   // the partition leader has not answered yet
 	viewVersion  uint64 // version of the machine's view from which on it shows the accepted assignment
-	instance     string // process of the partition leader to which it was sent, or which accepted it
+	processID    string // process of the partition leader to which it was sent, or which accepted it
 	phase        string // as last reported, see wire.Task*
-	reserved     bool   // it is a held lease: the task runs elsewhere and is to move here
+	held         bool   // it is a held lease: the task runs elsewhere and is to move here
 	orphaned     bool   // it is no longer wanted: it is stopped, and only counted until it is gone
 	stopping     bool
 	assignedAt   clock.Micros
@@ -38,7 +38,7 @@
 		zone:       m.Zone,
 		term:       m.Term,
 		unanswered: true,
-		instance:   m.instance,
+		processID:  m.processID,
 		assignedAt: now,
 	}
 }
@@ -67,7 +67,7 @@
 	m.assignments[a.id] = a
 	a.job.team.used = a.job.team.used.Plus(a.job.Need)
 	a.job.tasksByZone[a.zone]++
-	if !a.orphaned && !a.reserved {
+	if !a.orphaned && !a.held {
 		a.job.assignments[a.id.N] = a
 	}
 }
--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -18,7 +18,7 @@
 	sim.schedule()
 	c := sim.controllers[0]
 	batch := sim.scheduler.NextBatch(c.name)
-	response := c.partitionState.HandleBatch(*batch, c.instance, sim.now)
+	response := c.partitionState.HandleBatch(*batch, c.processID, sim.now)
 	sim.now += 5 * sec
 	c.partitionState.Tick(sim.now) // the resource lease expires unused
 	sim.poll(c, false)
@@ -56,7 +56,7 @@
 	for _, c := range sim.controllers {
 		if batch := sim.scheduler.NextBatch(c.name); batch != nil {
 			crashed = c
-			c.partitionState.HandleBatch(*batch, c.instance, sim.now)
+			c.partitionState.HandleBatch(*batch, c.processID, sim.now)
 		}
 	}
 	p := 0
--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -12,7 +12,7 @@
 // batch is answered or the partition leader's process has been replaced.
 func (s *Scheduler) NextBatch(host string) *peer.Batch {
 	session := s.sessions[host]
-	return session.next(s.instance, session.instance, s.TeamTerms)
+	return session.next(s.processID, session.processID, s.TeamTerms)
 }
 
 // HandleBatchResponse applies the response to a batch. ok is false if the response is not from the process for which the batch was
@@ -22,7 +22,7 @@
 	if session.inFlight != batch {
 		return true
 	}
-	if response.Incarnation != session.inFlightInstance || response.Incarnation != session.instance {
+	if response.Incarnation != session.inFlightProcess || response.Incarnation != session.processID {
 		// The process that was to get the batch may have accepted its assignments; a response from another does not tell.
 		session.abandonInFlight()
 		return false
@@ -42,17 +42,17 @@
 
 // assignmentResponse is the response of a partition leader to one assignment.
 type assignmentResponse struct {
-	accepted bool
-	yielded  bool   // rejected in favour of other teams
-	leader   string // controller that has responded, which may have lost the machine's partition since
-	instance string // its process
-	version  uint64 // version of the machine's view from which on it shows the assignment
+	accepted  bool
+	yielded   bool   // rejected in favour of other teams
+	leader    string // controller that has responded, which may have lost the machine's partition since
+	processID string // its process
+	version   uint64 // version of the machine's view from which on it shows the assignment
 }
 
 // assignmentResponseAt returns the response to the assignment with index i of a batch. An assignment that the response does not
 // contain counts as rejected.
 func assignmentResponseAt(i int, leader string, response *peer.BatchResponse) assignmentResponse {
-	out := assignmentResponse{yielded: i < len(response.Yielded) && response.Yielded[i], leader: leader, instance: response.Incarnation}
+	out := assignmentResponse{yielded: i < len(response.Yielded) && response.Yielded[i], leader: leader, processID: response.Incarnation}
 	if i < len(response.Refused) && i < len(response.Versions) && !response.Refused[i] {
 		out.accepted, out.version = true, response.Versions[i]
 	}
@@ -70,7 +70,7 @@
 		s.counters.Yielded++
 		s.releaseAssignment(a)
 		s.recomputeAvailable(m)
-		a.job.team.recordYielding(response.leader, a.job.PriorityLevel, now)
+		a.job.team.recordYield(response.leader, a.job.PriorityLevel, now)
 	case !response.accepted:
 		s.counters.Rejected++
 		s.releaseAssignment(a)
@@ -84,12 +84,12 @@
 
 // handleAcceptance marks an assignment as accepted, and releases it if its task is gone again already.
 func (s *Scheduler) handleAcceptance(a *assignment, m *machineState, response assignmentResponse) {
-	a.unanswered, a.instance, a.viewVersion = false, response.instance, response.version
-	delete(a.job.team.yielding, response.leader)
+	a.unanswered, a.processID, a.viewVersion = false, response.processID, response.version
+	delete(a.job.team.yieldBackoffs, response.leader)
 	if mv := s.moves.byDestination[a]; mv != nil {
 		s.applyMoveAction(mv, mv.LeaseAccepted())
 	}
-	if m.Accounted && m.instance == response.instance {
+	if m.Accounted && m.processID == response.processID {
 		// A poll may have shown the machine after the acceptance already, with the task gone again. No newer view would
 		// release the assignment then.
 		s.releaseIfGone(a, m)
@@ -100,14 +100,14 @@
 // recordCancelAcknowledgements records that a process has the cancellations of a batch in memory. A cancellation is only confirmed
 // when that holds for every partition leader: otherwise one could still start a task of the job (docs/design.md, "Why the rules
 // hold", number 11).
-func (s *Scheduler) recordCancelAcknowledgements(batch *peer.Batch, instance string) {
+func (s *Scheduler) recordCancelAcknowledgements(batch *peer.Batch, processID string) {
 	for _, c := range batch.Cancels {
 		tm := s.teams[c.Team]
 		if tm == nil || tm.term != batch.Terms[c.Team] {
 			continue // an acknowledgement under a former term does not count under the present one
 		}
 		if j := tm.jobs[c.Job]; j != nil && j.cancelling {
-			j.cancelAcknowledged[instance] = true
+			j.cancelAcknowledged[processID] = true
 		}
 	}
 }
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -18,12 +18,12 @@
 // that described the fleet.
 func loadedScheduler(machines, waiting int) (*Scheduler, *peer.PollResponse) {
 	s := NewScheduler(Config{
-		Timing:   Timing{Sample: 12, Batch: 40, Lease: lease, PreemptAfter: sec},
-		Instance: "scheduler",
-		Teams:    []Team{{Name: red}},
-		Hosts:    []string{"h0"},
-		Seed:     1,
-		WallMS:   func() int64 { return 0 },
+		Parameters:  Parameters{SampleSize: 12, BaseAssignmentsPerCycle: 40, WorkerLease: lease, PreemptAfter: sec},
+		ProcessID:   "scheduler",
+		Teams:       []Team{{Name: red}},
+		Hosts:       []string{"h0"},
+		Seed:        1,
+		WallClockMS: func() int64 { return 0 },
 	})
 	var active []*jobs.Job
 	for i := range waiting {
--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -69,7 +69,7 @@
 // that process already.
 func (l *leaderSession) requestCancel(j *job) {
 	c := peer.CancelJob{Job: j.ID, Team: j.Team}
-	inFlight := l.inFlight != nil && l.inFlightInstance == l.instance && slices.Contains(l.inFlight.Cancels, c)
+	inFlight := l.inFlight != nil && l.inFlightProcess == l.processID && slices.Contains(l.inFlight.Cancels, c)
 	if !inFlight && !slices.Contains(l.pending.Cancels, c) {
 		l.pending.Cancels = append(l.pending.Cancels, c)
 	}
@@ -77,7 +77,7 @@
 
 // mayHaveBeenAssigned reports whether this or a former leader of the team may have assigned a task of the job to any machine. If
 // neither has, no task can start without a new assignment by this scheduler, and the cancellation needs no acknowledgements.
-func (j *job) mayHaveBeenAssigned() bool { return j.offeredHere || j.offeredByFormer > 0 }
+func (j *job) mayHaveBeenAssigned() bool { return j.assignedHere || j.assignedByFormer > 0 }
 
 // CancellationConfirmed reports whether the final state of a cancelled job may be written on the condition of these
 // leaderships: the present process of each leader has the cancellation in memory, and no task of the job can start any more.
@@ -98,7 +98,7 @@
 		if session == nil {
 			return false
 		}
-		if !j.cancelAcknowledged[session.instance] {
+		if !j.cancelAcknowledged[session.processID] {
 			// This may be a new process of the controller: it does not know what an earlier process has acknowledged.
 			session.requestCancel(j)
 			confirmed = false
@@ -121,5 +121,5 @@
 			notRunning--
 		}
 	}
-	return notRunning > 0 || j.offeredByFormer > 0 && len(j.team.unaccounted) > 0
+	return notRunning > 0 || j.assignedByFormer > 0 && len(j.team.unaccounted) > 0
 }
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -141,7 +141,7 @@
 				require.False(t, sim.scheduler.CancellationConfirmed(j, sim.partitionLeaderships()), "the task may still start")
 			}
 			for _, c := range sim.controllers {
-				require.True(t, j.cancelAcknowledged[c.instance], "each partition leader has acknowledged the cancellation")
+				require.True(t, j.cancelAcknowledged[c.processID], "each partition leader has acknowledged the cancellation")
 			}
 			tc.resolve(sim, machine)
 			require.True(t, sim.ended["job-1"])
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -51,7 +51,7 @@
 var retryResponse = peer.JobResponse{Known: true, Found: true, Retry: true}
 
 func (c *canceller) cancel(request peer.JobRequest) peer.JobResponse {
-	if _, ok := c.elections.Leading(Duty(request.Team)); !ok {
+	if _, ok := c.elections.Leading(TeamDuty(request.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	ctx, cancel := c.lifetime.newContext()
@@ -156,7 +156,7 @@
 func (c *canceller) partitionLeaderships() []PartitionLeadership {
 	out := make([]PartitionLeadership, 0, len(c.partitionDuties))
 	for i, duty := range c.partitionDuties {
-		leadership, live := c.elections.Current(duty)
+		leadership, live := c.elections.CurrentLeadership(duty)
 		p := PartitionLeadership{Partition: i, Key: kvstore.LeaderPrefix + duty, ModRevision: leadership.ModRevision, Term: leadership.Term}
 		if live {
 			p.Host = leadership.Leader
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -35,15 +35,15 @@
 // leadershipCondition returns the transaction condition that this process still leads a team under the term under which it
 // acquired the team's jobs. It returns errLeadershipLost where that no longer holds.
 func (c *core) leadershipCondition(t *team) (wire.Condition, error) {
-	leadership, ok := c.elections.Leading(Duty(t.Name))
+	leadership, ok := c.elections.Leading(TeamDuty(t.Name))
 	if !ok || leadership.Term != t.term {
 		return wire.Condition{}, errLeadershipLost
 	}
-	return wire.Condition{Key: kvstore.LeaderPrefix + Duty(t.Name), ModRevision: leadership.ModRevision}, nil
+	return wire.Condition{Key: kvstore.LeaderPrefix + TeamDuty(t.Name), ModRevision: leadership.ModRevision}, nil
 }
 
-// isActive reports whether this scheduler may still write records of a job: it still leads the job's team under the same
+// mayWriteRecords reports whether this scheduler may still write records of a job: it still leads the job's team under the same
 // term, and the job has not been dropped. The caller holds the lock.
-func (c *core) isActive(j *job) bool {
+func (c *core) mayWriteRecords(j *job) bool {
 	return j.team.jobs[j.ID] == j && c.scheduler.teams[j.team.Name] == j.team
 }
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -38,8 +38,8 @@
 	return out
 }
 
-// of returns the relative price of a CPU of a machine, or 0 if it is unknown.
-func (p cpuPrices) of(m *machineState) float64 { return p[priceKey{m.Type, m.Spot}] }
+// forMachine returns the relative price of a CPU of a machine, or 0 if it is unknown.
+func (p cpuPrices) forMachine(m *machineState) float64 { return p[priceKey{m.Type, m.Spot}] }
 
 // SetPrices sets the prices of machines from the cloud's catalog.
 func (s *Scheduler) SetPrices(types []wire.MachineType) { s.prices = newCPUPrices(types) }
@@ -50,8 +50,8 @@
 		HasImage:      m.hasImage(j),
 		Fetching:      m.fetchingJobs[j.ID] > 0,
 		OtherFetches:  len(m.fetchingJobs),
-		RelativePrice: s.prices.of(m),
-		Slowdown:      m.knownPace(),
+		RelativePrice: s.prices.forMachine(m),
+		Slowdown:      m.slowdown(),
 	}
 	if inputs.Fetching {
 		inputs.OtherFetches--
@@ -100,7 +100,7 @@
 	costs := make([]float64, len(candidates))
 	for i, m := range candidates {
 		inputs := s.costInputs(j, m, now)
-		costs[i] = placement.Cost(task, &inputs, &s.timing.Costs.Weights)
+		costs[i] = placement.Cost(task, &inputs, &s.parameters.Costs.Weights)
 		if i == 0 || costs[i] < least {
 			least = costs[i]
 		}
@@ -116,7 +116,7 @@
 // waitsForImageByCost reports whether a job leaves capacity to others for a short time because machines with its image
 // exist and may get capacity. It does not wait so long that a task would miss its start objective.
 func (s *selector) waitsForImageByCost(j *job, task *placement.Task, now clock.Micros) bool {
-	wait := placement.MaxImageWait(task, &s.timing.Costs.Weights, s.timing.Costs.ImageWait)
+	wait := placement.MaxImageWait(task, &s.parameters.Costs.Weights, s.parameters.Costs.ImageWait)
 	if wait == 0 || !s.capacity.withImage(j.Image).hasMachines() {
 		return false
 	}
--- a/internal/scheduler/costs_scenario_test.go
+++ b/internal/scheduler/costs_scenario_test.go
@@ -13,7 +13,7 @@
 func simulationWithCosts(t *testing.T) *simulation {
 	t.Helper()
 	sim := newSimulationWithLimit(t, 1, 3, 0)
-	sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 2 * sec}
+	sim.scheduler.parameters.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 2 * sec}
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
 	sim.runSteps(8)
 	sim.addJob("job-1", 1, withImage)
@@ -37,14 +37,14 @@
 func withImage(j *wire.Job) { j.Image, j.ImageGB, j.RuntimeEstimateS = "img", 4, 30 }
 
 // A machine with the image must be chosen, but only until its slowness costs more than fetching the image on another machine.
-func TestCostSelectionWeighsImageAgainstPace(t *testing.T) {
+func TestCostSelectionWeighsImageAgainstSlowdown(t *testing.T) {
 	sim := simulationWithCosts(t)
 	imageMachine := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 1, withImage)
 	sim.runSteps(4)
 	require.True(t, sim.workers[imageMachine].Running("job-2/0"), "the machine has the image")
 	m := sim.scheduler.machines[imageMachine]
-	m.paceSum, m.paceSamples = 1.5*minPaceSamples, minPaceSamples // costs 15 s; a fetch costs 4 s
+	m.slowdownSum, m.slowdownSamples = 1.5*minSlowdownSamples, minSlowdownSamples // costs 15 s; a fetch costs 4 s
 	sim.addJob("job-3", 1, withImage)
 	sim.runSteps(4)
 	require.False(t, sim.workers[imageMachine].Running("job-3/0"), "the fetch costs less than the slow machine")
@@ -54,7 +54,7 @@
 // than ImageWait.
 func TestCostSelectionWaitsForImageForBoundedTime(t *testing.T) {
 	sim := simulationWithCosts(t)
-	home := sim.machineRunning("job-1/0")
+	imageMachine := sim.machineRunning("job-1/0")
 	sim.addJob("job-2", 3, withImage) // takes the rest of the machine's capacity
 	sim.runSteps(4)
 	require.Equal(t, 4, sim.runningTasks())
@@ -63,8 +63,8 @@
 	require.Equal(t, 4, sim.runningTasks(), "job-3 waits")
 	sim.runSteps(12)
 	require.Equal(t, 5, sim.runningTasks(), "job-3 waits for no longer than two seconds")
-	at := sim.machineRunning("job-3/0")
-	require.NotEqual(t, home, at)
+	chosen := sim.machineRunning("job-3/0")
+	require.NotEqual(t, imageMachine, chosen)
 }
 
 // If the fetch rate or the size of an image is unknown, no cost can be estimated. Machines must then be chosen as without costs,
@@ -73,7 +73,7 @@
 	chosenMachines := func(costs, rates bool, size float64) []string {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
 		if costs {
-			sim.scheduler.timing.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 60 * sec}
+			sim.scheduler.parameters.Costs = &Costs{Weights: placement.Weights{ImageFetch: 1}, ImageWait: 60 * sec}
 		}
 		if rates {
 			sim.scheduler.SetFetchRates(map[string]float64{"big": 1})
--- a/internal/scheduler/cycle_cost_test.go
+++ b/internal/scheduler/cycle_cost_test.go
@@ -22,7 +22,7 @@
 		for _, c := range sim.controllers {
 			sim.sendBatch(c, true, true)
 			request := sim.scheduler.NextPoll(c.name)
-			response := c.partitionState.HandlePoll(request, c.instance, sim.now)
+			response := c.partitionState.HandlePoll(request, c.processID, sim.now)
 			polled += len(response.Machines)
 			sim.scheduler.HandlePollResponse(c.name, request, &response, sim.now)
 		}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -16,7 +16,7 @@
 func (s *Scheduler) eachPlaceableJob(now clock.Micros, visit func(j *job, tasks int)) {
 	queue := s.schedulingOrder(now)
 	for _, tm := range s.teams {
-		remaining := tm.remainingQuota()
+		remaining := tm.remainingBelowLimit()
 		for _, j := range queue {
 			if j.team != tm || j.consecutiveErrors > maxErrorsWithDemand {
 				continue
@@ -33,8 +33,8 @@
 // for a job that keeps failing would be wasted.
 const maxErrorsWithDemand = 6
 
-// remainingQuota returns how many CPUs and GPUs the team may still use below its limit.
-func (tm *team) remainingQuota() resources.Amounts {
+// remainingBelowLimit returns how many CPUs and GPUs the team may still use below its limit.
+func (tm *team) remainingBelowLimit() resources.Amounts {
 	remaining := resources.Amounts{CPU: math.MaxInt64 / 4, GPU: math.MaxInt64 / 4}
 	if tm.Limit.CPU > 0 {
 		remaining.CPU = tm.Limit.CPU - tm.used.CPU
@@ -85,7 +85,7 @@
 		return max(clock.Second, j.deadline()-now-clock.FromSeconds(j.RuntimeEstimateS))
 	}
 	// The time within which jobs of this class should be finished counts like a deadline.
-	if start := s.timing.latestStart(j); start != math.MaxInt64 && now < start {
+	if start := s.parameters.latestStart(j); start != math.MaxInt64 && now < start {
 		return start - now
 	}
 	return 0
--- a/internal/scheduler/exhausted_demand.go
+++ b/internal/scheduler/exhausted_demand.go
@@ -7,9 +7,9 @@
 // exhaustedDemand records, for one scheduling cycle, for which jobs no capacity was found. The search is then not repeated for the
 // same job, nor for a job whose tasks need at least as much as those of an unconstrained job for which none was found.
 type exhaustedDemand struct {
-	needs  []resources.Amounts // requests of one task of unconstrained jobs for which no machine had capacity
-	jobs   map[*job]bool       // jobs for which no machine had capacity
-	staged bool                // work returns to a zone in stages, so capacity that one job can't get may be open to another
+	needs         []resources.Amounts // requests of one task of unconstrained jobs for which no machine had capacity
+	jobs          map[*job]bool       // jobs for which no machine had capacity
+	zoneReturning bool                // work returns to a zone in stages, so capacity that one job can't get may be open to another
 	// noVictims has the classes for which no tasks to preempt were found.
 	noVictims map[victimClass]bool
 }
@@ -32,7 +32,7 @@
 }
 
 func (e *exhaustedDemand) markNoVictims(j *job, guaranteeDue bool) {
-	if !j.unconstrained() || e.staged {
+	if !j.unconstrained() || e.zoneReturning {
 		return
 	}
 	if e.noVictims == nil {
@@ -51,7 +51,7 @@
 }
 
 func (e *exhaustedDemand) markExhausted(j *job) {
-	if j.unconstrained() && len(j.team.yielding) == 0 && !e.staged {
+	if j.unconstrained() && len(j.team.yieldBackoffs) == 0 && !e.zoneReturning {
 		e.needs = append(e.needs, j.Need)
 	}
 	if e.jobs == nil {
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -8,8 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/resources"
 )
 
-// yielding describes the latest rejection by a partition leader in favour of teams below their shares.
-type yielding struct {
+// yieldBackoff describes the latest rejection by a partition leader in favour of teams below their shares.
+type yieldBackoff struct {
 	until       clock.Micros // until then no work of maxPriority or less is assigned there, unless it is guaranteed
 	backoff     clock.Micros // time from the rejection to until
 	maxPriority int          // highest priority that was rejected
@@ -22,23 +22,23 @@
 	maxYieldBackoff = 800 * clock.Millisecond
 )
 
-// recordYielding records that a partition leader has rejected the team's work of a priority in favour of other teams.
-func (tm *team) recordYielding(host string, priority int, now clock.Micros) {
-	y := tm.yielding[host]
+// recordYield records that a partition leader has rejected the team's work of a priority in favour of other teams.
+func (tm *team) recordYield(host string, priority int, now clock.Micros) {
+	y := tm.yieldBackoffs[host]
 	if now < y.until {
 		y.maxPriority = max(y.maxPriority, priority) // usually a further rejection of the same batch
-		tm.yielding[host] = y
+		tm.yieldBackoffs[host] = y
 		return
 	}
 	y.backoff = min(max(2*y.backoff, minYieldBackoff), maxYieldBackoff)
 	y.until, y.maxPriority = now+y.backoff, priority
-	tm.yielding[host] = y
+	tm.yieldBackoffs[host] = y
 }
 
-// yieldsAt reports whether the job should not be assigned to a partition leader now because the leader keeps its capacity for
+// backsOffAt reports whether the job should not be assigned to a partition leader now because the leader keeps its capacity for
 // other teams. Work within a guarantee, and work of a higher priority than was rejected, is assigned all the same.
-func (j *job) yieldsAt(host string, now clock.Micros) bool {
-	y, ok := j.team.yielding[host]
+func (j *job) backsOffAt(host string, now clock.Micros) bool {
+	y, ok := j.team.yieldBackoffs[host]
 	return ok && now < y.until && j.PriorityLevel <= y.maxPriority && !j.withinGuarantee
 }
 
@@ -72,6 +72,6 @@
 	}
 	for name, tm := range s.teams {
 		tm.aboveShare = taken[name] > share[name]
-		maps.DeleteFunc(tm.yielding, func(_ string, y yielding) bool { return now > y.until+maxYieldBackoff })
+		maps.DeleteFunc(tm.yieldBackoffs, func(_ string, y yieldBackoff) bool { return now > y.until+maxYieldBackoff })
 	}
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -8,7 +8,7 @@
 
 // mayAssign reports whether a task of a job may be assigned to a machine now, capacity aside.
 func (s *selector) mayAssign(j *job, m *machineState, now clock.Micros) bool {
-	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.yieldsAt(m.leader, now) && s.zones.admits(m.Zone, j, now)
+	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.backsOffAt(m.leader, now) && s.zones.admits(m.Zone, j, now)
 }
 
 // fitsConstraints reports whether the job's constraints allow one more of its tasks on a machine. The zone constraints
@@ -44,7 +44,7 @@
 	if machines == nil {
 		return nil
 	}
-	limit := 4 * s.timing.Sample
+	limit := 4 * s.parameters.SampleSize
 	if s.isSmall(j) {
 		limit *= 10
 	}
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -53,9 +53,9 @@
 	conditions []wire.Condition // in addition to those on the team's leadership and the jobs' records
 }
 
-// startDue starts writing the final states of jobs whose tasks are all done, with as many jobs in a transaction as fit. Queries
-// of a job are answered until immediately before its final state is sent.
-func (w *finalStateWriter) startDue(ctx context.Context) {
+// startPendingWrites starts writing the final states of jobs whose tasks are all done, with as many jobs in a transaction as
+// fit. Queries of a job are answered until immediately before its final state is sent.
+func (w *finalStateWriter) startPendingWrites(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	maxOperations := min(w.txnOps, maxFinalWriteOperations)
@@ -149,7 +149,7 @@
 func (w *finalStateWriter) prepare(f *finalWrite) (txn wire.Txn, remaining []wire.Operation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f.jobs = slices.DeleteFunc(f.jobs, func(j *job) bool { return !w.isActive(j) })
+	f.jobs = slices.DeleteFunc(f.jobs, func(j *job) bool { return !w.mayWriteRecords(j) })
 	return w.txn(f)
 }
 
@@ -161,7 +161,7 @@
 		return txn, nil
 	}
 	tm := f.jobs[0].team
-	txn.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + Duty(tm.Name), ModRevision: tm.modRevision}}
+	txn.Conditions = []wire.Condition{{Key: kvstore.LeaderPrefix + TeamDuty(tm.Name), ModRevision: tm.modRevision}}
 	for _, j := range f.jobs {
 		key := kvstore.ActiveJobPrefix + j.ID
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, ModRevision: j.ModRevision})
@@ -203,7 +203,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, j := range batch {
-		if !w.isActive(j) {
+		if !w.mayWriteRecords(j) {
 			return errJobsChanged
 		}
 	}
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -40,7 +40,7 @@
 // imageFetchTooSlow reports whether a task of the job can meet its start objective on a machine that has the image, but
 // not on this one, which would have to fetch it.
 func (s *selector) imageFetchTooSlow(j *job, m *machineState, now clock.Micros) bool {
-	within, ok := s.timing.Waits[j.Class]
+	within, ok := s.parameters.StartObjectives[j.Class]
 	fetch, known := s.fetchRates.fetchTime(j, m)
 	return ok && known && now <= j.acceptedAt+within && now+fetch > j.acceptedAt+within
 }
@@ -53,7 +53,7 @@
 // fetches. Capacity is scarce if less than an eighth of the machines have some.
 func (s *selector) waitsForImageByFit(j *job, candidates []*machineState, now clock.Micros) bool {
 	fetch, ok := s.fetchRates.fetchTime(j, candidates[0])
-	if !s.timing.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(candidates)*8 >= s.capacity.machines {
+	if !s.parameters.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(candidates)*8 >= s.capacity.machines {
 		return false
 	}
 	return s.startOrContinueImageWait(j, fetch, min(fetch, maxImageWait), now)
@@ -62,7 +62,7 @@
 // startOrContinueImageWait reports whether a job still waits for a machine with its image: for at most maxWait since the
 // first call, and only while a fetch that starts now would end at least half a fetch time before the start objective.
 func (s *selector) startOrContinueImageWait(j *job, fetch, maxWait, now clock.Micros) bool {
-	if within, ok := s.timing.Waits[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
+	if within, ok := s.parameters.StartObjectives[j.Class]; ok && now+fetch > j.acceptedAt+within-fetch/2 {
 		return false
 	}
 	if j.imageWaitSince == 0 {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -13,7 +13,7 @@
 // job is an active job of a team that is led here, with the state of its tasks.
 //
 // Invariant: no leader of the team ever assigned a task whose number is at or above the watermark. A former leader of the team may
-// have assigned those below offeredByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
+// have assigned those below assignedByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
 // The others are not placed while awaitsAccounting is set, since they may run on a machine that has not been seen yet and
 // would run twice (docs/design.md, "Why the rules hold", number 7).
 type job struct {
@@ -24,9 +24,9 @@
 	withinGuarantee bool           // fits its team's guarantee together with the team's earlier jobs
 
 	watermark        int      // by the key-value store: tasks from this number on were never assigned
-	offeredByFormer  int      // tasks below this number may have been assigned by a former leader of the team
-	offeredHere      bool     // this scheduler has assigned a task of the job
-	awaitsAccounting bool     // tasks below offeredByFormer wait until all machines are accounted for
+	assignedByFormer int      // tasks below this number may have been assigned by a former leader of the team
+	assignedHere     bool     // this scheduler has assigned a task of the job
+	awaitsAccounting bool     // tasks below assignedByFormer wait until all machines are accounted for
 	nextTask         int      // tasks from this number on were never queued
 	queue            []int    // numbers of tasks to place, in order
 	done             []uint64 // bitmap, one bit per task
@@ -41,7 +41,7 @@
 	finalWriteUnanswered bool            // some attempt to write the final state had no definite answer
 	finalWriteInFlight   bool
 
-	chunkTasks        int                    // number of tasks that a progress record of the job covers
+	tasksPerChunk     int                    // number of tasks that a progress record of the job covers
 	dirtyChunks       map[int]bool           // progress records that have to be written
 	unacknowledged    map[peer.TaskID]string // attempts that are done but not recorded yet, with their machines
 	acknowledgedTerms map[peer.TaskID]uint64 // partition terms under which the end of an attempt was acknowledged
@@ -75,14 +75,14 @@
 		done:              make([]uint64, (spec.Tasks+63)/64),
 		assignments:       map[int]*assignment{},
 		tasksByZone:       map[string]int{},
-		chunkTasks:        s.chunkTasks,
+		tasksPerChunk:     s.tasksPerChunk,
 		dirtyChunks:       map[int]bool{},
 		unacknowledged:    map[peer.TaskID]string{},
 		acknowledgedTerms: map[peer.TaskID]uint64{},
 		avoidUntil:        map[string]clock.Micros{},
 	}
 	if spec.ModRevision < tm.modRevision {
-		j.setOfferedByFormer(s.legacyRecords)
+		j.setAssignedByFormer(s.legacyRecords)
 	}
 	for chunk, record := range s.progress[spec.ID] {
 		j.restoreProgress(chunk, record.bits)
@@ -97,19 +97,19 @@
 	if spec.AcceptedMS <= 0 {
 		return now
 	}
-	return now - clock.Micros(max(0, s.wallMS()-spec.AcceptedMS))*clock.Millisecond
+	return now - clock.Micros(max(0, s.wallClockMS()-spec.AcceptedMS))*clock.Millisecond
 }
 
-// setOfferedByFormer marks the tasks that a former leader of the team may have assigned: those below the watermark. If
+// setAssignedByFormer marks the tasks that a former leader of the team may have assigned: those below the watermark. If
 // there are any, all tasks of a one_zone or spread job are marked, because the zones of the tasks already assigned
 // determine where the others may go. All tasks are also marked while there are machines that an earlier release has
 // recorded, because that release wrote no watermarks.
-func (j *job) setOfferedByFormer(legacyRecords bool) {
-	j.offeredByFormer = min(j.watermark, j.Tasks)
-	if j.offeredByFormer > 0 && (j.OneZone || j.Spread) || legacyRecords {
-		j.offeredByFormer = j.Tasks
+func (j *job) setAssignedByFormer(legacyRecords bool) {
+	j.assignedByFormer = min(j.watermark, j.Tasks)
+	if j.assignedByFormer > 0 && (j.OneZone || j.Spread) || legacyRecords {
+		j.assignedByFormer = j.Tasks
 	}
-	j.nextTask, j.awaitsAccounting = j.offeredByFormer, j.offeredByFormer > 0
+	j.nextTask, j.awaitsAccounting = j.assignedByFormer, j.assignedByFormer > 0
 }
 
 // restoreProgress marks as done the tasks that a progress record shows as done.
@@ -169,13 +169,13 @@
 	if !j.isDone(n) {
 		j.done[n/64] |= 1 << (n % 64)
 		j.doneCount++
-		j.dirtyChunks[n/j.chunkTasks] = true
+		j.dirtyChunks[n/j.tasksPerChunk] = true
 	}
 }
 
-// chunk returns the bits of the progress record with this number, one per task.
-func (j *job) chunk(number int) []byte {
-	lo, hi := number*j.chunkTasks, min((number+1)*j.chunkTasks, j.Tasks)
+// progressBits returns the bits of the progress record with this number, one per task.
+func (j *job) progressBits(number int) []byte {
+	lo, hi := number*j.tasksPerChunk, min((number+1)*j.tasksPerChunk, j.Tasks)
 	out := make([]byte, (hi-lo+7)/8)
 	for n := lo; n < hi; n++ {
 		if j.isDone(n) {
@@ -211,7 +211,7 @@
 // requeue queues a task whose assignment is gone, unless the task is done or has to wait until all machines are
 // accounted for.
 func (j *job) requeue(task int) {
-	if !j.isDone(task) && (!j.awaitsAccounting || task >= j.offeredByFormer) {
+	if !j.isDone(task) && (!j.awaitsAccounting || task >= j.assignedByFormer) {
 		j.queue = append(j.queue, task)
 	}
 }
--- a/internal/scheduler/leader_session.go
+++ b/internal/scheduler/leader_session.go
@@ -10,18 +10,18 @@
 // leaderSession is what a scheduler knows about a controller that leads partitions, and what it has to send to it.
 type leaderSession struct {
 	batchQueue
-	instance             string // process of the controller, as its responses name it; empty before the first response
-	cursor               uint64 // version of the partition leader's state up to which its views have been applied
-	generation           uint64 // number of processes seen: polls carry it, so that late responses of former ones are recognized
-	partitionTerms       map[int]uint64
-	fencedTerms          map[string]uint64 // by team: the partition leader rejects assignments of lower terms
-	reachable            bool
-	partitionsCheckedAt  clock.Micros // see partitionCheckInterval
-	polledAt             clock.Micros // when the latest poll response arrived
-	supportsReservations bool         // grants held leases, which moves of tasks need; earlier releases don't
-	resync               bool         // a view was inconsistent with the cached state: the next poll asks for all machines
-	shares               leaderShares
-	demandsSentAt        clock.Micros
+	processID           string // process of the controller, as its responses name it; empty before the first response
+	cursor              uint64 // version of the partition leader's state up to which its views have been applied
+	generation          uint64 // number of processes seen: polls carry it, so that late responses of former ones are recognized
+	partitionTerms      map[int]uint64
+	fencedTerms         map[string]uint64 // by team: the partition leader rejects assignments of lower terms
+	reachable           bool
+	partitionsCheckedAt clock.Micros // see partitionCheckInterval
+	polledAt            clock.Micros // when the latest poll response arrived
+	supportsHeldLeases  bool         // grants held leases, which moves of tasks need; earlier releases don't
+	resync              bool         // a view was inconsistent with the cached state: the next poll asks for all machines
+	shares              leaderShares
+	demandsSentAt       clock.Micros
 }
 
 func newLeaderSession() *leaderSession {
@@ -31,11 +31,11 @@
 // start begins a session with a new process of the controller. From now on, late responses of a former process to polls are
 // ignored, and no team's term is known to be fenced. A batch in flight to the former process is given up by next: only the next
 // leader of its machines can tell what became of the assignments.
-func (l *leaderSession) start(instance string) {
+func (l *leaderSession) start(processID string) {
 	l.fencedTerms = map[string]uint64{}
 	l.partitionTerms = map[int]uint64{}
 	l.cursor = 0
-	l.instance = instance
+	l.processID = processID
 	l.generation++
 }
 
@@ -48,7 +48,7 @@
 type batchQueue struct {
 	sequence              uint64
 	inFlight              *peer.Batch
-	inFlightInstance      string // process for which the batch in flight was made
+	inFlightProcess       string // process for which the batch in flight was made
 	pending               peer.Batch
 	acknowledgementsSince clock.Micros // when the oldest pending acknowledgement was first seen; 0: none was
 }
@@ -74,18 +74,18 @@
 
 // next returns the batch to send to a process: the one in flight to it, or a new one of the pending messages. It returns nil
 // if there is none, or if no process is known yet.
-func (q *batchQueue) next(sender, instance string, terms func() map[string]uint64) *peer.Batch {
-	if q.inFlight != nil && q.inFlightInstance == instance {
+func (q *batchQueue) next(sender, processID string, terms func() map[string]uint64) *peer.Batch {
+	if q.inFlight != nil && q.inFlightProcess == processID {
 		return q.inFlight
 	}
 	q.abandonInFlight()
 	batch := q.pending
-	if instance == "" || batch.Empty() {
+	if processID == "" || batch.Empty() {
 		return nil
 	}
 	q.sequence++
 	batch.From, batch.Seq, batch.Terms = sender, q.sequence, terms()
-	q.inFlight, q.inFlightInstance, q.pending, q.acknowledgementsSince = &batch, instance, peer.Batch{}, 0
+	q.inFlight, q.inFlightProcess, q.pending, q.acknowledgementsSince = &batch, processID, peer.Batch{}, 0
 	return q.inFlight
 }
 
--- a/internal/scheduler/lifetime.go
+++ b/internal/scheduler/lifetime.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// lifetime spans the time from New until the context of Server.Run ends. It owns the goroutines that outlive the call that
+// lifetime spans the time from NewServer until the context of Server.Run ends. It owns the goroutines that outlive the call that
 // starts them, so that Run can wait for them before it returns.
 type lifetime struct {
 	ended chan struct{} // closed when the context of Run has ended
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -16,9 +16,9 @@
 	maxPollWait = clock.Second
 	// unreachablePause is the pause before the next call to a controller that did not answer.
 	unreachablePause = 150 * time.Millisecond
-	// newInstancePause is the pause before the next batch to a controller whose process has been replaced. Batches are of no
+	// newProcessPause is the pause before the next batch to a controller whose process has been replaced. Batches are of no
 	// use until the next poll has shown the new process.
-	newInstancePause = 50 * time.Millisecond
+	newProcessPause = 50 * time.Millisecond
 	// summaryInterval is the time between two summaries in the log.
 	summaryInterval = 10 * time.Second
 	// scheduleTick is the interval at which scheduleLoop runs without being woken, since deadlines pass without an event.
@@ -126,13 +126,13 @@
 		return
 	}
 	s.mu.Lock()
-	sameInstance := s.scheduler.HandleBatchResponse(host, batch, &response, s.clock.Now())
+	sameProcess := s.scheduler.HandleBatchResponse(host, batch, &response, s.clock.Now())
 	s.notifyUpdated()
 	s.mu.Unlock()
-	if !sameInstance {
+	if !sameProcess {
 		// Messages that are to be sent again go to the new process once a poll has shown it. Without the pause this loop
 		// would send them again and again until then.
-		loop.Pause(ctx, newInstancePause)
+		loop.Pause(ctx, newProcessPause)
 	}
 }
 
@@ -157,7 +157,8 @@
 	s.log.Info("scheduler summary",
 		"waiting", now.Waiting, "bound", now.Assigned, "cancelling", now.CancellingJobs,
 		"placed", now.Placed-last.Placed, "rejected", now.Rejected-last.Rejected, "yielded", now.Yielded-last.Yielded,
-		"preempted", now.Preempted-last.Preempted, "moves", now.Moves-last.Moves, "moved", now.Moved-last.Moved,
+		"preempted", now.Preempted-last.Preempted,
+		"moves", now.MovesStarted-last.MovesStarted, "moved", now.MovesCompleted-last.MovesCompleted,
 		"done", now.Done-last.Done, "stopped", now.Stopped-last.Stopped, "failed", now.Failed-last.Failed, "lost", now.Lost-last.Lost,
 		"fetch_cpu_s", int((now.FetchCPUs - last.FetchCPUs).Seconds()))
 }
@@ -221,7 +222,7 @@
 		case <-tick.C:
 		case <-s.writeWake:
 		}
-		s.finalStates.startDue(ctx)
+		s.finalStates.startPendingWrites(ctx)
 		s.cancellations.resume(ctx)
 		s.progress.writeIfDue(ctx)
 	}
--- a/internal/scheduler/machine_cache.go
+++ b/internal/scheduler/machine_cache.go
@@ -42,7 +42,7 @@
 // isCurrent reports whether a machine's state comes from its present partition leader and that leader is reachable.
 func (c *machineCache) isCurrent(m *machineState) bool {
 	session := c.sessions[m.leader]
-	return session.reachable && session.instance == m.instance && session.partitionTerms[m.Part] == m.Term
+	return session.reachable && session.processID == m.processID && session.partitionTerms[m.Part] == m.Term
 }
 
 // recomputeAvailable updates a machine's available capacity: what its view shows as free, less the assignments that the
@@ -50,7 +50,7 @@
 func (c *machineCache) recomputeAvailable(m *machineState) {
 	m.available = m.Free
 	for _, a := range m.assignments {
-		if a.unanswered || a.instance == m.instance && a.term == m.Term && a.viewVersion > m.Version {
+		if a.unanswered || a.processID == m.processID && a.term == m.Term && a.viewVersion > m.Version {
 			m.available = m.available.Minus(a.job.Need)
 		}
 	}
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -14,7 +14,7 @@
 type machineState struct {
 	peer.MachineView
 	leader             string            // controller that sent the view
-	instance           string            // process of that controller
+	processID          string            // process of that controller
 	available          resources.Amounts // free by the view, less assignments that the view does not show
 	nameHash           uint64
 	assignments        map[peer.TaskID]*assignment
@@ -24,8 +24,8 @@
 	fetchingJobs       map[string]int      // number of tasks that wait for their image, by job id
 	assignedFetchUntil clock.Micros        // estimated end of the image fetch for an assignment of this scheduler
 	assignedFetchImage string              // image of that fetch
-	paceSum            float64             // sum of the ratios of run times here to those of the same jobs elsewhere
-	paceSamples        int                 // number of these ratios
+	slowdownSum        float64             // sum of the ratios of run times here to those of the same jobs elsewhere
+	slowdownSamples    int                 // number of these ratios
 	slow               bool
 
 	rejected   bool // an assignment was rejected, and no newer view has arrived since
@@ -71,28 +71,28 @@
 // hasImage reports whether the machine's view lists the job's image.
 func (m *machineState) hasImage(j *job) bool { return slices.Contains(m.Images, j.Image) }
 
-// knownPace returns how long tasks take on the machine relative to the same jobs' tasks elsewhere (2: twice as long), or 0
+// slowdown returns how long tasks take on the machine relative to the same jobs' tasks elsewhere (2: twice as long), or 0
 // while too few tasks have ended there.
-func (m *machineState) knownPace() float64 {
-	if m.paceSamples < minPaceSamples {
+func (m *machineState) slowdown() float64 {
+	if m.slowdownSamples < minSlowdownSamples {
 		return 0
 	}
-	return m.paceSum / float64(m.paceSamples)
+	return m.slowdownSum / float64(m.slowdownSamples)
 }
 
-// heat returns the load of the machine if it has free micro-CPUs left: the share of its CPUs in use, times its pace. Tasks
-// are moved only to machines with less heat than their own. A machine under an eviction notice, or without known capacity,
+// load returns the load of the machine if it has free micro-CPUs left: the share of its CPUs in use, times its slowdown. Tasks
+// are moved only to machines with less load than their own. A machine under an eviction notice, or without known capacity,
 // has more than any other.
-func (m *machineState) heat(free int64) float64 {
-	const maxHeat = 1000
+func (m *machineState) load(free int64) float64 {
+	const maxLoad = 1000
 	if m.Cap.CPU == 0 || m.Noticed {
-		return maxHeat
+		return maxLoad
 	}
-	heat := 1 - float64(free)/float64(m.Cap.CPU)
-	if pace := m.knownPace(); pace > 0 {
-		heat *= pace
+	load := 1 - float64(free)/float64(m.Cap.CPU)
+	if slowdown := m.slowdown(); slowdown > 0 {
+		load *= slowdown
 	}
-	return heat
+	return load
 }
 
 // HandleMachineRecord applies a change of a machine's record in the key-value store; exists is false if the record was
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -9,8 +9,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Moves configures how running tasks are moved off machines that should be drained.
-type Moves struct {
+// MoveSettings configures how running tasks are moved off machines that should be drained.
+type MoveSettings struct {
 	rebalance.Limits
 	// Veto reports whether the operators' policy script vetoes a move. nil: no move is vetoed.
 	Veto func(rebalance.Record) bool
@@ -22,30 +22,30 @@
 	source, destination *assignment
 }
 
-// moves are the moves in progress, indexed by each of their two assignments.
-type moves struct {
+// activeMoves are the moves in progress, indexed by each of their two assignments.
+type activeMoves struct {
 	planner       *rebalance.Planner // nil: moves are off
 	bySource      map[*assignment]*move
 	byDestination map[*assignment]*move
 }
 
-func newMoves(config *Moves) moves {
-	out := moves{bySource: map[*assignment]*move{}, byDestination: map[*assignment]*move{}}
+func newActiveMoves(config *MoveSettings) activeMoves {
+	out := activeMoves{bySource: map[*assignment]*move{}, byDestination: map[*assignment]*move{}}
 	if config != nil {
 		out.planner = rebalance.NewPlanner(config.Limits)
 	}
 	return out
 }
 
-func (m *moves) add(mv *move) { m.bySource[mv.source], m.byDestination[mv.destination] = mv, mv }
+func (m *activeMoves) add(mv *move) { m.bySource[mv.source], m.byDestination[mv.destination] = mv, mv }
 
-func (m *moves) remove(mv *move) {
+func (m *activeMoves) remove(mv *move) {
 	delete(m.bySource, mv.source)
 	delete(m.byDestination, mv.destination)
 }
 
-// underWay returns the moves in progress in the order in which they began.
-func (m *moves) underWay() []*move {
+// inProgress returns the moves in progress in the order in which they began.
+func (m *activeMoves) inProgress() []*move {
 	out := make([]*move, 0, len(m.bySource))
 	for _, mv := range m.bySource {
 		out = append(out, mv)
@@ -55,7 +55,7 @@
 }
 
 // hasDestination reports whether a move to a machine is in progress.
-func (m *moves) hasDestination(machine string) bool {
+func (m *activeMoves) hasDestination(machine string) bool {
 	for a := range m.byDestination {
 		if a.machine == machine {
 			return true
@@ -69,11 +69,11 @@
 
 // moveTasks abandons moves that take too long and starts new ones, at most once every moveInterval.
 func (s *Scheduler) moveTasks(now clock.Micros) {
-	if s.timing.Moves == nil || now < s.movesCheckedAt+moveInterval {
+	if s.parameters.Moves == nil || now < s.movesCheckedAt+moveInterval {
 		return
 	}
 	s.movesCheckedAt = now
-	for _, mv := range s.moves.underWay() {
+	for _, mv := range s.moves.inProgress() {
 		s.applyMoveAction(mv, mv.Expire(now))
 	}
 	s.moves.planner.DropExpired(now)
@@ -113,7 +113,7 @@
 // isMovable reports whether an assignment is a running task of an active job and is not being moved already.
 func (s *Scheduler) isMovable(a *assignment) bool {
 	j := a.job
-	if a.orphaned || a.reserved || a.stopping || a.unanswered || a.phase != wire.TaskRunning {
+	if a.orphaned || a.held || a.stopping || a.unanswered || a.phase != wire.TaskRunning {
 		return false
 	}
 	return !j.cancelling && !j.finalWriteInFlight && j.isCurrent(a) && j.isActive() && s.moves.bySource[a] == nil
@@ -130,9 +130,9 @@
 		CanCheckpoint:      j.CheckpointIntervalS > 0,
 		CheckpointDuration: clock.FromSeconds(j.CheckpointDurationS),
 		NoticeLeft:         max(0, m.NoticeLeft-age),
-		Slowdown:           m.knownPace(),
+		Slowdown:           m.slowdown(),
 		ViewAge:            s.viewAge(m, now),
-		Load:               m.heat(m.available.CPU),
+		Load:               m.load(m.available.CPU),
 	}
 	if a.runningSince != 0 {
 		c.RunTime = now - a.runningSince
@@ -162,7 +162,7 @@
 		proposal := rebalance.Record{
 			Team: c.Team, From: c.Machine, To: to.ID, Key: c.Key, Reason: c.Reason, Gain: gain, Cost: cost, Began: now,
 		}
-		if veto := s.timing.Moves.Veto; veto != nil && veto(proposal) {
+		if veto := s.parameters.Moves.Veto; veto != nil && veto(proposal) {
 			return rebalance.Vetoed
 		}
 		s.startMove(a, to, planner.StartMove(c, destination, gain, cost, now), now)
@@ -176,7 +176,7 @@
 	for _, m := range s.findCapacityAnyImage(j, now) {
 		// A partition leader of an earlier version can't hold a lease and would start the task immediately, while it still runs
 		// at the source.
-		if m.ID != from && s.sessions[m.leader].supportsReservations && !s.moves.hasDestination(m.ID) {
+		if m.ID != from && s.sessions[m.leader].supportsHeldLeases && !s.moves.hasDestination(m.ID) {
 			out = append(out, m)
 		}
 	}
@@ -187,8 +187,8 @@
 func (s *Scheduler) moveDestination(j *job, m *machineState, now clock.Micros) *rebalance.Destination {
 	to := &rebalance.Destination{
 		Machine:  m.ID,
-		Slowdown: m.knownPace(),
-		Load:     m.heat(m.available.Minus(j.Need).CPU),
+		Slowdown: m.slowdown(),
+		Load:     m.load(m.available.Minus(j.Need).CPU),
 		ViewAge:  s.viewAge(m, now),
 	}
 	if !m.hasImage(j) {
@@ -200,12 +200,12 @@
 // startMove begins a move: it requests a held lease at the destination, which reserves capacity but starts no task.
 func (s *Scheduler) startMove(source *assignment, to *machineState, plan *rebalance.Move, now clock.Micros) {
 	a := newAssignment(source.job, source.id.N, to, now)
-	a.reserved = true
+	a.held = true
 	to.addAssignment(a)
 	to.available = to.available.Minus(a.job.Need)
 	s.reindex(to)
 	s.moves.add(&move{plan, source, a})
-	s.counters.Moves++
+	s.counters.MovesStarted++
 	message := a.message()
 	message.Hold = rebalance.HeldLeaseTTL
 	session := s.sessions[to.leader]
@@ -222,13 +222,13 @@
 		s.requestStop(mv.source, mv.source.job.StopGraceS())
 	case rebalance.StartDestination:
 		a := mv.destination
-		a.reserved = false
+		a.held = false
 		a.job.assignments[a.id.N] = a
 		if m := s.machines[a.machine]; m != nil {
 			session := s.sessions[m.leader]
 			session.pending.Starts = append(session.pending.Starts, peer.StartTask{ID: a.id, Machine: a.machine, Team: a.job.team.Name})
 		}
-		s.counters.Moved++
+		s.counters.MovesCompleted++
 	case rebalance.ReleaseDestination:
 		mv.destination.orphaned = true
 		if !s.retractAssignment(mv.destination) {
@@ -258,7 +258,7 @@
 
 // abandonMoves abandons the moves of a team's job, or of the whole team if job is empty.
 func (s *Scheduler) abandonMoves(tm *team, job string) {
-	for _, mv := range s.moves.underWay() {
+	for _, mv := range s.moves.inProgress() {
 		if j := mv.source.job; j.team == tm && (job == "" || j.ID == job) {
 			s.applyMoveAction(mv, mv.Abandon())
 		}
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-var testMoves = &Moves{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
+var testMoves = &MoveSettings{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
 
 // longJob gives a job tasks that write checkpoints and run for 200 s.
 func longJob(j *wire.Job) {
@@ -92,7 +92,7 @@
 	destination := sim.machineRunning("job-1/0")
 	require.NotEqual(t, from, destination)
 	require.Equal(t, rebalance.Moved, sim.lastMoveOutcome())
-	require.Equal(t, 1, sim.scheduler.counters.Moved)
+	require.Equal(t, 1, sim.scheduler.counters.MovesCompleted)
 	require.Zero(t, sim.movesInFlight())
 	require.Empty(t, sim.scheduler.moves.byDestination)
 	require.Equal(t, 1, sim.workers[destination].Starts["job-1/0"])
@@ -198,7 +198,7 @@
 	s.newScheduler()
 	s.runSteps(2)
 	for _, late := range s.lateBatches {
-		late.sentTo.HandleBatch(late.batch, late.controller.instance, s.now)
+		late.sentTo.HandleBatch(late.batch, late.controller.processID, s.now)
 	}
 }
 
@@ -221,7 +221,7 @@
 }
 
 // anyMove returns the move that began first of those in progress.
-func (s *simulation) anyMove() *move { return s.scheduler.moves.underWay()[0] }
+func (s *simulation) anyMove() *move { return s.scheduler.moves.inProgress()[0] }
 
 // without returns the names except for one.
 func without(names []string, name string) (out []string) {
@@ -251,10 +251,10 @@
 		"the script vetoes it": {func(sim *simulation, _ string) {
 			moves := *testMoves
 			moves.Veto = func(rebalance.Record) bool { return true }
-			sim.scheduler.timing.Moves = &moves
+			sim.scheduler.parameters.Moves = &moves
 		}, rebalance.Vetoed},
 		"partition leaders of an earlier version hold no leases": {func(sim *simulation, _ string) {
-			sim.leadersWithoutReservations = true
+			sim.leadersWithoutHeldLeases = true
 		}, rebalance.NoCapacity},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -270,7 +270,7 @@
 			sim.runSteps(12)
 			require.True(t, sim.workers[from].Running("job-1/0"))
 			require.Positive(t, sim.scheduler.moves.planner.DeclineCounts(red)[tc.reason], "%v", sim.scheduler.moves.planner.DeclineCounts(red))
-			require.Zero(t, sim.scheduler.counters.Moves)
+			require.Zero(t, sim.scheduler.counters.MovesStarted)
 		})
 	}
 }
@@ -325,8 +325,8 @@
 
 // countMoves adds the moves of the present scheduler to the totals. It is called before a scheduler is replaced.
 func (f *moveFaults) countMoves() {
-	f.begun += f.scheduler.counters.Moves
-	f.carriedOut += f.scheduler.counters.Moved
+	f.begun += f.scheduler.counters.MovesStarted
+	f.carriedOut += f.scheduler.counters.MovesCompleted
 }
 
 // step applies one random event or fault.
@@ -352,7 +352,7 @@
 		f.advance()
 		for _, late := range f.lateBatches { // some arrive, unless the process they were sent to has been replaced
 			if late.controller.partitionState == late.sentTo && f.oneIn(4) {
-				late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
+				late.sentTo.HandleBatch(late.batch, late.controller.processID, f.now)
 			}
 		}
 	case 11:
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -14,7 +14,7 @@
 
 const (
 	onTime        lateness = iota
-	pastDeadline           // misses its deadline, but can meet the longer bound of its class's objective (Timing.Times)
+	pastDeadline           // misses its deadline, but can meet the longer bound of its class's objective (Parameters.MaxDeadlineMultiples)
 	pastObjective          // misses that as well: its own lateness no longer matters, only how soon all work is done
 )
 
@@ -41,19 +41,19 @@
 
 // latestStart returns the time by which the job's tasks should start for the job to meet the finish objective of its class,
 // or the maximum time if there is none. It orders jobs without a deadline: those with long tasks can wait least.
-func (t *Timing) latestStart(j *job) clock.Micros {
-	within, ok := t.Finishes[j.Class]
+func (t *Parameters) latestStart(j *job) clock.Micros {
+	within, ok := t.FinishObjectives[j.Class]
 	if !ok {
 		return math.MaxInt64
 	}
 	return j.acceptedAt + within - clock.FromSeconds(j.RuntimeEstimateS)
 }
 
-func (t *Timing) latenessOf(j *job, now clock.Micros) lateness {
+func (t *Parameters) latenessOf(j *job, now clock.Micros) lateness {
 	if !j.missesDeadline(now) {
 		return onTime
 	}
-	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*t.Times[j.Class]) {
+	if j.earliestFinish(now) <= j.acceptedAt+clock.FromSeconds(*j.DeadlineS*t.MaxDeadlineMultiples[j.Class]) {
 		return pastDeadline
 	}
 	return pastObjective
@@ -61,19 +61,19 @@
 
 // cannotAffordRetry reports whether the job's deadline or finish objective leaves too little time to detect the loss of a
 // machine and run its tasks a second time.
-func (t *Timing) cannotAffordRetry(j *job) bool {
-	timeWithRetry := clock.FromSeconds(2*j.RuntimeEstimateS) + t.Lease
-	within, ok := t.Finishes[j.Class]
+func (t *Parameters) cannotAffordRetry(j *job) bool {
+	timeWithRetry := clock.FromSeconds(2*j.RuntimeEstimateS) + t.WorkerLease
+	within, ok := t.FinishObjectives[j.Class]
 	return ok && within < timeWithRetry || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < timeWithRetry
 }
 
 // mayPreempt reports whether a job has been without capacity for long enough to preempt tasks.
-func (t *Timing) mayPreempt(j *job, now clock.Micros) bool {
+func (t *Parameters) mayPreempt(j *job, now clock.Micros) bool {
 	return j.stalledSince != 0 && now >= j.stalledSince+t.PreemptAfter
 }
 
 // guaranteeDue reports whether no task of a job has found capacity for three fifths of the time within which guaranteed work
 // should start. Until then work of higher priority has precedence over the guarantee.
-func (t *Timing) guaranteeDue(j *job, now clock.Micros) bool {
-	return t.Guarantee > 0 && j.noPlacementSince != 0 && now >= j.noPlacementSince+t.Guarantee*3/5
+func (t *Parameters) guaranteeDue(j *job, now clock.Micros) bool {
+	return t.GuaranteeObjective > 0 && j.noPlacementSince != 0 && now >= j.noPlacementSince+t.GuaranteeObjective*3/5
 }
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -12,7 +12,7 @@
 // (docs/design.md, "Why the rules hold", number 7).
 func (s *Scheduler) NextPoll(host string) peer.PollRequest {
 	session := s.sessions[host]
-	request := peer.PollRequest{Incarnation: session.instance, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
+	request := peer.PollRequest{Incarnation: session.processID, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
 	for team, term := range request.Terms {
 		if session.fencedTerms[team] != term {
 			request.Incarnation = ""
@@ -35,7 +35,7 @@
 func (s *Scheduler) HandlePollResponse(host string, request peer.PollRequest, response *peer.PollResponse, now clock.Micros) {
 	session := s.sessions[host]
 	s.setReachable(host, true)
-	if response.Incarnation != session.instance {
+	if response.Incarnation != session.processID {
 		if request.Gen != session.generation || !response.Full {
 			return // the poll was sent before the present process was seen: a former one has responded
 		}
@@ -58,7 +58,7 @@
 // terms of a poll before it responds. A full response has only views made after that, so the terms count as fenced.
 func (s *Scheduler) applyPollHeader(session *leaderSession, terms map[string]uint64, response *peer.PollResponse, now clock.Micros) {
 	session.cursor, session.partitionTerms = response.Cursor, response.Parts
-	session.polledAt, session.supportsReservations = now, response.Holds
+	session.polledAt, session.supportsHeldLeases = now, response.Holds
 	if len(response.Standings) > 0 {
 		session.shares = leaderShares{response.Capacity, response.Standings, now}
 	}
@@ -100,11 +100,11 @@
 		}
 		m = newMachineState(view.ID)
 		s.machines[view.ID] = m
-	} else if view.Term < m.Term || view.Term == m.Term && m.instance == session.instance && view.Version < m.Version {
+	} else if view.Term < m.Term || view.Term == m.Term && m.processID == session.processID && view.Version < m.Version {
 		return // the cached state is newer
 	}
 	images := m.Images
-	m.MachineView, m.leader, m.instance, m.updatedAt = *view, host, session.instance, now
+	m.MachineView, m.leader, m.processID, m.updatedAt = *view, host, session.processID, now
 	if view.Images == nil && !view.Whole {
 		m.Images = images
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -18,7 +18,7 @@
 	if j.stalledSince == 0 {
 		j.stalledSince = now
 	}
-	if j.missesDeadline(now) || !s.timing.mayPreempt(j, now) {
+	if j.missesDeadline(now) || !s.parameters.mayPreempt(j, now) {
 		return
 	}
 	used := j.team.used.Plus(j.team.unaccountedCapacity)
@@ -41,7 +41,7 @@
 	})
 	wanted := j.Need.Times(int64(j.waiting()))
 	for _, a := range candidates {
-		if withinQuota(used.Plus(wanted), j.team.Limit) {
+		if fitsLimit(used.Plus(wanted), j.team.Limit) {
 			return
 		}
 		used = used.Minus(a.job.Need)
@@ -56,7 +56,7 @@
 
 // preemptAnywhere selects victims among all machines, once the job has found no capacity for PreemptAfter.
 func (s *selector) preemptAnywhere(j *job, now clock.Micros) selection {
-	if !s.timing.mayPreempt(j, now) {
+	if !s.parameters.mayPreempt(j, now) {
 		return selection{}
 	}
 	return s.preempt(j, &s.capacity.all, now)
@@ -70,7 +70,7 @@
 	if machines == nil || j.missesDeadline(now) {
 		return selection{}
 	}
-	guaranteeDue := s.timing.guaranteeDue(j, now)
+	guaranteeDue := s.parameters.guaranteeDue(j, now)
 	maxPriority := j.maxVictimPriority(guaranteeDue)
 	if !hasTaskAtOrBelow(&s.observedTasks.byPriority, maxPriority) || s.exhausted.hasNoVictims(j, guaranteeDue) {
 		return selection{}
@@ -88,7 +88,7 @@
 			best, bestCost = selection{m, found.tasks, found.overridesPriority}, found.cost
 		}
 		// Victims that have hardly begun lose so little work that a further search is not worth its cost.
-		return considered >= 8*s.timing.Sample || best.machine != nil && bestCost < preemptionCostStep
+		return considered >= 8*s.parameters.SampleSize || best.machine != nil && bestCost < preemptionCostStep
 	})
 	if best.machine == nil && machines == &s.capacity.all {
 		s.exhausted.markNoVictims(j, guaranteeDue)
--- a/internal/scheduler/preemption_scenario_test.go
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -35,7 +35,7 @@
 func TestGuaranteedJobPreemptsHigherPriorityOnlyWhenNothingFits(t *testing.T) {
 	for _, trickle := range []bool{true, false} {
 		sim := newSimulationWithLimit(t, 1, 2, 0)
-		sim.scheduler.timing.Guarantee = 5 * sec
+		sim.scheduler.parameters.GuaranteeObjective = 5 * sec
 		j := guaranteedJob(sim.now)
 		sim.runSteps(8)
 		sim.addJob("job-1", 8, func(j *wire.Job) { j.Priority = "high" })
--- a/internal/scheduler/progress_records_test.go
+++ b/internal/scheduler/progress_records_test.go
@@ -10,15 +10,15 @@
 // Guards against progress that is lost when the maximum size of a record changes. A record covers as many tasks as fit, and must be
 // read with the size that its key names and not with the present one.
 func TestProgressRecordsNameTheirSize(t *testing.T) {
-	require.Equal(t, ChunkTasks, chunkTasks(7372))
-	require.Zero(t, chunkTasks(100)%64)
-	require.LessOrEqual(t, base64.StdEncoding.EncodedLen(chunkTasks(700)/8)+2, 700)
-	for _, c := range []chunkID{{0, ChunkTasks}, {3, ChunkTasks}, {7, 4096}} {
+	require.Equal(t, MaxTasksPerChunk, tasksPerChunk(7372))
+	require.Zero(t, tasksPerChunk(100)%64)
+	require.LessOrEqual(t, base64.StdEncoding.EncodedLen(tasksPerChunk(700)/8)+2, 700)
+	for _, c := range []chunkID{{0, MaxTasksPerChunk}, {3, MaxTasksPerChunk}, {7, 4096}} {
 		got, ok := parseChunkID(c.String())
 		require.True(t, ok)
 		require.Equal(t, c, got)
 	}
-	require.Equal(t, "3", chunkID{3, ChunkTasks}.String(), "the key of a full-size record keeps its form")
+	require.Equal(t, "3", chunkID{3, MaxTasksPerChunk}.String(), "the key of a full-size record keeps its form")
 	for _, invalid := range []string{"", "x", "1.", "1.7", "-1", "1.-8"} {
 		_, ok := parseChunkID(invalid)
 		require.False(t, ok, invalid)
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -36,10 +36,10 @@
 	unacknowledged map[peer.TaskID]string // machines by attempts that are to be acknowledged after the write, set by snapshot
 }
 
-func (p *progressWrite) id() chunkID { return chunkID{p.chunk, p.job.chunkTasks} }
+func (p *progressWrite) id() chunkID { return chunkID{p.chunk, p.job.tasksPerChunk} }
 
 // size estimates how many bytes the record takes in a transaction.
-func (p *progressWrite) size() int { return min(p.job.chunkTasks, p.job.Tasks)/6 + 300 }
+func (p *progressWrite) size() int { return min(p.job.tasksPerChunk, p.job.Tasks)/6 + 300 }
 
 // writeIfDue writes progress if the interval since the last write has passed.
 func (w *progressWriter) writeIfDue(ctx context.Context) {
@@ -148,11 +148,11 @@
 // snapshot copies the record's present bits, and the attempts to acknowledge that they cover, from the job. The caller holds the
 // lock.
 func (p *progressWrite) snapshot() {
-	p.bits = p.job.chunk(p.chunk)
+	p.bits = p.job.progressBits(p.chunk)
 	delete(p.job.dirtyChunks, p.chunk)
 	p.unacknowledged = map[peer.TaskID]string{}
 	for id, machine := range p.job.unacknowledged {
-		if id.N/p.job.chunkTasks == p.chunk {
+		if id.N/p.job.tasksPerChunk == p.chunk {
 			p.unacknowledged[id] = machine
 		}
 	}
@@ -169,7 +169,7 @@
 			p.job.dirtyChunks[p.chunk] = true
 			continue
 		}
-		if w.isActive(p.job) {
+		if w.mayWriteRecords(p.job) {
 			w.scheduler.HandleProgressRecord(p.job.ID, p.id(), p.bits, rev)
 		}
 		for id, machine := range p.unacknowledged {
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -9,7 +9,7 @@
 // the outcome of the write of the job's final state is unknown, the user is asked to retry: otherwise a job could be reported as
 // active after it has been reported as over (docs/design.md, "Why the rules hold", number 10).
 func (s *Server) Status(request peer.JobRequest) peer.JobResponse {
-	if _, ok := s.elections.Leading(Duty(request.Team)); !ok {
+	if _, ok := s.elections.Leading(TeamDuty(request.Team)); !ok {
 		return peer.JobResponse{}
 	}
 	s.mu.Lock()
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -10,8 +10,8 @@
 
 // schedulingOrder returns the queue: the jobs that have tasks to place, in the order in which these are placed. Jobs that
 // can still meet their deadline, or have none, come first, ordered by priority, guarantee, fair share, waiting work,
-// deadline, latest start and age. Next come jobs that can only meet the longer bound of an objective (Timing.Times), in
-// the same order. Last come jobs that miss both, those with the longest tasks first.
+// deadline, latest start and age. Next come jobs that can only meet the longer bound of an objective
+// (Parameters.MaxDeadlineMultiples), in the same order. Last come jobs that miss both, those with the longest tasks first.
 func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
 	for _, tm := range s.teams {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return s.timing.compareJobs(a, b, now) })
+	slices.SortFunc(out, func(a, b *job) int { return s.parameters.compareJobs(a, b, now) })
 	return out
 }
 
@@ -32,7 +32,7 @@
 }
 
 // compareJobs compares two jobs by their order in the queue, see schedulingOrder.
-func (t *Timing) compareJobs(a, b *job, now clock.Micros) int {
+func (t *Parameters) compareJobs(a, b *job, now clock.Micros) int {
 	lateA, lateB := t.latenessOf(a, now), t.latenessOf(b, now)
 	if lateA != lateB {
 		return cmp.Compare(lateA, lateB)
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -13,7 +13,7 @@
 // that can meet neither.
 func TestQueueOrderFollowsLateness(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 4, 0)
-	sim.scheduler.timing.Times = map[string]float64{"sweep": 1.5}
+	sim.scheduler.parameters.MaxDeadlineMultiples = map[string]float64{"sweep": 1.5}
 	for i, due := range []float64{10, 70, 200} { // past the objective, past the deadline, on time
 		sim.addJob(fmt.Sprintf("job-%d", i), 1, func(j *wire.Job) { j.Class, j.DeadlineS, j.RuntimeEstimateS = "sweep", &due, 10 })
 	}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -43,8 +43,8 @@
 	if m.tasks[a.id] != nil {
 		return
 	}
-	if m.Term > a.term || !a.unanswered && (m.instance != a.instance || m.Version >= a.viewVersion) {
-		if !a.reserved {
+	if m.Term > a.term || !a.unanswered && (m.processID != a.processID || m.Version >= a.viewVersion) {
+		if !a.held {
 			s.counters.Lost++
 			a.job.retries++
 		}
@@ -94,7 +94,7 @@
 		zone:        m.Zone,
 		term:        m.Term,
 		viewVersion: m.Version,
-		instance:    m.instance,
+		processID:   m.processID,
 		assignedAt:  now - view.Since,
 	}
 	if j == nil {
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -101,7 +101,7 @@
 func (f *randomFaults) lateBatchArrives() {
 	if len(f.lateBatches) > 0 {
 		if late := f.lateBatches[f.rng.IntN(len(f.lateBatches))]; late.controller.partitionState == late.sentTo {
-			late.sentTo.HandleBatch(late.batch, late.controller.instance, f.now)
+			late.sentTo.HandleBatch(late.batch, late.controller.processID, f.now)
 		}
 	}
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -22,7 +22,7 @@
 	s.moveTasks(now)
 	queue := s.schedulingOrder(now)
 	s.updateUnaccountedCapacity()
-	limit := s.timing.Batch + waitingTasks(queue)/4
+	limit := s.parameters.BaseAssignmentsPerCycle + waitingTasks(queue)/4
 	s.startCycle(queue)
 	for _, j := range queue {
 		if j.firstTaskOverdue(now) {
@@ -81,8 +81,8 @@
 
 // scheduleJob places at most limit tasks of a job.
 func (s *Scheduler) scheduleJob(j *job, limit int, now clock.Micros) (placed int) {
-	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.offeredByFormer {
-		j.releaseFormerlyOffered()
+	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.assignedByFormer {
+		j.queueAssignedByFormer()
 	}
 	for placed < limit {
 		if !j.team.withinLimit(j.Need) {
@@ -113,7 +113,7 @@
 	// stalledSince is not reset here: on a large fleet some task of others ends in almost every cycle, and a job that
 	// is placed task by task into that capacity has to keep its right to preempt until all of it is placed.
 	j.noPlacementSince = 0
-	j.offeredHere = true
+	j.assignedHere = true
 	s.counters.Placed++
 	s.counters.Preempted += len(choice.victims)
 	m := choice.machine
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -27,20 +27,22 @@
 	"github.com/merlinlatch/merlinlatch/internal/recovery"
 )
 
-// Timing configures the scheduling cycle: its sizes, waiting times, objectives and optional features.
-type Timing struct {
-	// Sample is how many machines are drawn at random and compared for a task that is not small. A cycle makes assignments
-	// up to Batch plus a quarter of the number of waiting tasks; overdue first tasks of jobs are placed regardless of that.
-	Sample, Batch int
-	Lease         clock.Micros            // worker lease: a lost machine is noticed after this time
-	PreemptAfter  clock.Micros            // how long a job must lack capacity before it may preempt
-	Economy       bool                    // saves cost at the expense of start times, see waitsForImageByFit and onDemandIfUrgent
-	Waits         map[string]clock.Micros // by job class: tasks should start within this time after acceptance
-	Guarantee     clock.Micros            // work within a guarantee should start within this time; 0: no objective
-	Finishes      map[string]clock.Micros // by job class: jobs should finish within this time after acceptance
-	Times         map[string]float64      // by job class: jobs should finish within this multiple of their deadlines
-	Costs         *Costs                  // nil: machines are not chosen by estimated cost
-	Moves         *Moves                  // nil: running tasks are not moved
+// Parameters configures the scheduling cycle: its sizes, waiting times, objectives and optional features.
+type Parameters struct {
+	// SampleSize is how many machines are drawn at random and compared for a task that is not small. A cycle makes up to
+	// BaseAssignmentsPerCycle assignments plus a quarter of the number of waiting tasks; overdue first tasks of jobs are placed
+	// regardless of that.
+	SampleSize, BaseAssignmentsPerCycle int
+	WorkerLease                         clock.Micros // worker lease: a lost machine is noticed after this time
+	PreemptAfter                        clock.Micros // how long a job must lack capacity before it may preempt
+	// Economy saves cost at the expense of start times, see waitsForImageByFit and onDemandIfUrgent.
+	Economy              bool
+	StartObjectives      map[string]clock.Micros // by job class: tasks should start within this time after acceptance
+	GuaranteeObjective   clock.Micros            // work within a guarantee should start within this time; 0: no objective
+	FinishObjectives     map[string]clock.Micros // by job class: jobs should finish within this time after acceptance
+	MaxDeadlineMultiples map[string]float64      // by job class: jobs should finish within this multiple of their deadlines
+	Costs                *Costs                  // nil: machines are not chosen by estimated cost
+	Moves                *MoveSettings           // nil: running tasks are not moved
 	// Stages returns the stage of a zone's return that admits a job; nil: it follows from priority and deadline.
 	Stages func(*jobs.Job) recovery.Stage
 }
@@ -53,18 +55,18 @@
 // written.
 type Scheduler struct {
 	selector
-	instance    string          // identifies this process
+	processID   string          // identifies this process
 	teamConfigs map[string]Team // all teams by name, including those led by other controllers
-	wallMS      func() int64    // time of day in ms, within the error bound of the settings
+	wallClockMS func() int64    // time of day in ms, within the error bound of the settings
 
-	teams         map[string]*team                // teams led here, by name
-	progress      map[string]map[chunkID]progress // records of completed tasks, by job id
-	chunkTasks    int                             // number of tasks that a new progress record covers
-	legacyRecords bool                            // an earlier release, which wrote no watermarks, has recorded machines
-	watermarks    map[string]watermarks           // watermark records, by key
+	teams         map[string]*team                      // teams led here, by name
+	progress      map[string]map[chunkID]progressRecord // records of completed tasks, by job id
+	tasksPerChunk int                                   // number of tasks that a new progress record covers
+	legacyRecords bool                                  // an earlier release, which wrote no watermarks, has recorded machines
+	watermarks    map[string]watermarkRecord            // watermark records, by key
 
 	published      demandPublication
-	moves          moves
+	moves          activeMoves
 	movesCheckedAt clock.Micros
 
 	counters      Counters
@@ -73,12 +75,12 @@
 
 // Config configures a scheduler.
 type Config struct {
-	Timing   Timing
-	Instance string       // identifies this process
-	Teams    []Team       // all teams, including those led by other controllers
-	Hosts    []string     // names of all controllers
-	Seed     uint64       // of the random sampling of machines
-	WallMS   func() int64 // time of day in ms, within the error bound of the settings
+	Parameters  Parameters
+	ProcessID   string       // identifies this process
+	Teams       []Team       // all teams, including those led by other controllers
+	Hosts       []string     // names of all controllers
+	Seed        uint64       // of the random sampling of machines
+	WallClockMS func() int64 // time of day in ms, within the error bound of the settings
 }
 
 // NewScheduler returns a scheduler that leads no team yet.
@@ -86,18 +88,18 @@
 	s := &Scheduler{
 		selector: selector{
 			machineCache: newMachineCache(c.Hosts),
-			timing:       c.Timing,
+			parameters:   c.Parameters,
 			rng:          rand.New(rand.NewPCG(c.Seed, 1)),
 			zones:        zoneGates{},
 		},
-		instance:      c.Instance,
+		processID:     c.ProcessID,
 		teamConfigs:   map[string]Team{},
-		wallMS:        c.WallMS,
+		wallClockMS:   c.WallClockMS,
 		teams:         map[string]*team{},
-		progress:      map[string]map[chunkID]progress{},
-		chunkTasks:    ChunkTasks,
-		watermarks:    map[string]watermarks{},
-		moves:         newMoves(c.Timing.Moves),
+		progress:      map[string]map[chunkID]progressRecord{},
+		tasksPerChunk: MaxTasksPerChunk,
+		watermarks:    map[string]watermarkRecord{},
+		moves:         newActiveMoves(c.Parameters.Moves),
 		distributions: teamDistributions{},
 	}
 	for _, tm := range c.Teams {
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -13,7 +13,7 @@
 		// Spot instances are cheaper, so most jobs prefer them, and on-demand machines become idle and can be returned. A
 		// job that can't afford a retry prefers on-demand machines, which the cloud does not reclaim and the other jobs
 		// leave free.
-		return a.Spot != s.timing.cannotAffordRetry(j)
+		return a.Spot != s.parameters.cannotAffordRetry(j)
 	}
 	if j.Need.CPU*2 >= a.Cap.CPU || j.Need.CPU*2 >= b.Cap.CPU {
 		if remainingA, remainingB := a.available.Minus(j.Need).CPU, b.available.Minus(j.Need).CPU; remainingA != remainingB {
@@ -72,8 +72,8 @@
 	for _, j := range queue {
 		cpu = max(cpu, j.Need.CPU)
 	}
-	for observed := range s.observedTasks.byCPU {
-		cpu = max(cpu, observed)
+	for observedCPU := range s.observedTasks.byCPU {
+		cpu = max(cpu, observedCPU)
 	}
 	return cpu
 }
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -19,7 +19,7 @@
 // image.
 type selector struct {
 	machineCache
-	timing         Timing
+	parameters     Parameters
 	rng            *rand.Rand
 	fetchRates     fetchRates
 	prices         cpuPrices
@@ -31,7 +31,7 @@
 // startCycle prepares a scheduling cycle for the jobs of the queue.
 func (s *selector) startCycle(queue []*job) {
 	s.largestTaskCPU = s.maxTaskCPU(queue)
-	s.exhausted = exhaustedDemand{staged: len(s.zones) > 0}
+	s.exhausted = exhaustedDemand{zoneReturning: len(s.zones) > 0}
 }
 
 // selectMachine chooses a machine for a task of a job: by estimated cost where costs are configured and can be
@@ -40,7 +40,7 @@
 	if s.exhausted.isExhausted(j) {
 		return s.preemptAnywhere(j, now)
 	}
-	if s.timing.Costs != nil {
+	if s.parameters.Costs != nil {
 		if m, decided := s.selectByCost(j, now); decided {
 			return selection{machine: m}
 		}
@@ -88,7 +88,7 @@
 // machines that fetch no other image.
 func (s *selector) bestFitWithFetch(j *job, candidates []*machineState, now clock.Micros) *machineState {
 	candidates = s.onDemandIfUrgent(j, candidates)
-	if _, urgent := s.timing.Waits[j.Class]; urgent {
+	if _, urgent := s.parameters.StartObjectives[j.Class]; urgent {
 		// A start objective has precedence over slots for large tasks.
 		candidates = preferred(candidates, withoutOtherFetches(j, candidates, now))
 	}
@@ -101,7 +101,7 @@
 // With Economy it leaves that preference to prefers, which applies last; without Economy such a job gets on-demand
 // machines even if it takes slots from large tasks there.
 func (s *selector) onDemandIfUrgent(j *job, candidates []*machineState) []*machineState {
-	if s.timing.Economy || !s.timing.cannotAffordRetry(j) {
+	if s.parameters.Economy || !s.parameters.cannotAffordRetry(j) {
 		return candidates
 	}
 	return preferred(candidates, onDemandMachines(candidates))
@@ -118,7 +118,7 @@
 // bestOfSample returns the best machine of a random sample, or the best of all candidates for a small task.
 func (s *selector) bestOfSample(j *job, candidates []*machineState) (best *machineState) {
 	if !s.isSmall(j) {
-		candidates = s.sample(candidates, s.timing.Sample)
+		candidates = s.sample(candidates, s.parameters.SampleSize)
 	}
 	for _, m := range candidates {
 		if best == nil || s.prefers(j, m, best) {
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -32,7 +32,7 @@
 	sim := newSimulationWithLimit(t, 1, 4, 0)
 	sim.runSteps(8)
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.25})
-	sim.scheduler.timing.Waits = map[string]clock.Micros{"rescore": 4 * sec}
+	sim.scheduler.parameters.StartObjectives = map[string]clock.Micros{"rescore": 4 * sec}
 	for i := range 2 {
 		sim.addJob(fmt.Sprintf("job-%d", i), 3, func(j *wire.Job) {
 			j.Class, j.Image, j.ImageGB = "rescore", fmt.Sprintf("img-%d", i), 2
@@ -59,7 +59,7 @@
 // waits for as long as a fetch would take and then uses that capacity.
 func TestEconomyWaitsForImage(t *testing.T) {
 	sim := newSimulationWithLimit(t, 1, 10, 0)
-	sim.scheduler.timing.Economy = true
+	sim.scheduler.parameters.Economy = true
 	sim.scheduler.SetFetchRates(map[string]float64{"big": 0.5})
 	sim.runSteps(8)
 	image := func(j *wire.Job) { j.Image, j.ImageGB = "img-1", 2 }
@@ -81,8 +81,8 @@
 func TestUrgentJobsArePlacedOnOnDemandMachinesOnly(t *testing.T) {
 	for _, economy := range []bool{false, true} {
 		sim := newSimulationWithLimit(t, 1, 4, 0)
-		sim.scheduler.timing.Economy, sim.scheduler.timing.Lease = economy, 20*sec
-		sim.scheduler.timing.Finishes = map[string]clock.Micros{"refit": 30 * sec}
+		sim.scheduler.parameters.Economy, sim.scheduler.parameters.WorkerLease = economy, 20*sec
+		sim.scheduler.parameters.FinishObjectives = map[string]clock.Micros{"refit": 30 * sec}
 		sim.workers["m-0"].Spot, sim.workers["m-3"].Spot = true, true
 		sim.runSteps(8)
 		due := 500.0
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -21,9 +21,9 @@
 	// Leading returns this process's leadership of a duty. It returns false when the process does not lead, or must not act as
 	// the leader now because its controller lease may have expired or the leadership is being transferred.
 	Leading(duty string) (leaderelection.Leadership, bool)
-	// Current returns the leadership of a duty as the replica shows it. live reports whether the incarnation that it names is
-	// registered; an incarnation that is not registered never acts as the leader again.
-	Current(duty string) (leadership leaderelection.Leadership, live bool)
+	// CurrentLeadership returns the leadership of a duty as the replica shows it. live reports whether the incarnation that
+	// it names is registered; an incarnation that is not registered never acts as the leader again.
+	CurrentLeadership(duty string) (leadership leaderelection.Leadership, live bool)
 }
 
 // Store commits transactions within a budget of operations. Errors wrap kvstore.ErrRefused or kvstore.ErrConflict when nothing
@@ -45,8 +45,8 @@
 	Poll(request peer.PollRequest) (peer.PollResponse, error)
 }
 
-// Duty returns the name of a team's leadership in the leader election.
-func Duty(team string) string { return "team-" + url.PathEscape(team) }
+// TeamDuty returns the name of a team's leadership in the leader election.
+func TeamDuty(team string) string { return "team-" + url.PathEscape(team) }
 
 // Server schedules the jobs of the teams that this process leads. It does the I/O for a Scheduler: it polls partition
 // leaders, sends them batches, and writes watermarks, progress and final states. All its methods are safe for concurrent use.
@@ -69,13 +69,13 @@
 
 // Options configures a Server.
 type Options struct {
-	Teams           []Team
-	PartitionDuties []string                   // names of the partitions' leaderships, by partition
-	Partitions      map[string]PartitionClient // by controller
-	TxnOps          int                        // maximum number of operations in a transaction
-	MaxRecordBytes  int                        // maximum size of a record's value
-	ProgressEvery   clock.Micros               // interval between writes of progress
-	FairShares      bool                       // polls carry the teams' demands
+	Teams            []Team
+	PartitionDuties  []string                   // names of the partitions' leaderships, by partition
+	Partitions       map[string]PartitionClient // by controller
+	MaxTxnOps        int                        // maximum number of operations in a transaction
+	MaxRecordBytes   int                        // maximum size of a record's value
+	ProgressInterval clock.Micros               // interval between writes of progress
+	FairShares       bool                       // polls carry the teams' demands
 
 	Elections     Elections
 	Store         Store
@@ -86,11 +86,11 @@
 	Telemetry     *telemetry.Reporter // nil: no metrics are collected
 }
 
-// New returns a server that does the I/O for a scheduler.
-func New(scheduler *Scheduler, o Options) *Server {
-	scheduler.chunkTasks = chunkTasks(o.MaxRecordBytes)
+// NewServer returns a server that does the I/O for a scheduler.
+func NewServer(scheduler *Scheduler, o Options) *Server {
+	scheduler.tasksPerChunk = tasksPerChunk(o.MaxRecordBytes)
 	c := &core{
-		elections: o.Elections, jobs: o.Jobs, clock: o.Clock, log: o.Log, txnOps: o.TxnOps,
+		elections: o.Elections, jobs: o.Jobs, clock: o.Clock, log: o.Log, txnOps: o.MaxTxnOps,
 		scheduleWake: loop.NewSignal(), writeWake: loop.NewSignal(),
 		scheduler: scheduler, updated: newBroadcast(),
 	}
@@ -104,7 +104,7 @@
 		records:         inventory.NewRecords(),
 		lifetime:        lifetime,
 		watermarks:      &watermarkWriter{core: c, store: o.PriorityStore, maxRecordBytes: o.MaxRecordBytes},
-		progress:        &progressWriter{core: c, store: o.Store, interval: o.ProgressEvery},
+		progress:        &progressWriter{core: c, store: o.Store, interval: o.ProgressInterval},
 		finalStates:     finalStates,
 		cancellations: &canceller{core: c, store: o.PriorityStore, partitionDuties: o.PartitionDuties,
 			finalStates: finalStates, lifetime: lifetime},
@@ -149,7 +149,7 @@
 	terms := s.scheduler.TeamTerms()
 	acquired := false
 	for _, t := range s.teams {
-		leadership, leading := s.elections.Leading(Duty(t.Name))
+		leadership, leading := s.elections.Leading(TeamDuty(t.Name))
 		term, scheduled := terms[t.Name]
 		switch {
 		case leading && (!scheduled || term != leadership.Term):
--- a/internal/scheduler/server_test.go
+++ b/internal/scheduler/server_test.go
@@ -42,7 +42,9 @@
 type alwaysLeading struct{ leaderelection.Leadership }
 
 func (a alwaysLeading) Leading(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
-func (a alwaysLeading) Current(string) (leaderelection.Leadership, bool) { return a.Leadership, true }
+func (a alwaysLeading) CurrentLeadership(string) (leaderelection.Leadership, bool) {
+	return a.Leadership, true
+}
 
 // serverFixture is a server that leads the team red and has not been started with Run, and the store to which it writes.
 type serverFixture struct {
@@ -55,13 +57,13 @@
 func newServerFixture(t *testing.T, kv *fakes.KVClient, store Store) *serverFixture {
 	t.Helper()
 	rev, err := kv.Commit(t.Context(), wire.Txn{
-		Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + Duty(red), Value: leaderelection.Record{}}},
+		Operations: []wire.Operation{{Put: kvstore.LeaderPrefix + TeamDuty(red), Value: leaderelection.Record{}}},
 	})
 	require.NoError(t, err)
-	scheduler := NewScheduler(Config{Instance: "i", Teams: []Team{{Name: red}}, Seed: 1, WallMS: func() int64 { return 0 }})
+	scheduler := NewScheduler(Config{ProcessID: "i", Teams: []Team{{Name: red}}, Seed: 1, WallClockMS: func() int64 { return 0 }})
 	scheduler.AcquireTeam(red, 1, rev, nil, 0)
-	server := New(scheduler, Options{
-		TxnOps: 12, MaxRecordBytes: 4000,
+	server := NewServer(scheduler, Options{
+		MaxTxnOps: 12, MaxRecordBytes: 4000,
 		Elections: alwaysLeading{leaderelection.Leadership{Record: leaderelection.Record{Term: 1}, ModRevision: rev}},
 		Store:     store, PriorityStore: store, Jobs: jobs.NewCache(), Clock: clock.NewMonotonic(),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -134,7 +136,7 @@
 			f.progress.write(ctx)
 		}
 		require.Zero(t, store.Release(), "the late copy must change nothing")
-		item, ok, err := store.Get(ctx, progressKey(j.ID, chunkID{0, j.chunkTasks}))
+		item, ok, err := store.Get(ctx, progressKey(j.ID, chunkID{0, j.tasksPerChunk}))
 		require.NoError(t, err)
 		require.True(t, ok)
 		require.JSONEq(t, `"Bw=="`, string(item.Value), "three tasks are done")
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -27,7 +27,7 @@
 // controller is a controller in its role as partition leader. A crash replaces its process and state.
 type controller struct {
 	name           string
-	instance       string
+	processID      string
 	partitionState *partition.State
 }
 
@@ -47,30 +47,30 @@
 // simulation is a small cluster without I/O: partition leaders, one scheduler, workers, and a network that loses, delays and
 // duplicates messages as the test demands.
 type simulation struct {
-	t                          *testing.T
-	now                        clock.Micros
-	rng                        *rand.Rand
-	cache                      *jobs.Cache
-	revision                   uint64
-	active                     map[string]*jobs.Job
-	controllers                []*controller
-	leaderOf                   []int
-	termOf                     []uint64
-	machineRecords             map[string]inventory.Record
-	workers                    map[string]*fakes.Worker
-	machineIDs                 []string
-	scheduler                  *Scheduler
-	term                       uint64
-	restarts                   int
-	lateCommands               []lateCommands
-	lateBatches                []lateBatch
-	heartbeatCopies            []wire.Heartbeat // sent heartbeats that may arrive again
-	ended                      map[string]bool
-	limit                      float64                   // CPU limit of the team; 0: none
-	watermarks                 map[string]WatermarkWrite // stored watermark records, with their mod revisions
-	legacyRecords              bool                      // an earlier release has recorded machines
-	moves                      *Moves                    // nil: running tasks are not moved
-	leadersWithoutReservations bool                      // partition leaders grant no held leases, like those of earlier releases
+	t                        *testing.T
+	now                      clock.Micros
+	rng                      *rand.Rand
+	cache                    *jobs.Cache
+	revision                 uint64
+	active                   map[string]*jobs.Job
+	controllers              []*controller
+	leaderOf                 []int
+	termOf                   []uint64
+	machineRecords           map[string]inventory.Record
+	workers                  map[string]*fakes.Worker
+	machineIDs               []string
+	scheduler                *Scheduler
+	term                     uint64
+	restarts                 int
+	lateCommands             []lateCommands
+	lateBatches              []lateBatch
+	heartbeatCopies          []wire.Heartbeat // sent heartbeats that may arrive again
+	ended                    map[string]bool
+	limit                    float64                   // CPU limit of the team; 0: none
+	watermarks               map[string]WatermarkWrite // stored watermark records, with their mod revisions
+	legacyRecords            bool                      // an earlier release has recorded machines
+	moves                    *MoveSettings             // nil: running tasks are not moved
+	leadersWithoutHeldLeases bool                      // partition leaders grant no held leases, like those of earlier releases
 }
 
 // Active returns an active job. With Active and Ended the simulation serves as the partition leaders' job cache.
@@ -125,9 +125,9 @@
 // boot starts a new process of a controller, which leads no partition yet.
 func (s *simulation) boot(c *controller) {
 	s.restarts++
-	c.instance = fmt.Sprintf("%s-%d", c.name, s.restarts)
-	c.partitionState = partition.NewState(partition.Timing{Lease: lease, RoomLeaseTTL: 4 * sec, QuarantineErrors: 2}, s)
-	c.partitionState.SetTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
+	c.processID = fmt.Sprintf("%s-%d", c.name, s.restarts)
+	c.partitionState = partition.NewState(partition.Timing{WorkerLease: lease, ResourceLeaseTTL: 4 * sec, QuarantineFailedJobs: 2}, s)
+	c.partitionState.SetMachineTypes(map[string]resources.Amounts{"big": resources.Capacity(8, 0, 32)})
 }
 
 func (s *simulation) partitionOf(id string) int { return int(id[2]-'0') % len(s.leaderOf) }
@@ -162,12 +162,12 @@
 	s.term++
 	s.revision++
 	s.scheduler = NewScheduler(Config{
-		Timing:   Timing{Sample: 3, Batch: 10, PreemptAfter: sec, Moves: s.moves},
-		Instance: fmt.Sprintf("scheduler-%d", s.term),
-		Teams:    []Team{{Name: red, Limit: resources.Capacity(s.limit, 0, 0)}},
-		Hosts:    []string{"h0", "h1"},
-		Seed:     s.term,
-		WallMS:   func() int64 { return 0 },
+		Parameters:  Parameters{SampleSize: 3, BaseAssignmentsPerCycle: 10, PreemptAfter: sec, Moves: s.moves},
+		ProcessID:   fmt.Sprintf("scheduler-%d", s.term),
+		Teams:       []Team{{Name: red, Limit: resources.Capacity(s.limit, 0, 0)}},
+		Hosts:       []string{"h0", "h1"},
+		Seed:        s.term,
+		WallClockMS: func() int64 { return 0 },
 	})
 	s.scheduler.legacyRecords = s.legacyRecords
 	for id := range s.machineRecords {
@@ -226,8 +226,8 @@
 // poll makes the scheduler poll a partition leader. The response may be lost.
 func (s *simulation) poll(c *controller, lost bool) {
 	request := s.scheduler.NextPoll(c.name)
-	response := c.partitionState.HandlePoll(request, c.instance, s.now)
-	response.Holds = response.Holds && !s.leadersWithoutReservations
+	response := c.partitionState.HandlePoll(request, c.processID, s.now)
+	response.Holds = response.Holds && !s.leadersWithoutHeldLeases
 	if lost {
 		s.scheduler.MarkUnreachable(c.name)
 		return
@@ -245,7 +245,7 @@
 		s.lateBatches = append(s.lateBatches, lateBatch{c, c.partitionState, *batch})
 		return
 	}
-	response := c.partitionState.HandleBatch(*batch, c.instance, s.now)
+	response := c.partitionState.HandleBatch(*batch, c.processID, s.now)
 	if answered {
 		s.scheduler.HandleBatchResponse(c.name, batch, &response, s.now)
 	}
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -10,16 +10,16 @@
 	duration clock.Micros
 }
 
-// A machine is slow if its tasks take more than slowPaceThreshold times as long as other tasks of the same jobs, on average
-// over at least minPaceSamples tasks. Healthy machines differ by about a tenth, and the tasks of a job by more.
+// A machine is slow if its tasks take more than slowdownThreshold times as long as other tasks of the same jobs, on average
+// over at least minSlowdownSamples tasks. Healthy machines differ by about a tenth, and the tasks of a job by more.
 const (
-	slowPaceThreshold = 1.6
-	minPaceSamples    = 5
-	maxPaceSamples    = 20 // at this number, sum and number of the samples are halved, so that old ones lose influence
-	maxPaceRatio      = 4  // upper bound of one sample: a single task that hangs must not make a machine slow
-	minJobRuns        = 4  // number of recorded runs that a job needs for a comparison
-	minOtherRuns      = 2  // number of these that have to be on other machines
-	maxRecordedRuns   = 500
+	slowdownThreshold  = 1.6
+	minSlowdownSamples = 5
+	maxSlowdownSamples = 20 // at this number, sum and number of the samples are halved, so that old ones lose influence
+	maxSlowdownRatio   = 4  // upper bound of one sample: a single task that hangs must not make a machine slow
+	minJobRuns         = 4  // number of recorded runs that a job needs for a comparison
+	minOtherRuns       = 2  // number of these that have to be on other machines
+	maxRecordedRuns    = 500
 )
 
 // recordRun records for how long a task of the job ran on a machine.
@@ -50,19 +50,19 @@
 			continue
 		}
 		mean := max(((total - sum[r.machine]) / clock.Micros(others)).Seconds(), 0.1)
-		if m.recordPace(r.duration.Seconds() / mean); m.slow {
+		if m.recordSlowdown(r.duration.Seconds() / mean); m.slow {
 			session := s.sessions[m.leader]
 			session.pending.Slow = append(session.pending.Slow, m.ID)
 		}
 	}
 }
 
-// recordPace records how long a task took on the machine, as a ratio to the run time of its job's tasks elsewhere.
-func (m *machineState) recordPace(ratio float64) {
-	if m.paceSamples == maxPaceSamples {
-		m.paceSum, m.paceSamples = m.paceSum/2, maxPaceSamples/2
+// recordSlowdown records how long a task took on the machine, as a ratio to the run time of its job's tasks elsewhere.
+func (m *machineState) recordSlowdown(ratio float64) {
+	if m.slowdownSamples == maxSlowdownSamples {
+		m.slowdownSum, m.slowdownSamples = m.slowdownSum/2, maxSlowdownSamples/2
 	}
-	m.paceSum += min(ratio, maxPaceRatio)
-	m.paceSamples++
-	m.slow = m.paceSamples >= minPaceSamples && m.paceSum > slowPaceThreshold*float64(m.paceSamples)
+	m.slowdownSum += min(ratio, maxSlowdownRatio)
+	m.slowdownSamples++
+	m.slow = m.slowdownSamples >= minSlowdownSamples && m.slowdownSum > slowdownThreshold*float64(m.slowdownSamples)
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -10,7 +10,7 @@
 type Counters struct {
 	Placed, Rejected, Preempted, Done, Stopped, Failed, Lost int          // tasks
 	Yielded                                                  int          // assignments rejected in favour of teams below their shares
-	Moves, Moved                                             int          // moves begun, and completed
+	MovesStarted, MovesCompleted                             int          // moves begun, and completed
 	MachinesExamined                                         int          // machines examined in searches for capacity
 	FetchCPUs                                                clock.Micros // CPU time that tasks reserved before they ran
 }
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -130,7 +130,7 @@
 	sim.addJob("job-1", 16, nil)
 	sim.runSteps(4)
 	request := peer.PollRequest{Gen: sim.scheduler.sessions["h0"].generation, Terms: sim.scheduler.TeamTerms()}
-	late := sim.controllers[0].partitionState.HandlePoll(request, sim.controllers[0].instance, sim.now)
+	late := sim.controllers[0].partitionState.HandlePoll(request, sim.controllers[0].processID, sim.now)
 	delete(sim.machineRecords, "m-0")
 	sim.acquirePartition(0, 1)
 	sim.handleMachineRecord("m-0", false)
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -40,8 +40,8 @@
 	unaccountedCapacity resources.Amounts // capacity of these machines
 	finalWritesInFlight int               // transactions in flight that write final states of the team's jobs
 
-	yielding   map[string]yielding // by partition leader: rejections in favour of other teams
-	aboveShare bool                // the team uses more than its share of the fleet
+	yieldBackoffs map[string]yieldBackoff // by partition leader: rejections in favour of other teams
+	aboveShare    bool                    // the team uses more than its share of the fleet
 }
 
 // AcquireTeam starts leading a team under a term, with its active jobs. modRevision is that of the leadership's key.
@@ -50,14 +50,14 @@
 func (s *Scheduler) AcquireTeam(name string, term, modRevision uint64, active []*jobs.Job, now clock.Micros) {
 	s.ReleaseTeam(name)
 	tm := &team{
-		Team:        s.teamConfigs[name],
-		orderSalt:   nameHash(name),
-		term:        term,
-		modRevision: modRevision,
-		jobs:        map[string]*job{},
-		accounted:   map[string]bool{},
-		unaccounted: maps.Clone(s.recordedMachines),
-		yielding:    map[string]yielding{},
+		Team:          s.teamConfigs[name],
+		orderSalt:     nameHash(name),
+		term:          term,
+		modRevision:   modRevision,
+		jobs:          map[string]*job{},
+		accounted:     map[string]bool{},
+		unaccounted:   maps.Clone(s.recordedMachines),
+		yieldBackoffs: map[string]yieldBackoff{},
 	}
 	s.teams[name] = tm
 	for _, j := range active {
@@ -108,10 +108,10 @@
 
 // withinLimit reports whether the team stays within its limit with one more task of this resource request.
 func (tm *team) withinLimit(need resources.Amounts) bool {
-	return withinQuota(tm.used.Plus(tm.unaccountedCapacity).Plus(need), tm.Limit)
+	return fitsLimit(tm.used.Plus(tm.unaccountedCapacity).Plus(need), tm.Limit)
 }
 
-// withinQuota reports whether an amount is within a limit. A limit of 0 CPUs or GPUs is no limit.
-func withinQuota(used, limit resources.Amounts) bool {
+// fitsLimit reports whether an amount is within a limit. A limit of 0 CPUs or GPUs is no limit.
+func fitsLimit(used, limit resources.Amounts) bool {
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -40,13 +40,13 @@
 // write writes one watermark record if this process still leads its team. It does not retry: PlanWatermarks plans the watermarks
 // of a failed write again.
 func (w *watermarkWriter) write(ctx context.Context, write WatermarkWrite) {
-	leadership, ok := w.elections.Leading(Duty(write.Team))
+	leadership, ok := w.elections.Leading(TeamDuty(write.Team))
 	if !ok {
 		return
 	}
 	rev, err := w.store.Commit(ctx, wire.Txn{
 		Conditions: []wire.Condition{
-			{Key: kvstore.LeaderPrefix + Duty(write.Team), ModRevision: leadership.ModRevision},
+			{Key: kvstore.LeaderPrefix + TeamDuty(write.Team), ModRevision: leadership.ModRevision},
 			{Key: write.Key, ModRevision: write.ModRevision},
 		},
 		Operations: []wire.Operation{{Put: write.Key, Value: write.Watermarks}},
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -28,16 +28,16 @@
 	watermarkStep = 256
 	// watermarkLeadTime is how long before firstTaskDeadline a job's watermark is raised whatever the job's place in the queue.
 	watermarkLeadTime = 10 * clock.Second
-	// aheadDivisor and minAheadCPU determine how much work each team should be able to assign without another watermark: its
-	// equal part of the usable CPUs divided by aheadDivisor, plus minAheadCPU, in micro-CPUs, for small fleets.
-	aheadDivisor = 4
-	minAheadCPU  = 64e6
+	// aheadDivisor and extraAheadCPU determine how much work each team should be able to assign without another watermark: its
+	// equal part of the usable CPUs divided by aheadDivisor, plus extraAheadCPU, in micro-CPUs, for small fleets.
+	aheadDivisor  = 4
+	extraAheadCPU = 64e6
 	// watermarkEntryBytes is how many bytes a job takes in a record in addition to its id.
 	watermarkEntryBytes = 12
 )
 
-// watermarks is the newest known version of a watermark record.
-type watermarks struct {
+// watermarkRecord is the newest known version of a watermark record.
+type watermarkRecord struct {
 	modRevision uint64         // 0: there is no such record
 	tasksByJob  map[string]int // watermarks by job id
 }
@@ -62,7 +62,7 @@
 		delete(s.watermarks, key)
 		return
 	}
-	s.watermarks[key] = watermarks{modRevision, tasksByJob}
+	s.watermarks[key] = watermarkRecord{modRevision, tasksByJob}
 	for _, tm := range s.teams {
 		if strings.HasPrefix(key, watermarkPrefix(tm.Name)) {
 			for id, n := range tasksByJob {
@@ -92,7 +92,7 @@
 // yet, so that a next leader of the team could start their tasks without waiting. A record's value takes at most maxBytes.
 func (s *Scheduler) PlanWatermarks(now clock.Micros, maxBytes int) (out []WatermarkWrite) {
 	plan := watermarkPlan{
-		limitCPU: s.capacity.usableCPU/int64(aheadDivisor*max(1, len(s.teamConfigs))) + minAheadCPU,
+		limitCPU: s.capacity.usableCPU/int64(aheadDivisor*max(1, len(s.teamConfigs))) + extraAheadCPU,
 		aheadCPU: map[*team]int64{},
 		raised:   map[*team]map[string]int{},
 	}
@@ -152,7 +152,7 @@
 }
 
 // ofActiveJobs copies the watermarks of the team's active jobs; the other jobs are over and need none.
-func (w watermarks) ofActiveJobs(tm *team) map[string]int {
+func (w watermarkRecord) ofActiveJobs(tm *team) map[string]int {
 	out := map[string]int{}
 	for id, n := range w.tasksByJob {
 		if tm.jobs[id] != nil {
@@ -180,12 +180,12 @@
 	return remaining
 }
 
-// releaseFormerlyOffered queues the tasks that a former leader of the team may have assigned. It is called once all machines are
+// queueAssignedByFormer queues the tasks that a former leader of the team may have assigned. It is called once all machines are
 // accounted for, when the tasks that run on any of them are known and need not be queued.
-func (j *job) releaseFormerlyOffered() {
+func (j *job) queueAssignedByFormer() {
 	j.awaitsAccounting = false
 	var released []int
-	for n := range j.offeredByFormer {
+	for n := range j.assignedByFormer {
 		if !j.isDone(n) && j.assignments[n] == nil {
 			released = append(released, n)
 		}
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -37,8 +37,8 @@
 
 // stageOf returns the stage of a zone's return from which on a job is admitted.
 func (s *Scheduler) stageOf(j *jobs.Job) recovery.Stage {
-	if s.timing.Stages != nil {
-		return s.timing.Stages(j)
+	if s.parameters.Stages != nil {
+		return s.parameters.Stages(j)
 	}
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -48,8 +48,9 @@
 func (d *Decider) HasSeveralZones() bool { return len(d.zones) > 1 }
 
 // Step decides the states of all zones from the evidence and the waiting tasks, and returns the records that changed.
-// The monotonic time now decides; wallMS, in Unix milliseconds, is only written to the records.
-func (d *Decider) Step(evidence map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros, wallMS int64) map[string]Record {
+// The monotonic time now decides; wallClockMS, in Unix milliseconds, is only written to the records.
+func (d *Decider) Step(
+	evidence map[string]Evidence, waiting map[recovery.Stage]int, now clock.Micros, wallClockMS int64) map[string]Record {
 	changed := map[string]Record{}
 	if !d.HasSeveralZones() {
 		return changed
@@ -59,7 +60,7 @@
 		before := z.Record
 		d.transition(name, z, o)
 		if z.Record != before {
-			z.since, z.AtMS, z.Why = now, wallMS, evidence[name].String()
+			z.since, z.AtMS, z.Why = now, wallClockMS, evidence[name].String()
 			changed[name] = z.Record
 		}
 	}
@@ -151,12 +152,12 @@
 
 // Hold holds a zone's return at its present stage, or lets it continue, and returns the changed record. known is false
 // if there is no such zone.
-func (d *Decider) Hold(name string, held bool, wallMS int64) (r Record, known bool) {
+func (d *Decider) Hold(name string, held bool, wallClockMS int64) (r Record, known bool) {
 	z := d.zones[name]
 	if z == nil {
 		return Record{}, false
 	}
-	z.Held, z.AtMS = held, wallMS
+	z.Held, z.AtMS = held, wallClockMS
 	return z.Record, true
 }
 
