--- a/internal/autoscaler/benchmark_test.go
+++ b/internal/autoscaler/benchmark_test.go
@@ -19,7 +19,9 @@
 			kind := InstanceKind{"big", "a", true}
 			for i := range machines {
 				id := fmt.Sprintf("m-%06d", i)
-				in.Instances[id] = Instance{InstanceKind: kind, ID: id, Phase: wire.MachineRunning, RequestedAt: clock.Second, HeartbeatSeen: true}
+				in.Instances[id] = Instance{
+					InstanceKind: kind, ID: id, Phase: wire.MachineRunning, RequestedAt: clock.Second, HeartbeatSeen: true,
+				}
 				in.Views = append(in.Views, peer.MachineView{ID: id, Type: "big", Zone: "a", Spot: true, Cap: resources.Capacity(32, 0, 64),
 					Free: resources.Capacity(float64(i%3), 0, 8), Accounted: true, Usable: true, Count: 4})
 			}
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -104,7 +104,8 @@
 		{ID: "m-7", Accounted: true, Sick: true, Count: 1},
 		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // not usable now: kept for the boot time in addition
 	}
-	in.Instances["m-8"] = instanceAs(Instance{InstanceKind: InstanceKind{"big", "a", true}, HeartbeatSeen: true}, "m-8", wire.MachineRunning)
+	in.Instances["m-8"] = instanceAs(
+		Instance{InstanceKind: InstanceKind{"big", "a", true}, HeartbeatSeen: true}, "m-8", wire.MachineRunning)
 	_, scaleIn := Plan(in)
 	ids := []string{}
 	for _, r := range scaleIn {
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -269,7 +269,8 @@
 			sim.sendEvictionNotice(from)
 			sim.runSteps(12)
 			require.True(t, sim.workers[from].Running("job-1/0"))
-			require.Positive(t, sim.scheduler.moves.planner.DeclineCounts(red)[tc.reason], "%v", sim.scheduler.moves.planner.DeclineCounts(red))
+			require.Positive(t, sim.scheduler.moves.planner.DeclineCounts(red)[tc.reason],
+				"%v", sim.scheduler.moves.planner.DeclineCounts(red))
 			require.Zero(t, sim.scheduler.counters.MovesStarted)
 		})
 	}
