--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -14,7 +14,8 @@
 	publicationDelay       = 12 * clock.Millisecond
 	minPublicationInterval = 25 * clock.Millisecond
 	maxPublicationInterval = 120 * clock.Millisecond
-	// publicationIntervalPerMachineAndPoll times the known machines, times the waiting polls, is added to minPublicationInterval.
+	// publicationIntervalPerMachineAndPoll, multiplied by the number of known machines and by that of waiting polls, is added
+	// to minPublicationInterval.
 	publicationIntervalPerMachineAndPoll = clock.Millisecond / 8
 )
 
