--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,8 +26,8 @@
 	require.GreaterOrEqual(t, float64(lease.PlusDrift())/fastest*1.000001, float64(lease)/slowest, "to a millionth")
 }
 
-func TestSteadyClockNeverShowsZero(t *testing.T) {
-	c := NewSteady()
+func TestMonotonicClockNeverShowsZero(t *testing.T) {
+	c := NewMonotonic()
 	first := c.Now()
 	require.GreaterOrEqual(t, first, Second)
 	require.GreaterOrEqual(t, c.Now(), first)
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -20,9 +20,9 @@
 const partitionsPerController = 4
 
 // layout has the controllers, duties and teams that the settings define. All controllers derive the same layout from their
-// settings, except for instanceID.
+// settings, except for processID.
 type layout struct {
-	instanceID      string   // identifies this process
+	processID       string   // identifies this process
 	hosts           []string // all controllers, sorted
 	partitionDuties []string // by partition
 	partitionZones  []string // by partition; the zone of its preferred leader
@@ -32,14 +32,14 @@
 
 func newLayout(settings *config.Settings) layout {
 	p := &settings.Params
-	l := layout{instanceID: uuid.NewString(), hosts: []string{settings.Host}, limits: map[string]resources.Amounts{}}
+	l := layout{processID: uuid.NewString(), hosts: []string{settings.Host}, limits: map[string]resources.Amounts{}}
 	zoneOf := map[string]string{settings.Host: settings.Zone}
 	for _, other := range settings.Peers {
 		l.hosts = append(l.hosts, other.Host)
 		zoneOf[other.Host] = other.Zone
 	}
 	slices.Sort(l.hosts)
-	for i := range min(partitionsPerController*p.Count, scheduler.MaxPartitions(p.State.TxnOps)) {
+	for i := range min(partitionsPerController*p.Count, scheduler.MaxPartitions(p.Store.TxnOps)) {
 		l.partitionDuties = append(l.partitionDuties, partition.Duty(i))
 		l.partitionZones = append(l.partitionZones, zoneOf[leaderelection.PreferredLeader(l.hosts, i, 0)])
 	}
@@ -59,7 +59,7 @@
 func (l *layout) duties() []string {
 	out := slices.Clone(l.partitionDuties)
 	for _, t := range l.teams {
-		out = append(out, scheduler.Duty(t.Name))
+		out = append(out, scheduler.TeamDuty(t.Name))
 	}
 	return append(out, autoscaler.Duty)
 }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -29,7 +29,7 @@
 	// overdueHeartbeats is the number of heartbeat intervals, plus one second of tolerance, after which a machine without
 	// an answered heartbeat is overdue and gets no new tasks.
 	overdueHeartbeats = 2.5
-	// shareOpenMultiple is how many times as long as ShareWithhold a machine is open to every team, after its free resources
+	// shareOpenMultiple is how many times as long as ShareWithholdFor a machine is open to every team, after its free resources
 	// were withheld for a team that did not take them.
 	shareOpenMultiple = 5
 	// maxZoneReturnAfter bounds how long a zone must be reachable before work returns to it. That time doubles each time
@@ -46,7 +46,7 @@
 
 // maxRecordBytes returns the size limit for a record, which leaves room in a value for the data that the record is wrapped in.
 func maxRecordBytes(settings *config.Settings) int {
-	return int(settings.Params.State.ValueKB * bytesPerKB * recordShare)
+	return int(settings.Params.Store.ValueKB * bytesPerKB * recordShare)
 }
 
 func leaseTiming(parameters *policy.Parameters) leaderelection.Timing {
@@ -59,20 +59,20 @@
 	}
 }
 
-func (c *Controller) partitionOptions(w *wiring, l *layout, steady clock.Clock) partition.Options {
+func (c *Controller) partitionOptions(w *wiring, l *layout, monotonic clock.Clock) partition.Options {
 	_, workerConnections := w.settings.Sockets()
 	o := partition.Options{
-		Host:                 w.settings.Host,
-		Instance:             l.instanceID,
+		Controller:           w.settings.Host,
+		ProcessID:            l.processID,
 		Partitioning:         partition.NewPartitioning(l.partitionZones),
-		TxnOps:               w.settings.Params.State.TxnOps,
+		TxnOps:               w.settings.Params.Store.TxnOps,
 		MaxRecordBytes:       maxRecordBytes(w.settings),
 		MaxWorkerConnections: workerConnections,
 		Timing:               partitionTiming(w.settings, w.parameters),
 		Jobs:                 c.jobs,
 		Elections:            c.elector,
 		Store:                w.store,
-		Clock:                steady,
+		Clock:                monotonic,
 		WallClock:            time.Now,
 		Log:                  w.log,
 		History:              c.history,
@@ -89,67 +89,67 @@
 func partitionTiming(settings *config.Settings, parameters *policy.Parameters) partition.Timing {
 	overdue := min(clock.FromSeconds(overdueHeartbeats*settings.Params.Workers.ReportS+1), settings.Lease()*2/3)
 	return partition.Timing{
-		Lease:            settings.Lease(),
-		HeartbeatOverdue: overdue,
-		RoomLeaseTTL:     parameters.RoomLeaseTTL,
-		QuarantineErrors: parameters.QuarantineErrors,
+		WorkerLease:          settings.Lease(),
+		HeartbeatOverdue:     overdue,
+		ResourceLeaseTTL:     parameters.ResourceLeaseTTL,
+		QuarantineFailedJobs: parameters.QuarantineFailedJobs,
 	}
 }
 
 func fairShareSettings(parameters *policy.Parameters) fairshare.Settings {
 	return fairshare.Settings{
-		Weights:  parameters.TeamWeights,
-		Fresh:    parameters.ShareFresh,
-		Withhold: parameters.ShareWithhold,
-		Open:     shareOpenMultiple * parameters.ShareWithhold,
+		Weights:      parameters.TeamWeights,
+		MaxDemandAge: parameters.ShareMaxDemandAge,
+		WithholdFor:  parameters.ShareWithholdFor,
+		OpenFor:      shareOpenMultiple * parameters.ShareWithholdFor,
 	}
 }
 
 func schedulerConfig(w *wiring, l *layout) scheduler.Config {
 	return scheduler.Config{
-		Timing:   schedulerTiming(w.settings, w.parameters, w.log),
-		Instance: l.instanceID,
-		Teams:    l.teams,
-		Hosts:    l.hosts,
-		Seed:     w.seed,
-		WallMS:   wallMS,
+		Parameters:  schedulerParameters(w.settings, w.parameters, w.log),
+		ProcessID:   l.processID,
+		Teams:       l.teams,
+		Hosts:       l.hosts,
+		Seed:        w.seed,
+		WallClockMS: wallClockMS,
 	}
 }
 
-func (c *Controller) schedulerOptions(w *wiring, l *layout, steady clock.Clock) scheduler.Options {
+func (c *Controller) schedulerOptions(w *wiring, l *layout, monotonic clock.Clock) scheduler.Options {
 	return scheduler.Options{
-		Teams:           l.teams,
-		PartitionDuties: l.partitionDuties,
-		Partitions:      c.partitionClients(),
-		TxnOps:          w.settings.Params.State.TxnOps,
-		MaxRecordBytes:  maxRecordBytes(w.settings),
-		ProgressEvery:   w.parameters.ProgressEvery,
-		FairShares:      w.parameters.FairShares,
-		Elections:       c.elector,
-		Store:           w.store,
-		PriorityStore:   w.priorityStore,
-		Jobs:            c.jobs,
-		Clock:           steady,
-		Log:             w.log,
-		Telemetry:       w.telemetry,
+		Teams:            l.teams,
+		PartitionDuties:  l.partitionDuties,
+		Partitions:       c.partitionClients(),
+		MaxTxnOps:        w.settings.Params.Store.TxnOps,
+		MaxRecordBytes:   maxRecordBytes(w.settings),
+		ProgressInterval: w.parameters.ProgressInterval,
+		FairShares:       w.parameters.FairShares,
+		Elections:        c.elector,
+		Store:            w.store,
+		PriorityStore:    w.priorityStore,
+		Jobs:             c.jobs,
+		Clock:            monotonic,
+		Log:              w.log,
+		Telemetry:        w.telemetry,
 	}
 }
 
-func schedulerTiming(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) scheduler.Timing {
+func schedulerParameters(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) scheduler.Parameters {
 	objectives := settings.Params.Objectives
-	return scheduler.Timing{
-		Stages:       parameters.Stages(log),
-		Costs:        placementCosts(parameters),
-		Moves:        moveSettings(settings, parameters, log),
-		Lease:        settings.Lease(),
-		Sample:       parameters.Sample,
-		Batch:        parameters.Batch,
-		PreemptAfter: parameters.PreemptAfter,
-		Economy:      parameters.Economy,
-		Waits:        shortestByClass(objectives, objectiveWait),
-		Finishes:     shortestByClass(objectives, objectiveFinished),
-		Times:        deadlineMultiples(objectives),
-		Guarantee:    shortestByClass(objectives, objectiveGuarantee)[anyClass],
+	return scheduler.Parameters{
+		Stages:                  parameters.StageHook(log),
+		Costs:                   placementCosts(parameters),
+		Moves:                   moveSettings(settings, parameters, log),
+		WorkerLease:             settings.Lease(),
+		SampleSize:              parameters.SampleSize,
+		BaseAssignmentsPerCycle: parameters.BaseAssignmentsPerCycle,
+		PreemptAfter:            parameters.PreemptAfter,
+		Economy:                 parameters.Economy,
+		StartObjectives:         shortestByClass(objectives, objectiveWait),
+		FinishObjectives:        shortestByClass(objectives, objectiveFinished),
+		MaxDeadlineMultiples:    deadlineMultiples(objectives),
+		GuaranteeObjective:      shortestByClass(objectives, objectiveGuarantee)[anyClass],
 	}
 }
 
@@ -158,16 +158,16 @@
 	if !parameters.PlacementCosts {
 		return nil
 	}
-	weights := placement.Weights{Data: parameters.DataWeight, Even: parameters.EvenWeight, Price: parameters.PriceWeight}
+	weights := placement.Weights{ImageFetch: parameters.DataWeight, Utilization: parameters.EvenWeight, Price: parameters.PriceWeight}
 	return &scheduler.Costs{ImageWait: parameters.ImageWait, Weights: weights}
 }
 
 // moveSettings returns the limits for moving running tasks, or nil if the policy disables moves.
-func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.Moves {
+func moveSettings(settings *config.Settings, parameters *policy.Parameters, log *slog.Logger) *scheduler.MoveSettings {
 	if !parameters.Moves {
 		return nil
 	}
-	return &scheduler.Moves{Veto: parameters.Veto(log), Limits: rebalance.Limits{
+	return &scheduler.MoveSettings{Veto: parameters.VetoHook(log), Limits: rebalance.Limits{
 		Margin:     parameters.MoveMargin,
 		CoolDown:   parameters.MoveCoolDown,
 		PerTeam:    parameters.TeamMoves,
@@ -185,20 +185,20 @@
 		Jobs:           c.jobs,
 		Limits:         l.limits,
 		StartWithin:    shortestByClass(p.Objectives, objectiveWait),
-		MaxRecordBytes: int(p.State.ValueKB * bytesPerKB),
+		MaxRecordBytes: int(p.Store.ValueKB * bytesPerKB),
 		WallClock:      time.Now,
 		Log:            w.log,
 	}
 }
 
-func (c *Controller) autoscalerOptions(w *wiring, steady clock.Clock) autoscaler.Options {
+func (c *Controller) autoscalerOptions(w *wiring, monotonic clock.Clock) autoscaler.Options {
 	p := &w.settings.Params
 	return autoscaler.Options{
 		Cloud:         autoscaler.NewCloudClient(w.settings.Services.Cloud, p.Cloud.RPS, maxResponseBytes(p.Limits.MemoryMB)),
 		Elections:     c.elector,
 		Store:         w.store,
 		Controllers:   c,
-		Clock:         steady,
+		Clock:         monotonic,
 		WallClock:     time.Now,
 		Parameters:    autoscalerParameters(w.parameters),
 		Backoff:       w.parameters.ScaleOutBackoff,
@@ -217,8 +217,8 @@
 		SpareShare:       parameters.SpareShare,
 		IdleScaleInDelay: parameters.IdleScaleInDelay,
 		BootPatience:     parameters.BootPatience,
-		Catchup:          parameters.Catchup,
-		CatchupOrdinary:  parameters.CatchupOrdinary,
+		CatchupSpot:      parameters.CatchupSpot,
+		CatchupOnDemand:  parameters.CatchupOnDemand,
 	}
 }
 
@@ -229,10 +229,10 @@
 		return autoscaler.ZoneWatch{}
 	}
 	return autoscaler.ZoneWatch{Names: c.settings.Params.Zones, Source: c, Settings: zone.Settings{
-		SuspectAfter: parameters.ZoneSuspectAfter,
-		LostAfter:    parameters.ZoneLostAfter,
-		ReturnAfter:  parameters.ZoneReturnAfter,
-		ReturnMost:   maxZoneReturnAfter,
+		SuspectAfter:   parameters.ZoneSuspectAfter,
+		LostAfter:      parameters.ZoneLostAfter,
+		ReturnDelay:    parameters.ZoneReturnAfter,
+		MaxReturnDelay: maxZoneReturnAfter,
 	}}
 }
 
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -80,7 +80,7 @@
 		b.store.SetCut(true)
 		time.Sleep(10 * time.Second)
 		require.Equal(t, 1, log.count("WARN lease renewal failed error"), "only the first of several failures is logged")
-		b.ObservePeer(0)
+		b.RecordPeerContact(0)
 		time.Sleep(5 * time.Second)
 		require.Equal(t, 1, log.count("WARN leaderships resigned incarnation reason"))
 		require.Equal(t, 1, log.count("WARN registration failed attempts error"), "only the first of several failures is logged")
@@ -123,7 +123,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			store.KVClient = &fakes.KVClient{KVStore: fakes.NewKVStore()}
-			e := NewElector(NewElection("a", []string{"a"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+			e := NewElector(NewElection("a", []string{"a"}, duties, 2), store, clock.NewMonotonic(), timing, discardLog)
 			err := e.register(t.Context())
 			require.ErrorIs(t, err, cause)
 			require.ErrorContains(t, err, want)
@@ -137,11 +137,11 @@
 func TestPassWithoutIncarnationKeepsResignedName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakes.KVClient{KVStore: fakes.NewKVStore()}
-		e := NewElector(NewElection("a", []string{"a", "b"}, duties, 2), store, clock.NewSteady(), timing, discardLog)
+		e := NewElector(NewElection("a", []string{"a", "b"}, duties, 2), store, clock.NewMonotonic(), timing, discardLog)
 		require.NoError(t, e.register(t.Context()))
 		incarnation, _ := e.election.Incarnation()
 		time.Sleep(timing.ResignAfter.Duration() + time.Second)
-		e.ObservePeer(0)
+		e.RecordPeerContact(0)
 		e.pass(t.Context())
 		_, resigned := e.StoreContact()
 		require.Equal(t, incarnation, resigned)
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -13,7 +13,7 @@
 // zoneGate limits the tasks that this leader admits to a zone that is lost, or to which work returns in stages.
 type zoneGate struct {
 	*recovery.Gate
-	startsUnderWay int // at the last count, plus the tasks accepted since
+	startsInFlight int // at the last count, plus the tasks accepted since
 	countedAt      clock.Micros
 }
 
@@ -44,14 +44,14 @@
 		return true
 	}
 	if now >= gate.countedAt+startCountInterval {
-		gate.countedAt, gate.startsUnderWay = now, s.startsInZone(m.Zone)
+		gate.countedAt, gate.startsInFlight = now, s.startsInZone(m.Zone)
 	}
 	stage := recovery.DefaultStage(a.Rank, false) // for schedulers that send no stage
 	if a.Stage > 0 {
 		stage = recovery.Stage(a.Stage - 1)
 	}
-	warm := m.warmIncarnation == m.worker.incarnation
-	return gate.Admits(stage, recovery.Machine{Warm: warm, Pending: m.pendingStarts()}, gate.startsUnderWay, now)
+	proven := m.provenIncarnation == m.worker.incarnation
+	return gate.Admits(stage, recovery.Machine{Proven: proven, Pending: m.pendingStarts()}, gate.startsInFlight, now)
 }
 
 // startsInZone counts the tasks in a zone that were accepted and have not been seen running yet.
@@ -64,11 +64,11 @@
 	return n
 }
 
-// markWarm records that a task was seen running on a machine: the machine works and has the task's image.
-func (s *State) markWarm(m *machine) {
-	m.warmIncarnation = m.worker.incarnation
+// markProven records that a task was seen running on a machine: the machine works and has the task's image.
+func (s *State) markProven(m *machine) {
+	m.provenIncarnation = m.worker.incarnation
 	if gate := s.zoneGates[m.Zone]; gate != nil {
-		gate.Succeeded()
+		gate.RecordSuccessfulStart()
 	}
 }
 
--- a/internal/scheduler/zone_states.go
+++ b/internal/scheduler/zone_states.go
@@ -37,8 +37,8 @@
 
 // stageOf returns the stage of a zone's return from which on a job is admitted.
 func (s *Scheduler) stageOf(j *jobs.Job) recovery.Stage {
-	if s.timing.Stages != nil {
-		return s.timing.Stages(j)
+	if s.parameters.Stages != nil {
+		return s.parameters.Stages(j)
 	}
 	return recovery.DefaultStage(j.PriorityLevel, j.DeadlineS != nil)
 }
@@ -55,7 +55,7 @@
 		switch {
 		case m.Silent || m.Overdue || !s.isCurrent(m):
 			if !misdirected[m.ID] {
-				e.MissedHeartbeats++
+				e.Missing++
 			}
 		case !m.Accounted:
 			e.Unaccounted++
