--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -25,11 +25,11 @@
 // retry must find the job accepted.
 func TestSubmissionWithLostStoreResponseIsFoundOnRetry(t *testing.T) {
 	f := newAPIFixture(t)
-	f.store.SetMute(true)
+	f.store.SetDropResponses(true)
 	r := f.submit(validJob)
 	require.Equal(t, 503, r.Status)
 	require.Equal(t, 1, r.RetryAfter)
-	f.store.SetMute(false)
+	f.store.SetDropResponses(false)
 	require.Equal(t, 200, f.submit(validJob).Status)
 }
 
@@ -37,7 +37,7 @@
 // noticed the loss of contact yet. If no other controller can take the submission, the user gets 503.
 func TestSubmissionWithoutStoreContactIsForwardedToPeer(t *testing.T) {
 	f := newAPIFixture(t)
-	f.store.SetCut(true)
+	f.store.SetDisconnected(true)
 	require.Equal(t, 503, f.submit(validJob).Status)
 	f.peers.response = httpx.Response{Status: 201, Body: []byte(`{"id":"job-000412","phase":"pending"}`)}
 	for _, f.peers.storeUnreachable = range []bool{false, true} {
@@ -46,7 +46,7 @@
 		require.JSONEq(t, `{"id":"job-000412","phase":"pending"}`, string(r.Body))
 	}
 	require.Equal(t, 3, f.peers.calls)
-	f.store.SetCut(false)
+	f.store.SetDisconnected(false)
 	f.peers.storeUnreachable, f.nowMS = false, 1000
 	require.Equal(t, 201, f.submit(validJob).Status)
 	require.Equal(t, 3, f.peers.calls, "the store can be reached again, so nothing is forwarded")
@@ -56,9 +56,9 @@
 // request budget that is needed after the outage, so none is tried for 250 ms after a refusal.
 func TestSubmissionAfterStoreRefusalWaitsForBackoff(t *testing.T) {
 	f := newAPIFixture(t)
-	f.store.SetCut(true)
+	f.store.SetDisconnected(true)
 	require.Equal(t, 503, f.submit(validJob).Status)
-	f.store.SetCut(false)
+	f.store.SetDisconnected(false)
 	f.nowMS += 200
 	r := f.submit(validJob)
 	require.Equal(t, 503, r.Status)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -147,7 +147,7 @@
 		step: func(ctx context.Context, leadership leaderelection.Leadership) {
 			start := time.Now()
 			a.step(ctx, leadership)
-			a.dutyStats.Round(time.Since(start))
+			a.dutyStats.RecordRound(time.Since(start))
 		},
 		endTerm: func() { a.term = 0 },
 	}.run(ctx)
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -137,7 +137,7 @@
 func (z *zoneStates) step(ctx context.Context, leadership leaderelection.Leadership, demands []peer.Demand, now clock.Micros) {
 	z.decide(demands, now)
 	if err := z.save(ctx, leadership); err != nil {
-		if z.failures++; loop.LogsFailure(z.failures) && ctx.Err() == nil {
+		if z.failures++; loop.ShouldLogFailure(z.failures) && ctx.Err() == nil {
 			z.log.Warn("zone state write failed", "error", err)
 		}
 		return
--- a/internal/console/history_test.go
+++ b/internal/console/history_test.go
@@ -18,7 +18,7 @@
 	now := int64(0)
 	ring := history.NewRing("a", 5000, func() int64 { now++; return now })
 	for i := range 6000 {
-		ring.Add(history.Event{Kind: history.JobOver, Job: string(rune('a' + i%20)), Note: "done"})
+		ring.Add(history.Event{Kind: history.JobFinished, Job: string(rune('a' + i%20)), Note: "done"})
 	}
 	a := controllerStub("a", map[string]responder{"History": func(in, out any) {
 		request := in.(peer.HistoryRequest)
@@ -31,7 +31,7 @@
 	require.Contains(t, out.String(), "5000 events of 1 controllers")
 	require.Contains(t, out.String(), "not reached: b")
 	require.NoError(t, CheckHistory(&out, path, 1000))
-	ring.Add(history.Event{Kind: history.JobOver, Job: "a", Note: "cancelled"})
+	ring.Add(history.Event{Kind: history.JobFinished, Job: "a", Note: "cancelled"})
 	require.NoError(t, ExportHistory(&out, []Controller{a}, path))
 	require.ErrorContains(t, CheckHistory(&out, path, 1000), "1 rules are broken")
 	require.ErrorIs(t, ExportHistory(&out, []Controller{controllerDown("b")}, path), ErrUnreachable)
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -51,7 +51,7 @@
 // partitions.
 func (r *leaderReplacement) replaceAndRefuse() {
 	r.replaceProcess(r.partitionLeader)
-	r.setStoreCut(r.partitionLeader, true)
+	r.setStoreDisconnected(r.partitionLeader, true)
 }
 
 // prepare sets up the faults before the cancellation that is confirmed. If the partition leader is to be replaced, no worker
@@ -78,7 +78,7 @@
 	case replacedAfterConfirmation:
 		r.unreachableHosts[r.partitionLeader] = true
 	case notReplaced:
-		r.setStoreCut(r.partitionLeader, true)
+		r.setStoreDisconnected(r.partitionLeader, true)
 	}
 }
 
@@ -130,7 +130,7 @@
 				r.runFor(60*time.Second, 0)
 				require.Zero(t, r.runningTasks())
 				r.store.SetDown(false)
-				r.setStoreCut(r.partitionLeader, false)
+				r.setStoreDisconnected(r.partitionLeader, false)
 				r.runFor(30*time.Second, 0)
 				for _, h := range hosts {
 					require.Equal(t, wire.Cancelled, r.jobPhase(h, "job-1"))
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -112,9 +112,9 @@
 		}
 		c.runForEach(4*time.Second, 0, submitAndCancel)
 		for _, h := range []string{teamLeader, partitionLeader} {
-			c.setStoreCut(h, true)
+			c.setStoreDisconnected(h, true)
 			c.runForEach(9*time.Second, 0, submitAndCancel)
-			c.setStoreCut(h, false)
+			c.setStoreDisconnected(h, false)
 			c.runForEach(30*time.Second, 0, submitAndCancel)
 		}
 		c.runFor(20*time.Second, 0)
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -11,13 +11,15 @@
 	c.disconnected[host] = disconnected
 }
 
-// setStoreCut disconnects a controller from the key-value store, or reconnects it.
-func (c *cluster) setStoreCut(host string, cut bool) { c.process(host).storeClient.SetCut(cut) }
+// setStoreDisconnected disconnects a controller from the key-value store, or reconnects it.
+func (c *cluster) setStoreDisconnected(host string, disconnected bool) {
+	c.process(host).storeClient.SetDisconnected(disconnected)
+}
 
 // setIsolated disconnects a controller from the key-value store and its peers, or reconnects it. While it is isolated, the
 // workers that report to it reach no other controller.
 func (c *cluster) setIsolated(host string, isolated bool) {
-	c.setStoreCut(host, isolated)
+	c.setStoreDisconnected(host, isolated)
 	c.setDisconnected(host, isolated)
 	clear(c.pinnedTo)
 	for _, w := range c.workers {
--- a/internal/controller/cluster_run_test.go
+++ b/internal/controller/cluster_run_test.go
@@ -45,7 +45,7 @@
 	limitedCPUs := 0.0
 	for _, w := range c.workers {
 		if c.hungWorkers[w.ID] {
-			w.Check(now) // ends its tasks once its lease has expired
+			w.ExpireLease(now) // ends its tasks once its lease has expired
 			advanceTasks(w, seenAt, now, 0)
 		} else {
 			advanceTasks(w, seenAt, now, runTime)
@@ -60,7 +60,7 @@
 // advanceTasks records when each attempt on a worker is first seen, and ends the attempts that have run for runTime. If
 // runTime is zero, none ends.
 func advanceTasks(w *fakes.Worker, seenAt map[string]clock.Micros, now clock.Micros, runTime time.Duration) {
-	for _, task := range w.InOrder() {
+	for _, task := range w.SortedTasks() {
 		attempt := attemptKey(w, task)
 		if seenAt[attempt] == 0 {
 			seenAt[attempt] = now
@@ -264,7 +264,7 @@
 			continue
 		}
 		for _, w := range c.workers {
-			for _, task := range w.InOrder() {
+			for _, task := range w.SortedTasks() {
 				require.False(c.t, task.Phase != wire.TaskExited && strings.HasPrefix(task.Task, id+"/"),
 					"%s runs on %s %v after its cancellation was confirmed", task.Task, w.ID, age)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -93,7 +93,7 @@
 		peers[other.Host] = peer.NewClient(other.Addr, reporter.Traffic(telemetry.Peers))
 	}
 	client := kvstore.NewClient(settings.Services.Store, p.Store.RPS, p.Store.WriteRPS, p.Count, maxResponseBytes(p.Limits.MemoryMB))
-	client.CountTraffic(reporter.Traffic(telemetry.StateService))
+	client.CountTraffic(reporter.Traffic(telemetry.KVStore))
 	priority := kvstore.PriorityClient{Client: client}
 	return assemble(&wiring{
 		settings:      settings,
@@ -186,7 +186,7 @@
 //     it, once for the whole batch.
 func (c *Controller) apply(events []kvstore.Event, rev uint64) {
 	start := time.Now()
-	defer func() { c.replicaApply.Round(time.Since(start)) }()
+	defer func() { c.replicaApply.RecordRound(time.Since(start)) }()
 	for _, e := range events {
 		c.jobs.Apply(e)
 		if e.Key == kvstore.CatalogKey && e.Value != nil {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -245,9 +245,9 @@
 	case 0: // the leader restarts within a second
 		l.restart(leader, 300*time.Millisecond)
 	case 1: // the key-value store refuses only the leader
-		l.setStoreCut(leader, true)
+		l.setStoreDisconnected(leader, true)
 		l.runUsers(8 * time.Second)
-		l.setStoreCut(leader, false)
+		l.setStoreDisconnected(leader, false)
 	case 2: // the leader restarts during an outage of the key-value store
 		l.store.SetDown(true)
 		l.runUsers(3 * time.Second)
--- a/internal/controller/failure_combinations_test.go
+++ b/internal/controller/failure_combinations_test.go
@@ -117,7 +117,7 @@
 }
 
 func (r *randomFailures) loseStore(host string, until time.Time) {
-	r.setStoreCut(host, true)
+	r.setStoreDisconnected(host, true)
 	r.faultEnds[fault{faultStore, host}] = until
 }
 
@@ -134,7 +134,7 @@
 		}
 		switch f.kind {
 		case faultStore:
-			r.setStoreCut(f.host, false)
+			r.setStoreDisconnected(f.host, false)
 		case faultPeers:
 			r.setDisconnected(f.host, false)
 		case faultWorkers:
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -163,7 +163,7 @@
 	now := l.clock.Now()
 	placed := placements{}
 	for _, w := range l.workers {
-		for _, task := range w.InOrder() {
+		for _, task := range w.SortedTasks() {
 			attempt := attemptKey(w, task)
 			if l.seenAt[attempt] == 0 {
 				l.seenAt[attempt] = now
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -17,7 +17,7 @@
 		kind = telemetry.Workers
 	}
 	response := c.routeRequest(ctx, r)
-	c.telemetry.Traffic(kind).Message(len(r.Body), len(response.Body))
+	c.telemetry.Traffic(kind).CountMessage(len(r.Body), len(response.Body))
 	return response
 }
 
--- a/internal/controller/serving_test.go
+++ b/internal/controller/serving_test.go
@@ -98,14 +98,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		c.runFor(5*time.Second, 0)
-		c.setStoreCut("a", true)
+		c.setStoreDisconnected("a", true)
 		c.runFor(2*time.Second, 0)
 		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-1", 2)).Status)
 		c.runFor(10*time.Second, 0)
 		require.Equal(t, 201, c.post("a", wire.PathJobs, submission("job-2", 2)).Status)
 		c.runFor(4*time.Second, 0)
 		require.Equal(t, 4, c.runningTasks())
-		c.setStoreCut("a", false)
+		c.setStoreDisconnected("a", false)
 		c.runFor(20*time.Second, 4*time.Second)
 		for _, h := range hosts {
 			require.Equal(t, wire.Done, c.jobPhase(h, "job-1"))
--- a/internal/controller/task_moves_test.go
+++ b/internal/controller/task_moves_test.go
@@ -41,7 +41,7 @@
 // giveEvictionNotices makes every machine with running tasks report that the cloud evicts it in a number of seconds.
 func (c *cluster) giveEvictionNotices(seconds float64) {
 	for _, w := range c.workers {
-		for _, task := range w.InOrder() {
+		for _, task := range w.SortedTasks() {
 			if task.Phase != wire.TaskExited {
 				w.NoticeS = &seconds
 			}
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -87,8 +87,8 @@
 	if !w.parameters.History {
 		return nil
 	}
-	entries := history.Entries(int(w.settings.Params.Limits.MemoryMB * historyShare * (1 << 20)))
-	return history.NewRing(w.settings.Host, entries, wallClockMS)
+	capacity := history.CapacityForBytes(int(w.settings.Params.Limits.MemoryMB * historyShare * (1 << 20)))
+	return history.NewRing(w.settings.Host, capacity, wallClockMS)
 }
 
 // newJobCache creates the cache of jobs. If a history is kept, the cache adds an event to it when a job ends.
@@ -97,7 +97,7 @@
 		return jobs.NewCache()
 	}
 	return jobs.NewCache(jobs.OnFinal(func(id string, f jobs.Final) {
-		ring.Add(history.Event{Kind: history.JobOver, Job: id, Note: f.Phase})
+		ring.Add(history.Event{Kind: history.JobFinished, Job: id, Note: f.Phase})
 	}))
 }
 
--- a/internal/controller/zone_return_test.go
+++ b/internal/controller/zone_return_test.go
@@ -41,7 +41,7 @@
 
 // setZoneDisconnected disconnects zone b, with its controller and its workers, or reconnects it.
 func (c *cluster) setZoneDisconnected(disconnected bool) {
-	c.setStoreCut("c", disconnected)
+	c.setStoreDisconnected("c", disconnected)
 	c.setDisconnected("c", disconnected)
 	clear(c.pinnedTo)
 	for _, w := range c.workers {
@@ -137,7 +137,7 @@
 	finals := map[string]map[string]int{} // by job and controller
 	events := c.historyEvents()
 	for _, e := range events {
-		if e.Kind == history.JobOver {
+		if e.Kind == history.JobFinished {
 			if finals[e.Job] == nil {
 				finals[e.Job] = map[string]int{}
 			}
--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -35,7 +35,7 @@
 	used      map[string]Use            // by team: as of countedAt, plus the leases granted since
 	shares    map[string]float64        // by team, as of countedAt
 	countedAt clock.Micros              // time of the latest UpdateUsage; 0: none yet
-	withheld  *withholdings
+	withheld  *withheldMachines
 	yielded   uint64 // number of assignments that yielded, since the arbiter was made
 }
 
@@ -46,7 +46,7 @@
 		demands:  map[string]receivedDemand{},
 		used:     map[string]Use{},
 		shares:   map[string]float64{},
-		withheld: newWithholdings(s.WithholdFor, s.OpenFor),
+		withheld: newWithheldMachines(s.WithholdFor, s.OpenFor),
 	}
 }
 
--- a/internal/fairshare/withholding.go
+++ b/internal/fairshare/withholding.go
@@ -6,14 +6,14 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// withholdings tracks the machines whose free resources are withheld from teams that exceed their share. A machine
+// withheldMachines tracks the machines whose free resources are withheld from teams that exceed their share. A machine
 // goes through three states:
 //
 //	open to every team -- withhold --> withheld -- timeout --> open until openFor has passed
 //	        ^                              |                              |
 //	        +---- release (a grant) -------+                              |
 //	        +-------------------------------------------------------------+
-type withholdings struct {
+type withheldMachines struct {
 	timeout  clock.Micros            // how long a machine is withheld
 	openFor  clock.Micros            // how long a machine is open to every team after a withholding timed out
 	withheld map[string]withholding  // by machine
@@ -26,8 +26,8 @@
 	since clock.Micros
 }
 
-func newWithholdings(timeout, openFor clock.Micros) *withholdings {
-	return &withholdings{
+func newWithheldMachines(timeout, openFor clock.Micros) *withheldMachines {
+	return &withheldMachines{
 		timeout:  timeout,
 		openFor:  openFor,
 		withheld: map[string]withholding{},
@@ -36,11 +36,13 @@
 }
 
 // isOpen reports whether a machine is open to every team at present, since a withholding of it timed out.
-func (w *withholdings) isOpen(machine string, now clock.Micros) bool { return now < w.open[machine] }
+func (w *withheldMachines) isOpen(machine string, now clock.Micros) bool {
+	return now < w.open[machine]
+}
 
 // withhold withholds a machine in favour of a team, unless the machine is withheld already. It returns true while the
 // withholding lasts. After the timeout it opens the machine to every team and returns false.
-func (w *withholdings) withhold(machine, team string, now clock.Micros) bool {
+func (w *withheldMachines) withhold(machine, team string, now clock.Micros) bool {
 	current, ok := w.withheld[machine]
 	if !ok {
 		current = withholding{team, now}
@@ -55,10 +57,10 @@
 }
 
 // release ends the withholding of a machine without opening the machine to every team.
-func (w *withholdings) release(machine string) { delete(w.withheld, machine) }
+func (w *withheldMachines) release(machine string) { delete(w.withheld, machine) }
 
 // machines returns the number of machines that are withheld in favour of a team, not counting the machine except.
-func (w *withholdings) machines(team, except string) int {
+func (w *withheldMachines) machines(team, except string) int {
 	count := 0
 	for machine, current := range w.withheld {
 		if current.team == team && machine != except {
@@ -69,7 +71,7 @@
 }
 
 // forget drops withholdings and openings that have ended.
-func (w *withholdings) forget(now clock.Micros) {
+func (w *withheldMachines) forget(now clock.Micros) {
 	maps.DeleteFunc(w.open, func(_ string, until clock.Micros) bool { return now >= until })
 	maps.DeleteFunc(w.withheld, func(_ string, current withholding) bool { return now >= current.since+w.timeout })
 }
--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -64,8 +64,8 @@
 	disconnected bool // guarded by the store's mu
 }
 
-// SetCut disconnects this client, so that its requests fail as with status 503, or reconnects it.
-func (c *KVClient) SetCut(disconnected bool) {
+// SetDisconnected disconnects this client, so that its requests fail as with status 503, or reconnects it.
+func (c *KVClient) SetDisconnected(disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = disconnected
@@ -79,9 +79,9 @@
 	s.maxOperations, s.maxValueBytes = maxOperations, maxValueBytes
 }
 
-// SetMute makes the store execute transactions but drop the responses, so that Commit fails with
+// SetDropResponses makes the store execute transactions but drop the responses, so that Commit fails with
 // kvstore.ErrOutcomeUnknown; false restores the responses.
-func (s *KVStore) SetMute(drop bool) {
+func (s *KVStore) SetDropResponses(drop bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropResponses = drop
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -31,8 +31,8 @@
 		Starts: map[string]int{}, renewedAt: now}
 }
 
-// Check drops all tasks and begins a new incarnation if the worker's lease has expired.
-func (w *Worker) Check(now clock.Micros) {
+// ExpireLease drops all tasks and begins a new incarnation if the worker's lease has expired.
+func (w *Worker) ExpireLease(now clock.Micros) {
 	if now > w.renewedAt+w.Lease {
 		clear(w.Tasks)
 		w.Incarnation++
@@ -45,18 +45,18 @@
 
 // Heartbeat returns the worker's next heartbeat, after it has checked the worker's lease.
 func (w *Worker) Heartbeat(now clock.Micros) wire.Heartbeat {
-	w.Check(now)
+	w.ExpireLease(now)
 	w.Tick++
 	heartbeat := wire.Heartbeat{Machine: w.ID, Addr: "10.0.0.9:9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: w.Incarnation, Tick: w.Tick, FencingToken: w.FencingToken, EvictionNoticeS: w.NoticeS}
-	for _, t := range w.InOrder() {
+	for _, t := range w.SortedTasks() {
 		heartbeat.Tasks = append(heartbeat.Tasks, *t)
 	}
 	return heartbeat
 }
 
-// InOrder returns the worker's tasks sorted by name and attempt, so that tests do not depend on the order of a map.
-func (w *Worker) InOrder() []*wire.TaskStatus {
+// SortedTasks returns the worker's tasks sorted by name and attempt, so that tests do not depend on the order of a map.
+func (w *Worker) SortedTasks() []*wire.TaskStatus {
 	keys := slices.Sorted(maps.Keys(w.Tasks))
 	out := make([]*wire.TaskStatus, 0, len(keys))
 	for _, k := range keys {
@@ -81,7 +81,7 @@
 // lower fencing token than the highest seen, or for another incarnation; ok is then false, which is status 409 in the
 // protocol.
 func (w *Worker) HandleCommands(delivery wire.Orders, now clock.Micros) (heartbeat wire.Heartbeat, ok bool) {
-	w.Check(now)
+	w.ExpireLease(now)
 	if ok = delivery.FencingToken >= w.FencingToken && delivery.Incarnation == w.Incarnation; ok {
 		w.FencingToken = delivery.FencingToken
 		w.executeCommands(delivery.Orders)
--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -104,7 +104,7 @@
 			{AtMS: 1000, Controller: "a", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north"},
 			{AtMS: 9000, Controller: "a", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 1, Machine: "m-1", Zone: "north",
 				Note: "done"},
-			{AtMS: 9500, Controller: "a", Kind: history.JobOver, Job: "job-7", Note: "done"},
+			{AtMS: 9500, Controller: "a", Kind: history.JobFinished, Job: "job-7", Note: "done"},
 		},
 	}
 	b = &stubController{
@@ -119,7 +119,7 @@
 			{AtMS: 2500, Controller: "b", Kind: history.TaskRunning, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south"},
 			{AtMS: 8000, Controller: "b", Kind: history.TaskEnded, Job: "job-7", Task: 3, Attempt: 2, Machine: "m-2", Zone: "south",
 				Note: "stopped"},
-			{AtMS: 9600, Controller: "b", Kind: history.JobOver, Job: "job-7", Note: "cancelled"},
+			{AtMS: 9600, Controller: "b", Kind: history.JobFinished, Job: "job-7", Note: "cancelled"},
 		},
 	}
 	return a, b
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -30,7 +30,7 @@
 func checkFinalStates(ordered []Event) (out []Violation) {
 	phases := map[string]string{}
 	for _, e := range ordered {
-		if e.Kind != JobOver {
+		if e.Kind != JobFinished {
 			continue
 		}
 		if earlier, ok := phases[e.Job]; ok && earlier != e.Note {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -63,7 +63,7 @@
 	taskEvent := func(at int64, kind Kind, attempt uint64, machine string) Event {
 		return Event{AtMS: at, Kind: kind, Job: "job-1", Attempt: attempt, Machine: machine}
 	}
-	finalState := func(phase string) Event { return Event{AtMS: 9000, Kind: JobOver, Job: "job-1", Note: phase} }
+	finalState := func(phase string) Event { return Event{AtMS: 9000, Kind: JobFinished, Job: "job-1", Note: phase} }
 	// The first attempt runs for four seconds. Clip makes each append below copy the slice, so that the cases don't
 	// overwrite each other's events.
 	first := slices.Clip([]Event{taskEvent(1000, TaskRunning, 1, "m-1"), taskEvent(5000, TaskEnded, 1, "m-1")})
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -13,7 +13,7 @@
 const (
 	TaskRunning Kind = "running" // a partition leader observed that the task runs
 	TaskEnded   Kind = "ended"   // a partition leader observed that the task ended, or knows that it is gone; Note is the cause
-	JobOver     Kind = "over"    // the controller observed the job's final state; Note is the phase
+	JobFinished Kind = "over"    // the controller observed the job's final state; Note is the phase
 	ZoneChanged Kind = "zone"    // the zone's state or stage changed; Note is both
 )
 
@@ -46,12 +46,12 @@
 const (
 	// approxEventBytes is the approximate memory of one event; events share most of their strings.
 	approxEventBytes = 200
-	// minCapacity is the smallest number of events that Entries returns.
+	// minCapacity is the smallest number of events that CapacityForBytes returns.
 	minCapacity = 64
 )
 
-// Entries returns the number of events that fit into so many bytes of memory, but at least minCapacity.
-func Entries(bytes int) int { return max(minCapacity, bytes/approxEventBytes) }
+// CapacityForBytes returns the number of events that fit into so many bytes of memory, but at least minCapacity.
+func CapacityForBytes(bytes int) int { return max(minCapacity, bytes/approxEventBytes) }
 
 // NewRing returns an empty ring that keeps at most capacity events of the controller host. now returns the time in
 // milliseconds since the Unix epoch.
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -53,7 +53,7 @@
 	request := AppendRequest(nil, method, c.addr, target, body)
 	response, err := conn.roundTrip(request, c.maxResponse)
 	if response != nil {
-		c.traffic.Message(len(response.Body), len(request))
+		c.traffic.CountMessage(len(response.Body), len(request))
 	}
 	// A connection that failed, or whose deadline was set because ctx ended, can't be used again.
 	if !stop() || err != nil {
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -82,7 +82,7 @@
 		if err == nil {
 			return true
 		}
-		if loop.LogsFailure(attempts) {
+		if loop.ShouldLogFailure(attempts) {
 			r.log.Warn("store load failed", "attempts", attempts, "error", err)
 		}
 		loop.Pause(ctx, loadRetryPause)
@@ -100,7 +100,7 @@
 		case errors.Is(err, ErrCompacted):
 			return
 		case err != nil:
-			if failures++; loop.LogsFailure(failures) && ctx.Err() == nil {
+			if failures++; loop.ShouldLogFailure(failures) && ctx.Err() == nil {
 				r.log.Warn("store watch failed", "error", err)
 			}
 			loop.Pause(ctx, watchRetryPause)
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		if err := e.register(ctx); err != nil {
-			if attempts++; loop.LogsFailure(attempts) {
+			if attempts++; loop.ShouldLogFailure(attempts) {
 				e.log.Warn("registration failed", "attempts", attempts, "error", err)
 			}
 			loop.PauseOrWake(ctx, retryPause, e.wake)
--- a/internal/leaderelection/elector_test.go
+++ b/internal/leaderelection/elector_test.go
@@ -77,7 +77,7 @@
 		require.Equal(t, 1, log.count("INFO reachability published unreachable"))
 		b.RemoveResigned(t.Context(), "a", a.election.incarnation)
 		require.Equal(t, 1, log.count("INFO peer registration removed peer"))
-		b.store.SetCut(true)
+		b.store.SetDisconnected(true)
 		time.Sleep(10 * time.Second)
 		require.Equal(t, 1, log.count("WARN lease renewal failed error"), "only the first of several failures is logged")
 		b.RecordPeerContact(0)
--- a/internal/leaderelection/renewal.go
+++ b/internal/leaderelection/renewal.go
@@ -44,7 +44,7 @@
 		}
 		return false
 	}
-	if e.renewalFailures++; loop.LogsFailure(e.renewalFailures) {
+	if e.renewalFailures++; loop.ShouldLogFailure(e.renewalFailures) {
 		e.log.Warn("lease renewal failed", "error", err)
 	}
 	loop.PauseOrWake(ctx, retryPause, e.wake)
--- a/internal/leaderelection/transfer_scenario_test.go
+++ b/internal/leaderelection/transfer_scenario_test.go
@@ -40,7 +40,7 @@
 		startProcess(t, kv, "a")
 		time.Sleep(14 * time.Second)
 		require.True(t, b.leads("one"), "a has not been registered for the whole transfer delay")
-		b.store.SetCut(true)
+		b.store.SetDisconnected(true)
 		time.Sleep(3 * time.Second)
 		require.False(t, b.leads("one"), "b must not act on a leadership whose transfer is decided")
 		leader, ok := b.Leader("one")
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -44,5 +44,5 @@
 // failed attempts, and to log each would flood the log.
 const failureLogInterval = 32
 
-// LogsFailure reports whether the n-th consecutive failure is to be logged. n counts from 1.
-func LogsFailure(n int) bool { return n%failureLogInterval == 1 }
+// ShouldLogFailure reports whether the n-th consecutive failure is to be logged. n counts from 1.
+func ShouldLogFailure(n int) bool { return n%failureLogInterval == 1 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -39,7 +39,7 @@
 func TestRepeatedFailureIsLoggedFirstAndEveryInterval(t *testing.T) {
 	var logged []int
 	for n := 1; n <= 2*failureLogInterval+1; n++ {
-		if LogsFailure(n) {
+		if ShouldLogFailure(n) {
 			logged = append(logged, n)
 		}
 	}
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -235,7 +235,7 @@
 func (c *cluster) setZoneIsolated(zone string, isolated bool) {
 	for _, host := range c.hosts {
 		if c.zoneOf(host) == zone {
-			c.kvClients[host].SetCut(isolated)
+			c.kvClients[host].SetDisconnected(isolated)
 		}
 	}
 	for _, l := range c.peerLinks {
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -118,7 +118,7 @@
 			delete(f.machineOf, task)
 		}
 	}
-	for _, status := range w.InOrder() {
+	for _, status := range w.SortedTasks() {
 		if status.Phase == wire.TaskExited {
 			continue
 		}
@@ -198,7 +198,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sentAt = f.clock.Now()
-	w.Check(sentAt)
+	w.ExpireLease(sentAt)
 	f.updateTasks(w)
 	heartbeat = w.Heartbeat(sentAt)
 	heartbeat.Addr = w.addr
--- a/internal/partition/delivery_state_test.go
+++ b/internal/partition/delivery_state_test.go
@@ -130,7 +130,7 @@
 	require.False(t, s.assign(1, 2), "a worker that restarted within its incarnation gets no more tasks")
 	for range 30 {
 		s.now += sec / 2
-		s.worker.Check(s.now)
+		s.worker.ExpireLease(s.now)
 		if hb := s.worker.Heartbeat(s.now); hb.Tick < 8 { // the machine is silent before the new ticks reach the old ones
 			s.state.HandleHeartbeat(&hb, 0, s.now)
 		}
--- a/internal/partition/expiry_test.go
+++ b/internal/partition/expiry_test.go
@@ -18,7 +18,7 @@
 	s.now += sec
 	require.Equal(t, []string{"m-1"}, s.state.Tick(s.now), "the record of a silent machine is to be removed")
 	require.Empty(t, s.tasks())
-	s.worker.Check(s.now)
+	s.worker.ExpireLease(s.now)
 	require.False(t, s.worker.Running("job-1/0"))
 }
 
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -49,7 +49,7 @@
 // partition's leader, 503 asks the worker to try again, and 400 rejects an invalid heartbeat.
 func (s *Server) HandleHeartbeat(body []byte) httpx.Response {
 	start := time.Now()
-	defer func() { s.heartbeatDuty.Round(time.Since(start)) }()
+	defer func() { s.heartbeatDuty.RecordRound(time.Since(start)) }()
 	var hb wire.Heartbeat
 	if !decodeHeartbeat(body, &hb) {
 		return errorResponse(400, "not a report", "", 0)
--- a/internal/partition/heartbeats_test.go
+++ b/internal/partition/heartbeats_test.go
@@ -44,7 +44,7 @@
 	require.True(t, s.worker.Running("job-1/1"))
 	s.now += 2 * sec
 	require.Empty(t, s.state.Tick(s.now))
-	s.worker.Check(s.now)
+	s.worker.ExpireLease(s.now)
 	require.True(t, s.worker.Running("job-1/1"))
 	require.Len(t, s.tasks(), 1)
 }
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -105,7 +105,7 @@
 		for len(writes) > 0 {
 			n := s.fitTransaction(writes)
 			if err := s.commitRecords(ctx, partition, leadership, writes[:n]); err != nil {
-				if s.recordWriteFailures++; loop.LogsFailure(s.recordWriteFailures) && ctx.Err() == nil {
+				if s.recordWriteFailures++; loop.ShouldLogFailure(s.recordWriteFailures) && ctx.Err() == nil {
 					s.log.Warn("machine record write failed", "partition", partition, "error", err)
 				}
 				break
--- a/internal/partition/publication.go
+++ b/internal/partition/publication.go
@@ -71,7 +71,7 @@
 func (s *Server) HandlePoll(in peer.PollRequest) peer.PollResponse {
 	s.awaitPublication(in)
 	start := time.Now()
-	defer func() { s.pollDuty.Round(time.Since(start)) }()
+	defer func() { s.pollDuty.RecordRound(time.Since(start)) }()
 	s.Reconcile() // so that partitions that this process no longer leads are not shown
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/partition/scenario_test.go
+++ b/internal/partition/scenario_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	s.state.Tick(s.now)
-	s.worker.Check(s.now)
+	s.worker.ExpireLease(s.now)
 }
 
 // deliverOrLose makes a delivery. Either it is answered, or it is delayed and counts as unanswered.
@@ -130,7 +130,7 @@
 					s.deliver()
 				}
 				s.state.Tick(s.now)
-				s.worker.Check(s.now) // tasks of a machine that hangs continue within its worker lease, and not after it
+				s.worker.ExpireLease(s.now) // tasks of a machine that hangs continue within its worker lease, and not after it
 				if s.now > cancelledAt+tc.deadline {
 					require.False(t, s.worker.Running("job-1/0"), "task runs %v after the cancellation", (s.now - cancelledAt).Duration())
 				}
@@ -151,7 +151,7 @@
 	for n := range 40 {
 		s.now += sec
 		s.state.Tick(s.now)
-		if s.worker.Check(s.now); s.worker.Incarnation > incarnation {
+		if s.worker.ExpireLease(s.now); s.worker.Incarnation > incarnation {
 			incarnation = s.worker.Incarnation
 			incarnations++
 		}
@@ -162,7 +162,7 @@
 		for _, view := range s.tasks() {
 			shown[view.ID.N] = true
 		}
-		for _, status := range s.worker.InOrder() {
+		for _, status := range s.worker.SortedTasks() {
 			_, task, _ := wire.SplitTask(status.Task)
 			require.True(t, shown[task], "%s runs and the leader's view does not show it", status.Task)
 		}
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -172,7 +172,7 @@
 		case <-ctx.Done():
 			return nil
 		case due := <-ticker.C:
-			s.loopDuty.Late(time.Since(due))
+			s.loopDuty.RecordDelay(time.Since(due))
 			unrecorded, removals := s.tick(n%intervalsPerTick == 0)
 			n++
 			s.startRecordWrites(ctx, unrecorded, removals)
@@ -180,7 +180,7 @@
 		}
 		start := time.Now()
 		s.startDeliveries(ctx)
-		s.loopDuty.Round(time.Since(start))
+		s.loopDuty.RecordRound(time.Since(start))
 	}
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -56,7 +56,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	c.lastDialFailure = time.Time{}
-	c.conn = rpc.NewClient(c.traffic.Conn(conn))
+	c.conn = rpc.NewClient(c.traffic.CountConn(conn))
 	return c.conn, nil
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -39,6 +39,6 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		go server.ServeConn(traffic.Conn(conn))
+		go server.ServeConn(traffic.CountConn(conn))
 	}
 }
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -12,7 +12,7 @@
 // busyMachines returns the machines that have a task which has not exited.
 func (s *simulation) busyMachines() (out []string) {
 	for _, id := range s.machineIDs {
-		for _, task := range s.workers[id].InOrder() {
+		for _, task := range s.workers[id].SortedTasks() {
 			if task.Phase != wire.TaskExited {
 				out = append(out, id)
 				break
@@ -154,7 +154,7 @@
 
 func startFetching(sim *simulation, machine string) {
 	sim.deliverCommands(machine, false, true)
-	for _, task := range sim.workers[machine].InOrder() {
+	for _, task := range sim.workers[machine].SortedTasks() {
 		task.Phase = wire.TaskFetching
 	}
 	sim.heartbeat(machine, true)
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -130,7 +130,7 @@
 		if errors.Is(err, errLeadershipLost) {
 			return err
 		}
-		if loop.LogsFailure(attempt) {
+		if loop.ShouldLogFailure(attempt) {
 			w.log.Warn("final state write retried", "job", f.jobs[0].ID, "jobs", len(f.jobs), "attempts", attempt, "error", err)
 		}
 		uncertain := w.recordFailedAttempt(f.jobs, err)
--- a/internal/scheduler/loops.go
+++ b/internal/scheduler/loops.go
@@ -80,7 +80,7 @@
 	defer s.mu.Unlock()
 	startedAt := s.clock.Now()
 	s.scheduler.HandlePollResponse(host, request, &response, startedAt)
-	s.pollMetrics.Round((s.clock.Now() - startedAt).Duration())
+	s.pollMetrics.RecordRound((s.clock.Now() - startedAt).Duration())
 	s.notifyUpdated()
 	return nil
 }
@@ -185,7 +185,7 @@
 		case <-ctx.Done():
 			return nil
 		case due := <-tick.C:
-			s.scheduleMetrics.Late(time.Since(due))
+			s.scheduleMetrics.RecordDelay(time.Since(due))
 			s.Reconcile()
 		case <-s.scheduleWake:
 		}
@@ -207,7 +207,7 @@
 	}
 	assigned := s.scheduler.Summary().Assigned
 	took := (s.clock.Now() - startedAt).Duration()
-	s.scheduleMetrics.Round(took)
+	s.scheduleMetrics.RecordRound(took)
 	return scheduleInterval(assigned, took)
 }
 
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -138,7 +138,7 @@
 	"the destination is gone": func(sim *simulation, _, to string) {
 		sim.machineIDs = without(sim.machineIDs, to)
 		sim.now += lease + sec
-		sim.workers[to].Check(sim.now)
+		sim.workers[to].ExpireLease(sim.now)
 	},
 	"answers to batches are lost": func(sim *simulation, _, _ string) {
 		for range 8 {
--- a/internal/scheduler/preemption_scenario_test.go
+++ b/internal/scheduler/preemption_scenario_test.go
@@ -93,7 +93,7 @@
 	require.Equal(t, 16, sim.runningTasks())
 	sim.addJob("job-2", 12, func(j *wire.Job) { j.Priority = "high" })
 	for step := range 8 {
-		for _, task := range sim.workers[sim.machineIDs[step%4]].InOrder() { // one task exits in every cycle
+		for _, task := range sim.workers[sim.machineIDs[step%4]].SortedTasks() { // one task exits in every cycle
 			if task.Phase != wire.TaskExited {
 				task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 				break
--- a/internal/scheduler/progress_writer.go
+++ b/internal/scheduler/progress_writer.go
@@ -100,7 +100,7 @@
 		rev, err := w.store.Commit(ctx, w.txn(leadership, writes[:n]))
 		w.handleResult(writes[:n], rev, err)
 		if err != nil {
-			if w.failures++; loop.LogsFailure(w.failures) && ctx.Err() == nil {
+			if w.failures++; loop.ShouldLogFailure(w.failures) && ctx.Err() == nil {
 				w.log.Warn("progress write failed", "error", err)
 			}
 			return false
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -107,7 +107,7 @@
 }
 
 func (f *randomFaults) someTasksExit(id string) {
-	for _, task := range f.workers[id].InOrder() {
+	for _, task := range f.workers[id].SortedTasks() {
 		if task.Phase != wire.TaskExited && f.oneIn(2) {
 			task.Phase, task.Cause = wire.TaskExited, []string{wire.CauseDone, wire.CauseDone, wire.CauseError}[f.rng.IntN(3)]
 		}
--- a/internal/scheduler/selection_scenario_test.go
+++ b/internal/scheduler/selection_scenario_test.go
@@ -114,7 +114,7 @@
 		}
 		sim.runSteps(1)
 		for _, id := range sim.machineIDs { // tasks exit at random, about 1 in 80 per step
-			for _, task := range sim.workers[id].InOrder() {
+			for _, task := range sim.workers[id].SortedTasks() {
 				if task.Phase != wire.TaskExited && sim.rng.IntN(80) == 0 {
 					task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 				}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -361,7 +361,7 @@
 	cpus := 0.0
 	for _, id := range s.machineIDs {
 		worker := s.workers[id]
-		worker.Check(s.now)
+		worker.ExpireLease(s.now)
 		for _, t := range worker.Tasks {
 			if t.Phase == wire.TaskExited {
 				continue
--- a/internal/scheduler/slow_machines_scenario_test.go
+++ b/internal/scheduler/slow_machines_scenario_test.go
@@ -22,7 +22,7 @@
 		for step := range 200 {
 			sim.runSteps(1)
 			for _, id := range sim.machineIDs {
-				for _, task := range sim.workers[id].InOrder() {
+				for _, task := range sim.workers[id].SortedTasks() {
 					if _, ok := startedIn[task.Task]; !ok {
 						startedIn[task.Task] = step
 					}
--- a/internal/scheduler/takeover_scenario_test.go
+++ b/internal/scheduler/takeover_scenario_test.go
@@ -55,7 +55,7 @@
 	s.acquirePartition(0, 0)
 	reachable := []string{"m-1", "m-3"}
 	for _, id := range reachable {
-		for _, task := range s.workers[id].InOrder() {
+		for _, task := range s.workers[id].SortedTasks() {
 			task.Phase, task.Cause = wire.TaskExited, wire.CauseDone
 		}
 	}
--- a/internal/scheduler/watermark_writer.go
+++ b/internal/scheduler/watermark_writer.go
@@ -52,7 +52,7 @@
 		Operations: []wire.Operation{{Put: write.Key, Value: write.Watermarks}},
 	})
 	if err != nil {
-		if w.failures++; loop.LogsFailure(w.failures) && ctx.Err() == nil {
+		if w.failures++; loop.ShouldLogFailure(w.failures) && ctx.Err() == nil {
 			w.log.Warn("watermark write failed", "team", write.Team, "error", err)
 		}
 		return
--- a/internal/telemetry/duty.go
+++ b/internal/telemetry/duty.go
@@ -14,8 +14,8 @@
 	maxLateNS  atomic.Int64
 }
 
-// Round counts one round and adds its duration.
-func (d *Duty) Round(duration time.Duration) {
+// RecordRound counts one round and adds its duration.
+func (d *Duty) RecordRound(duration time.Duration) {
 	if d == nil {
 		return
 	}
@@ -24,8 +24,8 @@
 	storeMax(&d.longestNS, int64(duration))
 }
 
-// Late records how long after its due time the loop's timer fired.
-func (d *Duty) Late(delay time.Duration) {
+// RecordDelay records how long after its due time the loop's timer fired.
+func (d *Duty) RecordDelay(delay time.Duration) {
 	if d != nil {
 		storeMax(&d.maxLateNS, int64(delay))
 	}
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -21,10 +21,10 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go r.Run(ctx) //nolint:errcheck // ends with the context
 		synctest.Wait()
-		r.Traffic(Workers).Message(100, 20)
-		r.Traffic(Workers).Message(10, 2)
-		r.Duty("tick").Round(3 * time.Millisecond)
-		r.Duty("tick").Late(7 * time.Millisecond)
+		r.Traffic(Workers).CountMessage(100, 20)
+		r.Traffic(Workers).CountMessage(10, 2)
+		r.Duty("tick").RecordRound(3 * time.Millisecond)
+		r.Duty("tick").RecordDelay(7 * time.Millisecond)
 		time.Sleep(Interval)
 		synctest.Wait()
 		require.Contains(t, out.String(), "workers.messages=2 workers.received=110 workers.sent=22")
@@ -46,12 +46,12 @@
 // Reporter, Traffic or Duty must not panic, and a connection must stay as it is.
 func TestNilCountersCountNothing(t *testing.T) {
 	var r *Reporter
-	r.Traffic(Peers).Message(1, 1)
-	r.Duty("any").Round(time.Second)
-	r.Duty("any").Late(time.Second)
+	r.Traffic(Peers).CountMessage(1, 1)
+	r.Duty("any").RecordRound(time.Second)
+	r.Duty("any").RecordDelay(time.Second)
 	a, b := net.Pipe()
 	defer b.Close()
-	require.Equal(t, a, r.Traffic(Peers).Conn(a))
+	require.Equal(t, a, r.Traffic(Peers).CountConn(a))
 }
 
 // The counters are updated for every message, so an allocation in them would slow down all traffic.
@@ -59,8 +59,8 @@
 	r := NewReporter(slog.New(slog.DiscardHandler))
 	traffic, duty := r.Traffic(Users), r.Duty("d")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		traffic.Message(1, 2)
-		duty.Round(3)
-		duty.Late(4)
+		traffic.CountMessage(1, 2)
+		duty.RecordRound(3)
+		duty.RecordDelay(4)
 	}))
 }
--- a/internal/telemetry/traffic.go
+++ b/internal/telemetry/traffic.go
@@ -18,7 +18,7 @@
 	Workers
 	WorkerOrders
 	Peers
-	StateService
+	KVStore
 	Cloud
 	kindCount
 )
@@ -35,8 +35,8 @@
 	sent     atomic.Int64
 }
 
-// Message counts a request with its response as one message, and adds the bytes received and sent.
-func (t *Traffic) Message(received, sent int) {
+// CountMessage counts a request with its response as one message, and adds the bytes received and sent.
+func (t *Traffic) CountMessage(received, sent int) {
 	if t == nil {
 		return
 	}
@@ -45,9 +45,9 @@
 	t.sent.Add(int64(sent))
 }
 
-// Conn wraps a connection so that its bytes are counted, and each write as one message. A nil Traffic returns the
+// CountConn wraps a connection so that its bytes are counted, and each write as one message. A nil Traffic returns the
 // connection as it is.
-func (t *Traffic) Conn(c net.Conn) net.Conn {
+func (t *Traffic) CountConn(c net.Conn) net.Conn {
 	if t == nil {
 		return c
 	}
--- a/internal/zone/decider.go
+++ b/internal/zone/decider.go
@@ -100,7 +100,7 @@
 // observe updates since when most of a zone's machines are missing, and since when at least half are reachable.
 func (z *zoneStatus) observe(e Evidence, now clock.Micros) {
 	z.missingSince = updateSince(z.missingSince, e.mostMissing(), now)
-	z.reachableSince = updateSince(z.reachableSince, e.halfReachable(), now)
+	z.reachableSince = updateSince(z.reachableSince, e.atLeastHalfReachable(), now)
 }
 
 // updateSince returns since when a condition has held without interruption, or 0 if it does not hold. before is the
@@ -143,7 +143,7 @@
 // are, it is this controller that is cut off, and missing machines say nothing about their zone.
 func (d *Decider) otherZoneReachable(name string, evidence map[string]Evidence) bool {
 	for other := range d.zones {
-		if other != name && evidence[other].halfReachable() {
+		if other != name && evidence[other].atLeastHalfReachable() {
 			return true
 		}
 	}
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -73,8 +73,8 @@
 	return e.Machines >= minMachines && 3*e.Missing >= 2*e.Machines
 }
 
-// halfReachable reports whether at least half of the zone's machines are reachable. It is false without machines.
-func (e Evidence) halfReachable() bool { return e.Machines >= 1 && 2*e.Missing <= e.Machines }
+// atLeastHalfReachable reports whether at least half of the zone's machines are reachable. It is false without machines.
+func (e Evidence) atLeastHalfReachable() bool { return e.Machines >= 1 && 2*e.Missing <= e.Machines }
 
 // Settings are the durations after which a Decider changes a zone's state.
 type Settings struct {
