--- a/cmd/merlinlatch/operators.go
+++ b/cmd/merlinlatch/operators.go
@@ -61,8 +61,8 @@
 	return zones
 }
 
-// zoneHoldCommand returns the command that stops the return of work to a zone at its present stage (held), or the
-// one that resumes it.
+// zoneHoldCommand returns the command that holds the return of work to a zone at its present stage, if held is true, or
+// else the command that resumes it.
 func zoneHoldCommand(opts *options, use, short string, held bool) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -108,7 +108,7 @@
 	return cmd
 }
 
-// argumentCount returns a check that a command gets from minimum to maximum arguments.
+// argumentCount returns a check that fails with errUsage unless a command gets minimum to maximum arguments.
 func argumentCount(minimum, maximum int) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < minimum || len(args) > maximum {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,7 @@
 // Package console implements the operators' commands: it calls the controllers over their cluster ports and
 // formats the responses.
 //
-// Teams (teams.go) and Zones (zones.go) print the state that the reachable controllers report. HoldZone stops
+// Teams (teams.go) and Zones (zones.go) print the state that the reachable controllers report. HoldZone holds
 // or resumes the staged return of work to a zone. ExportHistory and CheckHistory (history.go) collect the
 // controllers' events and check them for violations of the invariants. A command that calls all controllers
 // names those that do not answer in its output, and fails only when none answers. Operators and their scripts
@@ -40,9 +40,9 @@
 
 // Controllers returns all controllers that the settings name, beginning with the one that the settings belong to.
 // It opens no connection; the first call to a controller does.
-func Controllers(set *config.Settings) []Controller {
-	out := []Controller{{set.Host, peer.NewClient(set.PeerListen, nil).Call}}
-	for _, p := range set.Peers {
+func Controllers(settings *config.Settings) []Controller {
+	out := []Controller{{settings.Host, peer.NewClient(settings.PeerListen, nil).Call}}
+	for _, p := range settings.Peers {
 		out = append(out, Controller{p.Host, peer.NewClient(p.Addr, nil).Call})
 	}
 	return out
--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -25,15 +25,15 @@
 
 // fleetShares is the state of fair sharing, merged from the responses of all controllers.
 type fleetShares struct {
-	enabled  bool    // fair shares are on
+	enabled  bool    // fair shares are on: a controller reported the share of a known team
 	capacity float64 // CPUs of the machines of all partitions whose leader answered
 	yielded  uint64  // assignments that partition leaders rejected in favour of other teams
 }
 
 // Teams prints the state of all teams. If team is not empty, it prints only that team, with its moves.
-func Teams(out io.Writer, set *config.Settings, controllers []Controller, team string) error {
+func Teams(out io.Writer, settings *config.Settings, controllers []Controller, team string) error {
 	rows := map[string]*teamRow{}
-	for _, t := range set.Params.Teams {
+	for _, t := range settings.Params.Teams {
 		rows[t.Name] = &teamRow{status: peer.TeamStatus{Team: t.Name}}
 	}
 	if team != "" && rows[team] == nil {
@@ -134,7 +134,7 @@
 	return fmt.Sprintf("%.1f", a.CPUs())
 }
 
-// formatQuantiles formats the median, the 95th and the 99th percentile in seconds, or "-" without any sample.
+// formatQuantiles formats the median, the 95th and the 99th percentile in seconds, or "-" if nothing was recorded.
 func formatQuantiles(q telemetry.Quantiles) string {
 	if q.Count == 0 {
 		return "-"
@@ -142,8 +142,8 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f s", q.P50.Seconds(), q.P95.Seconds(), q.P99.Seconds())
 }
 
-// SchedulerOf returns the host of the controller that leads a team. If several say so, the one with the latest
-// term counts. It returns "" when none of the controllers that answer leads the team.
+// SchedulerOf returns the host of the controller that leads a team. If several controllers report that they lead it, the
+// one with the latest term counts. SchedulerOf returns "" when none of the controllers that answer leads the team.
 func SchedulerOf(controllers []Controller, team string) (host string) {
 	responses, _, err := callAll[peer.TeamsResponse](controllers, "Teams", peer.TeamsRequest{})
 	if err != nil {
--- a/internal/console/teams_test.go
+++ b/internal/console/teams_test.go
@@ -16,7 +16,7 @@
 	return controllerWith(host, "Teams", response)
 }
 
-// Each controller knows a part of the table only, and a former leader may still report a team. The table must
+// Each controller knows only a part of the table, and a former leader may still report a team. The table must
 // take a team's numbers from the leader of the latest term, sum its shares over all partition leaders, and name
 // the controllers that did not answer.
 func TestTeamsMergesResponsesOfSeveralControllers(t *testing.T) {
@@ -50,12 +50,12 @@
 }
 
 func TestTeamsFailsOnlyWithoutResponseOrForUnknownTeam(t *testing.T) {
-	set := settingsOfTeams("red", "blue")
+	settings := settingsOfTeams("red", "blue")
 	var out bytes.Buffer
-	require.ErrorIs(t, Teams(&out, set, []Controller{controllerDown("a")}, ""), ErrUnreachable)
-	require.ErrorContains(t, Teams(&out, set, nil, "green"), `there is no team "green"`)
+	require.ErrorIs(t, Teams(&out, settings, []Controller{controllerDown("a")}, ""), ErrUnreachable)
+	require.ErrorContains(t, Teams(&out, settings, nil, "green"), `there is no team "green"`)
 	require.Empty(t, out.String())
-	require.NoError(t, Teams(&out, set, []Controller{teamsController("a", peer.TeamsResponse{Host: "a"})}, "red"))
+	require.NoError(t, Teams(&out, settings, []Controller{teamsController("a", peer.TeamsResponse{Host: "a"})}, "red"))
 	require.Contains(t, out.String(), "fair shares are off")
 	require.NotContains(t, out.String(), "blue")
 }
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -15,8 +15,8 @@
 // ErrNoLeader means that none of the controllers that answered leads the fleet.
 var ErrNoLeader = errors.New("no controller is known to decide on zones now; try again in a moment")
 
-// Zones prints the state of the zones as the fleet's leader reports it. If the leader does not answer, it prints
-// the report of the first controller that does, and says so.
+// Zones prints the state of the zones as the fleet's leader reports it. If the leader does not answer, Zones prints
+// the report of the first controller that answers and, when zone return is on, names that controller.
 func Zones(out io.Writer, controllers []Controller) error {
 	responses, missing, err := callAll[peer.ZonesResponse](controllers, "Zones", peer.ZonesRequest{})
 	if err != nil {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeZones prints the table of zones. waiting is, by zone, the number of tasks that wait for a later stage of the
+// writeZones prints the table of zones. waiting holds, by zone, the number of tasks that wait for a later stage of the
 // return.
 func writeZones(out io.Writer, zones []peer.ZoneStatus, waiting map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -70,11 +70,11 @@
 	return waiting
 }
 
-// HoldZone stops the return of work to a zone at its present stage, or resumes it. It calls all controllers, since
+// HoldZone holds the return of work to a zone at its present stage, or resumes it. It calls all controllers, since
 // the fleet's leadership may change meanwhile; only the fleet's leader acts. If no controller acted, HoldZone fails
 // with the reason that the leader gave, or with ErrNoLeader.
-func HoldZone(out io.Writer, set *config.Settings, controllers []Controller, zone string, held bool) error {
-	if !slices.Contains(set.Params.Zones, zone) {
+func HoldZone(out io.Writer, settings *config.Settings, controllers []Controller, zone string, held bool) error {
+	if !slices.Contains(settings.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
 	}
 	responses, _, err := callAll[peer.ZoneHoldResponse](controllers, "HoldZone", peer.ZoneHoldRequest{Zone: zone, Held: held})
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// holdFailure returns the reason why no controller stopped or resumed the return.
+// holdFailure returns the reason why no controller held or resumed the return.
 func holdFailure(responses []peer.ZoneHoldResponse) error {
 	for _, r := range responses {
 		if r.Refusal != "" {
--- a/internal/console/zones_test.go
+++ b/internal/console/zones_test.go
@@ -35,17 +35,17 @@
 }
 
 func TestHoldZoneFailsUnlessOneControllerActs(t *testing.T) {
-	set := settingsOfZone("z")
+	settings := settingsOfZone("z")
 	responding := func(r peer.ZoneHoldResponse) Controller { return controllerWith("a", "HoldZone", r) }
 	notLeader := responding(peer.ZoneHoldResponse{})
 	rejecting := responding(peer.ZoneHoldResponse{Refusal: "zone states are off"})
 	leader := responding(peer.ZoneHoldResponse{Done: true})
 	var out bytes.Buffer
-	require.ErrorContains(t, HoldZone(&out, set, nil, "y", true), `there is no zone "y"`)
-	require.ErrorIs(t, HoldZone(&out, set, []Controller{notLeader}, "z", true), ErrNoLeader)
-	require.ErrorContains(t, HoldZone(&out, set, []Controller{rejecting}, "z", true), "zone states are off")
-	require.ErrorIs(t, HoldZone(&out, set, []Controller{controllerDown("a")}, "z", true), ErrUnreachable)
+	require.ErrorContains(t, HoldZone(&out, settings, nil, "y", true), `there is no zone "y"`)
+	require.ErrorIs(t, HoldZone(&out, settings, []Controller{notLeader}, "z", true), ErrNoLeader)
+	require.ErrorContains(t, HoldZone(&out, settings, []Controller{rejecting}, "z", true), "zone states are off")
+	require.ErrorIs(t, HoldZone(&out, settings, []Controller{controllerDown("a")}, "z", true), ErrUnreachable)
 	require.Empty(t, out.String())
-	require.NoError(t, HoldZone(&out, set, []Controller{notLeader, leader}, "z", true))
+	require.NoError(t, HoldZone(&out, settings, []Controller{notLeader, leader}, "z", true))
 	require.Contains(t, out.String(), "the return of z stays at its stage")
 }
--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -1,6 +1,6 @@
 // Package fakes provides in-memory fakes of the key-value store (KVStore, KVClient) and of workers (Worker), for
 // tests and for the runs of package loopback. The fakes follow the documented protocols and do no I/O. The key-value
-// store reads the time from package time, so that in a synctest bubble it follows the bubble's clock.
+// store reads the time from package time, so that it follows the fake clock of a synctest bubble.
 package fakes
 
 import (
@@ -35,13 +35,13 @@
 
 // KVStore is an in-memory key-value store. It is safe for concurrent use.
 type KVStore struct {
-	mu        sync.Mutex // guards all fields, and those of the store's KVClients
-	keys      map[string]wire.Item
-	changes   []wire.Change // every change since the store was created
-	revision  uint64
-	leases    map[uint64]*lease
-	nextLease uint64        // id of the latest lease
-	changed   chan struct{} // closed and replaced with each change
+	mu          sync.Mutex // guards all fields, and those of the store's KVClients
+	keys        map[string]wire.Item
+	changes     []wire.Change // every change since the store was created
+	revision    uint64
+	leases      map[uint64]*lease
+	lastLeaseID uint64        // id of the latest lease
+	changed     chan struct{} // closed and replaced with each change
 
 	maxOperations int // limit of a transaction's operations; 0: no limit
 	maxValueBytes int // limit of a value's size; 0: no limit
@@ -313,9 +313,9 @@
 	if err := c.checkAvailable(); err != nil {
 		return 0, err
 	}
-	c.nextLease++
-	c.leases[c.nextLease] = &lease{ttl, time.Now().Add(ttl)}
-	return c.nextLease, nil
+	c.lastLeaseID++
+	c.leases[c.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
+	return c.lastLeaseID, nil
 }
 
 // KeepAlive renews a lease for its full time to live.
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -43,7 +43,8 @@
 // Renew renews the worker's lease, which then lasts for its full duration from now.
 func (w *Worker) Renew(now clock.Micros) { w.renewedAt = now }
 
-// Heartbeat returns the worker's next heartbeat, after it has checked the worker's lease.
+// Heartbeat returns the worker's next heartbeat. If the worker's lease has expired, Heartbeat first drops the tasks
+// (ExpireLease).
 func (w *Worker) Heartbeat(now clock.Micros) wire.Heartbeat {
 	w.ExpireLease(now)
 	w.Tick++
--- a/internal/golden/knobs_test.go
+++ b/internal/golden/knobs_test.go
@@ -114,7 +114,7 @@
 
 // The test of all parameters sets every boolean parameter to True, so it can't detect that two of them are swapped.
 // Setting each one alone does.
-func TestPolicyScriptSetsEachFlagAlone(t *testing.T) {
+func TestPolicyScriptSetsEachBooleanParameterAlone(t *testing.T) {
 	var out strings.Builder
 	for _, f := range booleanParameters {
 		parameters, err := policy.Parse(f+" = True", fullSettings(t))
--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -18,8 +18,8 @@
 var update = flag.Bool("update", false, "write missing golden files")
 
 // sample returns a value of a type with every field set, also in nested types. A slice has two elements, a map one
-// entry. The values depend on the order of the fields, not on their names, so that a type with renamed fields gets the
-// same sample, and they differ between fields.
+// entry. Every boolean is true; other values differ between fields. The values depend on the order of the fields, not on
+// their names, so that a type with renamed fields gets the same sample.
 func sample[T any]() T {
 	var v T
 	n := 0
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Violation is a violation of an invariant that a history shows.
+// Violation describes how a job or a task violates an invariant, according to a history.
 type Violation struct {
 	Job  string
 	Task int32
@@ -26,7 +26,7 @@
 	return append(checkFinalStates(ordered), checkConcurrentRuns(ordered, skewMS)...)
 }
 
-// checkFinalStates returns the jobs for which different final states were recorded.
+// checkFinalStates returns a violation for each final state of a job that differs from the one recorded before it.
 func checkFinalStates(ordered []Event) (out []Violation) {
 	phases := map[string]string{}
 	for _, e := range ordered {
@@ -57,10 +57,10 @@
 // attemptRun holds the start and the end of an attempt on a machine.
 type attemptRun struct {
 	attemptKey
-	startedMS, endedMS int64 // milliseconds since the Unix epoch; 0: the history has no such event
+	startedMS, endedMS int64 // milliseconds since the Unix epoch; 0 if the history has no such event
 }
 
-// checkConcurrentRuns returns the tasks of which two attempts ran on different machines at a time.
+// checkConcurrentRuns returns a violation for each two attempts of a task that ran on different machines at a time.
 func checkConcurrentRuns(ordered []Event, skewMS int64) (out []Violation) {
 	for task, runs := range collectRuns(ordered) {
 		for i, a := range runs {
@@ -106,9 +106,9 @@
 	return byTask
 }
 
-// overlaps reports whether two attempts ran on different machines at the same time for longer than skewMS. It is
-// false for an attempt without a start or an end, because no controller may have recorded that the attempt ended with
-// the loss of its machine.
+// overlaps reports whether two attempts ran on different machines at the same time for longer than skewMS. It returns
+// false if the start or the end of an attempt is not known: an attempt ends with the loss of its machine, and the
+// history may lack that event.
 func (r *attemptRun) overlaps(other *attemptRun, skewMS int64) bool {
 	if r.machine == other.machine || r.startedMS == 0 || other.startedMS == 0 || r.endedMS == 0 || other.endedMS == 0 {
 		return false
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -18,7 +18,7 @@
 )
 
 // Event is one observation of a controller. Its fields are the columns of the Parquet file, and controllers send
-// them in a Page, so their names and their order must not change.
+// events in a Page, so the names and the order of the fields must not change.
 type Event struct {
 	AtMS       int64  `parquet:"at_ms,delta"` // by the controller's clock, in milliseconds since the Unix epoch
 	Controller string `parquet:"controller,dict"`
@@ -35,7 +35,7 @@
 // no events.
 type Ring struct {
 	now      func() int64 // milliseconds since the Unix epoch
-	host     string       // of the controller
+	host     string       // name of the controller
 	capacity int
 
 	mu         sync.Mutex // guards the fields below
@@ -82,7 +82,7 @@
 	Events []Event
 	Next   uint64 // number of the event that the next request begins with
 	Lost   uint64 // requested events that the ring has overwritten
-	More   bool   // the ring holds further events
+	More   bool   // the ring holds events from Next on
 }
 
 // Page returns at most limit events, beginning with number from, or with the oldest that the ring still holds.
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// failureLogInterval is the number of consecutive failures of which only the first is logged. An outage causes many
-// failed attempts, and to log each would flood the log.
+// failureLogInterval is the number of consecutive failures for which one is logged, the first. An outage causes many
+// failed attempts, and one log event for each would flood the log.
 const failureLogInterval = 32
 
 // ShouldLogFailure reports whether the n-th consecutive failure is to be logged. n counts from 1.
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -6,8 +6,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// cloud is a fake cloud whose instances are the workers' machines. It has no capacity for further ones, and ignores
-// requests to return instances.
+// cloud is a fake cloud whose instances are the workers' machines. It has no capacity for further ones. It accepts
+// requests to return instances, but keeps the instances.
 type cloud struct {
 	machines []wire.Instance // sorted by id
 	types    []wire.MachineType
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -78,24 +78,25 @@
 // Values of a run's settings for the workers, the services and the limits of a controller's machine; see
 // config.Settings.
 const (
-	workerLeaseS    = 16
-	workerCancelS   = 36
-	storeRPS        = 300
-	storeWriteRPS   = 120
-	storeValueKB    = 8
-	storeTxnOps     = 12
-	cloudRPS        = 5
-	cloudListLagS   = 1
-	machineCores    = 1
-	machineMemoryMB = 256
-	machineSockets  = 1000
-	clockSkewMS     = 100
+	workerLeaseS           = 16
+	workerCancelS          = 36
+	storeRPS               = 300
+	storeWriteRPS          = 120
+	storeValueKB           = 8
+	storeTxnOps            = 12
+	cloudRPS               = 5
+	cloudListLagS          = 1
+	machineCores           = 1
+	machineMemoryMB        = 256
+	machineFileDescriptors = 1000
+	clockSkewMS            = 100
 )
 
 // machineTypeName is the name of the only machine type of a run.
 const machineTypeName = "big"
 
-// newCluster starts a cluster and returns it once it is ready. Its processes and goroutines end when ctx ends.
+// newCluster starts a cluster and returns it once it is ready. The controllers' processes and the workers' heartbeats
+// end when ctx ends; the servers of the fakes and the proxies run until the program ends.
 func newCluster(ctx context.Context, s Setup, taskDone func(task string)) (*cluster, error) {
 	c := &cluster{
 		Setup:         s,
@@ -224,7 +225,7 @@
 	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = heartbeatInterval.Seconds(), workerLeaseS, workerCancelS
 	p.Store.RPS, p.Store.WriteRPS, p.Store.ValueKB, p.Store.TxnOps = storeRPS, storeWriteRPS, storeValueKB, storeTxnOps
 	p.Cloud.RPS, p.Cloud.ListLagS = cloudRPS, cloudListLagS
-	p.Limits.CoreShare, p.Limits.MemoryMB, p.Limits.FileDescriptors = machineCores, machineMemoryMB, machineSockets
+	p.Limits.CoreShare, p.Limits.MemoryMB, p.Limits.FileDescriptors = machineCores, machineMemoryMB, machineFileDescriptors
 	p.SkewMS = clockSkewMS
 	return s, nil
 }
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -36,7 +36,7 @@
 	hotOnTimeLimit    = 10 * time.Second // a job is on time if it takes no longer from submission to end
 	hotSubmitDuration = time.Minute      // how long users submit jobs
 	hotDrainTimeout   = 75 * time.Second // how long the jobs may take to end after the last submission
-	hotJobRate        = 0.25             // jobs that each team submits a second
+	hotJobRate        = 0.25             // jobs per second that each team submits, without a burst
 	hotTeam           = "team-0"         // the team whose load has a burst
 )
 
@@ -124,16 +124,17 @@
 	return group.Wait()
 }
 
-// writeResult writes how the burst changes each team's share of jobs that end on time and the jobs' durations.
+// writeResult writes how the burst changes the share of jobs that end on time and the durations of jobs, for each team,
+// and the output of "merlinlatch teams" from a run with the burst.
 func (h *HotTeams) writeResult(out io.Writer, fairShares bool, baseline, burst *hotTeamsResult) {
-	maxLoss := 0.0
+	maxOnTimeLoss := 0.0
 	for team := range baseline.submitted {
 		if team != hotTeam {
-			maxLoss = max(maxLoss, baseline.onTimeShare(team)-burst.onTimeShare(team))
+			maxOnTimeLoss = max(maxOnTimeLoss, baseline.onTimeShare(team)-burst.onTimeShare(team))
 		}
 	}
 	fmt.Fprintf(out, "fair shares %v, failure %s, %d seeds: worst loss of another team's on-time share %.3f\n",
-		fairShares, h.Failure, h.Seeds, maxLoss)
+		fairShares, h.Failure, h.Seeds, maxOnTimeLoss)
 	for _, team := range slices.Sorted(maps.Keys(baseline.submitted)) {
 		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n",
 			team, baseline.onTimeShare(team), baseline.submitted[team], burst.onTimeShare(team), burst.submitted[team],
@@ -339,12 +340,12 @@
 
 // teamsOutput returns the output of "merlinlatch teams", or the text of its error.
 func (c *cluster) teamsOutput() string {
-	set, err := c.controllerSettings()
+	settings, err := c.controllerSettings()
 	if err != nil {
 		return err.Error()
 	}
 	var out bytes.Buffer
-	if err := console.Teams(&out, set, console.Controllers(set), ""); err != nil {
+	if err := console.Teams(&out, settings, console.Controllers(settings), ""); err != nil {
 		return err.Error() + "\n"
 	}
 	return out.String()
@@ -352,9 +353,9 @@
 
 // schedulerOf returns the controller that leads a team, or "" if none of the controllers that answer does.
 func (c *cluster) schedulerOf(team string) string {
-	set, err := c.controllerSettings()
+	settings, err := c.controllerSettings()
 	if err != nil {
 		return ""
 	}
-	return console.SchedulerOf(console.Controllers(set), team)
+	return console.SchedulerOf(console.Controllers(settings), team)
 }
--- a/internal/loopback/load.go
+++ b/internal/loopback/load.go
@@ -27,7 +27,7 @@
 
 func newLoad(tasks int) *load { return &load{tasksPerJob: tasks, jobs: map[string]*jobProgress{}} }
 
-// addJob records a job. It is called right before the submission, so that no task of the job can end before.
+// addJob records a job. It must be called before the submission, because taskDone ignores tasks of unknown jobs.
 func (l *load) addJob(id, group string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loopback/peerlink.go
+++ b/internal/loopback/peerlink.go
@@ -36,8 +36,8 @@
 	return p, listener.Addr().String(), nil
 }
 
-// track registers a connection, so that the next setDisconnected closes it. disconnected means that the connection
-// must not be forwarded.
+// track registers a connection, so that the next setDisconnected closes it. It returns true if the proxy is
+// disconnected; the caller must not forward the connection then.
 func (p *peerProxy) track(conn net.Conn) (disconnected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +74,8 @@
 	io.Copy(conn, upstream) //nolint:errcheck // ends with either side
 }
 
-// setDisconnected disconnects or reconnects the proxy. It closes all open connections in both cases: when it
-// reconnects, these are the ones that hang.
+// setDisconnected disconnects or reconnects the proxy. It closes all open connections in both cases: on reconnection
+// the open ones are those that were accepted while the proxy was disconnected and got no answer.
 func (p *peerProxy) setDisconnected(disconnected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loopback/workers.go
+++ b/internal/loopback/workers.go
@@ -36,7 +36,7 @@
 	machineOf   map[string]string       // machine that runs a task, by task
 	duplicates  []string                // tasks that ran on two machines at a time
 	starts      []taskStart
-	unreachable map[string]bool // controllers outside the zone that is cut off, which its workers don't reach
+	unreachable map[string]bool // controllers outside the zone that is cut off, which the workers of that zone don't reach
 }
 
 // newFleet returns the shared state for the workers of three controllers. It has no workers yet.
@@ -152,9 +152,9 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to the worker's controller and handles the response. If the controller does not
-// lead the worker's partition, the worker changes to the leader that it names; if it is unreachable or names none, to
-// the next controller.
+// sendHeartbeat sends a heartbeat to the worker's controller and handles the response. A controller that does not lead
+// the worker's partition names the leader, and the worker changes to it. If the controller is unreachable, answers with
+// another error or names no other controller, the worker changes to the next controller.
 func (w *worker) sendHeartbeat(client *http.Client) {
 	f := w.fleet
 	heartbeat, sentAt, reachable := w.nextHeartbeat()
@@ -214,5 +214,5 @@
 	f.updateTasks(w)
 }
 
-// nextController makes the worker send its following heartbeats to the next controller.
+// nextController makes the worker send its heartbeats to the next controller in fleet.hosts from now on.
 func (w *worker) nextController() { w.controller = (w.controller + 1) % len(w.fleet.hosts) }
--- a/internal/telemetry/distribution.go
+++ b/internal/telemetry/distribution.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Quantiles summarizes a distribution. Controllers send it to each other, so the names and the order of its fields
-// must not change.
+// Quantiles summarizes a distribution. Controllers send it to operators' commands, so the names and the order of its
+// fields must not change.
 type Quantiles struct {
 	Count              int64
 	P50, P95, P99, Max clock.Micros
@@ -62,7 +62,7 @@
 	}
 }
 
-// quantile returns the duration at a percentile.
+// quantile returns the duration that percent of the recorded durations do not exceed.
 func (d *Distribution) quantile(percent float64) clock.Micros {
 	return clock.Micros(d.histogram.ValueAtQuantile(percent)) * resolution
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -36,8 +36,8 @@
 	return &r.traffic[k]
 }
 
-// Duty returns the counters of the duty with a name, and creates them on the first call. It returns nil for a nil
-// Reporter.
+// Duty returns the counters of the duty called name, and creates them on the first call for that name. It returns nil
+// for a nil Reporter.
 func (r *Reporter) Duty(name string) *Duty {
 	if r == nil {
 		return nil
@@ -126,7 +126,7 @@
 	}
 }
 
-// logDuties logs all duties that had a round since the last call as one event.
+// logDuties logs one event with all duties that had a round since the last call.
 func (r *Reporter) logDuties(ctx context.Context) {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.duties))
--- a/internal/telemetry/traffic.go
+++ b/internal/telemetry/traffic.go
@@ -1,7 +1,7 @@
 // Package telemetry counts what a controller process does: traffic by kind (Traffic), rounds of its loops (Duty),
 // and the Go runtime's processor time and memory (Runtime). Reporter holds the counters and logs them at intervals;
-// Distribution summarizes durations. To count is a few atomic additions without an allocation. The counters are for
-// the log only: no decision of the scheduler depends on them.
+// Distribution summarizes durations. Updating a counter takes a few atomic operations and does not allocate. No
+// decision of a controller depends on this package.
 package telemetry
 
 import (
@@ -45,8 +45,8 @@
 	t.sent.Add(int64(sent))
 }
 
-// CountConn wraps a connection so that its bytes are counted, and each write as one message. A nil Traffic returns the
-// connection as it is.
+// CountConn returns a connection that forwards to c, counts the bytes received and sent, and counts each write as one
+// message. For a nil Traffic it returns c itself.
 func (t *Traffic) CountConn(c net.Conn) net.Conn {
 	if t == nil {
 		return c
