--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -13,12 +13,12 @@
 const (
 	TaskRunning Kind = "running" // a partition leader observed that the task runs
 	TaskEnded   Kind = "ended"   // a partition leader observed that the task ended, or knows that it is gone; Note is the cause
-	JobOver     Kind = "over"    // the controller observed the job's final state; Note is the phase
+	JobFinished Kind = "over"    // the controller observed the job's final state; Note is the phase
 	ZoneChanged Kind = "zone"    // the zone's state or stage changed; Note is both
 )
 
 // Event is one observation of a controller. Its fields are the columns of the Parquet file, and controllers send
-// them in a Page, so their names and their order must not change.
+// events in a Page, so the names and the order of the fields must not change.
 type Event struct {
 	AtMS       int64  `parquet:"at_ms,delta"` // by the controller's clock, in milliseconds since the Unix epoch
 	Controller string `parquet:"controller,dict"`
@@ -35,7 +35,7 @@
 // no events.
 type Ring struct {
 	now      func() int64 // milliseconds since the Unix epoch
-	host     string       // of the controller
+	host     string       // name of the controller
 	capacity int
 
 	mu         sync.Mutex // guards the fields below
@@ -46,12 +46,12 @@
 const (
 	// approxEventBytes is the approximate memory of one event; events share most of their strings.
 	approxEventBytes = 200
-	// minCapacity is the smallest number of events that Entries returns.
+	// minCapacity is the smallest number of events that CapacityForBytes returns.
 	minCapacity = 64
 )
 
-// Entries returns the number of events that fit into so many bytes of memory, but at least minCapacity.
-func Entries(bytes int) int { return max(minCapacity, bytes/approxEventBytes) }
+// CapacityForBytes returns the number of events that fit into so many bytes of memory, but at least minCapacity.
+func CapacityForBytes(bytes int) int { return max(minCapacity, bytes/approxEventBytes) }
 
 // NewRing returns an empty ring that keeps at most capacity events of the controller host. now returns the time in
 // milliseconds since the Unix epoch.
@@ -82,7 +82,7 @@
 	Events []Event
 	Next   uint64 // number of the event that the next request begins with
 	Lost   uint64 // requested events that the ring has overwritten
-	More   bool   // the ring holds further events
+	More   bool   // the ring holds events from Next on
 }
 
 // Page returns at most limit events, beginning with number from, or with the oldest that the ring still holds.
