--- a/internal/partition/acquisition.go
+++ b/internal/partition/acquisition.go
@@ -7,7 +7,7 @@
 )
 
 // AcquirePartition starts leading a partition under a term. Every recorded machine may hold tasks of former leaders
-// until a heartbeat reports a token of this term, or until no leader has answered a heartbeat for a whole worker lease,
+// until its worker reports a token of this term, or until no leader has answered a heartbeat for a whole worker lease,
 // which may have started as late as now (docs/design.md, "Why the rules hold", number 6).
 func (s *State) AcquirePartition(partition int, term uint64, recorded inventory.Group, now clock.Micros) {
 	s.ReleasePartition(partition)
@@ -32,7 +32,7 @@
 	s.changes.version++
 }
 
-// addMachine adds a machine of which only its record is known.
+// addMachine adds a machine. Nothing is known yet of its worker's state and its tasks.
 func (s *State) addMachine(id string, partition int, r inventory.Record, now clock.Micros) *machine {
 	m := &machine{
 		id:        id,
@@ -126,7 +126,8 @@
 	}
 }
 
-// UnrecordedMachines returns the machines that send heartbeats and whose records have yet to be written.
+// UnrecordedMachines returns the machines that are not lost, whose workers this leader has been in contact with, and
+// whose records have yet to be written.
 func (s *State) UnrecordedMachines() inventory.Group {
 	var out inventory.Group
 	for id, m := range s.machines {
--- a/internal/partition/cancellations.go
+++ b/internal/partition/cancellations.go
@@ -20,9 +20,9 @@
 // isCurrent reports whether a term is set and not that of a former team leader.
 func (t teamTerms) isCurrent(team string, term uint64) bool { return term != 0 && term >= t[team] }
 
-// cancellationRetention is the shortest time for which a cancellation is kept, even if the replica shows earlier that
-// the job has ended.
-const cancellationRetention = 600 * clock.Second
+// minCancellationRetention is the shortest time for which a cancellation is kept, even if the replica shows earlier
+// that the job has ended. Only an assignment under a later term of the team drops it sooner.
+const minCancellationRetention = 600 * clock.Second
 
 // cancellation is the cancellation of one job: none of its tasks may run any more.
 type cancellation struct {
@@ -30,9 +30,9 @@
 	term       uint64 // the team's term under which the scheduler sent it
 }
 
-// cancellations holds the jobs that schedulers have cancelled, by id. An acknowledged cancellation is kept for as long
-// as the replica shows the job as active, because the replica may be behind; otherwise a task of the job could start
-// again (docs/design.md, "Why the rules hold", number 11).
+// cancellations holds the jobs that schedulers have cancelled, by id. A cancellation is kept for as long as the replica
+// shows the job as active, unless a later team leader assigns the job again: the replica may be behind, and a task of
+// the job could otherwise start again (docs/design.md, "Why the rules hold", number 11).
 type cancellations map[string]cancellation
 
 func (c cancellations) has(job string) bool {
@@ -60,7 +60,7 @@
 // behind, and the cancellation is then the only evidence that the job has ended, however long ago that was.
 func (c cancellations) expire(jobs JobLookup, now clock.Micros) {
 	for job, entry := range c {
-		if _, active := jobs.Active(job); !active && now > entry.receivedAt+cancellationRetention {
+		if _, active := jobs.Active(job); !active && now > entry.receivedAt+minCancellationRetention {
 			delete(c, job)
 		}
 	}
--- a/internal/partition/cancellations_test.go
+++ b/internal/partition/cancellations_test.go
@@ -71,7 +71,7 @@
 	require.Len(t, s.worker.Starts, 1, "no run command is sent for the second lease")
 }
 
-// The key-value store rejects the requests of this leader alone for longer than cancellationRetention, so that its
+// The key-value store rejects the requests of this leader alone for longer than minCancellationRetention, so that its
 // replica still shows a cancelled job as active. The leader must keep the cancellation and reject assignments of the
 // job until the replica shows its end.
 func TestCancellationIsKeptWhileReplicaIsBehind(t *testing.T) {
--- a/internal/partition/commands.go
+++ b/internal/partition/commands.go
@@ -73,9 +73,9 @@
 	return out
 }
 
-// appendRunCommands appends the run commands that are due: for tasks that the worker has not listed yet. The first
-// run command of a task waits until the resources of the tasks that may be running on the machine leave enough for
-// it.
+// appendRunCommands appends the run commands that are due: for tasks that the worker has not listed yet. The first run
+// command of a task waits until the resources of the tasks that may be running on the machine leave enough for it, and
+// is not sent while the machine drains.
 func appendRunCommands(m *machine, tasks []*task, out []wire.Order, via route, now clock.Micros) []wire.Order {
 	started, _ := m.resourcesInUse()
 	for _, t := range tasks {
--- a/internal/partition/delivery.go
+++ b/internal/partition/delivery.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// deliver sends commands to one worker's own address and passes its response, or the timeout, to the State.
+// deliver sends commands to one worker's own address and passes its response, or the lack of one, to the State.
 func (s *Server) deliver(ctx context.Context, id string, partition int, client *httpx.Client, orders *wire.Orders) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
--- a/internal/partition/delivery_state.go
+++ b/internal/partition/delivery_state.go
@@ -65,8 +65,8 @@
 	return false
 }
 
-// PendingDeliveries lists the machines to deliver commands to, or to probe, now. A machine that needs no delivery is
-// dropped from the candidates until something about it changes.
+// PendingDeliveries lists the machines to deliver commands to, or to probe, now. A machine that is lost, has no address
+// or needs no delivery is dropped from the candidates until one of its tasks or its worker's state changes.
 func (s *State) PendingDeliveries(now clock.Micros) []string {
 	var out []string
 	for id, m := range s.deliveryCandidates {
@@ -143,7 +143,7 @@
 	}
 	if !m.worker.contacted {
 		if m.worker.incarnation != hb.Incarnation {
-			m.worker.incarnation, m.delivery.probedAt = hb.Incarnation, 0 // the next delivery is addressed to the right one
+			m.worker.incarnation, m.delivery.probedAt = hb.Incarnation, 0 // probe again at once, addressed to the incarnation that answered
 		}
 		if hb.FencingToken < firstToken(s.terms[m.partition]) {
 			return
--- a/internal/partition/handlers.go
+++ b/internal/partition/handlers.go
@@ -84,7 +84,7 @@
 }
 
 // redirectHeartbeat answers the heartbeat of a machine whose partition this process does not lead: with 421 and the
-// leader's name, or with 503 if no leader is known.
+// leader's name, or with 503 if none is known or the leader is this controller, which may not act at present.
 func (s *Server) redirectHeartbeat(hb *wire.Heartbeat, partition int) httpx.Response {
 	leader, ok := s.elections.Leader(Duty(partition))
 	if !ok || leader == s.controller {
--- a/internal/partition/heartbeats.go
+++ b/internal/partition/heartbeats.go
@@ -85,7 +85,8 @@
 }
 
 // applyIncarnation records the incarnation and tick of a status. When a worker begins a later incarnation it has killed
-// the tasks of the earlier ones, so their attempts are removed (docs/design.md, "Why the rules hold", number 4).
+// the tasks of the earlier ones, so all attempts past taskLeased are removed (docs/design.md, "Why the rules hold",
+// number 4).
 func (s *State) applyIncarnation(m *machine, hb *wire.Heartbeat, now clock.Micros) (changed bool) {
 	changed = !m.worker.contacted
 	if !m.worker.contacted || hb.Incarnation > m.worker.incarnation {
--- a/internal/partition/images.go
+++ b/internal/partition/images.go
@@ -13,11 +13,11 @@
 // imageCatalog holds the sizes of the machines' image caches and of the images, in GB.
 type imageCatalog struct {
 	cacheGB map[string]float64 // by machine type
-	imageGB map[string]float64 // by image, as the last assignment gave it
+	imageGB map[string]float64 // by image, as last seen in an assignment or a found task's job
 }
 
 // afterUse returns the content of a cache after an image has been used: that image first, then the others, the most
-// recently used first, as many as fit. changed is false if the order stays the same.
+// recently used first, as many as fit, up to maxCachedImages in all. changed is false if the order stays the same.
 func (c *imageCatalog) afterUse(names []string, machineType, image string, gb float64) (used []string, changed bool) {
 	c.imageGB[image] = gb
 	if len(names) > 0 && names[0] == image {
--- a/internal/partition/leases.go
+++ b/internal/partition/leases.go
@@ -46,8 +46,8 @@
 }
 
 // mayAccept reports whether a machine may lease resources to a task at all. The task's scheduler must lead the team,
-// the job must not have ended, this process must lead the machine's partition under the term that the scheduler
-// knows, the machine must be usable, and no other attempt of the task may be on it.
+// the job must not have ended, this process must lead the machine's partition under the term that the scheduler knows,
+// the machine must be usable, and no attempt of the task that has not exited may be on it.
 func (s *State) mayAccept(m *machine, a *peer.Assignment, term uint64, now clock.Micros) bool {
 	switch {
 	case !s.teamTerms.isCurrent(a.Team, term), a.ID.Attempt>>attemptTermShift != term:
@@ -68,7 +68,8 @@
 const attemptTermShift = 32
 
 // chooseVictims selects, among the preemption victims that an assignment names, as many tasks as must stop for the
-// assignment to fit. It returns them with the resources that are free once they have stopped.
+// assignment to fit, in the order named. Unless the assignment is Over, only tasks of a lower priority count. It
+// returns them with the resources that are free once they have stopped.
 func (m *machine) chooseVictims(a *peer.Assignment, free resources.Amounts) (victims []*task, freeAfter resources.Amounts) {
 	for _, id := range a.Victims {
 		t := m.tasks[id]
@@ -128,9 +129,10 @@
 	return false
 }
 
-// startHeldLease turns a held lease into an ordinary one, so that the task's run command is sent. The current leader
-// of the task's team requests this once the task is gone from its previous machine; without the request the held lease
-// expires. The held lease is removed instead if the job has ended or the machine has become unusable.
+// startHeldLease turns a held lease into an ordinary one, so that the task's run command is sent. The current leader of
+// the task's team requests this once the task is gone from its previous machine; without the request the held lease
+// expires. The held lease is removed instead if the task is being stopped, its job has ended or the machine has become
+// unusable.
 func (s *State) startHeldLease(start *peer.StartTask, term uint64, now clock.Micros) {
 	m := s.machines[start.Machine]
 	if m == nil {
--- a/internal/partition/liveness.go
+++ b/internal/partition/liveness.go
@@ -30,7 +30,7 @@
 // (docs/design.md, "Why the rules hold", number 2). Each heartbeat is answered, and counts as a sign of life, only
 // once, so that late copies do not keep a dead machine alive (number 13).
 type workerState struct {
-	contacted     bool   // a heartbeat or a response to a delivery has arrived in this term
+	contacted     bool   // in this term a heartbeat, or a response to a delivery with a token of this term, has arrived
 	incarnation   uint64 // the latest known; until the worker is contacted, a guess to address commands to
 	tick          uint64 // the latest known of the incarnation
 	lastHeartbeat heartbeatID
--- a/internal/partition/machine.go
+++ b/internal/partition/machine.go
@@ -39,8 +39,9 @@
 
 // machine is a machine of a partition that this process leads.
 //
-// Its tasks are all attempts that may be running on it or have its resources leased. A task is removed only when it is
-// gone for certain (docs/design.md, "Why the rules hold", number 4) or when no run command was ever sent for it.
+// Its tasks are all known attempts that may be running on it or have its resources leased, and those that have exited
+// and are still listed. Until the machine is accounted for, there may be others. A task is removed only when it is gone
+// for certain (docs/design.md, "Why the rules hold", number 4) or when no run command was ever sent for it.
 type machine struct {
 	id        string
 	partition int
@@ -110,7 +111,7 @@
 	return out
 }
 
-// pendingStarts counts the machine's tasks that were accepted and have not been seen running yet.
+// pendingStarts counts the machine's tasks that have neither been reported as started nor been stopped.
 func (m *machine) pendingStarts() (n int) {
 	for _, t := range m.tasks {
 		if !t.stopping && (t.phase == "" || t.phase == wire.TaskFetching) {
--- a/internal/partition/machine_records.go
+++ b/internal/partition/machine_records.go
@@ -45,7 +45,7 @@
 }
 
 // RecordedBefore lists the machines that are on record now and were recorded before a wall clock time, in Unix
-// milliseconds.
+// milliseconds. It leaves out those whose records have no time.
 func (s *Server) RecordedBefore(atMS int64) (out []peer.MachineRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/partition/quarantine.go
+++ b/internal/partition/quarantine.go
@@ -37,8 +37,8 @@
 	quarantined   bool            // the machine gets no more tasks, and is returned to the cloud once it is empty
 }
 
-// add counts a failure. It cordons the machine, for longer with each failure in a row, and quarantines it when tasks of
-// quarantineJobs different jobs, or maxConsecutiveFailures tasks, have failed in a row.
+// add counts a failure. It cordons the machine, for longer with each failure in a row up to maxCordon, and quarantines
+// it when tasks of quarantineJobs different jobs, or maxConsecutiveFailures tasks, have failed in a row.
 func (r *failureRecord) add(job string, quarantineJobs int, now clock.Micros) {
 	r.consecutive++
 	r.jobs[job] = true
--- a/internal/partition/reachability.go
+++ b/internal/partition/reachability.go
@@ -83,7 +83,8 @@
 // reachabilityProbes is the number of workers that ReachesWorkers sends a request to.
 const reachabilityProbes = 6
 
-// ReachesWorkers sends a request to some of the recorded workers and reports whether more than half of them respond.
+// ReachesWorkers sends a request to some of the recorded workers and reports whether more than half of them respond
+// within deliveryTimeout. It reports false if no worker is recorded.
 func (s *Server) ReachesWorkers(ctx context.Context) bool {
 	addrs := s.probeAddresses()
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
--- a/internal/partition/server.go
+++ b/internal/partition/server.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// tick reconciles the partitions and, if expire is set, ticks the State. It returns the machines to record, and the
-// ids of those whose records are to be removed.
+// tick reconciles the partitions, ticks the State if expire is set, and closes the connections to unknown machines. It
+// returns the machines to record, and the ids of those whose records are to be removed.
 func (s *Server) tick(expire bool) (unrecorded inventory.Group, removals []string) {
 	// The time is read before Reconcile, so that silence is decided as of a time at which this process certainly led
 	// its partitions. If the process is paused in between, other leaders may have answered the machines since.
--- a/internal/partition/state.go
+++ b/internal/partition/state.go
@@ -7,7 +7,7 @@
 // addresses, publishes machine views to schedulers' polls and writes machine records to the key-value store.
 // Server.mu guards the State.
 //
-// The inputs of State are its Handle methods, Tick, AcquirePartition and ReleasePartition. NextDelivery,
+// The inputs of State are its Handle and Set methods, Tick, Drain, AcquirePartition and ReleasePartition. NextDelivery,
 // UnrecordedMachines and Tick return commands to send and machine records to add or remove. The server reports their
 // results with HandleDeliveryResponse, HandleDeliveryTimeout and HandleMachineRecord.
 //
@@ -51,7 +51,7 @@
 type Timing struct {
 	WorkerLease          clock.Micros // duration of the worker lease
 	HeartbeatOverdue     clock.Micros // a machine gets no tasks after this long without an answered heartbeat; 0: no limit
-	ResourceLeaseTTL     clock.Micros // how long a resource lease lasts while no run command has been sent for it
+	ResourceLeaseTTL     clock.Micros // how long a resource lease that is not held lasts while no run command has been sent for it
 	QuarantineFailedJobs int          // number of different jobs that fail on a machine, with no success in between, to quarantine it
 }
 
--- a/internal/partition/tasks.go
+++ b/internal/partition/tasks.go
@@ -8,24 +8,27 @@
 )
 
 // taskState is the progress of an attempt on a machine, as this leader knows it. An attempt that a worker lists, but
-// that a former leader assigned, is called found. It starts as taskReported, or as taskExited if the worker lists it as
-// exited.
+// that a former leader assigned, is called found. An attempt that the worker first lists as exited, found or not, is
+// taskExited at once.
 //
-//	(accepted)               (found)
-//	    |                       |
-//	    v     run sent          v
-//	taskLeased ---> taskSent ---> taskReported ---> taskExited
-//	    |              |      listed  |      listed as   |
-//	    |              |              |      exited      |
-//	    v              v              v                  v
-//	 removed:       removed:       removed:           removed:
-//	 lease expires  stopped, and   no longer          no longer listed,
-//	 or the task    no run command listed             after acknowledgement
-//	 is stopped     can arrive                        and forget command
+//	(accepted)               (found) ----- listed as exited -----+
+//	    |                       |                                |
+//	    |              +------- | -------- listed as exited -----+
+//	    |   run        |        |                                |
+//	    v   sent       |        v                                v
+//	taskLeased ---> taskSent ---> taskReported -------------> taskExited
+//	    |              |      listed  |        listed as         |
+//	    |              |              |        exited            |
+//	    v              v              v                          v
+//	 removed:       removed:       removed:                   removed:
+//	 lease expires  stopped, and   no longer                  no longer listed,
+//	 or the task    no run command listed                     after acknowledgement
+//	 is stopped     can arrive                                and forget command
 //	                any more
 //
-// An attempt that is past taskLeased is also removed when it is gone for certain: the worker has begun a later
-// incarnation, the worker lease has expired, or the machine is gone (docs/design.md, "Why the rules hold", number 4).
+// A held lease is also removed if it can't be started (startHeldLease). All attempts are removed when the worker lease
+// expires or the machine is gone; a later incarnation of the worker removes those past taskLeased (docs/design.md,
+// "Why the rules hold", number 4).
 type taskState uint8
 
 const (
@@ -35,8 +38,9 @@
 	taskExited                    // the worker lists the attempt as exited
 )
 
-// task is one attempt on a machine. While unansweredToken shows that its run command may still arrive, the attempt is
-// kept, whatever else is known of it: the worker could still start it (docs/design.md, "Why the rules hold", number 2).
+// task is one attempt on a machine. While unansweredToken shows that its run command may still arrive, the worker could
+// still start it: it is then not removed as stopped, and gets no forget command (docs/design.md, "Why the rules hold",
+// number 2).
 type task struct {
 	id          peer.TaskID
 	team        string
--- a/internal/partition/views.go
+++ b/internal/partition/views.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// HandlePoll returns the machines that changed after a scheduler's cursor, in the order of their ids.
+// HandlePoll returns the machines that changed after a scheduler's cursor, in the order of their ids from in.AfterID
+// on, and at most in.Most of them unless that is 0.
 func (s *State) HandlePoll(in peer.PollRequest, processID string, now clock.Micros) peer.PollResponse {
 	s.teamTerms.fence(in.Terms)
 	s.updateDemands(in.Demands, now)
--- a/internal/partition/zones.go
+++ b/internal/partition/zones.go
@@ -7,7 +7,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/zone"
 )
 
-// startCountInterval is how often the starts under way in a zone are recounted. Each count looks at every machine.
+// startCountInterval is the shortest time between two counts of the starts under way in a zone. Each count looks at
+// every machine.
 const startCountInterval = 100 * clock.Millisecond
 
 // zoneGate limits the tasks that this leader admits to a zone that is lost, or to which work returns in stages.
@@ -18,8 +19,9 @@
 }
 
 // SetZoneState applies the state of a zone from its record. From the loss of the zone until its return nothing new is
-// admitted there; while it returns, tasks are admitted in stages. A controller inside a zone that is cut off does not
-// learn of the loss, and continues without a gate.
+// admitted there; while it returns, tasks are admitted in stages. A gate whose zone's record does not change in time
+// opens by itself, as described at recovery.Gate. A controller inside a zone that is cut off does not learn of the
+// loss, and continues without a gate.
 func (s *State) SetZoneState(name string, record zone.Record, now clock.Micros) {
 	switch record.State {
 	case zone.Lost:
@@ -54,7 +56,8 @@
 	return gate.Admits(stage, recovery.Machine{Proven: proven, Pending: m.pendingStarts()}, gate.startsInFlight, now)
 }
 
-// startsInZone counts the tasks in a zone that were accepted and have not been seen running yet.
+// startsInZone counts the tasks on reachable machines of a zone that have neither been reported as started nor been
+// stopped.
 func (s *State) startsInZone(zone string) (n int) {
 	for _, m := range s.machines {
 		if m.Zone == zone && !m.worker.lost() {
--- a/internal/partition/zones_test.go
+++ b/internal/partition/zones_test.go
@@ -50,8 +50,8 @@
 	require.False(t, s.assign(4, 5))
 }
 
-// A machine comes back with its zone and still runs a task that has been completed elsewhere. Its leader must stop
-// the task, and its resources must count as used until it is gone.
+// A machine comes back with its zone and still runs a task that has been completed elsewhere. Its leader must stop the
+// task. The task's resources must not be free before the leader has decided that, and must be free once it is gone.
 func TestReturningMachineCountsEndedTasksUntilTheyAreGone(t *testing.T) {
 	s := newFixture(t)
 	s.assign(0, 1)
