--- a/internal/leaderelection/campaign.go
+++ b/internal/leaderelection/campaign.go
@@ -6,23 +6,23 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Numbers of grace periods for which a leadership has to be free before a controller that is not its preferred leader may
-// campaign for it.
+// Numbers of grace periods for which a leadership has to be free before a controller may campaign for it although another one
+// is preferred or its own workers do not reach it.
 const (
 	// unseenGracePeriods applies while a preferred controller has never been seen registered: it may be about to start.
 	unseenGracePeriods = 1
 	// registeredGracePeriods applies while a preferred controller is registered. It should have acquired the leadership long
 	// before.
 	registeredGracePeriods = 2
-	// ineligibleGracePeriods applies to a controller that its workers do not reach. It campaigns too after that time, so that a
-	// duty always has a candidate.
+	// ineligibleGracePeriods applies to a controller that its workers do not reach, for the duties that need the workers. It
+	// campaigns for them too after that time, so that a duty always has a candidate.
 	ineligibleGracePeriods = 4
 )
 
-// Campaign decides which free leaderships to acquire and returns the writes. Immediately it acquires those that this controller
-// is preferred for, and those of a controller whose lease has just expired. It waits for one grace period where a preferred
-// controller has never been seen registered, and for two where one is registered. It does not wait for a controller whose
-// workers do not reach it if the duty needs the workers.
+// Campaign decides which free leaderships to acquire and returns the writes. For each free duty it goes through the controllers
+// in order of preference, and campaigns if it no longer waits for any before itself: it does not wait for one whose
+// registration has ended, waits one grace period for one never seen registered, and two for a registered one. If the duty needs
+// the workers, controllers that their workers do not reach, this one included, are passed over for four.
 func (e *Election) Campaign(now, grace clock.Micros) []Write {
 	if !e.isRegistered() || !e.LeaseValid(now) {
 		return nil
@@ -56,8 +56,8 @@
 	return term
 }
 
-// acquisition returns the write that acquires a free leadership. It is conditional on the leadership being unchanged, on this
-// incarnation being registered, and, if the leadership names another controller, on the registration of that controller being
+// acquisition returns the write that acquires a free leadership. It is conditional on the leadership and this controller's
+// registration being unchanged, and, if the leadership names another controller, on the registration of that controller being
 // unchanged.
 func (e *Election) acquisition(duty string, term uint64) Write {
 	leadership := e.leaderships[duty]
@@ -78,7 +78,7 @@
 }
 
 // mayCampaign reports whether this controller may campaign for a duty that has been free for the time freeFor: it no longer
-// waits for any controller that comes before it in the duty's order of preference.
+// waits for any controller that comes before it in the duty's order of preference, and is not passed over itself.
 func (e *Election) mayCampaign(dutyIndex int, freeFor, grace clock.Micros) bool {
 	for k := range e.controllers {
 		name := PreferredLeader(e.controllers, dutyIndex, k)
@@ -96,8 +96,8 @@
 }
 
 // waitsFor reports whether this controller leaves a duty that has been free for the time freeFor to another controller. It does
-// not wait for one whose registration has ended: that controller was away for its whole lease, so the leases of its workers are
-// about to expire as well.
+// not wait for one whose registration has ended and has not been replaced: that controller's lease has expired or its
+// incarnation has resigned, so that the leases of its workers run out as well.
 func (e *Election) waitsFor(controller string, freeFor, grace clock.Micros) bool {
 	if _, registered := e.registrations[controller]; registered {
 		return freeFor < registeredGracePeriods*grace
--- a/internal/leaderelection/contact.go
+++ b/internal/leaderelection/contact.go
@@ -47,8 +47,8 @@
 func (e *Elector) peerContactLimit() clock.Micros { return e.timing.ResignAfter / 2 }
 
 // SharedOutage reports whether neither this process nor any peer that it hears has contact with the key-value store, and this
-// process is not isolated. No other controller can then serve users better than this one. In a cluster of one controller it is
-// true whenever that controller has no contact.
+// process is not isolated. As far as it can tell, no other controller can then serve users better than this one. In a cluster
+// of one controller it is true whenever that controller has no contact.
 func (e *Elector) SharedOutage() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,8 +57,9 @@
 	return renewalMissed && now-e.lastPeerContact > e.peerContactLimit() && !e.isolated(now)
 }
 
-// Isolated reports whether this process reaches neither the key-value store nor any peer. As far as it can tell it alone is cut
-// off, and other controllers serve users better.
+// Isolated reports whether this process has, for longer than Timing.ResignAfter, neither had contact with the key-value store
+// nor received a heartbeat of a peer. As far as it can tell it alone is cut off, and other controllers serve users better. In a
+// cluster of one controller it is false.
 func (e *Elector) Isolated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leaderelection/contact_scenario_test.go
+++ b/internal/leaderelection/contact_scenario_test.go
@@ -56,7 +56,8 @@
 	})
 }
 
-// An outage counts as shared only while peers are heard and none of them has contact with the store.
+// In a cluster of several controllers an outage counts as shared only while a peer is heard and none that is heard has contact
+// with the store.
 func TestSharedOutageDiffersFromIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := fakes.NewKVStore()
--- a/internal/leaderelection/doc.go
+++ b/internal/leaderelection/doc.go
@@ -4,8 +4,8 @@
 //
 // Election makes the decisions from the state that the replica has shown. It does no I/O and reads no clock. Elector does the
 // I/O: it guards Election by a lock, keeps this process's incarnation registered under a controller lease, and sends the writes
-// that Election decides on. All other packages call Elector.Leading before each action, and again right before the action is
-// sent.
+// that Election decides on. The packages that act for a leader call Elector.Leading before an action, and again right before
+// the action is sent.
 //
 // # An incarnation
 //
@@ -59,7 +59,9 @@
 //   - At most one controller acts on a leadership at any time ("Leadership"). A leader acts only while its lease is valid by
 //     its own monotonic clock, and no other controller can acquire the leadership before the store has dropped the leader's
 //     registration, which lasts longer than that. The one exception is a leader that resigns or transfers the leadership: it
-//     stops acting on it for good, and only then lets another acquire it (Elector.RecordPeerContact, Election.TransferLeadership).
+//     stops acting on it for good, and only then lets another acquire it (Elector.RecordPeerContact,
+//     Election.TransferLeadership). A new process of a controller replaces the registration of the former one, which has
+//     normally ended, at once.
 //   - A leadership takes effect only when the replica shows it, so that the new leader has applied every record written before
 //     it (5, 6, 7).
 //   - Terms grow over all leaderships, including those of duties that no longer exist. Fencing tokens (1), attempt numbers (3)
@@ -68,6 +70,6 @@
 //     gets no response: the store may carry it out late ("Late writes").
 //   - Every write is conditional on the mod revision of the value that it replaces, so that a delayed copy of the write fails
 //     ("Late writes"). A write that acquires a leadership is also conditional on the writer's own registration.
-//   - An outage of the store that is shorter than the lease ends no leadership (14). In an outage that all controllers share,
-//     none of them resigns before its lease expires.
+//   - An outage of the store ends no leadership if a renewal succeeds before the leader's lease expires (14). In an outage that
+//     all controllers share, none of them resigns before its lease expires.
 package leaderelection
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -23,7 +23,7 @@
 type Registration struct {
 	Incarnation string `json:"incarnation"`
 	// Unreachable means that this controller's workers do not reach it. It then campaigns last for the duties that need the
-	// workers and transfers those that it leads; its other leaderships stay.
+	// workers, and transfers those that it leads if another registered controller may lead them; its other leaderships stay.
 	Unreachable bool `json:"deaf,omitempty"`
 }
 
@@ -181,7 +181,7 @@
 }
 
 // Leader names the controller that leads a duty. It reports false when the leadership is free or names an incarnation that is
-// no longer registered.
+// not registered.
 func (e *Election) Leader(duty string) (string, bool) {
 	l, ok := e.leaderships[duty]
 	if !ok || l.Leader == "" || e.registrations[l.Leader].Incarnation != l.Incarnation {
--- a/internal/leaderelection/election_test.go
+++ b/internal/leaderelection/election_test.go
@@ -46,8 +46,8 @@
 	const grace = 3 * clock.Second
 	registered, unreachable := Registration{Incarnation: "x"}, Registration{Incarnation: "x", Unreachable: true}
 	for name, c := range map[string]struct {
-		preferred []any // successive registrations of a, the preferred leader of duty one; nil: deleted
-		wantAfter clock.Micros
+		preferredRegistrations []any // successive registrations of a, the preferred leader of duty one; nil: deleted
+		wantAfter              clock.Micros
 	}{
 		"never seen":                      {nil, grace},
 		"registered":                      {[]any{registered}, 2 * grace},
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newRegisteredElection(t, "b")
-			for i, value := range c.preferred {
+			for i, value := range c.preferredRegistrations {
 				applyValue(t, e, kvstore.ControllerPrefix+"a", value, uint64(i)+2)
 			}
 			start := 100 * clock.Second
--- a/internal/leaderelection/elector.go
+++ b/internal/leaderelection/elector.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// passPause is how long Run waits between two passes. A replica event wakes it earlier.
+	// passPause is how long Run waits between two passes. Events, such as those of the replica, wake it earlier.
 	passPause = 200 * time.Millisecond
 	// retryPause is how long Run waits after a failed registration or renewal. Together with passPause it makes a renewal retry
-	// within half a second of the end of an outage (docs/design.md, "Leadership"); more frequent retries would spend the
-	// request budget.
+	// within half a second of the end of an outage in which requests fail at once (docs/design.md, "Leadership"); more frequent
+	// retries would spend the request budget.
 	retryPause = 300 * time.Millisecond
 	// transferInterval is the minimum time between two passes that transfer leaderships, as a rule long enough for the replica
 	// to show the outcome of the earlier transfers.
@@ -33,9 +33,9 @@
 }
 
 // Timing holds the durations of an election. TTL is that of the controller lease, and RenewInterval the time between two of its
-// renewals. A free leadership is left to its preferred leader for TakeoverGrace. A process without contact with the store
-// resigns after ResignAfter if a peer has contact. A preferred leader has to be registered for TransferDelay before a
-// leadership goes back to it.
+// renewals. TakeoverGrace is the grace period for which a free leadership may be left to preferred controllers; see
+// Election.Campaign. A process without contact with the store resigns after ResignAfter if a peer has contact. A preferred
+// leader has to keep the same registration for TransferDelay before a leadership goes back to it.
 type Timing struct{ TTL, RenewInterval, TakeoverGrace, ResignAfter, TransferDelay clock.Micros }
 
 // Elector keeps this controller registered under a controller lease, campaigns for free leaderships, and transfers leaderships
@@ -96,15 +96,15 @@
 	return e.election.CurrentLeadership(duty)
 }
 
-// LeaseValid reports whether this process may act at all.
+// LeaseValid reports whether this process has a valid controller lease, without which it may act under no leadership.
 func (e *Elector) LeaseValid() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.election.LeaseValid(e.clock.Now())
 }
 
-// Run keeps an incarnation registered, campaigns for free leaderships, and transfers leaderships that other controllers should
-// have, until ctx ends.
+// Run keeps an incarnation registered, publishes whether the workers reach this controller, campaigns for free leaderships, and
+// transfers leaderships that other controllers should have, until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	for attempts := 0; ctx.Err() == nil; {
 		if e.hasIncarnation() {
@@ -137,15 +137,15 @@
 	decidedAt   clock.Micros
 
 	renew        bool // renew the lease
-	publish      bool // write unreachable into the registration, by the transaction reachability
+	publish      bool // commit the transaction in reachability, which puts unreachable into the registration
 	unreachable  bool
 	reachability wire.Txn
 	transfers    []Write
 	campaigns    []Write
 }
 
-// pass decides what is due and carries it out. It renews the lease first and does everything else only if the renewal succeeds:
-// publishes the reachability, then sends transfers and campaigns concurrently.
+// pass decides what is due and carries it out. If a renewal of the lease is due, pass sends it first, and does nothing else if
+// it fails. Then it publishes the reachability, and after that sends transfers and campaigns concurrently.
 func (e *Elector) pass(ctx context.Context) {
 	due, ok := e.plan()
 	if !ok {
--- a/internal/leaderelection/helpers_test.go
+++ b/internal/leaderelection/helpers_test.go
@@ -53,7 +53,8 @@
 	return ok
 }
 
-// slowStore is a client of a key-value store that renews leases only after a delay.
+// slowStore is a client of a key-value store that renews leases only after a delay. A renewal that is delayed beyond its
+// timeout is not carried out, and its outcome is unknown.
 type slowStore struct {
 	*fakes.KVClient
 	delay time.Duration
--- a/internal/leaderelection/lease_scenario_test.go
+++ b/internal/leaderelection/lease_scenario_test.go
@@ -13,7 +13,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/kvstore"
 )
 
-// The store answers two seconds late for a minute. The leader must keep its leadership, since each renewal still succeeds.
+// The store answers renewals two seconds late for a minute. The leader must keep its leadership, since each renewal still
+// succeeds.
 func TestSlowStoreKeepsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -66,8 +67,8 @@
 	})
 }
 
-// An outage of the store of 20 s ends no leadership. A longer outage ends all of them by the leader's own clock, and a new term
-// begins after the outage.
+// An outage of the store of 20 s ends no leadership. One of 28 s, longer than the lease, ends all of them by the leader's own
+// clock, and a new term begins after the outage.
 func TestOutageLongerThanLeaseEndsLeaderships(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := fakes.NewKVStore()
--- a/internal/leaderelection/registration.go
+++ b/internal/leaderelection/registration.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// SetUnreachable records whether this controller's workers do not reach it. Run publishes that in the registration, and
-// transfers the leaderships that need the workers.
+// SetUnreachable records whether this controller's workers do not reach it. Run publishes that in the registration. Once the
+// replica shows it, Run transfers the leaderships that need the workers, if another controller may lead them.
 func (e *Elector) SetUnreachable(unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,7 +61,7 @@
 }
 
 // RemoveResigned deletes the registration of a peer's incarnation that has resigned, so that its leaderships are free before
-// its lease expires. It does nothing if the peer has registered another incarnation since.
+// its lease expires. It does nothing if that incarnation is not the peer's registered one.
 func (e *Elector) RemoveResigned(ctx context.Context, peer, incarnation string) {
 	e.mu.Lock()
 	registered, modRevision := e.election.RegisteredIncarnation(peer)
--- a/internal/leaderelection/transfer_scenario_test.go
+++ b/internal/leaderelection/transfer_scenario_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// A controller's workers stop reaching it. Its leaderships that need the workers move immediately and stay away; the others
-// stay. Once workers reach it again, it gets its own leaderships back.
+// The workers stop reaching two of three controllers. A leadership that needs the workers moves immediately and stays away; one
+// that does not need them stays. A controller that workers reach again gets back the leadership that it is preferred for.
 func TestUnreachableControllerTransfersOnlyWorkerDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := fakes.NewKVStore()
