--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -43,9 +43,10 @@
 }
 
 // PlanWrites returns the writes that record some machines of a partition and remove the records of others,
-// in the order of their keys. A machine that is recorded already stays under its key, and added may have a
-// new record of it. A new machine goes to a key whose value then takes at most maxBytes; a record that is
-// larger than that gets a key to itself.
+// in the order of their keys. A recorded machine keeps its key; its record is replaced if added has another
+// one. A new machine goes to the first key with room, from that of the previous new machine on: its group
+// then has at most maxMachinesPerGroup machines and its value at most maxBytes. A record that is larger
+// than that gets a key to itself.
 func (r *Records) PlanWrites(partition int, added Group, removed []string, maxBytes int) []Write {
 	p := plan{records: r, groups: map[string]Group{}}
 	for _, id := range removed {
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -43,7 +43,7 @@
 // Group is the value of one key: records by machine id.
 type Group map[string]Record
 
-// storedGroup is a group that is known to be in the key-value store.
+// storedGroup is the last known value of a key. Without machines it stands for an absent key.
 type storedGroup struct {
 	machines    Group
 	modRevision uint64 // of the key's last change
@@ -70,9 +70,9 @@
 	return &Records{groups: map[string]storedGroup{}, keyByMachine: map[string]string{}}
 }
 
-// Apply applies one event of the replica. It returns the machines whose records are new or changed, and
-// those whose records were removed. It ignores an event that is older than the known state of its key, and
-// a value that can't be decoded.
+// Apply applies one event of the replica. It returns the machines whose records are new, changed or under
+// another key than before, and those whose records were removed. It ignores keys of other kinds, an event
+// that is older than the known state of its key, and a value that can't be decoded.
 func (r *Records) Apply(e kvstore.Event) (added Group, removed []string) {
 	if !strings.HasPrefix(e.Key, kvstore.MachinePrefix) || e.ModRevision < r.groups[e.Key].modRevision {
 		return nil, nil
@@ -124,7 +124,8 @@
 	return false
 }
 
-// Put sets the value that a key has since modRevision, and returns the differences as Apply does.
+// Put records that a key has had the value g since modRevision, whatever was known before, and returns the
+// differences as Apply does.
 func (r *Records) Put(key string, g Group, modRevision uint64) (added Group, removed []string) {
 	known := r.groups[key].machines
 	for id := range known {
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -37,8 +37,8 @@
 // Option configures a cache.
 type Option func(*Cache)
 
-// OnFinal makes the cache call listener with each final state when it first becomes known. The cache's lock
-// is held during the call, so the listener must not use the cache.
+// OnFinal makes the cache call listener with each final state that is added and not cached yet. The cache's
+// lock is held during the call, so the listener must not use the cache.
 func OnFinal(listener func(id string, f Final)) Option {
 	return func(c *Cache) { c.onFinal = listener }
 }
@@ -153,9 +153,9 @@
 	return f, ok
 }
 
-// Ended reports whether a job has ended. modRevision is the mod revision of the job's record. The job has
-// ended if its final state is known, or if the cache includes that revision and has no active job with this
-// id.
+// Ended reports whether a job has ended. modRevision is the mod revision of the job's record, or 0 if the
+// caller knows that the cache includes the record. The job has ended if its final state is known, or if the
+// cache includes that revision and has no active job with this id.
 func (c *Cache) Ended(id string, modRevision uint64) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -17,10 +17,10 @@
 }
 
 func TestStopGraceCoversCheckpointOnlyIfJobTakesCheckpoints(t *testing.T) {
-	with := New(Record{Job: wire.Job{CheckpointIntervalS: 30, CheckpointDurationS: 4}}, 1)
-	require.InDelta(t, 4.1, with.StopGraceS(), 1e-9)
-	without := New(Record{Job: wire.Job{CheckpointDurationS: 4}}, 1)
-	require.Zero(t, without.StopGraceS())
+	withCheckpoints := New(Record{Job: wire.Job{CheckpointIntervalS: 30, CheckpointDurationS: 4}}, 1)
+	require.InDelta(t, 4.1, withCheckpoints.StopGraceS(), 1e-9)
+	withoutCheckpoints := New(Record{Job: wire.Job{CheckpointDurationS: 4}}, 1)
+	require.Zero(t, withoutCheckpoints.StopGraceS())
 }
 
 func TestStateOfFinalJobCountsTasksOnlyWhenDone(t *testing.T) {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -70,5 +70,5 @@
 	return writes.Tokens() >= float64(n)+float64(writes.Burst())/spareBurstDivisor
 }
 
-// budgetError returns the error of a request that was not sent because the budget is spent.
+// budgetError returns the error of a request that was not sent because the budget did not allow it in time.
 func budgetError() error { return fmt.Errorf("%w: %w", ErrRefused, ErrBudgetExhausted) }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -15,8 +15,8 @@
 // maxIdleConnections is the number of idle connections to the store that are kept open.
 const maxIdleConnections = 8
 
-// callTimeout bounds a call. The store may answer slowly for a while, and it still executes a request whose caller has timed
-// out, so a short timeout would only hide the outcome.
+// callTimeout bounds a call other than a watch or a lease renewal. The store may answer slowly for a while, and it still
+// executes a request whose caller has timed out, so a short timeout would only hide the outcome.
 const callTimeout = 3 * time.Second
 
 // Client sends requests to the key-value store. It is safe for concurrent use. Errors wrap ErrRefused, ErrOutcomeUnknown or
--- a/internal/kvstore/doc.go
+++ b/internal/kvstore/doc.go
@@ -11,7 +11,8 @@
 //     conditions that make such late writes harmless (docs/design.md, "Late writes").
 //   - A lease renewal never waits for the budget, so that a spent budget ends no leadership (docs/design.md, "Request budget" and
 //     "Paused processes").
-//   - Replica never notifies its listener of an older value of a key after a newer one. The listener ends up with what the store
-//     holds, whatever changes a watch repeats or no longer has. A leadership takes effect when the replica shows it, at which
-//     time all records written before it have been applied (docs/design.md, "Leadership").
+//   - Replica never notifies its listener of an older value of a key after a newer one. The listener ends up with what the
+//     store holds, whatever changes a watch repeats or no longer has; it may miss final states, which are only watched. A
+//     leadership takes effect when the replica shows it, at which time all records written before it have been applied
+//     (docs/design.md, "Leadership").
 package kvstore
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -12,10 +12,11 @@
 	ErrConflict = errors.New("condition did not hold")
 	// ErrLeaseNotFound means that the lease has expired.
 	ErrLeaseNotFound = errors.New("lease not found")
-	// ErrCompacted means that the store no longer keeps the changes after the watched revision, or that they are too large for
-	// one response. All keys have to be read again.
+	// ErrCompacted means that the store no longer keeps the changes after the watched revision, or that they are larger than a
+	// response that the client accepts. All keys have to be read again.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrBudgetExhausted means that this controller's part of the budget is spent. It is wrapped together with ErrRefused.
+	// ErrBudgetExhausted means that this controller's part of the budget did not allow the request in time. It is wrapped
+	// together with ErrRefused.
 	ErrBudgetExhausted = errors.New("request budget spent")
 
 	// errRateLimited means that all controllers together exceed the rate that the store allows. It is wrapped together with
--- a/internal/kvstore/replica.go
+++ b/internal/kvstore/replica.go
@@ -19,7 +19,7 @@
 	// minWatchInterval is the minimum time between two watch requests, since each of them counts towards the request budget.
 	minWatchInterval = 90 * time.Millisecond
 	// loadRetryPause and watchRetryPause are the pauses before a failed request is retried: short enough to notice the end of
-	// an outage immediately, long enough for the request budget.
+	// an outage soon, long enough for the request budget.
 	loadRetryPause  = 300 * time.Millisecond
 	watchRetryPause = 250 * time.Millisecond
 )
@@ -42,8 +42,9 @@
 	Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error)
 }
 
-// Replica follows all keys and notifies a listener of every change. It keeps only mod revisions; the listener keeps the values
-// that it needs. Only the goroutine of Run uses its fields.
+// Replica follows all keys and notifies a listener of changes. If the store no longer has some of them, the listener gets the
+// differences that result from them; final states may then be missed, which are only watched. Replica keeps only mod revisions;
+// the listener keeps the values that it needs. Only the goroutine of Run uses its fields.
 type Replica struct {
 	source Source
 	notify func([]Event, uint64)
@@ -59,8 +60,8 @@
 	return &Replica{source: source, notify: listener, log: log, modRevisions: map[string]uint64{}}
 }
 
-// Run follows the keys until ctx ends. It reads all keys, then watches for changes until the store no longer has the watched
-// revision, and starts over. It closes loadedOnce after the first full read.
+// Run follows the keys until ctx ends. It reads the keys of loadedPrefixes, then watches for changes until the store no longer has the
+// watched revision, and starts over. It closes loadedOnce after the first full read.
 func (r *Replica) Run(ctx context.Context, loadedOnce chan<- struct{}) error {
 	for ctx.Err() == nil {
 		if !r.loadWithRetry(ctx) {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// loadWithRetry reads all keys and retries until that succeeds. It reports false if ctx ends first.
+// loadWithRetry reads the keys of loadedPrefixes and retries until that succeeds. It reports false if ctx ends first.
 func (r *Replica) loadWithRetry(ctx context.Context) bool {
 	for attempts := 1; ctx.Err() == nil; attempts++ {
 		err := r.load(ctx)
@@ -139,7 +140,7 @@
 	r.publish(events, max(r.revision, response.Revision))
 }
 
-// load reads all keys and notifies the listener of the differences from what the listener knew.
+// load reads the keys of loadedPrefixes and notifies the listener of the differences from what the listener knew.
 func (r *Replica) load(ctx context.Context) error {
 	var events []Event
 	var lowestRevision uint64 // lowest revision of the lists; the watch starts after it
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -13,8 +13,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// rateLimitPause is how long a priority transaction waits after the store has rejected it because all controllers together made
-// too many changes. Several attempts fit into callTimeout.
+// rateLimitPause is how long a priority transaction waits after the store has rejected it because all controllers together
+// exceed the rate that it allows. Several attempts fit into callTimeout.
 const rateLimitPause = 120 * time.Millisecond
 
 // Commit executes a transaction and returns its revision. It returns ErrConflict if a condition did not hold.
@@ -76,7 +76,7 @@
 type PriorityClient struct{ *Client }
 
 // Commit executes a transaction that must not queue behind writes that can wait. When its own part of the budget is spent, it
-// takes what those writes have left of theirs: after an outage many users submit at once.
+// takes what those writes have left of theirs, and waits if that is not enough: after an outage many users submit at once.
 func (p PriorityClient) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	return p.CommitWithCheck(ctx, txn, nil)
 }
@@ -99,8 +99,8 @@
 	}
 }
 
-// UserClient is the client for requests of users. Its reads are limited to a part of the budget, so that leases are still
-// renewed and jobs still accepted however often users ask, including for unknown jobs. Its changes have priority.
+// UserClient is the client for requests of users. Its calls of Get are limited to a part of the budget, so that leases are
+// still renewed and jobs still accepted however often users ask, including for unknown jobs. Its changes have priority.
 type UserClient struct{ PriorityClient }
 
 // Get reads a key. If the users' part of the budget is spent, it returns ErrBudgetExhausted without waiting.
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -17,7 +17,8 @@
 const watchResponseMargin = 5 * time.Second
 
 // Watch waits for changes of keys with a prefix after revision rev, for at most the time block. It returns ErrCompacted when
-// the store no longer has all of these changes, or they are too large for one response: all keys then have to be read again.
+// the store no longer has all of these changes, or they are larger than a response may be here: all keys then have to be read
+// again.
 func (c *Client) Watch(ctx context.Context, prefix string, rev uint64, block time.Duration) (wire.WatchResponse, error) {
 	changes, err := c.watch(ctx, prefix, rev, block)
 	if err != nil {
