--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -10,8 +10,8 @@
 // assignment is an attempt of a task that is, or may be, on a machine.
 //
 // Invariant: it counts against its team's limit and in its job's tasksByZone from addAssignment until releaseAssignment,
-// which is called only when the attempt is known to be gone or was rejected. A release before that would allow more work
-// than the limit (docs/design.md, "Why the rules hold", number 8, "Limits").
+// which is called only when the attempt is known to be gone, was rejected or was never sent. A release before that would allow
+// more work than the limit (docs/design.md, "Why the rules hold", number 8, "Limits").
 type assignment struct {
 	id           peer.TaskID
 	job          *job
@@ -20,7 +20,7 @@
 	term         uint64 // of the machine's partition at the time of the assignment
 	unanswered   bool   // the partition leader has not answered yet
 	viewVersion  uint64 // version of the machine's view from which on it shows the accepted assignment
-	processID    string // process of the partition leader to which it was sent, or which accepted it
+	processID    string // process of the partition leader at the time of the assignment; later the one that accepted it
 	phase        string // as last reported, see wire.Task*
 	held         bool   // it is a held lease: the task runs elsewhere and is to move here
 	orphaned     bool   // it is no longer wanted: it is stopped, and only counted until it is gone
--- a/internal/scheduler/assignments_scenario_test.go
+++ b/internal/scheduler/assignments_scenario_test.go
@@ -93,8 +93,8 @@
 	require.Equal(t, 1, sim.runningTasks())
 }
 
-// The response to a batch comes from another process than the one that may have accepted its assignments. That rejection must not
-// release them: a task that was accepted would be started twice.
+// A process that is not the one that the batch was sent to rejects its assignments. Its rejection must not release them: a task
+// that was accepted would be started twice.
 func TestRejectionByAnotherProcessReleasesNothing(t *testing.T) {
 	sim := newSimulation(t, 2)
 	sim.runSteps(8)
--- a/internal/scheduler/batches.go
+++ b/internal/scheduler/batches.go
@@ -16,7 +16,7 @@
 }
 
 // HandleBatchResponse applies the response to a batch. ok is false if the response is not from the process for which the batch was
-// made, or that process has been replaced since.
+// made, or that process has been replaced since. A response to a batch that is no longer in flight changes nothing.
 func (s *Scheduler) HandleBatchResponse(host string, batch *peer.Batch, response *peer.BatchResponse, now clock.Micros) (ok bool) {
 	session := s.sessions[host]
 	if session.inFlight != batch {
@@ -74,7 +74,7 @@
 	case !response.accepted:
 		s.counters.Rejected++
 		s.releaseAssignment(a)
-		// No task is assigned to the machine for rejectionBackoff, unless a newer view arrives that shows its free capacity.
+		// No task is assigned to the machine's free capacity for rejectionBackoff, unless a newer view arrives that shows it.
 		m.rejectedAt, m.rejected = now, true
 		s.recomputeAvailable(m)
 	default:
@@ -97,9 +97,9 @@
 	s.recomputeAvailable(m)
 }
 
-// recordCancelAcknowledgements records that a process has the cancellations of a batch in memory. A cancellation is only confirmed
-// when that holds for every partition leader: otherwise one could still start a task of the job (docs/design.md, "Why the rules
-// hold", number 11).
+// recordCancelAcknowledgements records that a process has the cancellations of a batch in memory. If a task of the job may have
+// been assigned, the cancellation is only confirmed when that holds for every partition leader: otherwise one could still start
+// the task (docs/design.md, "Why the rules hold", number 11).
 func (s *Scheduler) recordCancelAcknowledgements(batch *peer.Batch, processID string) {
 	for _, c := range batch.Cancels {
 		tm := s.teams[c.Team]
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// schedulerAfterRestart returns a scheduler that knows a number of machines by their records, has seen half of them, and leads a
-// team with waiting tasks.
+// schedulerAfterRestart returns a scheduler that has seen half of a number of machines, knows the other half only by their records,
+// and leads a team with waiting tasks.
 func schedulerAfterRestart(machines int) *Scheduler {
 	s, _ := loadedScheduler(machines/2, 60)
 	for i := range machines / 2 {
--- a/internal/scheduler/cancellation.go
+++ b/internal/scheduler/cancellation.go
@@ -9,11 +9,12 @@
 
 // This file has the decisions of a cancellation; canceller does the I/O.
 //
-// The final state of a cancelled job is written only when each partition is led by a process that has the cancellation in memory,
-// or has no leader. Each partition's leadership is a condition of the transaction. A partition leader that handles the job's
-// workers afterwards is therefore one of these processes, or acquired its partition later and found the final state in its
-// replica. Without this rule, a partition leader whose replica is behind the key-value store could still let a task of the
-// cancelled job start (docs/design.md, "Why the rules hold", number 11).
+// If a task of a cancelled job may have been assigned (mayHaveBeenAssigned), the job's final state is written only when each
+// partition is led by a process that has the cancellation in memory, or has no leader, and no task of the job can start any more.
+// Each partition's leadership is a condition of the transaction. A partition leader that handles the job's workers afterwards is
+// therefore one of these processes, or acquired its partition later and found the final state in its replica. Without this rule,
+// a partition leader whose replica is behind the key-value store could still let a task of the cancelled job start
+// (docs/design.md, "Why the rules hold", number 11).
 
 // PartitionLeadership is the leadership of a partition as this controller's replica shows it.
 type PartitionLeadership struct {
@@ -24,8 +25,8 @@
 	Host        string // controller that leads; empty when the incarnation that the leadership names is no longer registered
 }
 
-// MaxPartitions returns how many partitions there may be when a transaction takes up to txnOps operations and four times as
-// many conditions. The final state of a cancelled job is written in one transaction with a condition for each partition's
+// MaxPartitions returns how many partitions there may be, 1000 at most, when a transaction takes up to txnOps operations and four
+// times as many conditions. The final state of a cancelled job is written in one transaction with a condition for each partition's
 // leadership, one for the team's leadership and one for the job's record.
 func MaxPartitions(txnOps int) int { return max(1, min(4*txnOps-2, 1000)) }
 
--- a/internal/scheduler/cancellation_scenario_test.go
+++ b/internal/scheduler/cancellation_scenario_test.go
@@ -108,7 +108,7 @@
 func TestCancellationIsConfirmedOnceNothingCanStart(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		prepare func(sim *simulation, machine string) // makes a task that may start on the machine
+		prepare func(sim *simulation, machine string) // causes that, as far as the scheduler knows, the task may still start
 		resolve func(sim *simulation, machine string) // makes certain whether the task starts
 	}{
 		{"a start is on its way", delayStart, func(sim *simulation, machine string) {
--- a/internal/scheduler/canceller.go
+++ b/internal/scheduler/canceller.go
@@ -19,7 +19,8 @@
 )
 
 // canceller carries out cancellations: it has the Scheduler send them to the partition leaders, waits until all have
-// acknowledged, and writes the final state on the condition that no partition's leadership has changed.
+// acknowledged, and writes the final state on the condition that no partition's leadership has changed. Jobs of which no task
+// can have been assigned need neither the acknowledgements nor that condition.
 // Scheduler.CancellationConfirmed decides when it may write. A job that is reported as cancelled therefore starts no task
 // afterwards (docs/design.md, "Why the rules hold", number 11).
 type canceller struct {
@@ -130,8 +131,8 @@
 	return true
 }
 
-// writeFinalState writes the final state of a cancelled job after beginFinalWrite has returned true, on the condition that no
-// partition's leadership has changed.
+// writeFinalState writes the final state of a cancelled job after beginFinalWrite has returned true. If a task of the job may
+// have been assigned, the condition is that no partition's leadership has changed.
 func (c *canceller) writeFinalState(ctx context.Context, j *job, partitions []PartitionLeadership) error {
 	write := &finalWrite{store: c.store, jobs: []*job{j}, phase: wire.Cancelled}
 	c.mu.Lock()
--- a/internal/scheduler/capacity_index.go
+++ b/internal/scheduler/capacity_index.go
@@ -70,8 +70,8 @@
 	return false
 }
 
-// capacityIndex finds schedulable machines by available CPUs and by image. The cost of a search for capacity depends on
-// the machines found, not on the size of the fleet.
+// capacityIndex finds schedulable machines by available CPUs and by image. A search for capacity visits only machines from the
+// level of the request on, not the whole fleet.
 type capacityIndex struct {
 	all       machinesByLevel
 	byImage   map[string]*machinesByLevel
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -57,7 +57,7 @@
 	return n
 }
 
-// Demands returns, for the autoscaler, the tasks of each job that wait for capacity.
+// Demands returns, for the autoscaler, the waiting tasks of each job that fit below its team's limit, see eachPlaceableJob.
 func (s *Scheduler) Demands(now clock.Micros) (out []peer.Demand) {
 	s.eachPlaceableJob(now, func(j *job, tasks int) {
 		out = append(out, peer.Demand{
@@ -76,7 +76,7 @@
 }
 
 // slack returns for how long a job's tasks may still wait before they are late; 0 if they are late already, or if neither a
-// deadline nor the job's class sets a time.
+// deadline nor the job's class sets a time. For a deadline that can still be met it returns at least one second.
 func (s *Scheduler) slack(j *job, now clock.Micros) clock.Micros {
 	if j.DeadlineS != nil {
 		if j.missesDeadline(now) {
--- a/internal/scheduler/exhausted_demand.go
+++ b/internal/scheduler/exhausted_demand.go
@@ -14,7 +14,8 @@
 	noVictims map[victimClass]bool
 }
 
-// victimClass is what decides which tasks a job may preempt: jobs of the same class have the same victims.
+// victimClass is what decides which tasks a job may preempt: unconstrained jobs of the same class have the same victims, and
+// constrained ones have no others.
 type victimClass struct {
 	need            resources.Amounts
 	team            string
--- a/internal/scheduler/fair_shares.go
+++ b/internal/scheduler/fair_shares.go
@@ -15,8 +15,9 @@
 	maxPriority int          // highest priority that was rejected
 }
 
-// Bounds of the time for which a team assigns nothing to a partition leader that keeps its capacity for other teams. The time
-// doubles with every consecutive rejection, so that a team above its share does not repeat its requests in every cycle.
+// Bounds of the time for which a team holds work back (backsOffAt) from a partition leader that keeps its capacity for other
+// teams. The time doubles with every rejection that follows within maxYieldBackoff after it, until an assignment is accepted, so
+// that a team above its share does not repeat its requests in every cycle.
 const (
 	minYieldBackoff = 100 * clock.Millisecond
 	maxYieldBackoff = 800 * clock.Millisecond
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -6,7 +6,8 @@
 	"github.com/merlinlatch/merlinlatch/internal/clock"
 )
 
-// mayAssign reports whether a task of a job may be assigned to a machine now, capacity aside.
+// mayAssign reports whether a job's constraints and failures, its team's yield backoff and the zone's state allow a task of the
+// job on a machine now. It does not look at the machine's capacity.
 func (s *selector) mayAssign(j *job, m *machineState, now clock.Micros) bool {
 	return now >= j.avoidUntil[m.ID] && j.fitsConstraints(m) && !j.backsOffAt(m.leader, now) && s.zones.admits(m.Zone, j, now)
 }
@@ -28,13 +29,13 @@
 	return !j.Spread || j.tasksByZone[m.Zone]+1 <= (j.Tasks+1)/2
 }
 
-// unconstrained reports whether the job itself allows its tasks on any machine with enough capacity.
+// unconstrained reports whether the job has no constraints on its machines and none of its tasks has ever failed.
 func (j *job) unconstrained() bool {
 	return j.Spot && j.Zone == "" && len(j.Types) == 0 && !j.OneZone && !j.Spread && len(j.avoidUntil) == 0
 }
 
-// rejectionBackoff is how long no task is assigned to a machine after its partition leader rejected an assignment,
-// unless a newer view of the machine arrives.
+// rejectionBackoff is how long no task is assigned to a machine's free capacity after its partition leader has rejected an
+// assignment, other than by yielding to another team, unless a newer view of the machine arrives.
 const rejectionBackoff = 200 * clock.Millisecond
 
 // findCapacity returns machines with capacity for a task of a job: up to four times the sample size, so that the search
@@ -63,8 +64,8 @@
 	return j.Need.Fits(m.available) && m.available.Mem > 0
 }
 
-// recentlyRejected reports whether the machine's partition leader has rejected an assignment within rejectionBackoff and
-// no newer view has arrived since.
+// recentlyRejected reports whether the machine's partition leader has rejected an assignment, other than by yielding to another
+// team, within rejectionBackoff and no newer view has arrived since.
 func (m *machineState) recentlyRejected(now clock.Micros) bool {
 	return m.rejected && now < m.rejectedAt+rejectionBackoff
 }
--- a/internal/scheduler/final_states.go
+++ b/internal/scheduler/final_states.go
@@ -29,10 +29,11 @@
 // errJobsChanged means that a job of a transaction was no longer active when the transaction was about to be sent.
 var errJobsChanged = errors.New("some jobs are not active any more")
 
-// finalStateWriter writes the final states of jobs. One transaction replaces the active record by the final state, on the
-// condition of the team's leadership and of the active record's mod revision. From the moment at which it is sent until its
-// outcome is known, users who query the job are asked to retry (job.finalStateUncertain), so that none is told that a job is
-// active after its final state has been written (docs/design.md, "Why the rules hold", number 10).
+// finalStateWriter writes the final states of jobs. One transaction replaces the active record by the final state, or writes the
+// end into the active record (finalWrite.inPlace), on the condition of the team's leadership and of the active record's mod
+// revision. From the moment at which it is sent until its outcome is known, users who query the job are asked to retry
+// (job.finalStateUncertain), so that none is told that a job is active after its final state has been written (docs/design.md,
+// "Why the rules hold", number 10).
 //
 // A job that ends as done needs no confirmation by partition leaders. The final state of a cancelled job is written through
 // canceller, which waits for their confirmation (number 11 there).
@@ -113,7 +114,7 @@
 // write writes final states, and repeats the transaction until it is written. Jobs that are no longer active at an attempt are
 // left out of it. It gives up when the team's leadership is lost (errLeadershipLost) or the context ends. It also gives up the
 // write of a cancellation as soon as an attempt is rejected and all earlier ones were, or after maxUncertainCancelAttempts
-// attempts; the error is then that of the last attempt.
+// attempts; the error is then that of the last attempt. After a failed condition it writes several jobs one by one.
 func (w *finalStateWriter) write(ctx context.Context, f *finalWrite) error {
 	tm := f.jobs[0].team
 	for attempt := 1; ctx.Err() == nil; attempt++ {
--- a/internal/scheduler/image_fetch.go
+++ b/internal/scheduler/image_fetch.go
@@ -50,7 +50,7 @@
 
 // waitsForImageByFit reports whether, with Economy, a job should leave scarce capacity to others for a short time: some machines
 // have its image, and one of them may get capacity sooner than the image is fetched. The machine is paid for while it
-// fetches. Capacity is scarce if less than an eighth of the machines have some.
+// fetches. Capacity is scarce if the candidates, whose number findCapacity limits, are less than an eighth of the machines.
 func (s *selector) waitsForImageByFit(j *job, candidates []*machineState, now clock.Micros) bool {
 	fetch, ok := s.fetchRates.fetchTime(j, candidates[0])
 	if !s.parameters.Economy || !s.capacity.withImage(j.Image).hasMachines() || !ok || len(candidates)*8 >= s.capacity.machines {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -12,8 +12,9 @@
 
 // job is an active job of a team that is led here, with the state of its tasks.
 //
-// Invariant: no leader of the team ever assigned a task whose number is at or above the watermark. A former leader of the team may
-// have assigned those below assignedByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
+// Invariant: no leader of the team ever assigned a task whose number is at or above the watermark, except leaders of the earlier
+// release that wrote no watermarks (setAssignedByFormer). A former leader of the team may have assigned those below
+// assignedByFormer. Those of them that are seen on a machine get an assignment there (adoptTask).
 // The others are not placed while awaitsAccounting is set, since they may run on a machine that has not been seen yet and
 // would run twice (docs/design.md, "Why the rules hold", number 7).
 type job struct {
@@ -48,7 +49,7 @@
 
 	stalledSince     clock.Micros // since when some task lacks capacity or room below the team's limit; 0: none does
 	noPlacementSince clock.Micros // since when every search for a machine has failed; 0: the last one succeeded, or there was none
-	imageWaitSince   clock.Micros // since when the job waits for a machine with its image; 0: it does not
+	imageWaitSince   clock.Micros // when it began to wait for a machine with its image; 0 again once one had capacity
 
 	runs              []taskRun
 	consecutiveErrors int
@@ -233,9 +234,9 @@
 	maxErrorBackoff     = 30 * clock.Second // longest pause of a job whose tasks keep failing
 )
 
-// recordFailure makes the job avoid a machine on which one of its tasks has failed. If its tasks fail on several machines
-// or often in a row, the whole job backs off exponentially: otherwise it would keep taking the capacity that its
-// failures free.
+// recordFailure makes the job avoid a machine on which one of its tasks has failed. Once its tasks have failed on three machines,
+// or often in a row, the whole job backs off exponentially after each failure: otherwise it would keep taking the capacity that
+// its failures free.
 func (j *job) recordFailure(machine string, now clock.Micros) {
 	j.consecutiveErrors++
 	j.avoidUntil[machine] = now + errorMachineBackoff
--- a/internal/scheduler/leader_session.go
+++ b/internal/scheduler/leader_session.go
@@ -92,7 +92,7 @@
 // abandonInFlight gives up the batch in flight because the process for which it was made is gone. The assignments of the
 // batch stay counted: that process may have accepted and started them, which only the next leader of their machines can tell
 // (docs/design.md, "Why the rules hold", number 8). Stops are queued again for the next process. Cancellations are queued
-// again by CancellationConfirmed.
+// again by CancellationConfirmed. The other messages are dropped.
 func (q *batchQueue) abandonInFlight() {
 	if q.inFlight == nil {
 		return
@@ -101,7 +101,8 @@
 	q.inFlight = nil
 }
 
-// dropTeam removes a team's messages from the pending ones.
+// dropTeam removes a team's messages from the pending ones. Stops and acknowledgements don't name the team: those for its present
+// jobs are removed.
 func (q *batchQueue) dropTeam(tm *team) {
 	b := &q.pending
 	b.Asks = slices.DeleteFunc(b.Asks, func(a peer.Assignment) bool { return a.Team == tm.Name })
--- a/internal/scheduler/machine_cache.go
+++ b/internal/scheduler/machine_cache.go
@@ -17,7 +17,7 @@
 	recordedMachines map[string]bool           // ids of machines with a record in the key-value store
 	capacity         capacityIndex             // schedulable machines
 	observedTasks    observedTaskCounts
-	examined         int // machines examined in searches for capacity, since the start
+	examined         int // machines examined in searches for capacity, victims and the largest machine, since the start
 }
 
 func newMachineCache(hosts []string) machineCache {
@@ -57,10 +57,10 @@
 	c.reindex(m)
 }
 
-// removeIfSilent removes a machine that is silent, has no record and has no assignments. It keeps a machine with an
+// removeIfObsolete removes a machine that is silent, has no record and has no assignments. It keeps a machine with an
 // unanswered assignment: the machine may return with a new worker incarnation, and its partition leader may accept the
 // assignment then.
-func (c *machineCache) removeIfSilent(m *machineState) {
+func (c *machineCache) removeIfObsolete(m *machineState) {
 	if m.Silent && !c.recordedMachines[m.ID] && len(m.assignments) == 0 {
 		c.removeMachine(m)
 	}
--- a/internal/scheduler/machine_state.go
+++ b/internal/scheduler/machine_state.go
@@ -10,7 +10,7 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// machineState is the cached state of a machine: its latest view, and the assignments made since.
+// machineState is the cached state of a machine: its latest view, the assignments on it, and what is derived from them.
 type machineState struct {
 	peer.MachineView
 	leader             string            // controller that sent the view
@@ -28,7 +28,7 @@
 	slowdownSamples    int                 // number of these ratios
 	slow               bool
 
-	rejected   bool // an assignment was rejected, and no newer view has arrived since
+	rejected   bool // an assignment was rejected, other than by yielding, and no newer view has arrived since
 	rejectedAt clock.Micros
 
 	indexed       bool // the machine is in the capacity index, under the three values below; see capacityIndex.update
@@ -112,7 +112,7 @@
 		delete(tm.unaccounted, id)
 	}
 	if m := s.machines[id]; m != nil {
-		s.removeIfSilent(m)
+		s.removeIfObsolete(m)
 	}
 }
 
@@ -125,8 +125,8 @@
 }
 
 // MachineViews appends the cached views of all machines to a list, for the autoscaler. It leaves out machines whose
-// partition leader has changed. Partition leaders send no views of an idle machine, so its idle time is that of the latest
-// view plus the time since then.
+// partition leader has changed. Partition leaders send no new views of a machine that stays idle, so its idle time is that of
+// the latest view plus the time since then.
 func (s *Scheduler) MachineViews(views []peer.MachineView, now clock.Micros) []peer.MachineView {
 	views = slices.Grow(views, len(s.machines))
 	for _, m := range s.machines {
--- a/internal/scheduler/moves_scenario_test.go
+++ b/internal/scheduler/moves_scenario_test.go
@@ -13,7 +13,7 @@
 
 var testMoves = &MoveSettings{Limits: rebalance.Limits{Margin: 1.5, CoolDown: 60 * sec, PerTeam: 20, PerMachine: 20, Detect: lease}}
 
-// longJob gives a job tasks that write checkpoints and run for 200 s.
+// longJob gives a job checkpoints and a run time estimate of 200 s.
 func longJob(j *wire.Job) {
 	j.CheckpointIntervalS, j.CheckpointDurationS, j.RuntimeEstimateS = 10, 1, 200
 }
@@ -110,9 +110,9 @@
 
 // Names for which TestMoveSurvivesFailureAtEachStep makes additional checks.
 const (
-	stepSourceGone   = "source gone"
-	failureTaskDone  = "the task is done"
-	failureCancelled = "the job is cancelled"
+	stepSourceGone    = "source gone"
+	eventTaskDone     = "the task is done"
+	eventJobCancelled = "the job is cancelled"
 )
 
 // moveFailures are the failures and events that are applied at a step of a move from one machine to another.
@@ -148,9 +148,9 @@
 			}
 		}
 	},
-	failureTaskDone:                 func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseDone) },
+	eventTaskDone:                   func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseDone) },
 	"the task fails":                func(sim *simulation, _, _ string) { sim.exitAll(wire.CauseError) },
-	failureCancelled:                func(sim *simulation, _, _ string) { sim.scheduler.CancelJob(red, "job-1") },
+	eventJobCancelled:               func(sim *simulation, _, _ string) { sim.scheduler.CancelJob(red, "job-1") },
 	"the destination gets a notice": func(sim *simulation, _, to string) { sim.sendEvictionNotice(to) },
 }
 
@@ -168,10 +168,10 @@
 				sim.runSteps(160)
 				require.Zero(t, sim.movesInFlight(), "no move may be left in progress")
 				ended := sim.active["job-1"] == nil
-				if name == failureTaskDone && step != stepSourceGone {
+				if name == eventTaskDone && step != stepSourceGone {
 					require.True(t, ended)
 				}
-				if name == failureCancelled {
+				if name == eventJobCancelled {
 					require.True(t, ended, "the cancellation must finish")
 					require.Zero(t, sim.runningTasks())
 				}
@@ -375,8 +375,8 @@
 	}
 }
 
-// checkMoves checks that no move of the present scheduler has the same source and destination, and that a task which was stopped
-// for a move is not moved again before the cool-down has passed.
+// checkMoves checks that no move of the present scheduler has the same source and destination, and that after a move that the
+// destination did not refuse the task is not moved again before the cool-down has passed.
 func (s *simulation) checkMoves() {
 	s.t.Helper()
 	nextBegan := map[rebalance.Key]clock.Micros{}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -31,7 +31,8 @@
 	return j.DeadlineS != nil && j.earliestFinish(now) > j.deadline()
 }
 
-// minRuntimeFraction is the fraction of its estimated run time that a task takes at least: many end before the estimate.
+// minRuntimeFraction is the fraction of its estimated run time that a task is assumed to take at least: many end before the
+// estimate.
 const minRuntimeFraction = 0.7
 
 // earliestFinish returns the earliest time at which the job's last task may end, if it starts now.
@@ -40,7 +41,7 @@
 }
 
 // latestStart returns the time by which the job's tasks should start for the job to meet the finish objective of its class,
-// or the maximum time if there is none. It orders jobs without a deadline: those with long tasks can wait least.
+// or the maximum time if there is none. It orders jobs with the same deadline or none: those with long tasks can wait least.
 func (t *Parameters) latestStart(j *job) clock.Micros {
 	within, ok := t.FinishObjectives[j.Class]
 	if !ok {
@@ -67,7 +68,7 @@
 	return ok && within < timeWithRetry || j.DeadlineS != nil && clock.FromSeconds(*j.DeadlineS) < timeWithRetry
 }
 
-// mayPreempt reports whether a job has been without capacity for long enough to preempt tasks.
+// mayPreempt reports whether a job has lacked capacity, or room below its team's limit, for long enough to preempt tasks.
 func (t *Parameters) mayPreempt(j *job, now clock.Micros) bool {
 	return j.stalledSince != 0 && now >= j.stalledSince+t.PreemptAfter
 }
--- a/internal/scheduler/observed_tasks.go
+++ b/internal/scheduler/observed_tasks.go
@@ -11,7 +11,7 @@
 	peer.TaskView
 	counted         bool // it has not exited and is included in the counts of the machine and of the cache
 	startedAt       clock.Micros
-	preemptingUntil clock.Micros // an assignment has named it as a victim: it is not named again before this time
+	preemptingUntil clock.Micros // an assignment has named it as a victim: not named again before this time or the next view of it
 }
 
 // isFetching reports whether the task still waits for its image.
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -9,7 +9,7 @@
 
 // NextPoll returns the next poll for a partition leader. It asks for all machines if the partition leader has not fenced the
 // present term of some team: only views made after that show all tasks that former leaders of the team may have assigned
-// (docs/design.md, "Why the rules hold", number 7).
+// (docs/design.md, "Why the rules hold", number 7). It also does so after a view that was inconsistent with the cached state.
 func (s *Scheduler) NextPoll(host string) peer.PollRequest {
 	session := s.sessions[host]
 	request := peer.PollRequest{Incarnation: session.processID, Cursor: session.cursor, Terms: s.TeamTerms(), Gen: session.generation}
@@ -37,7 +37,7 @@
 	s.setReachable(host, true)
 	if response.Incarnation != session.processID {
 		if request.Gen != session.generation || !response.Full {
-			return // the poll was sent before the present process was seen: a former one has responded
+			return // a former process has responded, to a poll sent before the present one was seen, or machines are missing
 		}
 		session.start(response.Incarnation)
 	}
@@ -91,7 +91,8 @@
 	s.reindexLeader(host)
 }
 
-// updateMachine applies the view of one machine, and reconciles its assignments if the view lists all tasks on the machine.
+// updateMachine applies the view of one machine, and reconciles its assignments if the view is Accounted, so that no task that may
+// be on the machine is unknown to its partition leader.
 func (s *Scheduler) updateMachine(host string, session *leaderSession, view *peer.MachineView, now clock.Micros) {
 	m := s.machines[view.ID]
 	if m == nil {
@@ -117,5 +118,5 @@
 		s.reconcileMachine(session, m, view, removed, now)
 	}
 	s.recomputeAvailable(m)
-	s.removeIfSilent(m)
+	s.removeIfObsolete(m)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,12 +8,13 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// victimCooldown is how long a task that was named as a victim is not named again, so that its partition leader has time
-// to stop it.
+// victimCooldown is how long a task that was named as a victim is not named again, unless a new view lists it, so that its
+// partition leader has time to stop it.
 const victimCooldown = 2 * clock.Second
 
-// preemptOwn stops tasks of lower priority of the job's own team when the team's limit leaves no room for the job. The
-// job's tasks are placed once the stopped ones are known to be gone and no longer count against the limit.
+// preemptOwn stops tasks of lower priority of the job's own team when the team's limit has left no room for the job for
+// PreemptAfter, unless the job can't meet its deadline any more. The job's tasks are placed once the stopped ones are known to be
+// gone and no longer count against the limit.
 func (s *Scheduler) preemptOwn(j *job, now clock.Micros) {
 	if j.stalledSince == 0 {
 		j.stalledSince = now
@@ -50,8 +51,8 @@
 	}
 }
 
-// preemptionCostStep is the smallest difference in lost work that matters. Between smaller differences prefers decides,
-// so that small tasks stay packed on the same machines.
+// preemptionCostStep is the step in which the costs of victims are compared. Within a step prefers decides, so that small
+// tasks stay packed on the same machines.
 const preemptionCostStep = 5 * clock.Second
 
 // preemptAnywhere selects victims among all machines, once the job has found no capacity for PreemptAfter.
@@ -62,10 +63,11 @@
 	return s.preempt(j, &s.capacity.all, now)
 }
 
-// preempt selects a machine and the victims on it that lose the least work. Victims are tasks of lower priority and, for
-// a job within its team's guarantee, tasks that other teams run beyond theirs. A job that can't meet its deadline any
-// more preempts nothing: it would be late all the same, and could make the victims late too. To keep the cost of a cycle
-// independent of the fleet's size, the search considers only some of the machines.
+// preempt selects a machine and the victims on it whose cost is the lowest (victimsOn). Victims are tasks of lower priority and,
+// for a job within its team's guarantee, tasks of the same priority that other teams run beyond theirs, or of any priority once
+// guaranteeDue holds. A job that can't meet its deadline any more preempts nothing: it would be late all the same, and could make
+// the victims late too. To keep the cost of a cycle independent of the fleet's size, the search considers only some of the
+// machines.
 func (s *selector) preempt(j *job, machines *machinesByLevel, now clock.Micros) (best selection) {
 	if machines == nil || j.missesDeadline(now) {
 		return selection{}
@@ -123,11 +125,12 @@
 	overridesPriority bool          // some have the same or a higher priority than the job
 }
 
-// Surcharges on the cost of victims. Those for guarantees and priorities exceed any lost work that matters.
+// Surcharges on the cost of victims, which otherwise is the time for which they have run. Those for guarantees and priorities
+// outweigh so much lost work.
 const (
-	guaranteedVictimCost = 100 * clock.Second  // per victim within a guarantee: such tasks are stopped last
-	higherPriorityCost   = 1000 * clock.Second // once if any victim has the same or a higher priority: lower ones go first
-	victimCost           = clock.Second        // per victim: few victims are better than many
+	victimWithinGuaranteeCost = 100 * clock.Second  // per victim within a guarantee: others are preferred
+	higherPriorityCost        = 1000 * clock.Second // once if any victim has the same or a higher priority: lower ones are preferred
+	victimCost                = clock.Second        // per victim: few victims are better than many
 )
 
 // victimsOn selects the tasks to stop on a machine to make capacity for one task of a job.
@@ -149,7 +152,7 @@
 		out.cost += now - t.startedAt + victimCost
 		out.overridesPriority = out.overridesPriority || t.Rank >= j.PriorityLevel
 		if t.Covered {
-			out.cost += guaranteedVictimCost
+			out.cost += victimWithinGuaranteeCost
 		}
 	}
 	if out.overridesPriority {
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -9,8 +9,8 @@
 )
 
 // schedulingOrder returns the queue: the jobs that have tasks to place, in the order in which these are placed. Jobs that
-// can still meet their deadline, or have none, come first, ordered by priority, guarantee, fair share, waiting work,
-// deadline, latest start and age. Next come jobs that can only meet the longer bound of an objective
+// can still meet their deadline, or have none, come first, ordered by priority, guarantee, fair share, waiting work (if both
+// have deadlines), deadline, latest start and age. Next come jobs that can only meet the longer bound of an objective
 // (Parameters.MaxDeadlineMultiples), in the same order. Last come jobs that miss both, those with the longest tasks first.
 func (s *Scheduler) schedulingOrder(now clock.Micros) []*job {
 	var out []*job
@@ -26,7 +26,7 @@
 	return out
 }
 
-// isPlaceable reports whether the job has tasks that may be placed now.
+// isPlaceable reports whether the job has waiting tasks, and is neither about to end nor backing off after failures.
 func (j *job) isPlaceable(now clock.Micros) bool {
 	return !j.cancelling && !j.finalWriteInFlight && j.waiting() > 0 && now >= j.backoffUntil
 }
--- a/internal/scheduler/safety_scenario_test.go
+++ b/internal/scheduler/safety_scenario_test.go
@@ -118,7 +118,7 @@
 	switch f.rng.IntN(12) {
 	case 0: // a controller's process crashes, and acquires its partitions anew
 		f.restart(c)
-	case 1: // another controller acquires a partition
+	case 1: // a controller, possibly the same one, acquires a partition under a new term
 		f.acquirePartition(f.rng.IntN(2), f.rng.IntN(2))
 	case 2:
 		f.newScheduler()
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -66,7 +66,7 @@
 }
 
 // sumUnaccountedCapacity returns the number and total capacity of a team's machines that are not accounted for.
-// Machines that have not been seen yet count as the largest machine seen.
+// Machines whose capacity is not known yet count as the largest machine seen.
 func (s *Scheduler) sumUnaccountedCapacity(tm *team, largest func() resources.Amounts) (machines int, capacity resources.Amounts) {
 	for id := range tm.unaccounted {
 		machines++
@@ -79,7 +79,7 @@
 	return machines, capacity
 }
 
-// scheduleJob places at most limit tasks of a job.
+// scheduleJob places at most limit tasks of a job. Where the team's limit leaves no room it may stop tasks of the team instead.
 func (s *Scheduler) scheduleJob(j *job, limit int, now clock.Micros) (placed int) {
 	if j.awaitsAccounting && j.team.unaccountedCount == 0 && j.watermark >= j.assignedByFormer {
 		j.queueAssignedByFormer()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -2,7 +2,7 @@
 // limits, and is the only writer of their jobs' records once a job has been accepted.
 //
 // Scheduler holds the decision logic: code without I/O that gets the current time as an argument. Its inputs are
-// events (HandlePollResponse, HandleBatchResponse, HandleMachineRecord, HandleProgressRecord, HandleWatermarkRecord,
+// events (such as HandlePollResponse, HandleBatchResponse, HandleMachineRecord, HandleProgressRecord, HandleWatermarkRecord,
 // AddJob, DropJob, AcquireTeam, ReleaseTeam, CancelJob, SetZoneState); its outputs are polls (NextPoll), batches of
 // assignments and commands (NextBatch), and records to write (PlanWatermarks, CompletedJobs). Schedule runs one
 // scheduling cycle. Server does the I/O: it sends and writes the outputs and passes the results back, all under one
@@ -34,7 +34,7 @@
 	// regardless of that.
 	SampleSize, BaseAssignmentsPerCycle int
 	WorkerLease                         clock.Micros // worker lease: a lost machine is noticed after this time
-	PreemptAfter                        clock.Micros // how long a job must lack capacity before it may preempt
+	PreemptAfter                        clock.Micros // how long a job must lack capacity to preempt; exception: selectByFit
 	// Economy saves cost at the expense of start times, see waitsForImageByFit and onDemandIfUrgent.
 	Economy              bool
 	StartObjectives      map[string]clock.Micros // by job class: tasks should start within this time after acceptance
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -4,9 +4,10 @@
 	"hash/fnv"
 )
 
-// prefers reports whether machine a is better than b for a task of a job. Small tasks are packed onto the same machines
-// in a fixed order, so that other machines become entirely free for large tasks. A large task takes the machine with the
-// least capacity left, and the one with the higher id among equals. The order for small tasks differs between teams:
+// prefers reports whether machine a is better than b for a task of a job. If only one of them is a spot instance, that decides.
+// A task of at least half the CPUs of one of them takes the machine with the fewest available CPUs, and the one with the higher
+// id among equals. Smaller tasks are packed onto the same machines in a fixed order, those with the most CPUs first, so that
+// other machines become entirely free for large tasks. Among machines with the same CPUs that order differs between teams:
 // otherwise schedulers that decide at the same time would assign the same capacity.
 func (s *selector) prefers(j *job, a, b *machineState) bool {
 	if a.Spot != b.Spot {
@@ -27,7 +28,7 @@
 	return j.team.machineOrder(a) < j.team.machineOrder(b)
 }
 
-// machineOrder returns a machine's position in the order in which the team packs its small tasks.
+// machineOrder returns a machine's position, among machines with the same CPUs, in the order in which the team packs small tasks.
 func (tm *team) machineOrder(m *machineState) uint64 {
 	return (m.nameHash ^ tm.orderSalt) * 0x9E3779B97F4A7C15 // Fibonacci hashing: 2^64 divided by the golden ratio
 }
@@ -48,7 +49,7 @@
 	return out
 }
 
-// isSmall reports whether a task of the job takes at most half the CPUs of the largest task that waits or runs.
+// isSmall reports whether a task of the job takes at most half the CPUs of the largest task, see maxTaskCPU.
 func (s *selector) isSmall(j *job) bool {
 	return s.largestTaskCPU > 0 && j.Need.CPU*2 <= s.largestTaskCPU
 }
@@ -67,7 +68,8 @@
 	return out
 }
 
-// maxTaskCPU returns the CPUs, in micro-CPUs, of the largest task that waits or has been seen on a machine.
+// maxTaskCPU returns the CPUs, in micro-CPUs, of the largest task among those of the queued jobs and those that have been seen on
+// a machine and have not exited.
 func (s *selector) maxTaskCPU(queue []*job) (cpu int64) {
 	for _, j := range queue {
 		cpu = max(cpu, j.Need.CPU)
--- a/internal/scheduler/selection.go
+++ b/internal/scheduler/selection.go
@@ -15,8 +15,8 @@
 }
 
 // selector chooses machines for tasks: it filters and scores machines and, where none has capacity, selects victims to
-// preempt. It changes neither machines nor jobs, except for the time since which a job waits for a machine with its
-// image.
+// preempt. Choosing changes neither machines nor jobs, except for the time since which a job waits for a machine with
+// its image.
 type selector struct {
 	machineCache
 	parameters     Parameters
@@ -48,7 +48,9 @@
 	return s.selectByFit(j, now)
 }
 
-// selectByFit chooses a machine among those with the job's image if any of them has capacity, else among all machines.
+// selectByFit chooses a machine among those with the job's image if any of them has capacity, else among all machines. It
+// may preempt tasks if no machine has capacity or the image can't be fetched in time, and may choose none so that the job waits
+// for a machine with its image.
 func (s *selector) selectByFit(j *job, now clock.Micros) selection {
 	withImage := s.capacity.withImage(j.Image)
 	if candidates := s.findCapacity(j, withImage, now); len(candidates) > 0 {
@@ -65,7 +67,7 @@
 	}
 	if s.imageFetchTooSlow(j, candidates[0], now) {
 		// Fetching the image alone would make the task miss its start objective. So the task preempts others on a machine
-		// with the image, without waiting for PreemptAfter: capacity there is worth the work of a task that has hardly begun.
+		// with the image, without waiting for PreemptAfter: capacity there is worth the work that the victims lose.
 		if choice := s.preempt(j, withImage, now); choice.machine != nil && !choice.overridesPriority {
 			return choice
 		}
--- a/internal/scheduler/slow_machines.go
+++ b/internal/scheduler/slow_machines.go
@@ -22,7 +22,7 @@
 	maxRecordedRuns    = 500
 )
 
-// recordRun records for how long a task of the job ran on a machine.
+// recordRun records for how long a task of the job ran on a machine, up to maxRecordedRuns tasks of a job.
 func (j *job) recordRun(machine string, duration clock.Micros) {
 	if len(j.runs) < maxRecordedRuns {
 		j.runs = append(j.runs, taskRun{machine, duration})
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -11,7 +11,7 @@
 	Placed, Rejected, Preempted, Done, Stopped, Failed, Lost int          // tasks
 	Yielded                                                  int          // assignments rejected in favour of teams below their shares
 	MovesStarted, MovesCompleted                             int          // moves begun, and completed
-	MachinesExamined                                         int          // machines examined in searches for capacity
+	MachinesExamined                                         int          // machines examined in searches, see machineCache.examined
 	FetchCPUs                                                clock.Micros // CPU time that tasks reserved before they ran
 }
 
--- a/internal/scheduler/team_statuses.go
+++ b/internal/scheduler/team_statuses.go
@@ -12,7 +12,7 @@
 
 // distributions are the durations that this process has observed for a team since it started.
 type distributions struct {
-	waits    *telemetry.Distribution // from a job's submission until a task of it runs
+	waits    *telemetry.Distribution // from a job's acceptance until a task of it runs
 	lateness *telemetry.Distribution // from a job's deadline until its last task was done; 0 for jobs in time
 }
 
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -24,7 +24,7 @@
 // wait for.
 
 const (
-	// watermarkStep is the number of tasks by which a watermark is raised.
+	// watermarkStep is the number of tasks by which a watermark is raised, unless it is raised to the last task.
 	watermarkStep = 256
 	// watermarkLeadTime is how long before firstTaskDeadline a job's watermark is raised whatever the job's place in the queue.
 	watermarkLeadTime = 10 * clock.Second
