--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -29,7 +29,7 @@
 type team struct {
 	Team
 	term                uint64
-	modRevision         uint64 // of the leadership's key: a condition of the writes of final states; jobs accepted before it have a lower one
+	modRevision         uint64 // of the leadership's key: a condition of writes of final states; jobs accepted before have a lower one
 	attemptCounter      uint64 // attempts made under this term
 	orderSalt           uint64 // varies the order of machines between teams, see machineOrder
 	used                resources.Amounts
