--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -40,17 +40,18 @@
 
 // ControllerClient reads the state that the autoscaler needs from all controllers, and notifies them.
 type ControllerClient interface {
-	// Demands returns the waiting tasks of all teams.
+	// Demands returns the waiting tasks of all teams whose leaders can be reached.
 	Demands(ctx context.Context) []peer.Demand
 	// MachineViews appends the views of all machines.
 	MachineViews(to []peer.MachineView) []peer.MachineView
 	// Drain asks the partition leaders to drain machines, and returns the ids of those that hold no tasks or
 	// leases any more.
 	Drain(ctx context.Context, list []peer.MachineRef) (ready []string)
-	// MarkMachinesGone notifies the partition leaders of machines that are certain not to exist any more.
+	// MarkMachinesGone notifies the partition leaders of machines on which certainly nothing runs any more: they are
+	// gone, returned or failed.
 	MarkMachinesGone(ctx context.Context, list []peer.MachineRef)
-	// RecordedBefore returns the machines whose records were written before a wall clock time, in Unix
-	// milliseconds.
+	// RecordedBefore returns the machines that have a record in the key-value store and were recorded before a wall
+	// clock time, in Unix milliseconds.
 	RecordedBefore(atMS int64) []peer.MachineRef
 }
 
@@ -207,8 +208,8 @@
 	return in
 }
 
-// decide plans with the present states of zones. While a zone is not healthy, it defers the return of most idle
-// machines.
+// decide plans with the present states of zones. While a zone is not healthy, it defers the return of all
+// idle machines but maxIdleScaleIn.
 func (a *Autoscaler) decide(in *Input) ([]ScaleOut, []ScaleIn) {
 	closed, anyUnhealthy := a.zones.closedZones()
 	in.ClosedZones = closed
--- a/internal/autoscaler/cloud_client_test.go
+++ b/internal/autoscaler/cloud_client_test.go
@@ -7,7 +7,7 @@
 )
 
 // Only a 503 whose body gives lack of capacity as the reason is a refusal. After any other status but 200 the instances
-// may have been granted, so the kind is held back only until the list shows them, not for the longer backoff of a
+// may have been granted, so the kind is held back only for unknownOutcomeBackoff, not for the longer backoff of a
 // refusal.
 func TestCloudStatusIsRefusalOnlyWithNoCapacity(t *testing.T) {
 	require.NoError(t, checkStatus(200, nil))
--- a/internal/autoscaler/fixtures_test.go
+++ b/internal/autoscaler/fixtures_test.go
@@ -154,9 +154,9 @@
 		controllers: &fakeControllers{},
 		elections:   &fakeElections{term: 3},
 	}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	s.autoscaler = New(Options{
-		Cloud:         NewCloudClient(serve(t, s.cloud.handle, quiet), 10_000, 1<<20),
+		Cloud:         NewCloudClient(serve(t, s.cloud.handle, discardLogger), 10_000, 1<<20),
 		Elections:     s.elections,
 		Store:         &fakes.KVClient{KVStore: fakes.NewKVStore()},
 		Controllers:   s.controllers,
@@ -167,7 +167,7 @@
 		ListLag:       8 * sec,
 		ClockSkew:     sec,
 		StoredCatalog: func() wire.Catalog { return wire.Catalog{} },
-		Log:           quiet,
+		Log:           discardLogger,
 	})
 	s.autoscaler.startTerm(s.elections.term)
 	return s
--- a/internal/autoscaler/instance_list.go
+++ b/internal/autoscaler/instance_list.go
@@ -15,7 +15,7 @@
 
 const (
 	// listInterval is the time between two reads of the cloud's list. Reading more often brings little, since
-	// the list lags behind by more than that.
+	// the list may lag behind by more than that.
 	listInterval = 3 * clock.Second
 	// listRetryInterval is the time after which a failed read is retried.
 	listRetryInterval = clock.Second
@@ -106,7 +106,8 @@
 }
 
 // removeGone removes the instances that are proven gone by the complete list whose read began at startedAt, and
-// returns them in the order of their ids. recorded lists the machines whose records are older than
+// returns them in the order of their ids. It also forgets, without returning them, granted instances that have not
+// appeared on the list in time. recorded lists the machines whose records are older than
 // recordedBeforeMS: they existed before the moment that the list describes, so that those missing from it are
 // gone. Without the records a new leader, which has seen no earlier list, could not prove any instance gone, and
 // the partition leaders would have to wait for the workers' leases to expire.
@@ -149,7 +150,7 @@
 }
 
 // observeViews updates HeartbeatSeen and UnreachableSince of all instances from the machine views: whether their workers have
-// sent heartbeats, and since when those are silent or no longer in the views.
+// sent heartbeats, which a view shows by being accounted for, and since when those that have are silent or not in the views.
 func (l *instanceList) observeViews(views []peer.MachineView, viewIndex map[string]int, now clock.Micros) {
 	for id, instance := range l.instances {
 		before := instance
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -21,7 +21,7 @@
 	Phase            string
 	RequestedAt      clock.Micros // time of the scale-out request, by this process's clock
 	HeartbeatSeen    bool         // its worker has sent a heartbeat
-	UnreachableSince clock.Micros // since when its worker is silent or no longer in the views; 0: the worker is reachable
+	UnreachableSince clock.Micros // since when its worker is silent or no longer in the views; 0: it is reachable, or was never seen
 }
 
 // Parameters are the operators' settings of the plan. Economy limits scale-out to what is needed to complete the
@@ -80,7 +80,7 @@
 	Input
 	types     map[string]wire.MachineType
 	available []InstanceKind           // kinds that may be requested now, the cheapest first
-	price     map[InstanceKind]float64 // price of a CPU of each available kind, per hour
+	price     map[InstanceKind]float64 // price of a CPU of each available kind, per hour, with a penalty; see availableKinds
 	requested map[InstanceKind]int     // number of instances to request
 	bins      []*bin                   // capacity there is or will be
 	viewBins  []bin                    // the bins of the viewed machines, at the same positions as in Views
--- a/internal/autoscaler/plan_packing.go
+++ b/internal/autoscaler/plan_packing.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// addBootingInstances adds a bin for each instance that was granted and whose worker has sent no heartbeat yet.
+// addBootingInstances adds a bin for each instance that is not in the views, whose worker has sent no heartbeat yet, and
+// that the cloud does not list as failed.
 func (p *planner) addBootingInstances() {
 	for _, instance := range p.Instances {
 		_, viewed := p.viewIndex[instance.ID]
@@ -135,7 +136,7 @@
 	return b
 }
 
-// cost returns a kind's price with a small penalty for each of its instances to be requested. Among kinds of the
+// cost returns a kind's price per CPU with a small penalty for each of its instances to be requested. Among kinds of the
 // same price the penalty spreads the instances over the zones, so that fewer of them are lost with one zone or by
 // many evictions in it.
 func (p *planner) cost(k InstanceKind) float64 {
--- a/internal/autoscaler/plan_scale_in.go
+++ b/internal/autoscaler/plan_scale_in.go
@@ -21,7 +21,7 @@
 const (
 	// minBootS is a lower bound, in seconds, on the boot time that BootPatience multiplies.
 	minBootS = 5
-	// maxIdleScaleIn is the number of idle machines that one step returns while a zone is not healthy. Without
+	// maxIdleScaleIn is the largest number of idle machines that one step returns while a zone is not healthy. Without
 	// this bound, all replacements for the zone's machines would be returned at the moment at which it is
 	// reachable again.
 	maxIdleScaleIn = 2
@@ -91,9 +91,10 @@
 	return instance.UnreachableSince != 0 && p.Now >= instance.UnreachableSince+p.bootTime(instance.Type)
 }
 
-// idleTooLong reports whether a machine has been without tasks for longer than IdleScaleInDelay. A machine that is
-// not usable at present gets no tasks for that reason, and may be usable again sooner than a replacement would have
-// booted. It is kept for the boot time in addition, unless it is under an eviction notice.
+// idleTooLong reports whether a machine has been without tasks for longer than IdleScaleInDelay. A machine that
+// is not accounted for does not count as idle. One that is not usable at present gets no tasks for that reason, and may be
+// usable again sooner than a replacement would have booted. It is kept for the boot time in addition, unless it is under an
+// eviction notice.
 func (p *planner) idleTooLong(v *peer.MachineView, instance Instance) bool {
 	beyondDelay := v.Idle - p.Parameters.IdleScaleInDelay
 	if !v.Accounted || v.Count != 0 || beyondDelay <= 0 {
@@ -104,7 +105,8 @@
 
 // neededForDemand reports whether the idle machine at position i of Views is kept for waiting tasks: without economy,
 // as long as any task waits; with economy, only if the plan packed a task into this machine. On a large fleet some
-// task waits at every moment, so that idle machines would never be returned otherwise.
+// task waits at every moment, so that idle machines would never be returned otherwise. A machine that is not usable is
+// not kept.
 func (p *planner) neededForDemand(i int) bool {
 	return p.Views[i].Usable && len(p.Demands) > 0 && (p.viewBins[i].reserved || !p.Parameters.Economy)
 }
--- a/internal/autoscaler/plan_scale_out.go
+++ b/internal/autoscaler/plan_scale_out.go
@@ -54,8 +54,9 @@
 	return list, price
 }
 
-// addSpareCapacity requests instances until the free CPUs are at least SpareShare of the CPUs in use, so that new
-// tasks need not wait for an instance to boot.
+// addSpareCapacity requests instances, up to MaxPerKind of each kind, until the free CPUs are at least SpareShare of the
+// CPUs in use, so that new tasks need not wait for an instance to boot. The instances that packDemands requested are not
+// counted.
 func (p *planner) addSpareCapacity() {
 	spare := int64(p.Parameters.SpareShare*float64(p.usedCPU)) - (p.totalCPU - p.usedCPU)
 	for _, k := range p.available {
@@ -94,8 +95,8 @@
 }
 
 // requiredCPUs returns the number of CPUs that complete all running and waiting tasks within catchupS seconds. Tasks
-// with a deadline count with a shorter time where that is needed, but never with less than an instance of type t
-// takes to boot plus minCatchupAfterBootS, since requesting it would not help earlier.
+// with a deadline that is still ahead count with a shorter time where that is needed. It is not made shorter than an instance of
+// type t takes to boot plus minCatchupAfterBootS, since requesting it would not help earlier.
 func (p *planner) requiredCPUs(t wire.MachineType, catchupS, meanRunS float64) float64 {
 	cpus := float64(p.usedCPU) / cpuUnit * meanRunS / 2 / catchupS // running tasks are half done on average
 	for i := range p.Demands {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -102,7 +102,7 @@
 		{ID: "m-3", Silent: true, Accounted: true},
 		{ID: "m-4", Accounted: true, Sick: true},
 		{ID: "m-7", Accounted: true, Sick: true, Count: 1},
-		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // not usable now: kept for the boot time in addition
+		{ID: "m-8", Accounted: true, Idle: 61 * sec, Type: "big"}, // not usable now: kept for its type's boot time beyond IdleScaleInDelay
 	}
 	in.Instances["m-8"] = instanceAs(
 		Instance{InstanceKind: InstanceKind{"big", "a", true}, HeartbeatSeen: true}, "m-8", wire.MachineRunning)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -15,7 +15,7 @@
 	// initialWindow is the number of concurrent requests for a kind of instance at the start of a term.
 	initialWindow = 2
 	// unknownOutcomeBackoff is how long a kind is not requested after a request without a usable response. The
-	// instances may have been granted all the same, and the list shows them by then.
+	// instances may have been granted all the same, and the list may show them by then.
 	unknownOutcomeBackoff = 3 * clock.Second
 	// maxRequestsPerRPS is the number of concurrent scale-out requests for each request per second that the
 	// cloud permits. The client sends cloudBudgetShare (0.8) of the permitted rate, so that this is what it
@@ -42,7 +42,7 @@
 }
 
 // selectRequests returns the planned requests to send now, within the window of each kind. The window of a kind
-// doubles while the cloud grants all that is requested, and falls to one request when it grants less. So a kind
+// doubles each time requests for it are sent, and falls to one request when the cloud grants less than requested. So a kind
 // without capacity costs few calls, and any number of available instances is requested within a few steps.
 func (p *requestPacer) selectRequests(planned []ScaleOut) []ScaleOut {
 	var selected []ScaleOut
@@ -59,8 +59,8 @@
 	return selected
 }
 
-// growWindows doubles the window of each kind for which requests were sent. observeResponse reduces it again if
-// the cloud did not grant all of them.
+// growWindows doubles the window of each kind for which requests were sent. observeResponse reduces it again
+// after a refusal or a partial grant.
 func (p *requestPacer) growWindows(sent []ScaleOut) {
 	grown := map[InstanceKind]bool{}
 	for _, r := range sent {
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// Errors and malformed responses of the cloud add no instances, and don't keep the next step from requesting them again.
+// Errors and malformed responses of the cloud add no instances.
 func TestMalformedCloudResponseGrantsNothing(t *testing.T) {
 	s := newScenario(t)
 	s.controllers.demands = waitingDemand(2, nil)
@@ -95,7 +95,7 @@
 }
 
 // After a refusal or a partial grant a kind is not requested for the whole backoff. After an error that leaves the outcome
-// unknown it is not requested for 3 s, by when the list shows the instances if they were granted.
+// unknown it is not requested for 3 s, by when the list may show the instances if they were granted.
 func TestRequestOutcomeDecidesBackoff(t *testing.T) {
 	k := InstanceKind{"big", "a", true}
 	for name, x := range map[string]struct {
--- a/internal/autoscaler/zone_states.go
+++ b/internal/autoscaler/zone_states.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// RunZones decides the states of zones while this controller leads the fleet, and returns when ctx is done. It runs
-// apart from Run, so that these decisions do not wait for calls of the cloud, which may take seconds.
+// RunZones decides the states of zones while this controller leads the fleet, and returns when ctx is done, or at once if
+// no states are decided. It runs apart from Run, so that these decisions do not wait for calls of the cloud, which may take seconds.
 func (a *Autoscaler) RunZones(ctx context.Context) error {
 	z := a.zones
 	if z == nil {
--- a/internal/recovery/gate.go
+++ b/internal/recovery/gate.go
@@ -69,7 +69,7 @@
 }
 
 // Stage returns the present stage, or Open once the gate has expired. So a controller that no longer receives the
-// zone's records admits too little work for a bounded time only.
+// zone's records admits too little work for a bounded time only, unless operators hold the return.
 func (g *Gate) Stage(now clock.Micros) Stage {
 	if g.expired(now) {
 		return Open
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -13,8 +13,8 @@
 //	 +-------------------------------------------------- Returning ---------------+
 //	                all stages of package recovery passed: Flaps is reset to 0
 //
-// A zone whose machines are missing becomes suspect or lost only while machines of another zone are reachable.
-// If none are reachable in any zone, it is the deciding controller that is cut off. For the same reason a zone
+// A zone whose machines are missing becomes suspect or lost only while at least half the machines of some other zone are
+// reachable. If that is so in no zone, it is the deciding controller that is cut off. For the same reason a zone
 // that is the only one is never lost.
 //
 // Invariant: a state never says that a task is gone, since a lost zone may just be cut off while its controllers and
@@ -58,7 +58,7 @@
 // Evidence counts the machines of a zone by what is known of them.
 type Evidence struct {
 	Machines    int // all known machines of the zone
-	Missing     int // missing machines: heartbeats are overdue, or the partition leader can't be reached
+	Missing     int // missing machines: heartbeats are overdue, or the partition leader can't be reached; see Scheduler.ZoneEvidence
 	Unaccounted int // reachable machines whose partition leader has not accounted for their tasks yet
 }
 
