--- a/internal/fairshare/arbiter.go
+++ b/internal/fairshare/arbiter.go
@@ -65,8 +65,8 @@
 // shares. Leases that are granted in between are added to the last count.
 const usageInterval = clock.Second / 2
 
-// UsageDue reports whether the caller should count usage and call UpdateUsage: some demand is known, and the last count
-// is older than usageInterval.
+// UsageDue reports whether the caller should count usage and call UpdateUsage: some demand is known, and there is no
+// count yet or the last one is at least usageInterval old.
 func (a *Arbiter) UsageDue(now clock.Micros) bool {
 	return len(a.demands) > 0 && (a.countedAt == 0 || now >= a.countedAt+usageInterval)
 }
@@ -115,9 +115,10 @@
 // share, and a team below its share has a waiting task of the same or a higher priority that could start on the
 // machine now, but not after the assignment. A task that its team's guarantee covers never yields.
 //
-// Each refusal withholds the machine for one waiting task. No more machines are withheld for a team than it has waiting
-// tasks, and each for a bounded time, after which the machine is open to every team. So resources that a waiting
-// team does not request are not left unused.
+// A refusal withholds the machine in favour of the waiting team, unless it is withheld already. It needs a group of waiting
+// tasks with the same requirements that has more tasks than other machines are withheld for the team. A machine is withheld
+// for a bounded time. If Yields is called after that time and before UpdateUsage drops the withholding, the machine is then
+// open to every team for OpenFor, so that resources which a waiting team does not request are used.
 func (a *Arbiter) Yields(assignment *Assignment, machine *FreeCapacity, now clock.Micros) bool {
 	if assignment.WithinGuarantee || a.capacity == (resources.Amounts{}) || !a.exceedsShare(assignment) ||
 		a.withheld.isOpen(machine.Machine, now) {
@@ -137,9 +138,9 @@
 	return Dominant(a.used[assignment.Team].All.Plus(assignment.Need), a.capacity) > a.shares[assignment.Team]+roundingTolerance
 }
 
-// waitingTeam returns the first team below its share with a waiting task that fits on the machine, but not together with
-// the assignment. Teams are checked in the order of their names, so that the result does not depend on the iteration
-// order of a map.
+// waitingTeam returns the first team below its share with a waiting task of the same or a higher priority that fits on the
+// machine, but not together with the assignment, and for which not enough other machines are withheld. Teams are
+// checked in the order of their names, so that the result does not depend on the iteration order of a map.
 func (a *Arbiter) waitingTeam(assignment *Assignment, machine *FreeCapacity, now clock.Micros) (team string, ok bool) {
 	remaining := *machine
 	remaining.Free = machine.Free.Minus(assignment.Need)
@@ -201,8 +202,8 @@
 // Capacity returns the capacity of which the shares in Standings are fractions.
 func (a *Arbiter) Capacity() resources.Amounts { return a.capacity }
 
-// Standings returns the standings of all teams that use resources at this partition leader or wait for them, in the
-// order of their names.
+// Standings returns the standings of all teams that use resources at this partition leader or have sent their demand to
+// it, in the order of their names. Demand that is too old counts as none.
 func (a *Arbiter) Standings(now clock.Micros) (out []Standing) {
 	all := a.claimants()
 	for _, team := range slices.Sorted(maps.Keys(all)) {
--- a/internal/fairshare/demand.go
+++ b/internal/fairshare/demand.go
@@ -63,5 +63,5 @@
 	Weight  float64
 	Share   float64           // fraction of the leader's capacity, in the team's dominant resource
 	Taken   float64           // fraction that its tasks take, in the dominant resource of what they take
-	Waiting resources.Amounts // requested by all its waiting tasks, by its scheduler's latest demand
+	Waiting resources.Amounts // requested by its waiting tasks: its scheduler's latest demand less the leases granted since
 }
--- a/internal/fairshare/withholding.go
+++ b/internal/fairshare/withholding.go
@@ -7,7 +7,8 @@
 )
 
 // withheldMachines tracks the machines whose free resources are withheld from teams that exceed their share. A machine
-// goes through three states:
+// goes through three states. A call of withhold after the timeout opens the machine; if forget is called first, it only ends
+// the withholding:
 //
 //	open to every team -- withhold --> withheld -- timeout --> open until openFor has passed
 //	        ^                              |                              |
@@ -70,7 +71,7 @@
 	return count
 }
 
-// forget drops withholdings and openings that have ended.
+// forget drops withholdings and openings that have ended. A withholding that it drops does not open its machine.
 func (w *withheldMachines) forget(now clock.Micros) {
 	maps.DeleteFunc(w.open, func(_ string, until clock.Micros) bool { return now >= until })
 	maps.DeleteFunc(w.withheld, func(_ string, current withholding) bool { return now >= current.since+w.timeout })
--- a/internal/rebalance/move.go
+++ b/internal/rebalance/move.go
@@ -91,8 +91,8 @@
 	return StopSource
 }
 
-// LeaseRejected handles the rejection of the lease at the destination. The task has not been stopped, so its
-// cool-down is dropped, and only the budgets delay the next move of it.
+// LeaseRejected handles the rejection of the lease at the destination. It drops the task's cool-down, since
+// the task usually has not been told to stop yet. So only the budgets delay the next move of the task.
 func (m *Move) LeaseRejected() Action {
 	if m.state != moveEnded {
 		m.end(DestinationRefused)
--- a/internal/rebalance/planner.go
+++ b/internal/rebalance/planner.go
@@ -155,8 +155,9 @@
 }
 
 // EvaluateDestination returns the gain and the cost of a move to a destination, and why the task is not moved there. why is
-// NotDeclined if the gain exceeds the cost by the margin, and the Load of the destination with the task is lower than
-// the present Load of the source.
+// NotDeclined if the view of the destination is recent, its budget is not used up, the gain exceeds the cost by the margin,
+// and the Load of the destination with the task is lower than the present Load of the source. For a destination with an
+// old view or a used-up budget, the gain and the cost are 0.
 func (p *Planner) EvaluateDestination(c *Candidate, to *Destination, now clock.Micros) (gain, cost clock.Micros, why DeclineReason) {
 	if to.ViewAge > maxViewAge {
 		return 0, 0, StaleView
@@ -225,7 +226,8 @@
 	return &Move{Record: r, planner: p, state: leaseRequested, deadline: now + HeldLeaseTTL}
 }
 
-// DropExpired drops the starts of moves that are too old to count for a budget or a cool-down.
+// DropExpired drops the cool-downs that are over, and the teams and machines whose moves are all too old to count for a
+// budget.
 func (p *Planner) DropExpired(now clock.Micros) {
 	for key, movedAt := range p.lastMoved {
 		if now >= movedAt+p.limits.CoolDown {
@@ -252,7 +254,7 @@
 	return count
 }
 
-// Recent returns the latest moves of a team, newest first.
+// Recent returns the moves of a team among the latest maxRecentMoves of all teams, newest first.
 func (p *Planner) Recent(team string) (out []Record) {
 	for _, r := range slices.Backward(p.recent) {
 		if r.Team == team {
