--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -21,7 +21,7 @@
 	replacedAfterConfirmation                // after the cancellation was confirmed to the user
 )
 
-// occurrenceFinalWrite is counted when a controller writes a job's final state.
+// occurrenceFinalWrite is counted when the team's leader sends the transaction with a cancelled job's final state.
 const occurrenceFinalWrite = "the final state was being written"
 
 // leaderReplacement is a cluster in which job-1 is cancelled while the key-value store refuses a partition leader, whose
@@ -54,8 +54,9 @@
 	r.setStoreDisconnected(r.partitionLeader, true)
 }
 
-// prepare sets up the faults before the cancellation that is confirmed. If the partition leader is to be replaced, no worker
-// reaches its first process, so that none gets the stop commands of that process.
+// prepare brings about the faults that precede the confirmed cancellation. For replacedAfterAcknowledgement this includes a
+// first, unconfirmed cancellation and the replacement. If the partition leader is to be replaced, no worker reaches its first
+// process, so that none gets the stop commands of that process.
 func (r *leaderReplacement) prepare(when replacement) {
 	switch when {
 	case replacedAfterAcknowledgement:
--- a/internal/controller/cluster_faulty_store_test.go
+++ b/internal/controller/cluster_faulty_store_test.go
@@ -16,12 +16,12 @@
 const (
 	txnServed    txnOutcome = iota // carried out and answered
 	responseLost                   // carried out, but the controller gets no answer
-	responseSlow                   // carried out, but the answer is delayed by slowResponse
+	responseSlow                   // carried out, but the answer is delayed by slowResponseDelay
 	txnHeldBack                    // carried out only when the test does so; the controller gets no answer
 )
 
-// slowResponse is the delay of the answer to a transaction with the outcome responseSlow.
-const slowResponse = 700 * time.Millisecond
+// slowResponseDelay is the delay of the answer to a transaction with the outcome responseSlow.
+const slowResponseDelay = 700 * time.Millisecond
 
 // setOnCommit makes f decide the outcome of every transaction before it is carried out. If f is nil, all are served.
 func (c *cluster) setOnCommit(f func(host string, m wire.Txn) txnOutcome) {
@@ -139,7 +139,7 @@
 		s.KVClient.Commit(ctx, m) //nolint:errcheck // its answer is lost
 		return 0, fmt.Errorf("%w: the answer is lost", kvstore.ErrOutcomeUnknown)
 	case responseSlow:
-		defer time.Sleep(slowResponse)
+		defer time.Sleep(slowResponseDelay)
 	case txnHeldBack:
 		s.cluster.holdBack(func() error {
 			_, err := s.cluster.directClient().Commit(context.WithoutCancel(ctx), m)
--- a/internal/controller/cluster_store_test.go
+++ b/internal/controller/cluster_store_test.go
@@ -81,7 +81,7 @@
 	return strings.Join(keys, " ")
 }
 
-// writesTo reports whether a transaction writes a key with a prefix.
+// writesTo reports whether a transaction writes a key that contains the prefix.
 func writesTo(m wire.Txn, prefix string) bool { return strings.Contains(writtenKeys(m), prefix) }
 
 // writtenText returns the operations of a transaction as JSON text.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -152,8 +152,8 @@
 	return httpx.NewServer(c.handleRequest, answeredFromMemory, connections, pendingBytes, idleConnectionTimeout, c.log)
 }
 
-// runDuties runs all goroutines that need only the key-value store and the peers, until ctx ends or one of them fails, and
-// waits for them. Scenario tests call it instead of Run, which also opens sockets.
+// runDuties runs all goroutines that need neither a listening socket nor the cloud, until ctx ends or one of them fails, and
+// waits for them. Scenario tests call it instead of Run, which also opens sockets and runs the autoscaler.
 func (c *Controller) runDuties(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	replica := kvstore.NewReplica(c.store, c.apply, c.log)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// Guards against jobs that never end, or tasks that are repeated after they were done, when leaders change often. The team's
-// leader changes ten times in about two minutes, in the ways of changeLeader. Meanwhile users submit jobs of two or three
+// Guards against jobs that never end, or tasks that are repeated after they were done, when leaders change often. The leader of
+// unlimitedTeam changes ten times in about two minutes, in the ways of changeLeader. Meanwhile users submit jobs of two or three
 // tasks and cancel some of them, and the tasks of longJob end at very different times.
 func TestJobsEndOverTenLeaderChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/fair_shares_test.go
+++ b/internal/controller/fair_shares_test.go
@@ -117,8 +117,8 @@
 	return l
 }
 
-// countOnTime executes the run, requires that every job is done, and counts each team's jobs that were on time.
-func (r *burstRun) countOnTime(t *testing.T) onTimeByTeam {
+// runAndCountOnTime executes the run, requires that every job is done, and counts each team's jobs that were on time.
+func (r *burstRun) runAndCountOnTime(t *testing.T) onTimeByTeam {
 	l := newBurstLoad(t, r)
 	l.runFleetFor(8*time.Second, 0)
 	failed := false
@@ -228,7 +228,8 @@
 	return worst
 }
 
-// runPairs executes pairs of runs with the same seed, one without and one with the burst, and adds up the counts of each kind.
+// runPairs executes pairs of runs with the same seed, one without and one with the burst, and sums each team's
+// counts over all seeds, separately for the runs without and with the burst.
 func runPairs(t *testing.T, template burstRun, failure func(t *testing.T, c *cluster)) (without, burst onTimeByTeam) {
 	without, burst = onTimeByTeam{}, onTimeByTeam{}
 	for seed := range uint64(pairedSeeds) {
@@ -239,7 +240,7 @@
 				if failure != nil {
 					r.failure = func(c *cluster) { failure(t, c) }
 				}
-				pool.add(r.countOnTime(t))
+				pool.add(r.runAndCountOnTime(t))
 			})
 		}
 	}
@@ -311,7 +312,7 @@
 	for _, without := range [][]string{{"a"}, {"a", "b"}, {"c"}} {
 		synctest.Test(t, func(t *testing.T) {
 			r := burstRun{seed: 1, fairShares: true, burst: true, hostsWithoutShares: without}
-			counts := r.countOnTime(t)
+			counts := r.runAndCountOnTime(t)
 			t.Logf("without %v: %v", without, counts)
 			for i := range teamCount {
 				require.Positive(t, counts[teamName(i)].onTime)
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -118,15 +118,16 @@
 	return c.partitions.RecordedBefore(atMS)
 }
 
-// Drain asks all partition leaders to drain machines and returns the drained ones, which can be returned to the cloud.
+// Drain asks all partition leaders that can be reached to drain machines and returns the drained ones, which can be returned to the cloud.
 func (c *Controller) Drain(_ context.Context, list []peer.MachineRef) []string {
 	out := c.partitions.Drain(list)
 	callPeers(c, methodDrain, peer.DrainRequest{Machines: list}, func(a peer.DrainResponse) { out = append(out, a.Ready...) })
 	return out
 }
 
-// MarkMachinesGone notifies all partition leaders of machines that are gone for certain. No attempt can run on such a machine
-// any more, so its tasks may be started elsewhere without running twice (docs/design.md, "Why the rules hold", number 4).
+// MarkMachinesGone notifies all partition leaders that can be reached of machines that are gone, returned or failed for
+// certain. No attempt can run on such a machine any more, so its tasks may be started elsewhere without running twice
+// (docs/design.md, "Why the rules hold", number 4).
 func (c *Controller) MarkMachinesGone(_ context.Context, list []peer.MachineRef) {
 	c.partitions.HandleMachinesGone(list)
 	callPeers(c, methodGone, peer.MachinesGone{Machines: list}, func(peer.DrainResponse) {})
--- a/internal/controller/rpc.go
+++ b/internal/controller/rpc.go
@@ -27,7 +27,7 @@
 
 var _ peer.Service = (*rpcService)(nil)
 
-// Round applies a scheduler's batch of assignments, stops, acknowledgements and cancellations.
+// Round applies a scheduler's batch of assignments, starts, stops, acknowledgements, cancellations and machines to quarantine.
 func (s *rpcService) Round(in peer.Batch, out *peer.BatchResponse) error {
 	*out = s.controller.partitions.HandleBatch(in)
 	return nil
--- a/internal/controller/task_moves_test.go
+++ b/internal/controller/task_moves_test.go
@@ -20,7 +20,7 @@
 		Replace(submission(id, tasks))
 }
 
-// movedTasks counts the tasks that the schedulers have moved to another machine.
+// movedTasks counts the latest moves of the present team leaders by which a task was moved to another machine.
 func (c *cluster) movedTasks() (n int) {
 	for _, h := range hosts {
 		p := c.process(h)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -61,8 +61,8 @@
 	return c.scheduler.ZoneEvidence(c.partitions.MisdirectedMachines())
 }
 
-// applyZoneState applies an event to the zone records. If it changes a zone's state and followsZoneStates is set, it passes
-// the state to the partition server and the scheduler and adds the change to the history.
+// applyZoneState applies an event to the zone records. If it concerns a zone and followsZoneStates is set, it passes
+// the zone's record to the partition server and the scheduler and adds the state to the history.
 func (c *Controller) applyZoneState(e kvstore.Event) {
 	name, r, changed := c.zones.apply(e)
 	if !changed || !c.followsZoneStates {
