--- a/cmd/merlinlatch/main.go
+++ b/cmd/merlinlatch/main.go
@@ -1,8 +1,8 @@
 // Command merlinlatch runs a controller of a merlinlatch cluster, and provides the operators' commands.
 //
 // Without a subcommand it runs a controller (rootCommand). The operators' commands (operatorCommands) call running
-// controllers. Exit codes: 0 for success, 1 for a failure, 2 for invalid flags, arguments, settings or policy script
-// (errUsage).
+// controllers. Exit codes: 0 for success, 2 for invalid flags, settings, policy script or LOG_LEVEL and for a wrong
+// number of arguments of an operators' command (errUsage), 1 for any other failure.
 package main
 
 import (
@@ -27,8 +27,9 @@
 // version is the number of this release; CHANGELOG.md lists the releases.
 const version = "0.1.0"
 
-// errUsage marks errors that the operator has to correct: invalid flags, arguments, settings or policy script. The
-// program then exits with exitUsage. Its text is empty, so that wrapping it does not change an error's message.
+// errUsage marks errors that the operator has to correct: invalid flags, settings, policy script or LOG_LEVEL, and a wrong
+// number of arguments of an operators' command. The program then exits with exitUsage. Its text is empty, so that wrapping
+// it does not change an error's message.
 var errUsage = errors.New("")
 
 // Exit codes of a program that did not succeed.
@@ -150,7 +151,7 @@
 	maxProcs = 1
 )
 
-// runController runs a controller until ctx ends or the process receives SIGINT or SIGTERM.
+// runController runs a controller until it fails, ctx ends or the process receives SIGINT or SIGTERM.
 func runController(ctx context.Context, settings *config.Settings, parameters *policy.Parameters) error {
 	log, err := newLogger()
 	if err != nil {
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -9,8 +9,8 @@
 )
 
 // cancelJob asks the team's scheduler to cancel a job. A job that is already final stays as it is, and the
-// response has its phase. Until the cancellation is durable the response is 503; the scheduler completes the
-// cancellation even if the user does not ask again.
+// response has its phase. Until the cancellation is durable the response is 503. A scheduler that has begun the
+// cancellation completes it even if the user does not ask again.
 func (h *Handler) cancelJob(ctx context.Context, id string) httpx.Response {
 	if final, ok := h.jobs.Final(id); ok {
 		return httpx.JSON(200, jobPhase{ID: id, Phase: final.Phase})
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -2,14 +2,13 @@
 // cancels them.
 //
 // Handler routes the requests below /api/jobs. Any controller can accept a job. It writes the job's record in a
-// transaction that fails if the job exists, and answers only once the record is durable (submission.go). The
-// state of a final job comes from the cache or the key-value store, and that of any other job from the team's
-// scheduler (queries.go), which also carries out cancellations (cancellation.go). A user never gets a state that
-// is older than one that a user got before, so a final job never appears active again (docs/design.md, "Why the
-// rules hold", numbers 10, 11 and 14).
+// transaction that fails if the job exists, and accepts it only once the record is durable (submission.go). The
+// state of a final job comes from the cache or the key-value store. That of any other job comes from the team's
+// scheduler or, if the scheduler gives none, from the key-value store (queries.go). The scheduler also carries out
+// cancellations (cancellation.go). A job that a user was told is final never appears active again (docs/design.md,
+// "Why the rules hold", numbers 10, 11 and 14).
 //
-// The package determines the statuses and bodies of responses. It does I/O only through Store, Schedulers and
-// Peers.
+// The package does I/O only through Store, Schedulers and Peers.
 package api
 
 import (
@@ -101,7 +100,7 @@
 	h.machineTypes = types
 }
 
-// KnowsMachineTypes reports whether SetMachineTypes was called with a machine type.
+// KnowsMachineTypes reports whether the last call of SetMachineTypes had any machine type.
 func (h *Handler) KnowsMachineTypes() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -12,8 +12,9 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// jobState returns a job's state: the final state if the cache has it, otherwise the state that the team's
-// scheduler gives, and the one in the key-value store if the scheduler gives none.
+// jobState returns a job's state: the final state if the cache has it; for a job that the cache has as active, the
+// state that the team's scheduler gives, or 503 while the scheduler writes a final state; otherwise, or if the
+// scheduler gives no state, the one in the key-value store.
 func (h *Handler) jobState(ctx context.Context, id string) httpx.Response {
 	if final, ok := h.jobs.Final(id); ok {
 		return httpx.JSON(200, final.State(id))
@@ -30,9 +31,9 @@
 	return h.storedState(ctx, id)
 }
 
-// storedState returns a job's state from the key-value store. If the job's active record exists, the job was not
-// final at the time of the read. No user has been told a final state by then, so the answer "pending" does not
-// contradict an earlier one.
+// storedState returns a job's state from the key-value store. If the job's active record exists and has no final
+// state, the job was not final at the time of the read, and no user has been told a final state by then. The answer
+// is then "pending", since the store does not tell which tasks run, even if a scheduler has answered "running" before.
 func (h *Handler) storedState(ctx context.Context, id string) httpx.Response {
 	final, active, err := h.lookUpStored(ctx, id)
 	switch {
@@ -47,9 +48,9 @@
 }
 
 // lookUpStored reads a job from the key-value store. It returns the job's final state or its active record, or
-// neither if the job does not exist. It reads the active record first: if that was removed because the job
-// became final, the final state exists already, so a job is never missed between the two reads. Errors wrap
-// errStateUnreadable.
+// neither if the job does not exist. An active record may itself contain the final state. The active record is read
+// first: if that was removed because the job became final, the final state exists already, so a job is never missed
+// between the two reads. Errors wrap errStateUnreadable.
 func (h *Handler) lookUpStored(ctx context.Context, id string) (final *jobs.Final, active *jobs.Record, err error) {
 	var record jobs.Record
 	found, err := h.readKey(ctx, kvstore.ActiveJobPrefix+id, &record)
--- a/internal/api/rejections.go
+++ b/internal/api/rejections.go
@@ -10,7 +10,7 @@
 // statusUnavailable is the status of requests that may succeed when they are repeated.
 const statusUnavailable = 503
 
-// retryAfterS is the Retry-After header of 503 responses in seconds, the shortest time that the header can give.
+// retryAfterS is the Retry-After header of 503 responses in seconds, the shortest time above 0 that the header can give.
 const retryAfterS = 1
 
 // rejection is an error that carries the HTTP status and the error text for the user. The texts are part of the
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -19,7 +19,8 @@
 // are assigned. A separate watermark for a small job would cost as much as one for a large job.
 const maxWatermarkedTasks = 4
 
-// storeRefusalBackoff is how long no submission is written after the key-value store has refused one. Users repeat
+// storeRefusalBackoff is how long no submission is written after the key-value store has refused one. A refusal because
+// this controller's request budget is spent does not count. Users repeat
 // their submissions during an outage, and every attempt to write one would use up a part of the request budget
 // that is needed right after the outage.
 const storeRefusalBackoff = 250 * time.Millisecond
@@ -30,8 +31,9 @@
 	Phase string `json:"phase"`
 }
 
-// submit accepts a job, or forwards it to another controller if this one can't reach the key-value store, so that
-// users need not find such a controller themselves.
+// submit accepts a job, or forwards it to another controller if this one has no contact with the key-value store or
+// would answer 503, so that users need not find another controller themselves. Without contact it first forwards the
+// job, and tries to accept it itself only if no other controller answers or the one that does answers 503.
 func (h *Handler) submit(ctx context.Context, body []byte) (r httpx.Response) {
 	began := h.wallClock()
 	defer func() {
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// checkRunnable rejects a job whose tasks can never run, because they exceed the team's limit or fit no machine type.
+// checkRunnable rejects a job whose tasks can never run, because its team is unknown, or because they exceed the team's
+// limit of CPUs or GPUs or fit no allowed machine type.
 func (h *Handler) checkRunnable(j *jobs.Job) error {
 	limit, ok := h.limits[j.Team]
 	if !ok {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads and checks the settings file that the platform provides.
 //
 // Parse decodes the JSON file into Settings and fills in limits that are missing. It rejects an unusable file with
-// a one-line error that names the field. Degradations and Insufficient report what the service can't do, or does
-// more slowly, because a limit is small. The JSON names in the tags are defined by the platform and never change.
+// a one-line error, which names the field unless the file is no JSON. Degradations and Insufficient report what the service
+// can't do, or does worse, because a limit is small. The JSON names in the tags are defined by the platform and never change.
 package config
 
 import (
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,8 +25,8 @@
 	require.EqualValues(t, 16_000_000, s.Lease())
 }
 
-// An unusable settings file must be rejected with a one-line error that names the field, so that the operator finds the
-// mistake.
+// An unusable settings file must be rejected with a one-line error that names the field, or the settings if the file is
+// no JSON, so that the operator finds the mistake.
 func TestBadSettingsAreRejectedWithFieldName(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"host_name": "alpha"`, `"host_name": ""`, "host_name"},
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -3,8 +3,8 @@
 //
 // Teams (teams.go) and Zones (zones.go) print the state that the reachable controllers report. HoldZone holds
 // or resumes the staged return of work to a zone. ExportHistory and CheckHistory (history.go) collect the
-// controllers' events and check them for violations of the invariants. A command that calls all controllers
-// names those that do not answer in its output, and fails only when none answers. Operators and their scripts
+// controllers' events and check them for violations of the invariants. Teams, Zones and ExportHistory
+// name the controllers that do not answer in their output, and still succeed as long as one answers. Operators and their scripts
 // depend on the output, so golden tests fix its text.
 package console
 
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -7,7 +7,7 @@
 	"github.com/merlinlatch/merlinlatch/internal/peer"
 )
 
-// responder handles a call of one method: it reads the request in and writes the response to out.
+// responder handles a call of one method: it takes the request from in and stores the response in out.
 type responder func(in, out any)
 
 // controllerStub returns a controller that answers the methods in responders. Calls of any other method fail
--- a/internal/fakes/kvstore.go
+++ b/internal/fakes/kvstore.go
@@ -41,12 +41,12 @@
 	revision    uint64
 	leases      map[uint64]*lease
 	lastLeaseID uint64        // id of the latest lease
-	changed     chan struct{} // closed and replaced with each change
+	changed     chan struct{} // closed and replaced with each transaction, and with each key that a lease removes
 
 	maxOperations int // limit of a transaction's operations; 0: no limit
 	maxValueBytes int // limit of a value's size; 0: no limit
 
-	down          bool       // an outage: every request fails as with status 503
+	down          bool       // an outage: requests fail as with status 503, watches return no changes
 	dropResponses bool       // transactions are executed, but their callers get no response
 	capture       bool       // transactions are captured, not executed, and their callers get no response
 	captured      []wire.Txn // transactions that Release executes
@@ -64,7 +64,8 @@
 	disconnected bool // guarded by the store's mu
 }
 
-// SetDisconnected disconnects this client, so that its requests fail as with status 503, or reconnects it.
+// SetDisconnected disconnects this client, so that its requests fail as with status 503 and its watches
+// return no changes, or reconnects it.
 func (c *KVClient) SetDisconnected(disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -8,8 +8,8 @@
 	"github.com/merlinlatch/merlinlatch/wire"
 )
 
-// Worker is a fake of the worker on one machine. It follows the documented protocol, but starts a task without
-// fetching its image. It is not safe for concurrent use.
+// Worker is a fake of the worker on one machine. It follows the documented protocol, except that tasks start
+// without an image fetch and stop at once, without a checkpoint. It is not safe for concurrent use.
 type Worker struct {
 	ID           string
 	Type         string
@@ -95,7 +95,8 @@
 	return wire.TaskName(task, int(attempt))
 }
 
-// executeCommands executes commands in their order. A repeated command has no effect.
+// executeCommands executes commands in their order. A repeated command has no effect, except for a run after the
+// attempt was forgotten, which starts it again.
 func (w *Worker) executeCommands(orders []wire.Order) {
 	for _, order := range orders {
 		name := attemptName(order.Task, order.Attempt)
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -140,8 +140,8 @@
 const wireJob = `{"id":"job-1","jobclass":"c","owner":"t","shape":"array","rank":"idle","shards":1,` +
 	`"cpus":1,"mem_gb":1,"bundle":"i","size_gb":1,"guess_s":1}`
 
-// A user gets these error texts in an answer with status 400. If several fields are missing, the error may name any of
-// them, so each case omits one field only.
+// A user gets these error texts in an answer with status 400. If several fields are missing, the error names only the
+// first, so each case omits one field only.
 func TestJobErrorsKeepTexts(t *testing.T) {
 	var out strings.Builder
 	recordError := func(what, body string) {
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -1,6 +1,6 @@
 // Package history keeps a bounded record of the events that a controller observes: tasks that run or end, jobs that
-// reach a final state, zones that change their state. Ring holds the latest events in memory. Write and Read store
-// the events that operators have collected from all controllers in a Parquet file. Check finds violations of two
+// reach a final state, zones that change their state. Ring holds the latest events in memory. Write stores the
+// events that operators collected in a Parquet file, and Read reads them back. Check finds violations of two
 // invariants in them: no task runs on two machines at a time, and every job has one final state.
 package history
 
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -23,7 +23,7 @@
 	addr        string
 	maxIdle     int // maximum number of idle connections
 	maxResponse int // maximum size of a response's body in bytes
-	// traffic counts requests, responses and their bytes. It may be nil.
+	// traffic counts the answered requests, with the bytes of the requests and of the responses' bodies. It may be nil.
 	traffic *telemetry.Traffic
 
 	mu   sync.Mutex // guards idle
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -19,7 +19,7 @@
 	// maxBody is the maximum size of a request's body in bytes.
 	maxBody = 64 << 10
 	// maxUnreadBytes is the maximum size in bytes of the responses that a client leaves unread. The server closes the
-	// connection of a client that leaves more.
+	// connection of a client that leaves more and sends further bytes.
 	maxUnreadBytes = 256 << 10
 	// maxBuffered is the maximum size in bytes of a connection's buffer. It has room for one request of the maximum
 	// size and the beginning of the next.
@@ -42,7 +42,7 @@
 )
 
 // Server accepts connections on gnet and serves each with a goroutine. Its event loop answers non-blocking requests
-// itself, because passing a request to the goroutine and the response back takes three times as many system calls.
+// that arrive whole itself, because passing a request to the goroutine and the response back takes three times as many system calls.
 //
 // Goroutines: The event loop calls the methods whose names begin with On. Each connection gets a goroutine with its
 // first request that the event loop does not answer. That goroutine ends with the connection or with the context of
@@ -66,13 +66,14 @@
 	wg     sync.WaitGroup // the connections' goroutines
 
 	connectionCount  atomic.Int64
-	pendingBytes     atomic.Int64 // size of all received and unanswered requests in bytes
+	pendingBytes     atomic.Int64 // size in bytes of all unanswered requests that were passed to the goroutines
 	connectionsByUse *list.List   // *connection elements, the most recently used last; only the event loop uses it
 }
 
-// NewServer returns a server that holds at most limit connections and at most budget bytes of unanswered requests. It
-// closes a connection that has been unused for the duration idle, or earlier if a new connection arrives at the limit. The
-// event loop itself answers the requests for which nonBlocking returns true.
+// NewServer returns a server that holds at most limit connections and at most budget bytes of unanswered requests. When a
+// connection or a request arrives, it closes the connections that have been unused for the duration idle, and at the limit
+// also one that has been unused for less. The event loop itself answers the requests for which nonBlocking returns true, if
+// they arrive whole, alone and without asking for the connection to be closed.
 func NewServer(handler Handler, nonBlocking func(*Request) bool, limit int, budget int64, idle time.Duration, log *slog.Logger) *Server {
 	return &Server{
 		handler:          handler,
@@ -197,7 +198,7 @@
 	return gnet.None
 }
 
-// OnTraffic answers a non-blocking request, and passes the bytes of all other requests to the connection's goroutine.
+// OnTraffic answers a non-blocking request that arrives whole, and passes all other bytes to the connection's goroutine.
 // It closes the connection of a client that sends far more than one request, so that such a client can't exhaust the
 // memory.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
@@ -223,7 +224,8 @@
 	return s.enqueue(conn, b)
 }
 
-// answerNonBlocking answers b in the event loop if b is exactly one non-blocking request, and returns whether it did.
+// answerNonBlocking answers b in the event loop if b is exactly one non-blocking request that does not ask for the
+// connection to be closed, and the client reads its responses. It returns whether it did.
 func (s *Server) answerNonBlocking(c gnet.Conn, b []byte) bool {
 	if s.isNonBlocking == nil || c.OutboundBuffered() > maxUnreadBytes {
 		return false // enqueue closes the connection of a client that reads no responses
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -159,8 +159,8 @@
 var clusterCount atomic.Uint32
 
 // controllerIP returns an address in the loopback range for the i-th controller of the n-th cluster. It differs
-// between controllers, clusters and (by the process id) processes, so that concurrent clusters do not take each
-// other's ports.
+// between controllers, between 250 successive clusters and between 250 successive process ids, so that concurrent
+// clusters normally do not take each other's ports.
 func controllerIP(n uint32, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, n%250, i+1)
 }
@@ -309,7 +309,8 @@
 	leadershipSettleTime = 5 * time.Second
 )
 
-// awaitReady waits until all controllers are ready, and then until leaderships have moved to their preferred leaders.
+// awaitReady waits until all controllers are ready, and then for leadershipSettleTime, in which the leaderships move to
+// their preferred leaders. It fails if the controllers are not ready within readyTimeout or ctx ends before.
 func (c *cluster) awaitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(readyPollInterval) {
--- a/internal/loopback/hotteams.go
+++ b/internal/loopback/hotteams.go
@@ -28,23 +28,23 @@
 
 // The load of a run is that of the test of fair shares in internal/controller: twenty workers run 80 tasks at a time.
 const (
-	hotWorkers        = 20
-	hotTeamCount      = 5
-	hotTasksPerJob    = 6
-	burstFactor       = 10               // the hot team's job rate in a run with a burst, as a multiple of hotJobRate
-	hotRunFor         = 4 * time.Second  // run time of each task
-	hotOnTimeLimit    = 10 * time.Second // a job is on time if it takes no longer from submission to end
-	hotSubmitDuration = time.Minute      // how long users submit jobs
-	hotDrainTimeout   = 75 * time.Second // how long the jobs may take to end after the last submission
-	hotJobRate        = 0.25             // jobs per second that each team submits, without a burst
-	hotTeam           = "team-0"         // the team whose load has a burst
+	hotWorkers      = 20
+	hotTeamCount    = 5
+	hotTasksPerJob  = 6
+	burstFactor     = 10               // the hot team's job rate in a run with a burst, as a multiple of hotJobRate
+	hotRunFor       = 4 * time.Second  // run time of each task
+	hotOnTimeLimit  = 10 * time.Second // a job is on time if it takes no longer from submission to end
+	submitDuration  = time.Minute      // how long users submit jobs
+	hotDrainTimeout = 75 * time.Second // how long the jobs may take to end after the last submission
+	hotJobRate      = 0.25             // jobs per second that each team submits, without a burst
+	hotTeam         = "team-0"         // the team whose load has a burst
 )
 
 // Times of the failure that is injected into a run.
 const (
-	failureDelay  = hotSubmitDuration / 2 // from the start of the users' submissions to the failure
-	pauseDuration = 10 * time.Second      // how long PartitionLeaderPaused pauses a controller
-	restartDelay  = 3 * time.Second       // how long after SchedulerKilled the controller is started again
+	failureDelay  = submitDuration / 2 // from the start of the users' submissions to the failure
+	pauseDuration = 10 * time.Second   // how long PartitionLeaderPaused pauses a controller
+	restartDelay  = 3 * time.Second    // how long after SchedulerKilled the controller is started again
 )
 
 // runMargin is added to the sum of the timeouts of a run's parts. A run that takes longer is aborted.
@@ -63,7 +63,7 @@
 const (
 	NoFailure             Failure = "none"
 	SchedulerKilled       Failure = "placer" // the hot team's leader is killed, and started again after restartDelay
-	PartitionLeaderPaused Failure = "owner"  // a controller that leads partitions is paused for pauseDuration
+	PartitionLeaderPaused Failure = "owner"  // controller b, which leads partitions, is paused for pauseDuration
 )
 
 // ErrFailure means that HotTeams.Failure is none of the failures above.
@@ -127,14 +127,14 @@
 // writeResult writes how the burst changes the share of jobs that end on time and the durations of jobs, for each team,
 // and the output of "merlinlatch teams" from a run with the burst.
 func (h *HotTeams) writeResult(out io.Writer, fairShares bool, baseline, burst *hotTeamsResult) {
-	maxOnTimeLoss := 0.0
+	worstOnTimeLoss := 0.0
 	for team := range baseline.submitted {
 		if team != hotTeam {
-			maxOnTimeLoss = max(maxOnTimeLoss, baseline.onTimeShare(team)-burst.onTimeShare(team))
+			worstOnTimeLoss = max(worstOnTimeLoss, baseline.onTimeShare(team)-burst.onTimeShare(team))
 		}
 	}
 	fmt.Fprintf(out, "fair shares %v, failure %s, %d seeds: worst loss of another team's on-time share %.3f\n",
-		fairShares, h.Failure, h.Seeds, maxOnTimeLoss)
+		fairShares, h.Failure, h.Seeds, worstOnTimeLoss)
 	for _, team := range slices.Sorted(maps.Keys(baseline.submitted)) {
 		fmt.Fprintf(out, "  %s: on time %.3f of %d -> %.3f of %d; from submission to end p50/p95/p99 %s -> %s\n",
 			team, baseline.onTimeShare(team), baseline.submitted[team], burst.onTimeShare(team), burst.submitted[team],
@@ -181,7 +181,7 @@
 
 // runOnce executes one run. It keeps the directory with the controllers' logs if the run fails.
 func (h *HotTeams) runOnce(ctx context.Context, seed uint64, variant runVariant) (*hotTeamsResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTimeout+hotSubmitDuration+hotDrainTimeout+runMargin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout+submitDuration+hotDrainTimeout+runMargin)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "merlinlatch-loopback-")
 	if err != nil {
@@ -270,10 +270,10 @@
 	return nil
 }
 
-// submit submits jobs of one team at a rate a second, for hotSubmitDuration.
+// submit submits jobs of one team at a rate a second, for submitDuration.
 func (l *load) submit(ctx context.Context, c *cluster, seed uint64, team int, name string, rate float64) {
 	rng := fakes.Rand(seed)
-	arrivals(ctx, rng, rate, hotSubmitDuration, func(n int) {
+	arrivals(ctx, rng, rate, submitDuration, func(n int) {
 		id := fmt.Sprintf("job-%d%05d", team, n)
 		l.addJob(id, name)
 		c.submitUntilAccepted(ctx, func() submission {
--- a/internal/loopback/kvstore.go
+++ b/internal/loopback/kvstore.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// commit executes a transaction. Its status is 400 for an unknown lease, 409 for a condition that does not hold, and
-// 503 for any other refusal of the store.
+// commit executes a transaction. Its status is 400 for a malformed request or an unknown lease, 409 for a condition that
+// does not hold, and 503 for any other refusal of the store.
 func (s *kvStoreServer) commit(w http.ResponseWriter, r *http.Request) {
 	var txn wire.Txn
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
--- a/internal/loopback/zonereturn.go
+++ b/internal/loopback/zonereturn.go
@@ -73,7 +73,8 @@
 }
 
 // Run executes the runs of all seeds with zone return off and on, and writes their results to out. It fails if a run
-// fails, if a controller does not answer that a job is done, or if a task runs on two machines.
+// fails, if a controller does not answer that a job is done, if a task runs on two machines, or if the controllers'
+// history violates an invariant.
 func (z *ZoneReturn) Run(ctx context.Context, out io.Writer) error {
 	for _, zoneReturn := range []bool{false, true} {
 		result := newZoneResult()
--- a/internal/peer/batches.go
+++ b/internal/peer/batches.go
@@ -79,7 +79,8 @@
 
 // Batch carries everything that a scheduler has for one partition leader at a time. The batches of one
 // incarnation are numbered. The partition leader answers a copy of the last batch with the same response and
-// applies it only once. Of an older batch it applies nothing and rejects all assignments.
+// applies it only once. Of an older batch it applies nothing and rejects all assignments. It forgets an
+// incarnation's last batch an hour after it.
 type Batch struct {
 	From string // incarnation of the scheduler's controller
 	Seq  uint64 // number of the batch, from 1
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -26,7 +26,7 @@
 // What the names mean in the terms of docs/glossary.md:
 //
 //   - Methods: Round sends a batch, Hello a heartbeat, Withdraw a cancellation, and Gone a list of machines
-//     that are gone for certain.
+//     on which certainly nothing runs any more.
 //   - Asks are assignments and Settles are acknowledgements. Refused means rejected, and Yielded means
 //     rejected in favour of another team.
 //   - Part is a partition and Parts are partitions. Term and Terms are the terms of partition leaderships or
--- a/internal/peer/operators.go
+++ b/internal/peer/operators.go
@@ -10,17 +10,19 @@
 // TeamStatus describes a team as its scheduler knows it.
 type TeamStatus struct {
 	Team      string
-	Term      uint64              // term of the team's leadership
-	Guarantee resources.Amounts   // guaranteed resources, from the settings
-	Limit     resources.Amounts   // largest use, from the settings; an amount of 0 means no limit
-	Used      resources.Amounts   // resources of all tasks that are, or may be, on a machine
-	Jobs      int                 // number of active jobs
-	Waiting   int                 // number of tasks that wait
-	Running   int                 // number of tasks that are assigned to a machine, also those that don't run yet
-	Waits     telemetry.Quantiles // times from the acceptance of a job until a task of it runs, observed by this process
-	Lateness  telemetry.Quantiles // how long after their deadlines jobs with a deadline ended; 0 for jobs in time
-	Moves     []MoveRecord        // recent moves, the latest first
-	Unmoved   []DeclinedMoves     // why tasks were not moved off machines that they should leave
+	Term      uint64            // term of the team's leadership
+	Guarantee resources.Amounts // guaranteed resources, from the settings
+	Limit     resources.Amounts // largest use, from the settings; an amount of 0 means no limit
+	Used      resources.Amounts // resources of all tasks that are, or may be, on a machine
+	Jobs      int               // number of active jobs
+	Waiting   int               // number of tasks that wait
+	Running   int               // number of tasks that are assigned to a machine, also those that don't run yet
+	// Waits has the times from the acceptance of a job until each of its tasks was first seen running, as observed by
+	// this process. Once a task of a job had to be placed again, no more times of the job are added.
+	Waits    telemetry.Quantiles
+	Lateness telemetry.Quantiles // how long after their deadlines jobs with a deadline were done; 0 for jobs in time
+	Moves    []MoveRecord        // recent moves, the latest first
+	Unmoved  []DeclinedMoves     // why tasks were not moved off machines that they should leave
 }
 
 // MoveRecord describes a move of a running task from one machine to another.
--- a/internal/peer/pages_test.go
+++ b/internal/peer/pages_test.go
@@ -9,13 +9,13 @@
 
 // pagedLeader is a partition leader that answers polls page by page.
 type pagedLeader struct {
-	incarnation string
-	parts       map[int]uint64
-	version     uint64
-	machines    int
-	calls       []PollRequest
-	onCall      func(call int) // called before the answer to each call, counted from 1
-	repeats     bool           // every call is answered with the first page
+	incarnation    string
+	partitionTerms map[int]uint64
+	version        uint64
+	machines       int
+	calls          []PollRequest
+	onCall         func(call int) // called before the answer to each call, counted from 1
+	repeats        bool           // every call is answered with the first page
 }
 
 func (l *pagedLeader) poll(in PollRequest) (PollResponse, error) {
@@ -23,7 +23,7 @@
 	if l.onCall != nil {
 		l.onCall(len(l.calls))
 	}
-	out := PollResponse{Incarnation: l.incarnation, Cursor: l.version, Full: true, Parts: l.parts}
+	out := PollResponse{Incarnation: l.incarnation, Cursor: l.version, Full: true, Parts: l.partitionTerms}
 	for i := range l.machines {
 		id := fmt.Sprintf("m-%06d", i)
 		if id <= in.AfterID && !l.repeats {
@@ -42,7 +42,7 @@
 // for a change, and the joined response must have the first page's cursor: with a later one, the next poll
 // would miss changes to machines on pages that were read before the change.
 func TestPagesOfOneLeaderAreJoined(t *testing.T) {
-	leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
+	leader := &pagedLeader{incarnation: "one", partitionTerms: map[int]uint64{0: 7}, version: 10, machines: 4*PageMachines + 1}
 	leader.onCall = func(call int) { leader.version = uint64(10 * call) }
 	all, err := CollectPages(PollRequest{Wait: 1000}, leader.poll)
 	require.NoError(t, err)
@@ -63,12 +63,12 @@
 func TestPagesAcrossLeaderChangeAreNotJoined(t *testing.T) {
 	for name, change := range map[string]func(*pagedLeader){
 		"another incarnation":            func(l *pagedLeader) { l.incarnation = "two" },
-		"a partition was lost":           func(l *pagedLeader) { l.parts = map[int]uint64{} },
+		"a partition was lost":           func(l *pagedLeader) { l.partitionTerms = map[int]uint64{} },
 		"pages don't follow one another": func(l *pagedLeader) { l.repeats = true },
-		"a partition has another term":   func(l *pagedLeader) { l.parts = map[int]uint64{0: 8} },
+		"a partition has another term":   func(l *pagedLeader) { l.partitionTerms = map[int]uint64{0: 8} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			leader := &pagedLeader{incarnation: "one", parts: map[int]uint64{0: 7}, machines: 2 * PageMachines}
+			leader := &pagedLeader{incarnation: "one", partitionTerms: map[int]uint64{0: 7}, machines: 2 * PageMachines}
 			leader.onCall = func(call int) {
 				if call == 2 {
 					change(leader)
--- a/internal/peer/polls.go
+++ b/internal/peer/polls.go
@@ -33,7 +33,7 @@
 	Zone    string
 	Spot    bool              // spot instance
 	Cap     resources.Amounts // capacity
-	Free    resources.Amounts // capacity less the resources of all attempts and leases
+	Free    resources.Amounts // capacity less the requests of all attempts with a lease that neither exited nor are stopping
 	// Accounted means that no command of a former partition leader can change the machine any more, so the
 	// view names every task that may be on it. It is also set once the machine is Silent.
 	Accounted bool
@@ -47,9 +47,9 @@
 	// NoticeLeft is the time that the machine had left by its eviction notice when the view was made.
 	NoticeLeft clock.Micros
 	Sick       bool         // the machine is quarantined
-	Images     []string     // cached images, the most recently used first; empty if unchanged since the poll's cursor
-	Idle       clock.Micros // how long the machine has had no tasks
-	Count      int          // number of tasks on the machine
+	Images     []string     // cached images, the most recently used first; empty if unchanged since the cursor, unless Whole is set
+	Idle       clock.Micros // how long the machine has had no tasks; 0 if it has any
+	Count      int          // number of attempts on the machine, also of those that only have a lease or have exited
 	Whole      bool         // Tasks has all tasks, and Left is empty
 	Tasks      []TaskView   // in the order of their leases, the oldest first
 	Left       []TaskID     // attempts that were removed since the poll's cursor
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -46,6 +46,6 @@
 // DrainResponse lists the ids of the drained machines, which can be returned to the cloud.
 type DrainResponse struct{ Ready []string }
 
-// MachinesGone tells a partition leader which machines are gone for certain: they no longer exist. It need not wait
-// for their worker leases to expire.
+// MachinesGone tells a partition leader on which machines certainly nothing runs any more: they are gone, returned or
+// failed. It need not wait for their worker leases to expire.
 type MachinesGone struct{ Machines []MachineRef }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -13,7 +13,7 @@
 type Service interface {
 	// Round sends a scheduler's batch of assignments and commands to a partition leader.
 	Round(in Batch, out *BatchResponse) error
-	// Poll returns the machines of a partition leader that changed after a cursor, and waits for a change.
+	// Poll returns the machines of a partition leader that changed after a cursor. If none has, it waits for a change.
 	Poll(in PollRequest, out *PollResponse) error
 	// Hello sends a heartbeat to a peer and returns the peer's own.
 	Hello(in Heartbeat, out *Heartbeat) error
@@ -27,7 +27,7 @@
 	Submit(in SubmitRequest, out *SubmitResponse) error
 	// Drain asks a partition leader to drain machines for a scale-in, and returns those that are drained.
 	Drain(in DrainRequest, out *DrainResponse) error
-	// Gone tells a partition leader which machines are gone for certain. Its response is empty.
+	// Gone tells a partition leader on which machines certainly nothing runs any more. Its response is empty.
 	Gone(in MachinesGone, out *DrainResponse) error
 	// Teams returns the state of the teams, as one controller knows it.
 	Teams(in TeamsRequest, out *TeamsResponse) error
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -1,7 +1,7 @@
 # The policy parameters and their defaults. The script that --policy names runs after this one
 # and may assign any of these parameters. Names that end in _s are in seconds. `economy` is True
-# if no objective asks for work without deadlines to finish within a short fixed time. Then work
-# may take until its deadline, and as few machines as possible are rented.
+# if there are objectives and none asks for work without deadlines to finish within a short fixed
+# time. Then work may take until its deadline, and as few machines as possible are rented.
 
 hold_ttl_s = 24        # a controller that gets no answer from the key-value store loses its leaderships after this time
 hold_renew_s = 1.5     # interval between renewals of the controller lease
--- a/internal/policy/hooks.go
+++ b/internal/policy/hooks.go
@@ -74,8 +74,8 @@
 )
 
 // VetoHook returns a function that asks the script's veto hook whether a move must not be made, or nil if the script
-// defines no such hook. When the hook fails or takes too many steps, the function logs the error and vetoes the
-// move, since a mistake in the script must not stop the service.
+// defines no such hook. When the hook fails, takes too many steps or returns no bool, the function logs the error and
+// vetoes the move, since a mistake in the script must not stop the service.
 func (p *Parameters) VetoHook(log *slog.Logger) func(rebalance.Record) bool {
 	if p.vetoHook == nil {
 		return nil
@@ -109,8 +109,8 @@
 }
 
 // StageHook returns a function that asks the script's stage hook for the stage that admits a job, or nil if the script
-// defines no such hook. When the hook fails, the function logs the error and returns the default stage for the
-// job's priority and deadline.
+// defines no such hook. When the hook fails, takes too many steps or returns no valid stage, the function logs the error
+// and returns the default stage for the job's priority, and for whether it has a deadline.
 func (p *Parameters) StageHook(log *slog.Logger) func(*jobs.Job) recovery.Stage {
 	if p.stageHook == nil {
 		return nil
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -1,9 +1,10 @@
 // Package policy reads the operators' policy, which is a Starlark script.
 //
-// Load runs the embedded default.star and then the operators' script, checks every value against its
-// specification (numberSpecs, flagSpecs) and returns Parameters. Functions of the script that are named
-// veto_move and recovery_stage become hooks. A hook may use a limited number of execution steps. When it fails,
-// the error is logged and a safe answer is used instead. Only Load does I/O: it reads the script's file.
+// Load runs the embedded default.star and then the operators' script, checks the numbers and flags against their
+// specifications (numberSpecs, flagSpecs) and the team weights against the settings, and returns Parameters. Functions
+// of the script that are named veto_move and recovery_stage become hooks. A hook may use a limited number of execution
+// steps. When it fails, the error is logged and a safe answer is used instead. Only Load does I/O: it reads the
+// script's file.
 package policy
 
 import (
@@ -23,7 +24,7 @@
 //go:embed default.star
 var defaultScript string
 
-// Parameters has the values that the policy script sets. default.star explains each parameter and has the defaults;
+// Parameters has the values that the policy script sets, and Economy. default.star explains each parameter and has the defaults;
 // numberSpecs and flagSpecs map the names in the script to the fields here and have the allowed ranges.
 type Parameters struct {
 	LeadershipParameters
@@ -200,7 +201,8 @@
 
 var errTeamWeightsType = errors.New("policy: knob team_weights must be a dict from teams to numbers")
 
-// readTeamWeights returns the weights of teams by name. It rejects teams that the settings don't have.
+// readTeamWeights returns the weights of teams by name. It rejects teams that the settings don't have, and weights that
+// are no numbers or out of bounds.
 func readTeamWeights(v starlark.Value, s *config.Settings) (map[string]float64, error) {
 	dict, ok := v.(*starlark.Dict)
 	if !ok {
--- a/internal/policy/parameters_test.go
+++ b/internal/policy/parameters_test.go
@@ -18,8 +18,8 @@
 	return s
 }
 
-// With a wrong value of economy either work finishes too late or too many machines are rented. It must be False if an
-// objective asks for work without deadlines to finish within a short fixed time, and True otherwise.
+// With a wrong value of economy either work finishes too late or too many machines are rented. With
+// objectives, it must be False if one asks for work without deadlines to finish within a short fixed time, and True otherwise.
 func TestEconomyFollowsFromObjectives(t *testing.T) {
 	economical, err := Parse("", settings("deadline", "guarantee"))
 	require.NoError(t, err)
--- a/internal/policy/specification.go
+++ b/internal/policy/specification.go
@@ -17,7 +17,7 @@
 }
 
 // numberSpecs lists all numeric parameters that a script may set. Names that end in _s are in seconds. To add a
-// parameter, add its field to Parameters, its default to default.star and its line here.
+// parameter, add its field to Parameters, its default to default.star, its line here and its name to Parameters.String.
 var numberSpecs = []numberSpec{
 	// Leadership.
 	{"hold_ttl_s", 1, 600, func(p *Parameters, v float64) { p.LeaderLeaseTTL = clock.FromSeconds(v) }},
--- a/wire/users.go
+++ b/wire/users.go
@@ -14,10 +14,10 @@
 
 // Phases of a job.
 const (
-	Pending   = "pending"   // no task runs, and none is done yet
+	Pending   = "pending"   // no task runs and none is done yet, or the progress of the active job is not known at present
 	Running   = "running"   // some tasks run or are done
 	Done      = "done"      // final: all tasks are done
-	Cancelled = "cancelled" // final: no task runs any more
+	Cancelled = "cancelled" // final: no task starts any more; those still running are being stopped
 )
 
 // Priorities lists the priorities of jobs, the lowest first.
