--- a/internal/console/teams.go
+++ b/internal/console/teams.go
@@ -26,7 +26,7 @@
 // fleetShares is the state of fair sharing, merged from the responses of all controllers.
 type fleetShares struct {
 	enabled  bool    // fair shares are on: a controller reported the share of a known team
-	capacity float64 // CPUs of the machines of all partitions whose leader answered
+	capacity float64 // CPUs of the machines of all partitions whose leader answered and has fair shares on
 	yielded  uint64  // assignments that partition leaders rejected in favour of other teams
 }
 
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -72,7 +72,7 @@
 
 // HoldZone holds the return of work to a zone at its present stage, or resumes it. It calls all controllers, since
 // the fleet's leadership may change meanwhile; only the fleet's leader acts. If no controller acted, HoldZone fails
-// with the reason that the leader gave, or with ErrNoLeader.
+// with the first reason that a controller gave, or with ErrNoLeader if none gave one.
 func HoldZone(out io.Writer, settings *config.Settings, controllers []Controller, zone string, held bool) error {
 	if !slices.Contains(settings.Params.Zones, zone) {
 		return UnknownError{"zone", zone}
--- a/internal/history/ring.go
+++ b/internal/history/ring.go
@@ -14,7 +14,7 @@
 	TaskRunning Kind = "running" // a partition leader observed that the task runs
 	TaskEnded   Kind = "ended"   // a partition leader observed that the task ended, or knows that it is gone; Note is the cause
 	JobFinished Kind = "over"    // the controller observed the job's final state; Note is the phase
-	ZoneChanged Kind = "zone"    // the zone's state or stage changed; Note is both
+	ZoneChanged Kind = "zone"    // the zone's state or stage changed; Note is the state and, during a return, the stage
 )
 
 // Event is one observation of a controller. Its fields are the columns of the Parquet file, and controllers send
--- a/internal/peer/operators.go
+++ b/internal/peer/operators.go
@@ -44,13 +44,13 @@
 // TeamsRequest asks a controller for the state of the teams.
 type TeamsRequest struct{}
 
-// TeamsResponse has what one controller knows of the teams: the state of those that it leads, and the shares
-// of all teams in the machines of its partitions.
+// TeamsResponse has what one controller knows of the teams: the state of those that it leads, and the teams' fair
+// shares in the machines of its partitions.
 type TeamsResponse struct {
 	Host      string               // host of the controller
 	Teams     []TeamStatus         // the teams that the controller leads
-	Capacity  resources.Amounts    // total capacity of the machines in its partitions
-	Standings []fairshare.Standing // each team's share of that capacity; empty if fair shares are disabled
+	Capacity  resources.Amounts    // total capacity of the machines in its partitions; 0 if fair shares are disabled
+	Standings []fairshare.Standing // shares of that capacity, of the teams that use it or wait for it; empty if fair shares are disabled
 	Yielded   uint64               // number of assignments that it rejected in favour of other teams
 }
 
@@ -91,7 +91,7 @@
 type ZoneHoldResponse struct {
 	Done    bool
 	Holder  string // host of the fleet's leader, as far as the controller knows; "": unknown
-	Refusal string // why the leader refused; "" if the controller is not the leader
+	Refusal string // why the controller refused, as the leader or because zone return is off; else ""
 }
 
 // HistoryRequest asks for a part of a controller's history of events.
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -31,7 +31,8 @@
 	return waiting
 }
 
-// DemandResponse lists the waiting tasks of the teams that a scheduler leads.
+// DemandResponse lists the waiting tasks of the teams that a scheduler leads, as far as they fit below the teams' limits.
+// It leaves out jobs whose tasks have failed many times in a row.
 type DemandResponse struct{ Demands []Demand }
 
 // MachineRef identifies a machine. The zone is included because the partition of a machine is computed from
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -8,15 +8,15 @@
 resign_after_s = 5     # a controller that has lost contact with the store for this long resigns if a peer has contact
 hold_grace_s = 3       # a free leadership is left to its preferred leader for this long
 hand_over_s = 15       # a leadership goes back to its preferred leader once that has been registered for this long
-sample = 12            # machines drawn as candidates for each task
-batch = 40             # tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
+sample = 12            # machines drawn as candidates for a task that is not small
+batch = 40             # tasks that one scheduling cycle may place; a quarter of the waiting tasks is added
 lease_ttl_s = 12       # a resource lease that is not used for this long expires
 progress_every_s = 2   # interval between writes of completed tasks to the key-value store
 preempt_after_s = 0.25  # work that found no resources for this long may preempt lower priorities
 idle_return_s = 8 if economy else 240  # a machine that has been idle for this long is returned to the cloud
 catchup_s = 60         # with economy: spot instances are rented so that waiting work is done within this time
 catchup_ordinary_s = 90 # the same for on-demand instances, which are rented once spot instances are refused
-spare_share = 0.0 if economy else 0.5   # capacity rented in advance, as a share of the capacity in use
+spare_share = 0.0 if economy else 0.5   # without economy: CPUs kept free by renting in advance, as a share of the CPUs in use
 boot_patience = 3.0    # a machine that is not up after this multiple of its boot time is returned
 rental_backoff_s = 5   # a kind of instance (type, zone, spot or on-demand) that the cloud refused is not requested for this long
 sick_errors = 2        # a machine is quarantined when tasks of this many jobs have failed on it in a row
@@ -45,7 +45,7 @@
 zone_return = False
 zone_suspect_s = 4     # a zone is suspect once most of its machines have sent no heartbeats for this long
 zone_lost_s = 12       # a zone is lost once they have sent none for this long; no machines are rented there
-zone_back_s = 3        # work returns once half of the machines have sent heartbeats for this long; doubled at each new loss
+zone_back_s = 3        # work returns once half of the machines have sent heartbeats for this long; doubled at each new loss, but never more than 60 s
 
 # History: events are kept in memory for the command `merlinlatch history`.
 history = False
--- a/internal/policy/parameters.go
+++ b/internal/policy/parameters.go
@@ -52,8 +52,8 @@
 
 // SchedulingParameters has the sizes and times that schedulers and partition leaders use.
 type SchedulingParameters struct {
-	SampleSize              int          // sample: machines drawn as candidates for each task
-	BaseAssignmentsPerCycle int          // batch: tasks placed in one scheduling cycle; a quarter of the waiting tasks is added
+	SampleSize              int          // sample: machines drawn as candidates for a task that is not small
+	BaseAssignmentsPerCycle int          // batch: tasks that one scheduling cycle may place; a quarter of the waiting tasks is added
 	ResourceLeaseTTL        clock.Micros // lease_ttl_s: time after which an unused resource lease expires
 	ProgressInterval        clock.Micros // progress_every_s
 	PreemptAfter            clock.Micros
