--- a/internal/peer/operators.go
+++ b/internal/peer/operators.go
@@ -10,17 +10,19 @@
 // TeamStatus describes a team as its scheduler knows it.
 type TeamStatus struct {
 	Team      string
-	Term      uint64              // term of the team's leadership
-	Guarantee resources.Amounts   // guaranteed resources, from the settings
-	Limit     resources.Amounts   // largest use, from the settings; an amount of 0 means no limit
-	Used      resources.Amounts   // resources of all tasks that are, or may be, on a machine
-	Jobs      int                 // number of active jobs
-	Waiting   int                 // number of tasks that wait
-	Running   int                 // number of tasks that are assigned to a machine, also those that don't run yet
-	Waits     telemetry.Quantiles // times from the acceptance of a job until a task of it runs, observed by this process
-	Lateness  telemetry.Quantiles // how long after their deadlines jobs with a deadline ended; 0 for jobs in time
-	Moves     []MoveRecord        // recent moves, the latest first
-	Unmoved   []DeclinedMoves     // why tasks were not moved off machines that they should leave
+	Term      uint64            // term of the team's leadership
+	Guarantee resources.Amounts // guaranteed resources, from the settings
+	Limit     resources.Amounts // largest use, from the settings; an amount of 0 means no limit
+	Used      resources.Amounts // resources of all tasks that are, or may be, on a machine
+	Jobs      int               // number of active jobs
+	Waiting   int               // number of tasks that wait
+	Running   int               // number of tasks that are assigned to a machine, also those that don't run yet
+	// Waits has the times from the acceptance of a job until each of its tasks was first seen running, as observed by
+	// this process. Once a task of a job had to be placed again, no more times of the job are added.
+	Waits    telemetry.Quantiles
+	Lateness telemetry.Quantiles // how long after their deadlines jobs with a deadline were done; 0 for jobs in time
+	Moves    []MoveRecord        // recent moves, the latest first
+	Unmoved  []DeclinedMoves     // why tasks were not moved off machines that they should leave
 }
 
 // MoveRecord describes a move of a running task from one machine to another.
@@ -42,13 +44,13 @@
 // TeamsRequest asks a controller for the state of the teams.
 type TeamsRequest struct{}
 
-// TeamsResponse has what one controller knows of the teams: the state of those that it leads, and the shares
-// of all teams in the machines of its partitions.
+// TeamsResponse has what one controller knows of the teams: the state of those that it leads, and the teams' fair
+// shares in the machines of its partitions.
 type TeamsResponse struct {
 	Host      string               // host of the controller
 	Teams     []TeamStatus         // the teams that the controller leads
-	Capacity  resources.Amounts    // total capacity of the machines in its partitions
-	Standings []fairshare.Standing // each team's share of that capacity; empty if fair shares are disabled
+	Capacity  resources.Amounts    // total capacity of the machines in its partitions; 0 if fair shares are disabled
+	Standings []fairshare.Standing // shares of that capacity, of the teams that use it or wait for it; empty if fair shares are disabled
 	Yielded   uint64               // number of assignments that it rejected in favour of other teams
 }
 
@@ -89,7 +91,7 @@
 type ZoneHoldResponse struct {
 	Done    bool
 	Holder  string // host of the fleet's leader, as far as the controller knows; "": unknown
-	Refusal string // why the leader refused; "" if the controller is not the leader
+	Refusal string // why the controller refused, as the leader or because zone return is off; else ""
 }
 
 // HistoryRequest asks for a part of a controller's history of events.
--- a/internal/peer/scaling.go
+++ b/internal/peer/scaling.go
@@ -31,7 +31,8 @@
 	return waiting
 }
 
-// DemandResponse lists the waiting tasks of the teams that a scheduler leads.
+// DemandResponse lists the waiting tasks of the teams that a scheduler leads, as far as they fit below the teams' limits.
+// It leaves out jobs whose tasks have failed many times in a row.
 type DemandResponse struct{ Demands []Demand }
 
 // MachineRef identifies a machine. The zone is included because the partition of a machine is computed from
@@ -46,6 +47,6 @@
 // DrainResponse lists the ids of the drained machines, which can be returned to the cloud.
 type DrainResponse struct{ Ready []string }
 
-// MachinesGone tells a partition leader which machines are gone for certain: they no longer exist. It need not wait
-// for their worker leases to expire.
+// MachinesGone tells a partition leader on which machines certainly nothing runs any more: they are gone, returned or
+// failed. It need not wait for their worker leases to expire.
 type MachinesGone struct{ Machines []MachineRef }
