--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -56,13 +56,18 @@
 	return nil
 }
 
-// freeAddr returns a loopback address at which nothing listens.
-func freeAddr(t *testing.T) string {
+// freeAddrs returns n different loopback addresses at which nothing listens. All of them are open before the first is
+// closed: the system may otherwise give the same port twice, and an unreachable controller would share a reachable one's address.
+func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer listener.Close()
-	return listener.Addr().String()
+	addrs := make([]string, n)
+	for i := range addrs {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		require.NoError(t, err)
+		defer listener.Close()
+		addrs[i] = listener.Addr().String()
+	}
+	return addrs
 }
 
 // serveStubControllers starts servers for controllers a and b, and returns settings that name a, b and a third
@@ -72,7 +77,8 @@
 	settings := fullSettings(t)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	settings.PeerListen, settings.Peers[0].Addr, settings.Peers[1].Addr = freeAddr(t), freeAddr(t), freeAddr(t)
+	addrs := freeAddrs(t, 3)
+	settings.PeerListen, settings.Peers[0].Addr, settings.Peers[1].Addr = addrs[0], addrs[1], addrs[2]
 	for addr, c := range map[string]*stubController{settings.PeerListen: a, settings.Peers[0].Addr: b} {
 		go peer.Serve(ctx, addr, c, nil) //nolint:errcheck // a failure shows in the calls
 		require.Eventually(t, func() bool {
