--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -111,8 +111,8 @@
 	return status
 }
 
-// holdZone holds the return of a zone at its present stage, or resumes it, if this controller leads the fleet. Otherwise the response has
-// neither Done nor a refusal; it only names the fleet's leader, if there is one.
+// holdZone holds the return of a zone at its present stage, or resumes it, if this controller leads the fleet. Any other controller
+// only names the fleet's leader in its response, if there is one. With zone return disabled every controller refuses.
 func (c *Controller) holdZone(in peer.ZoneHoldRequest) (out peer.ZoneHoldResponse) {
 	if leader, ok := c.elector.Leader(autoscaler.Duty); ok {
 		out.Holder = leader
--- a/internal/partition/zones_test.go
+++ b/internal/partition/zones_test.go
@@ -18,7 +18,7 @@
 	require.False(t, s.assignAtStage(0, 1, recovery.Urgent), "no new task is admitted at the reconcile stage")
 	s.setReturningStage(recovery.Urgent)
 	require.False(t, s.assignAtStage(0, 2, recovery.Services))
-	require.True(t, s.assignAtStage(0, 3, recovery.Urgent), "a cold machine gets one trial task")
+	require.True(t, s.assignAtStage(0, 3, recovery.Urgent), "an unproven machine gets one trial task")
 	s.now += sec
 	require.False(t, s.assignAtStage(1, 4, recovery.Urgent), "no second task is admitted before the trial task runs")
 	s.heartbeat()
